--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -1,4 +1,4 @@
-//! What an agent asks its driver to do, and what it tells operators.
+//! Actions that an agent requests from its driver, and events reported to operators.
 
 use super::crash_table::CrashReport;
 use super::learnt_from::LearntFrom;
@@ -12,336 +12,337 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Ties a store answer to its request.
+/// Correlates a store answer with its request.
 pub type RequestId = u64;
-/// Ties an answer to an operator's request at this node.
+/// Correlates an answer with an operator's request at this node.
 pub type Ticket = u64;
-/// Names a lease in the platform's store.
+/// Identifies a lease in the platform's store.
 pub type LeaseId = u64;
 
 /// A request to the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Take reader place `place` for `ttl`, if it is free.
+    /// Acquire the reader slot `place` for `ttl` if it is free.
     AcquireLease {
-        /// Place, from 0.
+        /// Index of the reader slot, from 0.
         place: usize,
-        /// Life of the lease.
+        /// Time to live of the lease.
         ttl: Duration,
     },
     /// Renew a lease.
     RenewLease {
-        /// Which one.
+        /// Lease to renew.
         lease: LeaseId,
     },
-    /// Give a lease back.
+    /// Release a lease.
     ReleaseLease {
-        /// Which one.
+        /// Lease to release.
         lease: LeaseId,
-        /// The place it holds.
+        /// Reader slot that the lease holds.
         place: usize,
     },
-    /// Create the log slot `version` if it is empty.
+    /// Append an entry as `version` unless that slot is taken.
     Append {
-        /// The slot.
+        /// Log slot to write.
         version: Version,
         /// The encoded entry.
         entry: SharedBytes,
     },
-    /// Read all entries after `after` at once.
+    /// Read all entries after `after`, without waiting.
     ReadLog {
         /// Version before the first wanted entry.
         after: Version,
     },
-    /// Wait until there are entries after `after`, at most `wait`.
+    /// Wait for entries after `after`, at most for `wait`.
     WatchLog {
         /// Version before the first wanted entry.
         after: Version,
-        /// Longest wait.
+        /// Maximum wait.
         wait: Duration,
     },
     /// Read the newest snapshot.
     ReadSnapshot,
-    /// Write a snapshot, read it back, and remove the entries up to
+    /// Write a snapshot, verify it by reading it back, and delete the entries up to
     /// `truncate_to`.
     WriteSnapshot {
         /// Version of the snapshot.
         version: Version,
         /// Encoded state.
         snapshot: SharedBytes,
-        /// Last entry that may go.
+        /// Last entry to delete.
         truncate_to: Version,
     },
 }
 
-/// What the store answered.
+/// Answer of the store to a [`StoreRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreAnswer {
     /// The lease was granted.
     LeaseGranted {
-        /// Its id.
+        /// Id of the lease.
         lease: LeaseId,
     },
-    /// Another node holds the place.
+    /// Another node holds the reader slot.
     LeaseTaken,
     /// The lease was renewed or released.
     LeaseKept,
-    /// The lease is gone.
+    /// The lease has expired.
     LeaseLost,
     /// The slot was empty and now holds the entry.
     Appended,
-    /// The slot was taken already.
+    /// The log slot was already taken.
     SlotTaken,
-    /// Entries from `first` on, without gaps; empty when there are none.
+    /// Entries from `first` on, without gaps. May be empty.
     Entries {
         /// Version of the first entry.
         first: Version,
         /// The entries.
         entries: Vec<SharedBytes>,
-        /// Head of the log as this read saw it.
+        /// Head of the log at the time of the read.
         head: Version,
     },
-    /// The wanted entries are behind a snapshot and gone.
+    /// The requested entries were deleted after a snapshot.
     Truncated,
-    /// The newest snapshot, if there is one.
+    /// The newest snapshot, if any.
     Snapshot(Option<SharedBytes>),
-    /// The snapshot is written and readable.
+    /// The snapshot was written and verified.
     SnapshotWritten,
 }
 
-/// Why a store request has no answer.
+/// Failure of a store request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StoreFailure {
-    /// The store never saw the request or refused to run it.
-    #[error("the store did not run the request")]
+    /// The request had no effect: it did not reach the store, or the store rejected it.
+    #[error("the store did not execute the request")]
     NotRun {
-        /// When the store wants to be asked again.
+        /// Delay requested by the store.
         retry_after: Option<Duration>,
     },
     /// The request may have taken effect.
-    #[error("the store's answer was lost")]
+    #[error("the answer of the store was lost")]
     Unknown,
 }
 
-/// One event worth explaining to an operator.
+/// Event reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case", tag = "decision")]
 pub enum Decision {
-    /// A version came into force here.
+    /// A version became active on this node.
     VersionAdopted {
-        /// The version.
+        /// The active version.
         version: Version,
-        /// Who gave it to this node.
+        /// Where this node got the version from.
         learnt_from: LearntFrom,
-        /// Time since the store last answered this node for the document, in
-        /// milliseconds; none: it has not, or the configuration is a change log.
+        /// Milliseconds since the store last answered this node for the document. Absent if it
+        /// never did, or if the configuration is a change log.
         store_answer_ms: Option<u64>,
-        /// This node watches the document at the store.
+        /// True if this node watches the document in the store.
         watcher: bool,
     },
-    /// A version was refused whole; the state did not change.
+    /// A version was rejected as a whole. The state is unchanged.
     VersionRefused {
-        /// The version.
+        /// The rejected version.
         version: Version,
-        /// Why.
+        /// Findings that led to the rejection.
         reason: String,
     },
-    /// A version waits for witnesses.
+    /// A version awaits acknowledgement by witnesses.
     AdoptionWaits {
-        /// The version.
+        /// The pending version.
         version: Version,
-        /// Witnesses that have not answered.
+        /// Witnesses that have not acknowledged it.
         missing: Vec<NodeId>,
     },
-    /// The restart floor is known.
+    /// The version floor after the restart is known.
     FloorConfirmed {
-        /// The floor.
+        /// Lowest version that this node may activate.
         floor: Version,
-        /// Where it comes from.
+        /// Where the floor comes from.
         source: FloorSource,
     },
-    /// The store's head lies below what this node holds; it is not followed.
+    /// The head of the store is below the active version of this node. This node does not go
+    /// back to it.
     StoreBehind {
         /// The store's head.
         head: Version,
-        /// What this node holds.
+        /// Active version of this node.
         held: Version,
     },
-    /// A member's status changed in this node's view.
+    /// The status of a member changed in this node's member table.
     MemberChanged {
-        /// The member.
+        /// Id of the member.
         id: NodeId,
         /// The new status.
         status: super::member::Status,
-        /// Its incarnation.
+        /// SWIM incarnation of the record.
         incarnation: u64,
     },
-    /// This node holds a reader's lease.
+    /// This node acquired a reader lease.
     LeaseAcquired {
-        /// The place, from 0.
+        /// Reader slot, from 0.
         place: usize,
     },
-    /// This node lost or gave up its reader's lease.
+    /// This node lost or gave up its reader lease.
     LeaseLost {
-        /// The place, from 0.
+        /// Reader slot, from 0.
         place: usize,
-        /// Why.
+        /// Why the lease ended.
         reason: String,
     },
-    /// The process was frozen or starved for this long.
+    /// The process was suspended or starved of CPU.
     Frozen {
-        /// How long, in milliseconds.
+        /// Gap between two ticks, in milliseconds.
         gap_ms: u64,
     },
-    /// This node takes no new work for its back end.
+    /// This node accepts no new work for its backend any more.
     DrainStarted {
-        /// Who or what started it.
+        /// What triggered the drain.
         origin: String,
     },
-    /// The store cannot be reached.
+    /// Requests to the store fail.
     StoreUnavailable {
-        /// What failed.
+        /// First failure.
         reason: String,
     },
-    /// The store answers again.
+    /// The store answers again after failures.
     StoreAvailable,
-    /// This node was chosen to watch the document at the store.
+    /// This node was selected to watch the document in the store.
     WatchBegun {
-        /// How many nodes watch, as far as this one knows.
+        /// Number of watchers according to this node's member table.
         watchers: usize,
     },
-    /// This node watches the document no more.
+    /// This node no longer watches the document in the store.
     WatchEnded {
-        /// The store answered its last call.
+        /// True if the store answered this node's last call.
         store_answers: bool,
-        /// How many nodes watch, as far as this one knows.
+        /// Number of watchers according to this node's member table.
         watchers: usize,
     },
-    /// The back end beside this node reported something new, or is gone.
+    /// The announced state of the local backend changed.
     BackendChanged {
-        /// What it said; none when another incarnation stands at its address.
+        /// Latest report of the backend. Absent once it is no longer announced.
         endpoint: Option<EndpointRecord>,
     },
-    /// Back ends have crashed under a request: it does not run for now.
+    /// A request is quarantined because several backends crashed while running it.
     RequestQuarantined {
-        /// The request.
+        /// Identity of the request.
         identity: RequestIdentity,
-        /// The incarnations that ended, oldest crash first.
+        /// Crashed backend incarnations, oldest crash first.
         instances: Vec<InstanceId>,
-        /// How long ago each ended, in milliseconds.
+        /// Milliseconds since each crash.
         ages_ms: Vec<u64>,
-        /// Time until its trial, in milliseconds.
+        /// Milliseconds until the request gets a trial.
         left_ms: u64,
     },
-    /// What was held against a request counts no more.
+    /// The crashes recorded for a request no longer count.
     RequestCleared {
-        /// The request.
+        /// Identity of the request.
         identity: RequestIdentity,
-        /// Crashes that were held against it.
+        /// Number of crashes that were cleared.
         crashes: usize,
-        /// Who or what cleared it.
+        /// What cleared them.
         origin: String,
     },
-    /// A roll-out has begun, gone on or ended.
+    /// A rollout started, advanced or ended.
     RollOut {
-        /// The service.
+        /// Service that is rolled out.
         service: ResourceName,
-        /// The version that is brought in.
+        /// Version that is rolled out.
         target: SoftwareVersion,
-        /// How far it is from now on.
+        /// New phase of the rollout.
         phase: Phase,
-        /// Share of the calls that the version may get, of a thousand.
+        /// Maximum share of calls for the target version, in thousandths.
         share_permille: u16,
-        /// Counts who has decided.
+        /// Term of the node that decided.
         term: u64,
-        /// The inputs of the decision.
+        /// Inputs of the decision.
         reason: String,
     },
-    /// A call was refused or ended without a whole answer.
+    /// A call was rejected or ended without a complete response.
     CallFailed {
-        /// The call.
+        /// Id of the call.
         call_id: String,
-        /// What became of it.
+        /// Cause of the failure.
         reason: String,
     },
 }
 
-/// Where a restart floor comes from.
+/// Source of the version floor after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FloorSource {
-    /// A read of the store that began after the restart.
+    /// A store read that began after the restart.
     Store,
     /// A majority of the witnesses.
     Witnesses,
 }
 
-/// What the driver must do.
+/// Work for the driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a message to a peer.
     Send {
-        /// Whom.
+        /// Receiver.
         to: NodeId,
-        /// Where.
+        /// Address of the receiver.
         address: SocketAddr,
-        /// It stands in another zone.
+        /// True if the receiver is in another zone.
         crosses_zones: bool,
-        /// What.
+        /// Message with its sender.
         envelope: Envelope,
     },
-    /// Ask the store.
+    /// Send a request to the store.
     Store {
-        /// Comes back with the answer.
+        /// Passed back with the answer.
         request_id: RequestId,
-        /// What to ask.
+        /// The request.
         request: StoreRequest,
     },
-    /// The back end beside this node leaves, and that is acknowledged: keep it in the
-    /// directory, for this node's next life.
+    /// The local backend's departure was acknowledged. Record it in the directory for the next
+    /// run of this node.
     RecordLeave(EndpointRecord),
-    /// Keep these crashes of back ends where they outlast all nodes.
+    /// Record these backend crashes in the store, so that they survive a restart of all nodes.
     RecordCrashes(Vec<CrashReport>),
-    /// They count no more.
+    /// Delete the records of these crashes from the store.
     ForgetCrashes(Vec<CrashReport>),
-    /// Ask the store for a decision on roll-outs.
+    /// Send a rollout request to the store.
     AskDeciderStore(DeciderCall),
-    /// What entries may do with versions has changed.
+    /// The routing limits of rollouts changed.
     RollOutsChanged,
-    /// A peer has seen the store in this era: ask the store whether it is so.
+    /// A peer reported this store era. Verify it with the store.
     AskForEra(u64),
-    /// A peer holds a newer document than this node: read the store now.
+    /// A peer holds a newer document than this node. Read the store now.
     ReadDocument,
-    /// Swap this configuration in for new calls.
+    /// Use this configuration for new calls.
     Adopt(Arc<ConfigState>),
-    /// This node's readiness changed.
+    /// The readiness of this node changed.
     Ready(bool),
     /// Answer an operator's proposal.
     AnswerProposal {
-        /// From the submission.
+        /// Ticket of the submission.
         ticket: Ticket,
-        /// The answer.
+        /// Outcome of the proposal.
         answer: ProposalAnswer,
     },
-    /// Answer an operator's question for the spread.
+    /// Answer an operator's query for the propagation of the newest version.
     AnswerSpread {
-        /// From the question.
+        /// Ticket of the query.
         ticket: Ticket,
-        /// What a reader sees; none when no reader answered in time.
+        /// View of a reader, or `None` if no reader answered in time.
         spread: Option<Spread>,
     },
-    /// Stop taking new work for the back end.
+    /// Stop accepting new work for the backend.
     StartDrain,
-    /// Tell operators.
+    /// Report an event to operators.
     Explain(Decision),
 }
 
-/// Collects the actions of one step.
+/// Collects the output of one agent step.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Messages by receiver; the agent resolves addresses at the end.
+    /// Messages by receiver. The agent resolves the addresses at the end of the step.
     pub messages: Vec<(NodeId, Message)>,
-    /// Everything else.
+    /// All other actions.
     pub actions: Vec<Action>,
 }
 
@@ -351,7 +352,7 @@
         self.messages.push((to.clone(), message));
     }
 
-    /// Queues an explanation.
+    /// Queues an event for operators.
     pub fn explain(&mut self, decision: Decision) {
         self.actions.push(Action::Explain(decision));
     }
--- a/crates/rampthread-core/src/fleet/crash_table.rs
+++ b/crates/rampthread-core/src/fleet/crash_table.rs
@@ -1,11 +1,9 @@
-//! Which back ends have crashed under which requests, as all nodes agree on it.
+//! Backend crashes by request, replicated to all nodes.
 //!
-//! A set of reports that only grows: a report names a request and the
-//! incarnation of a back end that ended while it ran that request. Two sets are
-//! merged by union, so that a crash counts once however often and in whatever
-//! order it is told. A report that was cleared stays in the set, marked: the mark
-//! wins over the report, so that no late copy brings it back. Reports end by
-//! their age, which travels with them.
+//! The table is a grow-only set of reports. Each report names a request and the incarnation of
+//! a backend that crashed while running it. Tables are merged by union, so that a crash counts
+//! once, however often and in whatever order it is reported. Cleared reports stay in the set as
+//! tombstones that override late copies. Reports expire by their age, which is sent along.
 
 use crate::call::identity::RequestIdentity;
 use crate::call::quarantine::{Evidence, LONGEST_MEMORY, QUARANTINE_CRASHES, Standing};
@@ -15,54 +13,54 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Requests remembered at most: 50 crashes with 18 calls each under way, in
-/// 200 kB. Beyond, those with the fewest crashes go first, the oldest of them.
+/// Maximum number of requests in the table: 50 crashes with 18 concurrent calls each, in 200
+/// kB. Beyond that, the requests with the fewest crashes are evicted, oldest first.
 pub const MAX_SUSPECTS: usize = 1_024;
-/// Crashes remembered of one request: two before its first trial, and more than lead
+/// Maximum number of crashes kept per request: two before its first trial, and more than lead
 /// to the longest quarantine.
 const MAX_CRASHES: usize = 9;
 
-/// Age from which on peers compare a report, whatever it is worth: until then it is
-/// on its way to all of them.
+/// Age from which peers reconcile any report. Younger ones may still be on their way to all
+/// peers.
 const SETTLED_AGE: Duration = Duration::from_secs(1);
-/// Age up to which they do: a node that heard of it from nobody learns it within a
-/// few probes, and peers need not forget it at the same moment.
+/// Age up to which peers reconcile any report. A node that missed it learns it within a few
+/// probes, and peers need not expire it at the same moment.
 const COMPARED_AGE: Duration = Duration::from_secs(10);
 
-/// A back end ended while it ran a request.
+/// Report of a backend that crashed while running a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashReport {
-    /// The request.
+    /// Identity of the request.
     pub identity: RequestIdentity,
-    /// The incarnation that ended.
+    /// Backend incarnation that crashed.
     pub instance: InstanceId,
-    /// How long ago.
+    /// Time since the crash.
     pub age: Duration,
-    /// The request was on trial there.
+    /// True if the request was on trial at this backend.
     pub on_trial: bool,
-    /// It does not count: the request was answered since, an operator lifted its
-    /// quarantine, or the back end turned out to live.
+    /// True if the report does not count: the request was answered since, an operator lifted
+    /// its quarantine, or the backend turned out to be alive.
     pub cleared: bool,
 }
 
-/// What makes two reports the same: the request, and the incarnation that ended.
+/// Key of a report: the request and the crashed incarnation.
 pub type ReportKey = (RequestIdentity, InstanceId);
 
 impl CrashReport {
-    /// Which report it is.
+    /// Returns the key of the report.
     pub fn key(&self) -> ReportKey {
         (self.identity, self.instance.clone())
     }
 }
 
-/// What a report was worth.
+/// Result of merging a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Taken {
-    /// It changed the table.
+    /// The report changed the table.
     New,
-    /// It was known.
+    /// The report was already known.
     Known,
-    /// It is known to be cleared, which its sender does not know.
+    /// The report is already cleared here, which its sender does not know.
     Outdated,
 }
 
@@ -75,7 +73,7 @@
 
 type Crashes = BTreeMap<InstanceId, Crash>;
 
-/// Every report that this node knows.
+/// All reports known to this node.
 #[derive(Debug, Clone, Default)]
 pub struct CrashTable {
     suspects: BTreeMap<RequestIdentity, Crashes>,
@@ -83,22 +81,22 @@
 }
 
 impl CrashTable {
-    /// True when no request is known, cleared ones included.
+    /// Returns true if the table has no requests, including cleared ones.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Requests known, cleared ones included.
+    /// Returns the number of requests, including cleared ones.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Grows with every change.
+    /// Returns a counter that is incremented with every change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes a report in.
+    /// Merges a report into the table.
     pub fn take(&mut self, report: &CrashReport, now: Moment) -> Taken {
         if report.age >= LONGEST_MEMORY {
             return Taken::Known;
@@ -113,8 +111,7 @@
         taken
     }
 
-    /// Clears what is held against a request for crashes up to `until`; returns what
-    /// has changed.
+    /// Clears the reports of a request for crashes up to `until`. Returns the changed reports.
     pub fn clear(
         &mut self,
         identity: &RequestIdentity,
@@ -134,7 +131,7 @@
         changed
     }
 
-    /// What becomes of a request now.
+    /// Returns whether the request is suspected, quarantined or on trial.
     pub fn standing(&self, identity: &RequestIdentity, now: Moment) -> Standing {
         let Some(crashes) = self.suspects.get(identity) else {
             return Standing::Unsuspected;
@@ -144,7 +141,7 @@
         Standing::after(evidence(crashes), now.since(last))
     }
 
-    /// Reports that count against a request, newest last.
+    /// Returns the reports of a request that count, newest last.
     pub fn against(&self, identity: &RequestIdentity, now: Moment) -> Vec<CrashReport> {
         let crashes = self.suspects.get(identity).into_iter().flatten();
         let mut reports: Vec<CrashReport> = crashes
@@ -155,7 +152,7 @@
         reports
     }
 
-    /// Reports on a request that were cleared.
+    /// Returns the cleared reports of a request.
     pub fn clearings(&self, identity: &RequestIdentity, now: Moment) -> Vec<CrashReport> {
         let crashes = self.suspects.get(identity).into_iter().flatten();
         crashes
@@ -164,7 +161,7 @@
             .collect()
     }
 
-    /// The report as this table holds it.
+    /// Returns the report with this key as the table holds it.
     pub fn held(
         &self,
         identity: &RequestIdentity,
@@ -175,7 +172,7 @@
         Some(report(*identity, instance, *crash, now))
     }
 
-    /// Requests with crashes that count, and when the first of them was.
+    /// Returns the requests with reports that count, and the time of the first crash of each.
     pub fn suspected(&self) -> impl Iterator<Item = (&RequestIdentity, Moment)> {
         self.suspects.iter().filter_map(|(identity, crashes)| {
             let counted = crashes.values().filter(|crash| !crash.cleared);
@@ -184,7 +181,7 @@
         })
     }
 
-    /// Requests under which several back ends have crashed.
+    /// Returns the requests under which several backends have crashed.
     pub fn offenders(&self) -> impl Iterator<Item = &RequestIdentity> {
         self.suspects
             .iter()
@@ -192,15 +189,16 @@
             .map(|(identity, _)| identity)
     }
 
-    /// All reports on [`CrashTable::offenders`]: what peers must agree on.
+    /// Returns all reports on [`CrashTable::offenders`] that count. Peers reconcile them.
     pub fn against_offenders(&self, now: Moment) -> Vec<CrashReport> {
         self.offenders()
             .flat_map(|identity| self.against(identity, now))
             .collect()
     }
 
-    /// Reports of the last seconds, cleared ones included, under whatever request: peers
-    /// that agree on them clear the same ones with an answer.
+    /// Returns the reports of the last seconds, including cleared ones and those of requests
+    /// with a single crash. If peers agree on them, a response clears the same reports
+    /// everywhere.
     pub fn recent(&self, now: Moment) -> Vec<CrashReport> {
         self.all()
             .filter(|(_, _, crash)| is_compared(crash, now))
@@ -208,7 +206,8 @@
             .collect()
     }
 
-    /// A digest of [`CrashTable::recent`] without ages and marks; 0 where there is none.
+    /// Returns a digest of [`CrashTable::recent`] without ages and cleared marks; 0 if there
+    /// are none.
     pub fn recent_digest(&self, now: Moment) -> u64 {
         self.all()
             .filter(|(_, _, crash)| is_compared(crash, now))
@@ -223,8 +222,7 @@
         })
     }
 
-    /// A digest of [`CrashTable::against_offenders`] without ages; 0 where there
-    /// is no offender.
+    /// Returns a digest of [`CrashTable::against_offenders`] without ages; 0 if there are none.
     pub fn digest(&self) -> u64 {
         let mut digest = 0;
         for identity in self.offenders() {
@@ -237,7 +235,7 @@
         digest
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes expired requests.
     pub fn forget_old(&mut self, now: Moment) {
         let before = self.suspects.len();
         self.suspects.retain(|_, crashes| {
@@ -278,7 +276,7 @@
 
 fn take_crash(crashes: &mut Crashes, report: &CrashReport, at: Moment) -> Taken {
     if let Some(known) = crashes.get_mut(&report.instance) {
-        // The way of each copy adds to its age; the oldest view is nearest.
+        // Each hop adds to the age of a copy, so the earliest time is the most accurate.
         known.at = known.at.min(at);
         let newly_cleared = report.cleared && !known.cleared;
         known.cleared |= report.cleared;
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -1,7 +1,7 @@
-//! How versions travel: notices to random peers, pulls by whoever lags.
+//! Distribution of versions: notices to random peers, pulls by lagging nodes.
 //!
-//! Weighed in `docs/DESIGN.md`: a tree from the reader (every inner death
-//! stalls a subtree) and watches by all nodes (the store bears few readers).
+//! Alternatives are discussed in `docs/DESIGN.md`: a tree from the reader (the failure of an
+//! inner node stalls its subtree) and watches by all nodes (the store can serve only a few).
 
 use super::action::Outbox;
 use super::learnt_from::LearntFrom;
@@ -15,23 +15,22 @@
 use rand::seq::IteratorRandom;
 use std::time::Duration;
 
-/// Bytes of entries that one answer to a pull carries.
+/// Maximum size of the entries in one reply to a pull, in bytes.
 const PULL_ANSWER_BYTES: usize = 256 * 1024;
-/// Wait that a busy giver asks for.
+/// Delay requested from peers when the pull rate limit is exceeded.
 const BUSY_RETRY: Duration = Duration::from_millis(250);
-/// Pause after a pull that brought nothing.
+/// Pause after a pull that returned nothing new.
 const EMPTY_PULL_PAUSE: Duration = Duration::from_millis(50);
-/// Time between two questions of the polling baseline.
+/// Interval between polls in [`DistributionMode::PollReader`].
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Round of notices in which a node that has a document from the store tells
-/// other zones: one round later than its own, since most zones have somebody
-/// who waits at the store as well.
+/// Round of notices in which a node that read a document from the store also notifies other
+/// zones. One round after its own zone, since most zones have a watcher of their own.
 const FAR_NOTICE_ROUND: u32 = 1;
 
-/// Notices of one node about one version where it knows fewer peers in its zone than
-/// it tells in a round: with 30 of 100 messages lost one alone is missed by all of
-/// three rounds in 27 of 1,000 cases, by eight in 7 of 100,000.
+/// Rounds of notices if fewer peers are known in the zone than are notified per round. At a
+/// message loss of 30 %, a peer misses all of three notices in 27 of 1,000 cases, and all of
+/// eight in 7 of 100,000.
 const ROUNDS_TO_FEW: u32 = 8;
 
 #[derive(Debug)]
@@ -39,29 +38,29 @@
     sent: Moment,
 }
 
-/// A version that this node tells others of.
+/// A version that this node announces to peers.
 #[derive(Debug, Clone, Copy)]
 struct Rumour {
     version: Version,
     learnt_from: LearntFrom,
-    /// Rounds made so far.
+    /// Number of completed rounds.
     rounds: u32,
 }
 
-/// Rumours that this node still spreads and the pull that it waits for.
+/// Announcement in progress and pending pull.
 #[derive(Debug, Default)]
 pub struct Distribution {
     rumour: Option<Rumour>,
     next_round: Moment,
     pull: Option<OpenPull>,
-    /// Pulls in a row whose answer did not come in time.
+    /// Number of consecutive pulls that timed out.
     timeouts: u32,
-    /// Least wait for the answer to a pull, over this node's link.
+    /// Minimum timeout of a pull, depending on the bandwidth of this node's link.
     least_patience: Duration,
     pull_not_before: Moment,
-    /// Pulls ask for everything, whatever this node holds.
+    /// True if pulls request the full state, whatever version this node holds.
     whole: bool,
-    /// A peer that holds a version that this node lacks.
+    /// Peer known to hold a newer version than this node.
     source: Option<NodeId>,
     next_poll: Moment,
     served_window: Moment,
@@ -69,7 +68,7 @@
 }
 
 impl Distribution {
-    /// A new version was learnt: begin to tell others.
+    /// Starts announcing a new version.
     pub fn start(
         &mut self,
         version: Version,
@@ -88,7 +87,7 @@
         self.next_round = now;
     }
 
-    /// Sends due notices and pulls.
+    /// Sends the notices and pulls that are due.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -122,9 +121,9 @@
         }
     }
 
-    /// After an answer that did not come two peers are asked at once: where 30 of 100
-    /// messages are lost, one exchange in two fails, of two one in four. Not where the
-    /// whole state is wanted, which would come twice.
+    /// Sends the pull to a second peer after a timeout: at a message loss of 30 %, one exchange
+    /// fails in half of the cases, two in a quarter. Not if the full state is requested, since
+    /// it would be transferred twice.
     fn pull_from_second(
         &self,
         first: &NodeId,
@@ -198,12 +197,12 @@
         }
     }
 
-    /// `peer` holds a version that this node lacks.
+    /// Records a peer that holds a newer version than this node.
     pub fn note_source(&mut self, peer: &NodeId) {
         self.source = Some(peer.clone());
     }
 
-    /// Asks `peer` for what is missing, unless a pull is open.
+    /// Requests missing entries from `peer` unless a pull is pending.
     pub fn pull_from(
         &mut self,
         peer: &NodeId,
@@ -223,24 +222,24 @@
         outbox.send(peer, Message::Pull { held });
     }
 
-    /// Sets the least wait for the answer to a pull: one that takes long over a
-    /// narrow link is not asked for again and again.
+    /// Sets the minimum timeout of a pull, so that a slow transfer over a narrow link is not
+    /// started again and again.
     pub fn set_least_patience(&mut self, wait: Duration) {
         self.least_patience = wait;
     }
 
-    /// Whether pulls ask for everything.
+    /// Sets whether pulls request the full state.
     pub fn ask_for_all(&mut self, whole: bool) {
         self.whole = whole;
     }
 
-    /// Holds pulls back until `moment`: another way to the version is tried first.
+    /// Suspends pulls until `moment`, while the version may still arrive by other means.
     pub fn wait_before_pull(&mut self, moment: Moment) {
         self.pull_not_before = self.pull_not_before.max(moment);
     }
 
-    /// An answer to a pull arrived. A giver that had nothing new is not asked
-    /// again at once: it may have heard of the version but not have it yet.
+    /// Handles a reply to a pull. If it contained nothing new, the next pull is delayed: the
+    /// peer may know of the version without having it yet.
     pub fn pull_ended(&mut self, had_news: bool, now: Moment) {
         self.pull = None;
         if had_news {
@@ -251,7 +250,7 @@
         }
     }
 
-    /// The giver was busy.
+    /// Handles a pull rejected by the rate limit.
     pub fn pull_refused(
         &mut self,
         retry_after: Duration,
@@ -270,7 +269,7 @@
         self.pull_not_before = now + retry_after.mul_f64(jitter);
     }
 
-    /// Answers a pull, within the limit on pulls a second.
+    /// Replies to a pull, subject to the rate limit.
     #[allow(clippy::too_many_arguments)]
     pub fn on_pull(
         &mut self,
@@ -348,7 +347,7 @@
     targets
 }
 
-/// Random peers, half of them in other zones.
+/// Returns random peers, half of them from other zones.
 fn mixed_targets(membership: &Membership, fanout: usize, rng: &mut impl Rng) -> Vec<NodeId> {
     let far = membership.far_zones().into_values().flatten();
     let far_share = fanout.div_ceil(2);
--- a/crates/rampthread-core/src/fleet/document_history.rs
+++ b/crates/rampthread-core/src/fleet/document_history.rs
@@ -1,5 +1,5 @@
-//! The last states of the document, kept so that peers that lag get only what
-//! has changed since the version that they hold.
+//! Recent states of the document, so that lagging peers get only the difference to their
+//! version.
 
 use super::message::{Message, SharedBytes};
 use crate::config::{ConfigState, StateDelta};
@@ -7,22 +7,22 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// States kept. They share the resources that did not change.
+/// Number of states kept. They share unchanged resources.
 const KEPT_STATES: usize = 16;
 
-/// The last states, oldest first.
+/// Recent states, oldest first.
 #[derive(Debug, Default)]
 pub struct DocumentHistory {
     states: VecDeque<Arc<ConfigState>>,
-    /// What peers that hold the version were sent, up to the newest state. All
-    /// that ask share one copy: many ask for the same within moments.
+    /// Encoded replies by the version of the requesting peer, valid for the newest state. Many
+    /// peers request the same within moments, so they share one copy.
     answers: Vec<(Version, SharedBytes)>,
-    /// Content digest of the newest state, once a delta has needed it.
+    /// Content digest of the newest state, computed when a delta first needs it.
     newest_digest: Option<String>,
 }
 
 impl DocumentHistory {
-    /// Takes in a newer state.
+    /// Adds a newer state.
     pub fn push(&mut self, state: Arc<ConfigState>) {
         self.answers.clear();
         self.newest_digest = None;
@@ -32,9 +32,8 @@
         }
     }
 
-    /// The answer to a peer that holds `held`: what has changed since, or the
-    /// whole state where that version is not kept any more. [`Version::ZERO`] asks
-    /// for the whole state.
+    /// Returns the reply to a peer that holds `held`: the delta to the newest state, or the
+    /// full state if that version is no longer kept. [`Version::ZERO`] requests the full state.
     pub fn answer(&mut self, held: Version) -> Message {
         let Some(newest) = self.states.back().cloned() else {
             return nothing_new(held);
@@ -61,7 +60,7 @@
         }
     }
 
-    /// The bytes for peers that hold `held`, made once for each newest state.
+    /// Returns the bytes for peers that hold `held`, encoded once per newest state.
     fn shared(&mut self, held: Version, encode: impl FnOnce() -> Vec<u8>) -> SharedBytes {
         let known = self.answers.iter().find(|(version, _)| *version == held);
         if let Some((_, bytes)) = known {
--- a/crates/rampthread-core/src/fleet/holders.rs
+++ b/crates/rampthread-core/src/fleet/holders.rs
@@ -1,4 +1,4 @@
-//! Which node holds which version: reported to the readers, counted by them.
+//! Tracks which node holds which version. Nodes report to the readers.
 
 use super::action::Outbox;
 use super::membership::Membership;
@@ -8,22 +8,22 @@
 use crate::time::Moment;
 use std::collections::BTreeMap;
 
-/// Laggards named in one answer.
+/// Maximum number of lagging nodes listed in a reply.
 const MAX_LAGGARDS: usize = 8;
 
-/// A reader's table of held versions.
+/// Versions reported by other nodes, kept by a reader.
 #[derive(Debug, Default)]
 pub struct Holders {
     held: BTreeMap<NodeId, Version>,
 }
 
 impl Holders {
-    /// Notes a report. A restarted node may report less than before.
+    /// Records a report. After a restart a node may report a lower version than before.
     pub fn note(&mut self, id: &NodeId, version: Version) {
         self.held.insert(id.clone(), version);
     }
 
-    /// How far `version` has got among the reachable members.
+    /// Counts the reachable members that hold `version`.
     pub fn spread(&self, version: Version, own: Version, membership: &Membership) -> Spread {
         let mut spread = Spread {
             version,
@@ -46,8 +46,8 @@
         spread
     }
 
-    /// Nodes other than the reader that hold `version`, and how many of them
-    /// stand in other zones.
+    /// Counts the nodes other than this reader that hold `version`, in total and in other
+    /// zones.
     pub fn others(&self, version: Version, membership: &Membership) -> OtherHolders {
         let me = membership.me();
         let mut others = OtherHolders::default();
@@ -63,19 +63,19 @@
     }
 }
 
-/// Holders beside the reader itself.
+/// Number of nodes other than the reader that hold a version.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct OtherHolders {
-    /// All of them.
+    /// In all zones.
     pub count: usize,
-    /// Those in other zones.
+    /// In zones other than the reader's.
     pub in_other_zones: usize,
-    /// Whether any reachable peer stands in another zone.
+    /// True if any reachable peer is in another zone.
     pub other_zones_exist: bool,
 }
 
 impl OtherHolders {
-    /// True when the version outlives the reader and its zone.
+    /// Returns true if the version survives the loss of the reader and of its zone.
     pub fn suffice(&self, wanted: usize) -> bool {
         if self.other_zones_exist {
             self.in_other_zones >= wanted
@@ -85,7 +85,7 @@
     }
 }
 
-/// This node's reports to the readers, repeated until they are noted.
+/// Reports of this node to the readers, repeated until acknowledged.
 #[derive(Debug, Default)]
 pub struct HeldReports {
     noted: BTreeMap<NodeId, Version>,
@@ -93,7 +93,7 @@
 }
 
 impl HeldReports {
-    /// Reports at once.
+    /// Sends a report to each reader that has not acknowledged `held`.
     pub fn report(&mut self, held: Version, membership: &Membership, outbox: &mut Outbox) {
         let me = &membership.me().id;
         for reader in membership.readers().filter(|reader| reader.id != *me) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Repeats what was not noted; forgets members that are no readers now.
+    /// Repeats unacknowledged reports and drops members that are no longer readers.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -124,7 +124,7 @@
         self.report(held, membership, outbox);
     }
 
-    /// A reader has noted `version`.
+    /// Handles the acknowledgement of a reader.
     pub fn on_ack(&mut self, from: &NodeId, version: Version) {
         self.noted.insert(from.clone(), version);
     }
--- a/crates/rampthread-core/src/fleet/learnt_from.rs
+++ b/crates/rampthread-core/src/fleet/learnt_from.rs
@@ -1,13 +1,13 @@
-//! Where a node has a version from.
+//! Source from which a node got a version.
 
-/// Where a version was learnt, which decides whom a node tells of it.
+/// Source of a version, which decides which peers the node notifies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LearntFrom {
-    /// The change log, or a peer that follows it: any node tells any other.
+    /// The change log, directly or through a peer. Any node may be notified.
     Log,
-    /// The store that holds the document: other zones may not know it.
+    /// The document store. Other zones may not have the version yet.
     Store,
-    /// A peer: other zones were told by whoever has it from the store.
+    /// A peer. Nodes that read the version from the store notify the other zones.
     Peer,
 }
--- a/crates/rampthread-core/src/fleet/load.rs
+++ b/crates/rampthread-core/src/fleet/load.rs
@@ -1,35 +1,35 @@
-//! How busy back ends are and what callers ask for, as nodes tell it to each other.
+//! Load of backends and demand of callers, as exchanged between nodes.
 //!
-//! Each node tells one node of its zone, the zone's speaker; speakers sum up their zone
-//! and tell each other and their own zone. [`load_exchange`](super::load_exchange) has
-//! who tells whom and when.
+//! Each node reports to the aggregator of its zone. Aggregators sum up their zones and send the
+//! sums to each other and to their own zone. See [`load_exchange`](super::load_exchange).
 
 use crate::ids::{ResourceName, Zone};
 use std::time::Duration;
 
-/// Thousandths of a slot, so that loads compare and add without rounding.
+/// Thousandths of a slot. An integer, so that loads compare and add without rounding.
 pub type MilliSlots = u32;
 
-/// Thousandths in one slot.
+/// Milli-slots per slot.
 pub const MILLI_SLOTS: f64 = 1_000.0;
 
-/// Load of one service's back ends, and what callers ask of it.
+/// Load of a service's backends and demand of its callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Name of the service.
     pub service: ResourceName,
-    /// Slots of its back ends here.
+    /// Slots of the backends in scope.
     pub capacity: MilliSlots,
-    /// Of these, in use.
+    /// Slots in use.
     pub busy: MilliSlots,
-    /// Calls that wait at their gates.
+    /// Calls queued at the gates of the backends. A gate is the node that forwards calls to its
+    /// local backend.
     pub waiting: MilliSlots,
-    /// Slots that the calls entering here ask for, wherever they are sent.
+    /// Slots demanded by the calls that enter the mesh here, whatever zone they are sent to.
     pub demand: MilliSlots,
 }
 
 impl ServiceLoad {
-    /// Nothing known of `service` yet.
+    /// Returns a load of zero.
     pub fn none(service: ResourceName) -> Self {
         Self {
             service,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Adds another part of the same service.
+    /// Adds the load of other nodes for the same service.
     pub fn add(&mut self, other: &ServiceLoad) {
         self.capacity = self.capacity.saturating_add(other.capacity);
         self.busy = self.busy.saturating_add(other.busy);
@@ -49,13 +49,12 @@
     }
 }
 
-/// Names a tenant between nodes: a digest of its name, since names are long beside the
-/// counts that travel with them.
+/// Short hash of a tenant's name, which would be long compared with the counts sent with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TenantTag(pub u32);
 
 impl TenantTag {
-    /// The tag of the tenant called `name`.
+    /// Returns the hash of `name`.
     pub fn of(name: &ResourceName) -> Self {
         let mut first = [0_u8; 4];
         let digest = blake3::hash(name.as_str().as_bytes());
@@ -64,19 +63,19 @@
     }
 }
 
-/// What one tenant asks for.
+/// Request rate of a tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TenantLoad {
-    /// Which tenant.
+    /// Hash of the tenant's name.
     pub tenant: TenantTag,
-    /// Thousandths of a request a second, admitted or not.
+    /// Rate of received requests, admitted or not, in thousandths of a request per second.
     pub asked: u32,
-    /// Of these, the ones that were admitted and may have run.
+    /// Rate of those that were admitted and may have run, in the same unit.
     pub admitted: u32,
 }
 
 impl TenantLoad {
-    /// `tenant` asks for nothing.
+    /// Returns a rate of zero.
     pub fn none(tenant: TenantTag) -> Self {
         Self {
             tenant,
@@ -85,37 +84,38 @@
         }
     }
 
-    /// Adds what it asks for elsewhere.
+    /// Adds the rates observed by other nodes.
     pub fn add(&mut self, other: &TenantLoad) {
         self.asked = self.asked.saturating_add(other.asked);
         self.admitted = self.admitted.saturating_add(other.admitted);
     }
 }
 
-/// What one node tells the speaker of its zone.
+/// Load report of a node to the aggregator of its zone.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LoadReport {
-    /// Nodes that it speaks of.
+    /// Number of nodes covered by the report.
     pub nodes: u32,
-    /// The time that it speaks of, up to now.
+    /// Period covered by the report, up to now.
     pub period: Duration,
-    /// Its own back end's load, and the demand of its callers by service.
+    /// Load of the local backend, and demand of local callers by service.
     pub services: Vec<ServiceLoad>,
-    /// Tenants whose requests came in here.
+    /// Tenants that sent requests to this node.
     pub tenants: Vec<TenantLoad>,
 }
 
-/// All reports of one zone, summed up by its speaker.
+/// Sum of the reports of one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneLoad {
-    /// The zone.
+    /// Name of the zone.
     pub zone: Zone,
-    /// How old the sums are.
+    /// Age of the sums.
     pub age: Duration,
-    /// Nodes that reported: sums without some of the zone's nodes tell a part of it.
+    /// Number of nodes that reported. The sums are partial if some nodes of the zone are
+    /// missing.
     pub nodes: u32,
-    /// Each service that has back ends or callers there.
+    /// Services with backends or callers in the zone.
     pub services: Vec<ServiceLoad>,
-    /// Each tenant with requests there.
+    /// Tenants with requests in the zone.
     pub tenants: Vec<TenantLoad>,
 }
--- a/crates/rampthread-core/src/fleet/load_exchange.rs
+++ b/crates/rampthread-core/src/fleet/load_exchange.rs
@@ -1,15 +1,13 @@
-//! Who tells whom how busy a zone is.
+//! Exchange of load reports within and between zones.
 //!
-//! Each node of a zone reports to the zone's speaker, the first of the zone in a
-//! rendezvous order. The speaker sums the reports up, tells the sums to the speakers of
-//! the other zones, and tells its own zone what it knows of all. So a node sends and
-//! receives one message an interval in a fleet of any size, and only speakers send
-//! across zones.
+//! Each node reports to the aggregator of its zone, the first ready member in rendezvous order.
+//! The aggregator sums up the reports, sends the sums to the first members of the other zones,
+//! and sends the loads of all known zones to its own zone. So a node sends and receives one
+//! message per interval whatever the size of the fleet, and only aggregators send across zones.
 //!
-//! Nothing of it is kept: what a speaker forgets when it ends is told again within an
-//! interval. A speaker that falls silent is passed over by those who report to it, before
-//! the membership knows of its end. A node that has nothing to report sends nothing, so
-//! that a fleet without anything to tell costs no message.
+//! Nothing is persisted: the data lost with an aggregator is sent again within an interval.
+//! Members skip a silent aggregator before the membership detects its failure. A node without
+//! anything to report sends nothing.
 
 use super::action::Outbox;
 use super::load::{LoadReport, ServiceLoad, TenantLoad, TenantTag, ZoneLoad};
@@ -22,53 +20,54 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Least time between two messages of one node: callers' demand changes over seconds.
+/// Minimum interval between messages of one node. The demand of callers changes over seconds.
 const LEAST_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for each member of the zone, where that makes more than [`LEAST_INTERVAL`]: a
-/// speaker hears at most 125 reports a second in a zone of any size.
+/// Interval per member of the zone, if that makes more than [`LEAST_INTERVAL`]. It limits an
+/// aggregator to 125 reports per second.
 const INTERVAL_A_MEMBER: Duration = Duration::from_millis(8);
-/// Intervals for which a report counts, and after which a speaker that is not heard is
-/// passed over: two messages in a row may be lost.
+/// Number of intervals for which a report is valid, and after which a silent aggregator is
+/// skipped. Two consecutive messages may be lost.
 const PATIENCE_INTERVALS: u32 = 4;
-/// Nodes of another zone that are told: one may have ended unseen.
+/// Number of members per other zone that receive the sums, since one may have failed unnoticed.
 const FAR_LISTENERS: usize = 2;
-/// Tenants that one zone tells, those that ask for most.
+/// Maximum number of tenants per message: those with the highest request rates.
 pub const MAX_TENANTS: usize = 256;
 
-/// Time between two messages of one node in a zone of so many members.
+/// Returns the interval between messages of one node in a zone with `members` members.
 pub fn load_interval(members: u32) -> Duration {
     LEAST_INTERVAL.max(INTERVAL_A_MEMBER * members)
 }
 
-/// Something heard, and when it was true by this node's clock.
+/// A value and the time at which it was current, by this node's clock.
 #[derive(Debug, Clone)]
 struct Heard<T> {
     what: T,
     at: Moment,
 }
 
-/// One node's part in telling loads.
+/// State of one node in the exchange of loads.
 #[derive(Debug, Default)]
 pub struct LoadExchange {
-    /// What this node has to report.
+    /// This node's own report.
     own: Option<Heard<LoadReport>>,
-    /// What members of this zone have reported here.
+    /// Reports received from members of this zone.
     reports: BTreeMap<NodeId, Heard<LoadReport>>,
-    /// What is known of each zone.
+    /// Latest known load of each zone.
     zones: BTreeMap<Zone, Heard<ZoneLoad>>,
-    /// When this node speaks or reports next.
+    /// Time of the next message.
     due: Moment,
-    /// Members in the order in which they speak, by zone, as of a revision of the table.
+    /// Members of each zone in rendezvous order, as of the member table's revision `ranked_at`.
+    /// The first one is the aggregator.
     speakers: BTreeMap<Zone, Vec<NodeId>>,
     ranked_at: Option<u64>,
-    /// Speakers of this zone that were silent and are passed over.
+    /// Number of silent aggregators of this zone that are skipped.
     passed_over: usize,
-    /// Since when the present speaker has been silent; none: nothing was reported to it.
+    /// Since when the current aggregator has been silent. `None` if nothing was reported to it.
     silent_since: Option<Moment>,
 }
 
 impl LoadExchange {
-    /// Takes what this node has to report; it counts for some intervals.
+    /// Sets this node's own report, which expires after some intervals.
     pub fn note(&mut self, report: LoadReport, now: Moment) {
         let report = LoadReport {
             tenants: most_asked(report.tenants),
@@ -80,7 +79,7 @@
         });
     }
 
-    /// What is known of each zone, with its age.
+    /// Returns the latest known load of each zone with its age.
     pub fn zones(&self, now: Moment) -> Vec<ZoneLoad> {
         let aged = |heard: &Heard<ZoneLoad>| ZoneLoad {
             age: now.since(heard.at),
@@ -89,7 +88,7 @@
         self.zones.values().map(aged).collect()
     }
 
-    /// Reports or speaks, when that is due.
+    /// Sends a report or, on the aggregator, the sums, if due.
     pub fn tick(&mut self, now: Moment, membership: &Membership, outbox: &mut Outbox) {
         if now < self.due {
             return;
@@ -111,8 +110,9 @@
         }
     }
 
-    /// Reports to the speaker. What others reported here, who believe that the speaker is
-    /// gone, is passed on: of two speakers each would tell a part of the zone.
+    /// Sends a report to the aggregator. It includes reports received from members that
+    /// consider the aggregator failed; two aggregators would each publish only a part of the
+    /// zone's load.
     fn report_to(&mut self, speaker: &NodeId, now: Moment, outbox: &mut Outbox) {
         self.silent_since.get_or_insert(now);
         let report = match &self.own {
@@ -122,7 +122,7 @@
         outbox.send(speaker, Message::LoadReport(report));
     }
 
-    /// A member of this zone reports here.
+    /// Handles a report from a member of this zone.
     pub fn on_report(
         &mut self,
         from: &NodeId,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// A speaker tells what it knows. Of two words on one zone the newer one counts.
+    /// Handles the loads sent by an aggregator. The newer value for a zone wins.
     pub fn on_zones(
         &mut self,
         from: &NodeId,
@@ -169,8 +169,8 @@
         }
     }
 
-    /// A node of this zone speaks. One before the present speaker in the order takes its
-    /// place; one behind it says nothing of it.
+    /// Handles a message of an aggregator of this zone. A member ranked before the current
+    /// aggregator becomes the aggregator again; lower-ranked ones are ignored.
     fn heard_speaker(&mut self, from: &NodeId, zone: &Zone, now: Moment) {
         let order = self.speakers.get(zone);
         let place = order.and_then(|order| order.iter().position(|member| member == from));
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Orders the members of each zone anew when the table has changed.
+    /// Recomputes the rendezvous order of each zone if the member table has changed.
     fn rank(&mut self, membership: &Membership) {
         if self.ranked_at == Some(membership.revision()) {
             return;
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Who speaks for `zone`, as far as this node knows.
+    /// Returns the current aggregator of `zone`, if known.
     fn speaker(&self, zone: &Zone) -> Option<&NodeId> {
         let order = self.speakers.get(zone)?;
         order.get(self.passed_over)
@@ -275,7 +275,7 @@
         }
     }
 
-    /// What this node and others have reported here, together.
+    /// Sums up this node's own report and the received ones.
     fn sum(&self) -> LoadReport {
         let mut services: BTreeMap<&ResourceName, ServiceLoad> = BTreeMap::new();
         let mut tenants: BTreeMap<TenantTag, TenantLoad> = BTreeMap::new();
@@ -306,7 +306,7 @@
     }
 }
 
-/// The tenants that ask for most, as many as one message tells.
+/// Keeps the tenants with the highest request rates, at most [`MAX_TENANTS`].
 fn most_asked(mut loads: Vec<TenantLoad>) -> Vec<TenantLoad> {
     loads.sort_by_key(|load| std::cmp::Reverse(load.asked));
     loads.truncate(MAX_TENANTS);
--- a/crates/rampthread-core/src/fleet/member.rs
+++ b/crates/rampthread-core/src/fleet/member.rs
@@ -1,91 +1,92 @@
-//! What a node says of itself and what others say of it.
+//! Records of cluster members and their backends.
 
 use crate::ids::{InstanceId, NodeId, Region, ResourceName, SoftwareVersion, Zone};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Counts the lives and refutations of one node id. A process begins with the
-/// wall clock in seconds, so that a later life outranks an earlier one.
+/// Incarnation number of a node id (SWIM). A process starts with its wall clock in seconds, so
+/// that a later run outranks an earlier one. It is incremented to refute suspicions and to
+/// announce changes.
 pub type Incarnation = u64;
 
-/// Whether a member answers.
+/// Result of failure detection for a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer a probe, neither directly nor through others.
+    /// The member answered neither direct nor indirect probes.
     Suspect,
-    /// It stayed suspect too long.
+    /// The member stayed suspect until the timeout.
     Dead,
-    /// It said goodbye.
+    /// The member announced its departure.
     Left,
 }
 
 /// Roles and conditions that a node announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Hash, Serialize, Deserialize)]
 pub struct Conditions {
-    /// It reads the store: it holds a reader's lease or, where the configuration
-    /// is a document, the store answered its last call.
+    /// The node reads the store: it holds a reader lease or, if the configuration is a
+    /// document, the store answered its last call.
     pub reader: bool,
-    /// It takes no new work for its back end.
+    /// The node accepts no new work for its backend.
     pub draining: bool,
-    /// It holds a configuration and serves calls.
+    /// The node has an active configuration and serves calls.
     pub ready: bool,
-    /// Its back end answers.
+    /// The backend of the node answers.
     pub backend_up: bool,
 }
 
-/// What a back end says of itself in a heartbeat.
+/// State that a backend reports in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// The name of its incarnation: every start has another one, also under the same id.
+    /// Name of the incarnation. It differs for every start, even under the same id.
     pub instance: InstanceId,
-    /// The service that it answers for.
+    /// Service that the backend serves.
     pub service: ResourceName,
-    /// Where the node beside it reaches it.
+    /// Address at which the local node reaches the backend.
     pub address: SocketAddr,
-    /// Calls that it can run at once.
+    /// Number of calls that the backend can run concurrently.
     pub slots: u32,
-    /// It leaves, or has left: no new work.
+    /// The backend is departing or has departed, and gets no new work.
     pub draining: bool,
-    /// Number of the heartbeat; a lower one is late.
+    /// Sequence number of the heartbeat. Lower numbers are stale.
     pub sequence: u64,
-    /// Time for which it stays slow after its start, in milliseconds, as of
-    /// the heartbeat that changed this record.
+    /// Remaining warm-up time in milliseconds, as of the heartbeat that last changed this
+    /// record.
     pub cold_ms: u64,
-    /// The software that it runs; none: not told.
+    /// Software version, if the backend reports one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<SoftwareVersion>,
-    /// Its standing speed as the node beside it has measured it, in percent of its
-    /// service's: 200 does the same work in half the time. None: not known yet.
+    /// Relative speed of the backend as measured by its node, in percent of the service's usual
+    /// speed: at 200 the same work takes half the time. Absent until measured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub speed_percent: Option<u16>,
 }
 
-/// One member as it travels between nodes.
+/// Gossip record of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Who.
+    /// Id of the node.
     pub id: NodeId,
-    /// Where its peers reach it: UDP for control messages, TCP for calls.
+    /// Address for peers: UDP for control messages, TCP for calls.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Zone,
     /// Its region.
     pub region: Region,
-    /// Which life or refutation this record speaks of.
+    /// Incarnation to which this record applies.
     pub incarnation: Incarnation,
-    /// Whether it answers.
+    /// Status according to the sender of the record.
     pub status: Status,
-    /// What it announces.
+    /// Conditions announced by the node.
     pub conditions: Conditions,
-    /// The back end beside it, where back ends announce themselves.
+    /// Backend of the node, if backends report their own state.
     pub endpoint: Option<EndpointRecord>,
 }
 
 impl MemberRecord {
-    /// True when this record replaces `known` (SWIM, section 4.2).
+    /// Returns true if this record replaces `known` (SWIM, section 4.2).
     pub fn outranks(&self, known: &MemberRecord) -> bool {
         if self.incarnation != known.incarnation {
             return self.incarnation > known.incarnation;
@@ -93,28 +94,28 @@
         self.status > known.status
     }
 
-    /// True when the member may get calls and messages.
+    /// Returns true if the member may receive calls and messages.
     pub fn reachable(&self) -> bool {
         matches!(self.status, Status::Alive | Status::Suspect)
     }
 }
 
-/// A machine as the platform's list or the settings name it.
+/// A machine named in the platform's list or in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// The node on it.
+    /// Id of the node on the machine.
     pub id: NodeId,
-    /// Where that node's peers reach it.
+    /// Address of the node for peers.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Zone,
     /// Its region.
     pub region: Region,
-    /// The platform is about to take it away.
+    /// The platform is about to remove the machine.
     #[serde(default)]
     pub leaving: bool,
-    /// The back end beside it, as it was last reported there. A node that has
-    /// restarted takes it up again from its own record.
+    /// Last reported state of the machine's backend. A restarted node restores it from its own
+    /// entry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<EndpointRecord>,
 }
--- a/crates/rampthread-core/src/fleet/membership/machines.rs
+++ b/crates/rampthread-core/src/fleet/membership/machines.rs
@@ -1,4 +1,4 @@
-//! Which machines the member table has rows for.
+//! Members that are known from the settings or the platform's list.
 
 use super::Membership;
 use super::member_entry::Member;
@@ -8,17 +8,17 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A member that is neither listed nor alive is forgotten after this time.
+/// Time after which an unlisted dead member is removed from the table.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 
 impl Membership {
-    /// Since when a member gets no messages any more; none while it does.
+    /// Returns since when a member is unreachable, or `None` if it is reachable.
     pub fn unreachable_since(&self, id: &NodeId) -> Option<Moment> {
         let member = self.members.get(id)?;
         (!member.record.reachable()).then_some(member.since)
     }
 
-    /// Machines seen in the settings or the platform's list.
+    /// Replaces the set of machines named by the settings or the platform's list.
     pub fn list_machines(&mut self, machines: &[Machine], now: Moment) {
         let listed: BTreeSet<&NodeId> = machines.iter().map(|machine| &machine.id).collect();
         for (id, member) in &mut self.members {
@@ -27,7 +27,7 @@
         self.add_machines(machines, now);
     }
 
-    /// Machines seen besides those that are known.
+    /// Adds machines to the listed ones.
     pub fn add_machines(&mut self, machines: &[Machine], now: Moment) {
         for machine in machines {
             if machine.id == self.me.id {
--- a/crates/rampthread-core/src/fleet/membership/member_entry.rs
+++ b/crates/rampthread-core/src/fleet/membership/member_entry.rs
@@ -6,18 +6,19 @@
 #[derive(Debug, Clone)]
 pub(super) struct Member {
     pub(super) record: MemberRecord,
-    /// Since when the record has its status.
+    /// Time of the last status change.
     pub(super) since: Moment,
-    /// Named by the settings or the platform's list.
+    /// True if the settings or the platform's list name the member.
     pub(super) listed: bool,
-    /// It has heard this node's own record.
+    /// True if the member was sent this node's own record.
     pub(super) introduced: bool,
-    /// The back end that an earlier life announced, while the present one announces none.
+    /// Backend announced by the previous run of the member, until its current run is ready or
+    /// announces one.
     pub(super) former_backend: Option<EndpointRecord>,
 }
 
 impl Member {
-    /// A machine that nobody has heard of yet.
+    /// Creates the entry of a machine from which nothing was received yet.
     pub(super) fn listed(machine: &Machine, now: Moment) -> Self {
         Self {
             record: MemberRecord {
@@ -37,8 +38,8 @@
         }
     }
 
-    /// What `next` leaves of the back end that this record announces, or remembers. A life
-    /// that has just begun knows of none; one that serves calls has dropped it.
+    /// Returns the backend that stays known when `next` replaces this record. A run that has
+    /// just started does not know its backend yet. One that is ready has dropped it.
     pub(super) fn backend_before(&self, next: &MemberRecord) -> Option<EndpointRecord> {
         let begins = next.endpoint.is_none() && !next.conditions.ready;
         let known = self
--- a/crates/rampthread-core/src/fleet/membership/mod.rs
+++ b/crates/rampthread-core/src/fleet/membership/mod.rs
@@ -1,11 +1,11 @@
-//! Who is alive: SWIM (Das, Gupta, Motivala 2002) with suspicion,
-//! incarnations, indirect probes, bounded updates on every message, and a
-//! local-health multiplier (Lifeguard, 2017) so that a slow node blames itself
-//! before it blames others.
+//! Failure detection and member table: SWIM (Das, Gupta, Motivala 2002) with suspicion,
+//! incarnations, indirect probes and a bounded number of updates per message, plus the local
+//! health multiplier of Lifeguard (2017), by which a slow node extends its own timeouts instead
+//! of suspecting others.
 //!
-//! Zones come first (docs/DESIGN.md, "Members, by zone"): nodes probe and tell
-//! news mostly inside their zone. Only the node at which a change begins tells
-//! other zones of it, a few members of each, and those spread it in their own.
+//! Probes and gossip mostly stay within a zone (docs/DESIGN.md, "Members, by zone"). Only the
+//! node that first sees a change sends it to a few members of each other zone, which spread it
+//! in their own zone.
 
 mod machines;
 mod member_entry;
@@ -29,22 +29,22 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Upper end of the local-health score.
+/// Maximum of the local health score.
 const MAX_LOCAL_HEALTH: u32 = 8;
-/// Relayed probes remembered at once.
+/// Maximum number of pending indirect probes on behalf of peers.
 const MAX_RELAYS: usize = 64;
-/// Transmissions that an update loses when it comes back to a node that knows
-/// it (rumour mongering with feedback, Demers et al. 1987).
+/// Transmissions deducted from an update when a peer sends it back (rumor mongering with
+/// feedback, Demers et al. 1987).
 const KNOWN_UPDATE_COST: u32 = 2;
-/// Reader records that a node without a version is told.
+/// Number of reader records sent to a node without a version.
 const READERS_TOLD: usize = 3;
-/// Messages in a row from senders with the same table after which this node
-/// stops to repeat updates.
+/// Number of consecutive messages from peers with an identical table after which updates are no
+/// longer repeated.
 const AGREEING_PEERS: u32 = 4;
-/// Members of its own zone that a node tells of its departure.
+/// Maximum number of members in the own zone that are notified of a departure.
 const MAX_FAREWELLS: usize = 64;
-/// Members of each other zone that a node tells of its departure. The process
-/// ends, so nothing is repeated: two of three messages may be lost.
+/// Number of members per other zone that are notified of a departure. Nothing is repeated,
+/// since the process ends: two of three messages may be lost.
 const FAREWELLS_PER_ZONE: usize = 3;
 
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     target: NodeId,
     sequence: u64,
     sent: Moment,
-    /// Times that it was repeated, directly and through others.
+    /// Number of repeats, each sent directly and through other members.
     retries: u32,
 }
 
@@ -68,26 +68,26 @@
 #[derive(Debug)]
 pub struct Membership {
     me: MemberRecord,
-    /// What this life began with: a record below it is of an earlier one.
+    /// Incarnation at the start of this run. Records below it are of an earlier run.
     first_incarnation: Incarnation,
-    /// What a peer has told of an earlier life.
+    /// Record of an earlier run of this node, received from a peer.
     earlier_life: Option<MemberRecord>,
     members: BTreeMap<NodeId, Member>,
-    /// Updates still to be told inside the zone, with the transmissions left.
+    /// Updates to gossip within the zone, with the remaining transmissions.
     updates: BTreeMap<NodeId, u32>,
-    /// Updates to be told to the whole zone at once: this node is among the
-    /// first in it that know them.
+    /// Updates to send directly to the whole zone, since this node is among the first in the
+    /// zone to know them.
     urgent: BTreeSet<NodeId>,
-    /// Leaves to be passed on at once.
+    /// Departures to forward at once.
     relayed: Vec<Relayed>,
-    /// Members that a node tells at once.
+    /// Maximum number of members to which updates are sent directly.
     news_direct: usize,
-    /// Changes that began at this node, with the rounds in which other zones are
-    /// still told of them.
+    /// Changes first seen by this node, with the remaining rounds of sending them to other
+    /// zones.
     far_updates: BTreeMap<NodeId, u32>,
-    /// Known members of this node's zone, whatever their status, and itself.
+    /// Number of known members in this node's zone, including itself, whatever their status.
     zone_size: usize,
-    /// Other zones that this node has heard of.
+    /// Other zones known to this node.
     met_zones: BTreeSet<Zone>,
     probe_order: Vec<NodeId>,
     probe: Option<Probe>,
@@ -99,30 +99,34 @@
     next_sync: Moment,
     next_news: Moment,
     digest: u64,
-    /// Grows with every change of the table.
+    /// Incremented with every change of the table.
     revision: u64,
     differing_peer: Option<NodeId>,
-    /// Comparisons in a row after which tables still differed, while there was no news.
+    /// Consecutive table comparisons that did not bring the tables together while there were no
+    /// updates to send.
     vain_comparisons: usize,
-    /// Messages in a row whose sender held the same table.
+    /// Number of consecutive messages whose sender had an identical table.
     agreeing: u32,
-    /// Transmissions of one update, times the decimal logarithm of the zone.
+    /// Multiplied with the decimal logarithm of the zone's size gives the transmissions of one
+    /// update.
     transmission_factor: f64,
 }
 
-/// Where a change of the table begins.
+/// Origin of a change to the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
-    /// This node saw it first, as far as it knows: it tells other zones.
+    /// This node is the first to see the change, as far as it knows, and sends it to other
+    /// zones.
     Here,
-    /// A member of another zone told it: this zone may not know it yet.
+    /// A member of another zone sent the change. Other members of this zone may not know it
+    /// yet.
     OtherZone,
-    /// A member of this zone told it, or every node sees it on its own.
+    /// A member of this zone sent the change, or all nodes observe it by themselves.
     Elsewhere,
 }
 
 impl Membership {
-    /// A table that knows only this node.
+    /// Creates a table with only this node.
     pub fn new(me: MemberRecord, transmission_factor: f64, now: Moment) -> Self {
         let mut membership = Self {
             first_incarnation: me.incarnation,
@@ -156,12 +160,12 @@
         membership
     }
 
-    /// This node's own record.
+    /// Returns this node's own record.
     pub fn me(&self) -> &MemberRecord {
         &self.me
     }
 
-    /// The record of a member, this node included.
+    /// Returns the record of a member. This node is included.
     pub fn record(&self, id: &NodeId) -> Option<&MemberRecord> {
         if *id == self.me.id {
             return Some(&self.me);
@@ -169,18 +173,18 @@
         self.members.get(id).map(|member| &member.record)
     }
 
-    /// Grows with every change of the table, so that what is derived from it
-    /// can be kept until then.
+    /// Returns a counter that is incremented with every change of the table, so that derived
+    /// data can be cached.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All members, this node first.
+    /// Returns all records, that of this node first.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         std::iter::once(&self.me).chain(self.members.values().map(|member| &member.record))
     }
 
-    /// Members that may get messages, without this node.
+    /// Returns the reachable members other than this node.
     pub fn reachable_peers(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members
             .values()
@@ -188,13 +192,13 @@
             .filter(|record| record.reachable())
     }
 
-    /// Reachable members that hold a reader's lease, this node included.
+    /// Returns the reachable members with the reader condition. This node is included.
     pub fn readers(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records()
             .filter(|record| record.reachable() && record.conditions.reader)
     }
 
-    /// Announces new conditions of this node and of the back end beside it.
+    /// Announces changed conditions of this node or its backend.
     pub fn announce(&mut self, conditions: Conditions, endpoint: Option<&EndpointRecord>) {
         if self.me.conditions == conditions && self.me.endpoint.as_ref() == endpoint {
             return;
@@ -204,7 +208,7 @@
         self.raise_incarnation(self.me.incarnation);
     }
 
-    /// Announces that this node goes away.
+    /// Announces the departure of this node.
     pub fn leave(&mut self, rng: &mut impl Rng, outbox: &mut Outbox) {
         self.me.status = Status::Left;
         self.raise_incarnation(self.me.incarnation);
@@ -227,7 +231,7 @@
         self.refresh_digest();
     }
 
-    /// Timeouts grow while this node itself seems slow.
+    /// Scales a timeout by the local health score.
     fn patience(&self, base: Duration) -> Duration {
         base * (1 + self.local_health)
     }
@@ -236,7 +240,8 @@
         self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
     }
 
-    /// The process was frozen: nothing that is overdue may be held against others.
+    /// Resets all running timeouts after this process was suspended, so that no member is
+    /// blamed for the gap.
     pub fn thaw(&mut self, now: Moment) {
         self.probe = None;
         self.relays.clear();
@@ -246,7 +251,7 @@
         }
     }
 
-    /// Probes, suspects and forgets as time passes.
+    /// Sends due probes and updates, and expires suspected and unlisted members.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -292,8 +297,8 @@
         }
         self.agreeing += 1;
         if self.agreeing >= AGREEING_PEERS {
-            // Everyone asked knows it all; the comparison of tables mends what
-            // this misses.
+            // All recent senders have an identical table. Table comparisons repair what is
+            // missed by that.
             self.updates.clear();
         }
     }
@@ -340,7 +345,7 @@
             record,
         };
         let id = member.record.id.clone();
-        // Those who agreed before may not know this yet.
+        // Peers with an identical table may lack this update.
         self.agreeing = 0;
         self.digest ^= record_digest(&member.record);
         self.revision += 1;
@@ -354,7 +359,8 @@
         self.queue_update(id, origin);
     }
 
-    /// Somebody holds this node for suspect or dead, or remembers an earlier life.
+    /// Handles a record of this node that says it is suspect or dead, or that is of an earlier
+    /// run.
     fn refute(&mut self, record: &MemberRecord) {
         if record.incarnation < self.first_incarnation {
             self.note_earlier_life(record);
@@ -370,7 +376,7 @@
         self.raise_incarnation(record.incarnation);
     }
 
-    /// Keeps what a peer remembers of the back end, the newest if several do.
+    /// Keeps the record with the highest incarnation that contains a backend.
     fn note_earlier_life(&mut self, record: &MemberRecord) {
         let newer = |kept: &MemberRecord| kept.incarnation < record.incarnation;
         if record.endpoint.is_some() && self.earlier_life.as_ref().is_none_or(newer) {
@@ -378,8 +384,8 @@
         }
     }
 
-    /// The back end that an earlier life of this node announced, as a peer has told since
-    /// this was asked last.
+    /// Returns the backend announced by an earlier run of this node if a peer has sent it since
+    /// the last call.
     pub fn take_earlier_backend(&mut self) -> Option<EndpointRecord> {
         self.earlier_life.take().and_then(|record| record.endpoint)
     }
--- a/crates/rampthread-core/src/fleet/membership/probes.rs
+++ b/crates/rampthread-core/src/fleet/membership/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: direct, by others, and of nodes thought dead (SWIM, section 4).
+//! Direct and indirect probes, and probes of dead members (SWIM, section 4).
 
 use super::{MAX_RELAYS, Membership, Origin, Probe, READERS_TOLD, Relay};
 use crate::fleet::action::Outbox;
@@ -10,13 +10,13 @@
 use rand::Rng;
 use rand::seq::{IteratorRandom, SliceRandom};
 
-/// Times that a probe without an answer is repeated within its interval.
+/// Maximum number of repeats of an unanswered probe within its interval.
 const PROBE_RETRIES: u32 = 2;
-/// Members of its own zone that a node asks at its start: with one of three down, one of
-/// four answers in 99 of 100 cases.
+/// Number of members of the own zone contacted at the start. With a third of all members down,
+/// at least one answers in 99 of 100 cases.
 const GREETED_NEAR: usize = 4;
-/// Part of the probes that go to another zone while somebody there is suspect,
-/// so that the loss of a whole zone is found within a few rounds.
+/// Share of probes sent to another zone while a member there is suspect, so that the loss of a
+/// whole zone is detected within a few rounds.
 const DOUBTFUL_ZONE_SHARE: f64 = 0.5;
 
 impl Membership {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Asks again, directly and through others: a lost datagram alone makes
-    /// nobody suspect.
+    /// Repeats a probe, directly and through other members, so that a single lost datagram does
+    /// not cause a suspicion.
     fn retry_probe(
         &mut self,
         target: &NodeId,
@@ -66,8 +66,7 @@
         }
     }
 
-    /// Peers that may reach `target` where this node does not: of its zone and
-    /// of this node's.
+    /// Selects members for an indirect probe from the zones of the target and of this node.
     fn helpers(&self, target: &NodeId, count: usize, rng: &mut impl Rng) -> Vec<NodeId> {
         let target_zone = self.record(target).map(|record| record.zone.clone());
         self.reachable_peers()
@@ -106,7 +105,7 @@
             })
             .collect();
         for record in expired {
-            // All who know of the suspicion come to the same end.
+            // All nodes that know of the suspicion reach the same result.
             self.merge(record, Origin::Elsewhere, now, outbox);
         }
     }
@@ -136,10 +135,10 @@
         outbox.send(&target, Message::Ping(body));
     }
 
-    /// Mostly a peer of this zone, round robin over a shuffled order, so that
-    /// each is probed within a bounded time (SWIM, section 4.3). Of a zone's
-    /// probes one a round crosses to another zone, so that every member gets
-    /// one probe a round in the mean, however the zones are filled.
+    /// Selects the next probe target: mostly a member of this zone, in round-robin order over a
+    /// shuffled list, so that each is probed within a bounded time (SWIM, section 4.3). One
+    /// probe per round and zone goes to another zone, so that every member gets one probe per
+    /// round on average, whatever the sizes of the zones.
     fn next_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
         if rng.random_bool(DOUBTFUL_ZONE_SHARE)
             && let Some(peer) = self.peer_of_doubtful_zone(rng)
@@ -167,7 +166,7 @@
         None
     }
 
-    /// Regions cut off from each other find each other again this way.
+    /// Probes dead members, so that regions find each other again after a network partition.
     pub(super) fn try_rejoin(
         &mut self,
         held: Version,
@@ -179,7 +178,7 @@
         lost = lost
             .into_iter()
             .choose_multiple(rng, settings.rejoin_fanout);
-        // Members of this zone share the tries at other zones.
+        // The members of this zone share the attempts to reach other zones.
         let share = settings.rejoin_fanout as f64 / self.zone_size as f64;
         if rng.random_bool(share.min(1.0)) {
             lost.extend(self.lost_members(false).into_iter().choose(rng));
@@ -193,7 +192,8 @@
         }
     }
 
-    /// Listed members thought dead, in this zone or in others.
+    /// Returns the listed unreachable members: those in this zone if `near`, otherwise those in
+    /// other zones.
     fn lost_members(&self, near: bool) -> Vec<NodeId> {
         self.members
             .values()
@@ -222,23 +222,25 @@
         answer.updates.extend(self.better_record_of(from, &body));
         answer.updates.extend(self.earlier_life_of(from));
         if body.held == Version::ZERO {
-            // It has just started: whom to ask for the head of the log.
+            // The sender has just started: these are the readers that it can query for the head
+            // of the log.
             let readers = self.readers().take(READERS_TOLD).cloned();
             answer.updates.extend(readers.collect::<Vec<_>>());
         }
         outbox.send(from, Message::Ack(answer));
     }
 
-    /// A restarted sender whose wall clock was set back announces itself below
-    /// what is known of its earlier life: it must learn that, to go above it.
+    /// Returns the known record of a restarted sender that announces itself with a lower
+    /// incarnation, because its wall clock was set back. The sender must continue above the
+    /// known incarnation.
     fn better_record_of(&self, from: &NodeId, body: &ProbeBody) -> Option<MemberRecord> {
         let known = &self.members.get(from)?.record;
         let announced = body.updates.iter().find(|record| record.id == *from)?;
         (known.outranks(announced) && known.status == Status::Alive).then(|| known.clone())
     }
 
-    /// What a sender that has just restarted announced of its back end before: it asks the
-    /// peers that it meets first, and they know it better than the store.
+    /// Returns the backend that a restarted sender announced in its previous run. Peers have
+    /// more recent data than the store.
     fn earlier_life_of(&self, from: &NodeId) -> Option<MemberRecord> {
         let member = self.members.get(from)?;
         let endpoint = member.former_backend.clone()?;
@@ -249,8 +251,8 @@
         })
     }
 
-    /// A node that has just learnt whom there is: it asks some at once which version they
-    /// hold and what they know of its earlier life.
+    /// Probes some members after this node has learned the first members: they answer with
+    /// their versions and with what they know of its previous run.
     pub fn greet(
         &mut self,
         held: Version,
@@ -266,7 +268,7 @@
         }
     }
 
-    /// Handles the answer to a probe, its own or a relayed one.
+    /// Handles an ack of an own or a relayed probe.
     pub fn on_ack(&mut self, from: &NodeId, body: ProbeBody, now: Moment, outbox: &mut Outbox) {
         self.take_in(from, &body, now, outbox);
         let awaited = self
--- a/crates/rampthread-core/src/fleet/membership/reconcile.rs
+++ b/crates/rampthread-core/src/fleet/membership/reconcile.rs
@@ -1,6 +1,5 @@
-//! Brings two member tables together that differ: a node sends one number for
-//! each record that it holds, and the peer answers with the records that it
-//! holds otherwise, and asks for those that it does not know.
+//! Reconciles two member tables. A node sends the digests of its records; the peer replies with
+//! the records that differ and requests those that it lacks.
 
 use super::{Membership, Origin, record_digest};
 use crate::fleet::action::Outbox;
@@ -11,18 +10,17 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Most records that one answer brings; the rest follows with the next
-/// comparison.
+/// Maximum number of records per reply. The next comparison continues with the rest.
 const MAX_RECORDS: usize = 256;
-/// Peers that are asked besides the one that differs, at most. Where 30 of 100 messages are
-/// lost one question in two is answered, and of four in 93 of 100 cases one is.
+/// Maximum number of additional peers to compare with. At a message loss of 30 %, half of the
+/// comparisons get a reply; with four of them, at least one does in 93 of 100 cases.
 const MOST_ASKED_BESIDES: usize = 3;
 
 impl Membership {
-    /// Begins a comparison with the peer whose last message showed another
-    /// table. Between zones that waits until there is no news to tell: until
-    /// then tables differ without harm, and the records would cross twice. What is
-    /// asked in vain while there is no news is asked of more peers the next time.
+    /// Starts a comparison with the peer whose last message had another table digest. With a
+    /// peer of another zone it waits until there are no updates to send: until then different
+    /// tables are normal, and the records would be sent twice. Comparisons without effect are
+    /// extended to more peers the next time.
     pub(super) fn compare_with_differing_peer(&mut self, rng: &mut impl Rng, outbox: &mut Outbox) {
         let Some(peer) = self.differing_peer.clone() else {
             self.vain_comparisons = 0;
@@ -48,7 +46,7 @@
         outbox.send(peer, Message::TableSummary { digests });
     }
 
-    /// Answers a peer that has begun a comparison.
+    /// Replies to a peer that started a comparison.
     pub fn on_table_summary(&self, from: &NodeId, digests: &[u64], outbox: &mut Outbox) {
         let theirs: BTreeSet<u64> = digests.iter().copied().collect();
         let mine: BTreeSet<u64> = self.records().map(record_digest).collect();
@@ -64,7 +62,7 @@
         }
     }
 
-    /// Takes in records that differ, and sends those that the peer asks for.
+    /// Merges differing records and sends those that the peer requests.
     pub fn on_table_records(
         &mut self,
         from: &NodeId,
--- a/crates/rampthread-core/src/fleet/membership/relays.rs
+++ b/crates/rampthread-core/src/fleet/membership/relays.rs
@@ -1,9 +1,9 @@
-//! Departures of back ends, in zones with more members than one node tells at once. The
-//! members told first pass a departure on, each to its share of the rest and, since
-//! messages are lost, to the next of the first and that one's share. It must be fast:
-//! work sent to a back end that has left is lost; other news may come by rumour. Who
-//! passes on to whom follows from the teller's name and the table, so that no message
-//! says it; where tables differ, rumours do the rest.
+//! Forwarding of backend departures in zones with more members than one node notifies directly.
+//! The members notified first forward a departure, each to its share of the remaining members.
+//! Since messages get lost, each also sends it to the next forwarding member and that member's
+//! share. Departures are urgent because work sent to a departed backend is lost; other updates
+//! are left to gossip. The assignment follows from the sender's id and the member table, so
+//! that no message has to contain it. Where tables differ, gossip delivers the departure.
 
 use super::Membership;
 use crate::fleet::action::Outbox;
@@ -12,7 +12,7 @@
 use crate::ids::{NodeId, Version};
 use crate::rendezvous;
 
-/// Leaves that a node still has to pass on, and to whom.
+/// Departures to forward, and the receivers.
 #[derive(Debug)]
 pub(super) struct Relayed {
     leaves: Vec<NodeId>,
@@ -20,8 +20,9 @@
 }
 
 impl Membership {
-    /// Whom this node tells of a batch first, at most `direct`; none where any will do: it
-    /// holds no leave, or all of the zone are told.
+    /// Returns the at most `direct` members that this node sends a batch to first. `None` if
+    /// any members will do, since the batch contains no departure or all of the zone get it
+    /// directly.
     pub(super) fn relays_for(&self, batch: &[MemberRecord], direct: usize) -> Option<Vec<NodeId>> {
         let large = self.near_peers().count() > direct;
         if !large || !batch.iter().any(is_leave) {
@@ -33,7 +34,8 @@
         Some(relays)
     }
 
-    /// Leaves in what `teller`, of this zone, has said, and that are not known here.
+    /// Returns the departures in a message from `teller` that are new to this node, if the
+    /// sender is in this zone.
     pub(super) fn new_leaves(&self, teller: &NodeId, body: &ProbeBody) -> Vec<NodeId> {
         let near = self.record(teller).map(|record| &record.zone) == Some(&self.me.zone);
         let is_new = |record: &&MemberRecord| {
@@ -48,7 +50,8 @@
         .collect()
     }
 
-    /// Remembers to pass leaves on that `teller` has told, if this node is one that does.
+    /// Queues departures received from `teller` for forwarding, if this node is one of the
+    /// first receivers.
     pub(super) fn queue_relay(&mut self, teller: &NodeId, leaves: Vec<NodeId>, direct: usize) {
         let others = self.near_peers().filter(|peer| *peer != teller);
         if leaves.is_empty() || others.count() < direct {
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Passes on what was remembered.
+    /// Sends the queued departures.
     pub fn relay_leaves(&mut self, held: Version, outbox: &mut Outbox) {
         for relayed in std::mem::take(&mut self.relayed) {
             let leaves = relayed.leaves.iter();
@@ -84,7 +87,7 @@
     }
 }
 
-/// Its back end takes no work any more.
+/// Returns true if the member or its backend departs.
 fn is_leave(record: &MemberRecord) -> bool {
     let draining = record.endpoint.as_ref().is_some_and(|it| it.draining);
     draining || record.status == Status::Left
--- a/crates/rampthread-core/src/fleet/membership/updates.rs
+++ b/crates/rampthread-core/src/fleet/membership/updates.rs
@@ -1,5 +1,4 @@
-//! Updates of members: which are still told, how often, and what a message
-//! carries of them.
+//! Selection and transmission of member updates.
 
 use super::{KNOWN_UPDATE_COST, Membership, Origin};
 use crate::fleet::action::Outbox;
@@ -11,18 +10,18 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Rounds in which the node at which a change begins tells other zones of it.
-/// With 30 of 100 messages lost, 1 of 1,000 zones misses all of them, and learns
-/// it from the next probe that crosses.
+/// Rounds in which the node that first saw a change sends it to other zones. At a message loss
+/// of 30 %, 1 of 1,000 zones misses all of them and learns of the change from the next probe
+/// between zones.
 const FAR_ROUNDS: u32 = 3;
-/// Messages to one receiver in a round, when many members change at once.
+/// Maximum number of messages per receiver and round when many members change at once.
 const BATCHES_PER_ROUND: usize = 4;
-/// Members of each other zone that are told in such a round.
+/// Number of members per other zone that get an update in a round.
 const FAR_TOLD: usize = 2;
 
 impl Membership {
-    /// Tells random peers what they may not know yet, without waiting for the
-    /// next probe: in this zone all that is news, in others what began here.
+    /// Sends updates to random peers without waiting for the next probe: all pending updates
+    /// within this zone, and the changes first seen by this node to other zones.
     pub fn tell_news(
         &mut self,
         now: Moment,
@@ -39,8 +38,8 @@
         self.tell_other_zones(held, settings, rng, outbox);
     }
 
-    /// What this zone does not know yet goes to all of it, what it may know to
-    /// a few.
+    /// Sends urgent updates directly to the zone. If there are none, gossips the others to a
+    /// few members.
     fn tell_zone(
         &mut self,
         held: Version,
@@ -51,7 +50,7 @@
         if !self.urgent.is_empty() {
             let targets = self.near_targets(settings.news_direct, rng);
             if targets.is_empty() {
-                // Nobody of it is known yet: it stays news.
+                // No other member is known yet. The updates stay pending.
                 return;
             }
             for _ in 0..BATCHES_PER_ROUND {
@@ -82,7 +81,7 @@
             .collect()
     }
 
-    /// True when this zone must be told something and the last round is long enough ago.
+    /// Returns true if urgent updates are pending and the last round is long enough ago.
     pub fn has_first_news(&self, now: Moment) -> bool {
         !self.urgent.is_empty() && now >= self.next_news
     }
@@ -126,7 +125,7 @@
         }
         let targets = self.far_targets(FAR_TOLD, rng);
         if targets.is_empty() {
-            // No other zone is known yet: the rounds are left for later.
+            // No other zone is known yet. The rounds are not used up.
             return;
         }
         let taken = self.take_far_updates(BATCHES_PER_ROUND * settings.updates_per_message);
@@ -135,7 +134,7 @@
         }
     }
 
-    /// The changes for one round to other zones, those told least often first.
+    /// Takes the updates for one round to other zones, those sent least often first.
     fn take_far_updates(&mut self, count: usize) -> Vec<MemberRecord> {
         let taken = most_left(&self.far_updates, count);
         for id in &taken {
@@ -147,7 +146,7 @@
             .collect()
     }
 
-    /// Notes that `id` has changed, for those who must be told.
+    /// Queues an update for the receivers that depend on its origin.
     pub(super) fn queue_update(&mut self, id: NodeId, origin: Origin) {
         match origin {
             Origin::Here => {
@@ -158,7 +157,7 @@
                 self.far_updates.remove(&id);
                 self.urgent.insert(id.clone());
             }
-            // What this node was telling is out of date.
+            // The update that this node was sending is outdated.
             Origin::Elsewhere => {
                 self.far_updates.remove(&id);
                 self.urgent.remove(&id);
@@ -168,8 +167,8 @@
         self.updates.insert(id, transmissions);
     }
 
-    /// A zone that is new to this node has not been told of it: when all start on an empty
-    /// store, zones learn of each other one by one.
+    /// Queues this node's own record for a zone that is new to it. If all nodes start with an
+    /// empty store, zones are discovered one by one.
     pub(super) fn meet_zone(&mut self, zone: &Zone) {
         if *zone != self.me.zone && !self.met_zones.contains(zone) {
             self.met_zones.insert(zone.clone());
@@ -192,7 +191,7 @@
                 member.introduced = true;
                 updates.push(self.me.clone());
             }
-            // The target must learn what is said of it, to refute it.
+            // The target must know its reported status to be able to refute it.
             if member.record.status != Status::Alive {
                 updates.push(member.record.clone());
             }
@@ -220,19 +219,19 @@
             .collect()
     }
 
-    /// Somebody told what this node is telling as well: the news has spread.
+    /// A peer sent an update that this node is sending as well, so it has already spread.
     pub(super) fn lose_interest(&mut self, id: &NodeId) {
         count_down(&mut self.updates, id, KNOWN_UPDATE_COST);
     }
 
-    /// Transmissions that reach the whole zone with high probability.
+    /// Number of transmissions that reach the whole zone with high probability.
     pub(super) fn transmissions(&self) -> u32 {
         let size = self.zone_size + 1;
         (self.transmission_factor * (size as f64).log10()).ceil() as u32
     }
 }
 
-/// The `count` updates with the most transmissions left.
+/// Returns the `count` updates with the most remaining transmissions.
 fn most_left(updates: &BTreeMap<NodeId, u32>, count: usize) -> Vec<NodeId> {
     let mut queue: Vec<(u32, &NodeId)> = updates.iter().map(|(id, left)| (*left, id)).collect();
     if queue.len() > count {
--- a/crates/rampthread-core/src/fleet/membership/zones.rs
+++ b/crates/rampthread-core/src/fleet/membership/zones.rs
@@ -1,5 +1,4 @@
-//! Which peers stand in this node's zone, and whom a message to other zones
-//! goes to.
+//! Selection of peers by zone.
 
 use super::Membership;
 use super::member_entry::Member;
@@ -9,19 +8,18 @@
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
 
-/// Part of the questions that go to another zone, in case that the own zone is
-/// behind as a whole.
+/// Share of queries sent to another zone, in case all of the own zone is outdated.
 const FAR_QUESTION_SHARE: f64 = 0.25;
 
 impl Membership {
-    /// Reachable peers in this node's zone.
+    /// Returns the reachable peers in this node's zone.
     pub fn near_peers(&self) -> impl Iterator<Item = &NodeId> {
         self.reachable_peers()
             .filter(|peer| peer.zone == self.me.zone)
             .map(|peer| &peer.id)
     }
 
-    /// Reachable peers of each other zone.
+    /// Returns the reachable peers in each other zone.
     pub fn far_zones(&self) -> BTreeMap<&Zone, Vec<&NodeId>> {
         let mut zones: BTreeMap<&Zone, Vec<&NodeId>> = BTreeMap::new();
         for peer in self.reachable_peers() {
@@ -32,7 +30,7 @@
         zones
     }
 
-    /// At most `count` random peers of this node's zone.
+    /// Returns up to `count` random peers in this node's zone.
     pub fn near_targets(&self, count: usize, rng: &mut impl Rng) -> Vec<NodeId> {
         let peers = self.near_peers();
         peers
@@ -42,7 +40,7 @@
             .collect()
     }
 
-    /// At most `per_zone` random peers of each other zone.
+    /// Returns up to `per_zone` random peers in each other zone.
     pub fn far_targets(&self, per_zone: usize, rng: &mut impl Rng) -> Vec<NodeId> {
         let mut targets = Vec::new();
         for peers in self.far_zones().into_values() {
@@ -52,7 +50,8 @@
         targets
     }
 
-    /// A random peer to ask something that most members know.
+    /// Returns a random peer for a query that most members can answer. Prefers this node's
+    /// zone.
     pub fn mostly_near_peer(&self, rng: &mut impl Rng) -> Option<NodeId> {
         let near = self.near_peers().cloned().choose(rng);
         if near.is_none() || rng.random_bool(FAR_QUESTION_SHARE) {
@@ -61,14 +60,15 @@
         near
     }
 
-    /// A random peer of another zone: each zone is as likely as any other.
+    /// Returns a random peer of another zone. All zones are equally likely, whatever their
+    /// sizes.
     pub fn far_peer(&self, rng: &mut impl Rng) -> Option<NodeId> {
         let zone = self.far_zones().into_values().choose(rng)?;
         zone.into_iter().choose(rng).cloned()
     }
 
-    /// A random peer of another zone in which somebody is suspect: the whole
-    /// zone may be out of reach.
+    /// Returns a random live peer of another zone that has a suspect member, since the whole
+    /// zone may be unreachable.
     pub(super) fn peer_of_doubtful_zone(&self, rng: &mut impl Rng) -> Option<NodeId> {
         let doubtful = self
             .reachable_peers()
@@ -82,7 +82,7 @@
         peers.map(|peer| peer.id.clone()).choose(rng)
     }
 
-    /// Counts the known members of this zone again.
+    /// Recounts the known members of this zone.
     pub(super) fn count_zone(&mut self) {
         let in_zone = |member: &&Member| member.record.zone == self.me.zone;
         self.zone_size = 1 + self.members.values().filter(in_zone).count();
--- a/crates/rampthread-core/src/fleet/message.rs
+++ b/crates/rampthread-core/src/fleet/message.rs
@@ -9,268 +9,266 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes shared between messages without copies.
+/// Immutable bytes shared between messages without copying.
 pub type SharedBytes = Arc<[u8]>;
 
-/// Names one process of a node id: the wall clock at its start, in
-/// microseconds. What is meant for one life must not act on another.
+/// Identifies one run of a node's process: the wall clock at its start, in microseconds.
+/// Requests meant for one run must not affect another.
 pub type Life = u64;
 
 /// A message with its sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Envelope {
-    /// Who sent it.
+    /// Id of the sending node.
     pub from: NodeId,
-    /// Which life of the sender; constant while its process runs.
+    /// Run of the sender.
     pub life: Life,
     /// What it says.
     pub message: Message,
 }
 
-/// Facts that every probe and its answer carry.
+/// Payload of probes and their acks.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ProbeBody {
-    /// Ties an answer to its probe.
+    /// Correlates an ack with its probe.
     pub sequence: u64,
-    /// Version in force at the sender.
+    /// Active version of the sender.
     pub held: Version,
     /// Digest of the sender's member table.
     pub digest: u64,
-    /// Changes of members, newest first.
+    /// Member updates.
     pub updates: Vec<MemberRecord>,
-    /// Digest of the sender's reports of crashes that peers agree on; 0 where there is
-    /// none.
+    /// Digest of the sender's crash reports that peers reconcile; 0 if there are none.
     pub crash_digest: u64,
 }
 
-/// An identity of a witness set: a digest of its members.
+/// Digest of the members of a witness set.
 pub type WitnessSetId = u64;
 
-/// What a witness remembers of one node.
+/// What a witness has recorded for a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WitnessRecord {
-    /// The highest version that the node may hold.
+    /// Highest version that the node may hold.
     pub version: Version,
-    /// The witness set that the node used for it.
+    /// Witness set of the node under that version.
     pub set: WitnessSetId,
 }
 
-/// What came of a proposal, as a reader tells it.
+/// Outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalAnswer {
-    /// The log decided.
+    /// The log contains the decision.
     Decided {
-        /// The deciding slot.
+        /// Log slot that decided the proposal.
         version: Version,
-        /// What was decided.
+        /// Whether the change was accepted.
         outcome: Outcome,
-        /// Nodes that hold the version, the reader among them.
+        /// Number of nodes that hold the version, including the reader.
         held_by: u32,
     },
-    /// Nothing was written and nothing will be.
+    /// Nothing was or will be written.
     NotRun {
-        /// When to try again.
+        /// Delay before another attempt.
         retry_after: Duration,
     },
-    /// A write may have taken effect; look the operation up later.
+    /// A write may have taken effect. The caller has to look up the operation later.
     Unknown,
-    /// The proposal was meant for another life of the reader.
+    /// The proposal was addressed to another run of the reader.
     OtherLife,
 }
 
 /// A node that does not hold the newest version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Laggard {
-    /// Which node.
+    /// Id of the node.
     pub id: NodeId,
-    /// What it last said it holds.
+    /// Version that the node last reported.
     pub held: Version,
 }
 
-/// How far the newest version has got, as a reader sees it.
+/// Propagation of the newest version, as seen by a reader.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Spread {
-    /// The newest version that the reader knows.
+    /// Newest version known to the reader.
     pub version: Version,
-    /// Reachable nodes that hold it.
+    /// Number of reachable nodes that hold it.
     pub held_by: u32,
-    /// Reachable nodes.
+    /// Number of reachable nodes.
     pub nodes: u32,
-    /// Some of those that do not hold it.
+    /// Reachable nodes that do not hold it. The list is capped.
     pub laggards: Vec<Laggard>,
 }
 
-/// Everything that one agent says to another.
+/// Message from one agent to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// Are you there?
+    /// Direct probe.
     Ping(ProbeBody),
-    /// Answer to [`Message::Ping`].
+    /// Reply to [`Message::Ping`]; also carries member updates that no probe asked for.
     Ack(ProbeBody),
-    /// Probe `target` for me.
+    /// Asks the receiver to probe `target` on the sender's behalf.
     PingRequest {
-        /// Sequence that the answer must carry.
+        /// Sequence number that the ack must carry.
         sequence: u64,
-        /// Whom to probe.
+        /// Member to probe.
         target: NodeId,
     },
-    /// What the sender's member table holds: one digest a record, for a peer
-    /// whose table differs.
+    /// Digests of all records in the sender's member table, for a peer whose table differs.
     TableSummary {
-        /// Digests of the records.
+        /// One digest per record.
         digests: Vec<u64>,
     },
-    /// Records that differ between two tables.
+    /// Records that differ between two member tables.
     TableRecords {
         /// Records that the receiver may lack.
         members: Vec<MemberRecord>,
-        /// Digests from the receiver's summary whose records the sender lacks.
+        /// Digests from the receiver's summary that are unknown to the sender.
         wanted: Vec<u64>,
     },
-    /// A version exists; small entries travel along.
+    /// Announces a version. Small log entries are included.
     Notice {
-        /// The version.
+        /// The announced version.
         version: Version,
-        /// Its log entry, if small.
+        /// Log entry of the version, if it is small enough.
         entry: Option<SharedBytes>,
     },
-    /// Send me what follows `held`.
+    /// Requests the entries after `held`.
     Pull {
-        /// The newest version that the sender knows whole.
+        /// Newest version that the sender has completely; 0 requests the full state.
         held: Version,
     },
-    /// Entries after the version that was asked for.
+    /// Reply to [`Message::Pull`] with the entries after the requested version.
     PullEntries {
         /// Version of the first entry.
         first: Version,
-        /// The entries, without gaps.
+        /// Consecutive entries.
         entries: Vec<SharedBytes>,
     },
-    /// The whole state, for a node that lags too far behind.
+    /// Reply to [`Message::Pull`] with the full state, for a node that lags too far behind.
     PullSnapshot {
         /// Encoded `ConfigState`.
         snapshot: SharedBytes,
     },
-    /// The giver is busy.
+    /// Reply to [`Message::Pull`]: the rate limit is exceeded.
     PullRefused {
-        /// When to ask again.
+        /// Delay before another attempt.
         retry_after: Duration,
-        /// Another node that holds what was asked for.
+        /// Another node to ask.
         instead: Option<NodeId>,
     },
-    /// To a reader: this version is in force here.
+    /// Tells a reader that this version is active on the sender.
     Held {
-        /// The version.
+        /// The active version.
         version: Version,
     },
-    /// Answer to [`Message::Held`].
+    /// Reply to [`Message::Held`].
     HeldAck {
-        /// The version that was noted.
+        /// The acknowledged version.
         version: Version,
     },
-    /// To a reader: what is the head of the log, read after this question? Where the
-    /// configuration is a document, from a node that the store does not answer any
-    /// more: what does the store hold now?
+    /// Asks a reader for the head of the log, read after this query. If the configuration is a
+    /// document, a node that gets no answers from the store sends this to ask for the document
+    /// it holds now.
     HeadQuestion {
-        /// Ties the answer to the question.
+        /// Correlates the reply with the query.
         nonce: u64,
     },
-    /// Answer to [`Message::HeadQuestion`].
+    /// Reply to [`Message::HeadQuestion`].
     HeadAnswer {
-        /// From the question.
+        /// Nonce of the query.
         nonce: u64,
-        /// The head.
+        /// Head of the log.
         head: Version,
     },
-    /// To a witness: I will hold this version.
+    /// Asks a witness to record that the sender will hold a version.
     Record {
-        /// What to note.
+        /// Record to store.
         record: WitnessRecord,
-        /// The life of the witness that is meant. Another life must not note
-        /// it: a delayed copy would stand for newer records that are forgotten.
+        /// Run of the witness that the record is meant for. Other runs must not store it: a
+        /// delayed copy could take the place of newer records that were lost in a restart.
         witness_life: Life,
     },
-    /// Answer to [`Message::Record`].
+    /// Reply to [`Message::Record`].
     RecordAck {
-        /// The version that is on record; 0 when another life was meant.
+        /// Recorded version; 0 if the request was meant for another run of the witness.
         version: Version,
-        /// The life that asked.
+        /// Run of the requesting node.
         asker_life: Life,
     },
-    /// To a witness: what did I hold before I restarted?
+    /// Asks a witness which version the sender held before its restart.
     FloorQuestion {
-        /// Ties the answer to the question.
+        /// Correlates the reply with the query.
         nonce: u64,
     },
-    /// Answer to [`Message::FloorQuestion`]; none when the witness has forgotten.
+    /// Reply to [`Message::FloorQuestion`].
     FloorAnswer {
-        /// From the question.
+        /// Nonce of the query.
         nonce: u64,
-        /// The record of the asker's id.
+        /// Record of the requesting node. Absent if the witness has none.
         record: Option<WitnessRecord>,
-        /// Highest version that the witness has heard of.
+        /// Highest version known to the witness.
         heard: Version,
     },
-    /// To a reader: write this entry into the log.
+    /// Asks a reader to append an entry to the log.
     Propose {
-        /// Names this submission at its sender.
+        /// Number of the submission, unique at its sender.
         submission: u64,
-        /// The life of the reader that the submission is meant for; another
-        /// life must not act on it.
+        /// Run of the reader that the submission is meant for. Other runs must not process it.
         reader_life: Life,
         /// The encoded entry.
         entry: SharedBytes,
     },
-    /// Answer to [`Message::Propose`].
+    /// Reply to [`Message::Propose`].
     ProposeAnswer {
-        /// From the proposal.
+        /// Number of the submission.
         submission: u64,
-        /// The operation that was proposed.
+        /// Operation that was proposed.
         operation_id: OperationId,
-        /// What came of it.
+        /// Outcome.
         answer: ProposalAnswer,
     },
-    /// To a reader: how far has the newest version got?
+    /// Asks a reader for the propagation of the newest version.
     SpreadQuestion {
-        /// Ties the answer to the question.
+        /// Correlates the reply with the query.
         nonce: u64,
     },
-    /// Answer to [`Message::SpreadQuestion`].
+    /// Reply to [`Message::SpreadQuestion`].
     SpreadAnswer {
-        /// From the question.
+        /// Nonce of the query.
         nonce: u64,
-        /// What the reader sees.
+        /// View of the reader.
         spread: Spread,
     },
-    /// Back ends have ended while they ran requests.
+    /// Reports of backends that crashed while running requests.
     CrashReports {
         /// The reports.
         reports: Vec<CrashReport>,
-        /// They are all that the sender holds against requests under which several
-        /// back ends have crashed, and of the last seconds besides; it wants to know what
-        /// it lacks.
+        /// True if these are all reports that peers reconcile: those of requests with several
+        /// crashes, and those of the last seconds. The sender expects the reports that it lacks
+        /// in return.
         all: bool,
     },
-    /// To the speaker of the sender's zone: how busy it is and what its callers ask for.
+    /// Load report to the zone's aggregator.
     LoadReport(LoadReport),
-    /// From a speaker: what it knows of zones, its own or all.
+    /// Loads of zones, sent by a zone aggregator: of its own zone, or of all zones that it
+    /// knows.
     ZoneLoads(Vec<ZoneLoad>),
-    /// How far roll-outs are, as far as the sender knows. The receiver tells what it knows
-    /// later states of, and everything where the list is empty.
+    /// Rollout states known to the sender. The receiver replies with later states that it
+    /// knows, or with all of them if the list is empty.
     RollOuts(Vec<RollOutState>),
-    /// To who decides a roll-out: what callers got from its versions.
+    /// Call outcomes by version, sent to the node that decides a rollout.
     VersionEvidence(Vec<VersionEvidence>),
-    /// The store has come back from an older copy: its eras are counted.
+    /// The store was restored from an older copy. Each restore starts a new era.
     StoreEra {
-        /// The newest era that the sender has seen.
+        /// Newest era that the sender has seen.
         era: u64,
     },
-    /// Take no new work for your back end: the platform takes the machine away.
+    /// The platform is about to remove the machine: accept no new work for the backend.
     Drain,
 }
 
 impl Message {
-    /// The kind, for logs and counts.
+    /// Name of the message type, for logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Message::Ping(_) => "ping",
--- a/crates/rampthread-core/src/fleet/mod.rs
+++ b/crates/rampthread-core/src/fleet/mod.rs
@@ -1,21 +1,21 @@
-//! The control side of a node: one [`Agent`] per process.
+//! Control plane of a node. Each process runs one [`Agent`].
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! |---|---|
-//! | `membership` | who is alive (SWIM) |
-//! | `replica` | which log entries this node knows |
-//! | `distribution` | whom to tell, whom to ask for missing entries |
-//! | `witness` | when a version may come into force, and the floor after a restart |
-//! | `reader` | who reads the store, by lease |
-//! | `writer` | how proposals become log entries |
+//! | `membership` | failure detection and member table (SWIM) |
+//! | `replica` | log entries known to this node |
+//! | `distribution` | notices to peers and pulls of missing entries |
+//! | `witness` | activation of a version, and the version floor after a restart |
+//! | `reader` | leases of the nodes that read the store |
+//! | `writer` | appending proposals to the log |
 //! | `holders` | which node holds which version |
-//! | `proposals` | how an operator's change reaches a reader |
-//! | `reported_backend` | which incarnation of the back end beside this node is present |
-//! | `crash_table` | which back ends have crashed under which requests |
-//! | `store_watch` | who waits at the store for a new document |
-//! | `load_exchange` | who tells whom how busy a zone is |
-//! | `zone_directory` | who writes what the store holds of a zone's members, and when |
-//! | `agent` | how these work together |
+//! | `proposals` | forwarding an operator's change to a reader |
+//! | `reported_backend` | current incarnation of the local backend |
+//! | `crash_table` | backend crashes by request |
+//! | `store_watch` | which nodes watch the store for a new document |
+//! | `load_exchange` | aggregation and exchange of zone loads |
+//! | `zone_directory` | which node writes the zone's snapshot to the store, and when |
+//! | `agent` | ties the other modules together |
 
 mod action;
 mod agent;
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -1,8 +1,7 @@
-//! How an operator's change, taken at any node, reaches a reader.
+//! Forwarding of operators' changes, submitted at any node, to a reader.
 //!
-//! `NotRun` is passed on only when exactly one life of one reader was ever
-//! sent the change and that life says so; in every other case an unanswered
-//! proposal ends as `Unknown`.
+//! A proposal ends as `NotRun` only if it was sent to exactly one run of one reader and that
+//! run rejects it. In any other case an unanswered proposal ends as `Unknown`.
 
 use super::action::{Action, Outbox, Ticket};
 use super::membership::Membership;
@@ -15,11 +14,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Wait before an unanswered proposal is sent again.
+/// Time after which an unanswered proposal is sent again.
 const REPEAT_AFTER: Duration = Duration::from_millis(300);
-/// Wait for a reader to appear.
+/// Time for which a proposal waits for a reader to be known.
 const READER_WAIT: Duration = Duration::from_secs(2);
-/// What a caller is told when no reader is known.
+/// Delay before another attempt that the operator is told if no reader is known.
 const NO_READER_RETRY: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
@@ -30,29 +29,29 @@
     begun: Moment,
     target: Option<(NodeId, Life)>,
     sent: Moment,
-    /// More than one life was sent this proposal.
+    /// True if the proposal was sent to more than one reader or to several runs of one.
     spread_out: bool,
 }
 
-/// Proposals of this node's operators.
+/// Proposals submitted at this node.
 #[derive(Debug)]
 pub struct Proposals {
     open: Vec<OpenProposal>,
     next_submission: u64,
 }
 
-/// A proposal that this node, being a reader, takes over itself.
+/// A proposal that this node, being a reader itself, processes locally.
 #[derive(Debug)]
 pub struct OwnProposal {
-    /// The submission.
+    /// Number of the submission.
     pub submission: u64,
     /// The encoded entry.
     pub entry: SharedBytes,
 }
 
 impl Proposals {
-    /// Submissions are numbered from the life on, so that an answer meant for
-    /// an earlier life of this id cannot be taken for one of this life.
+    /// Submissions are numbered from the process epoch on, so that replies to an earlier run of
+    /// this node do not match those of the current one.
     pub fn new(life: Life) -> Self {
         Self {
             open: Vec::new(),
@@ -60,7 +59,7 @@
         }
     }
 
-    /// Begins to seek a reader for `entry`.
+    /// Adds a proposal, to be sent with the next tick.
     pub fn submit(&mut self, ticket: Ticket, entry: SharedBytes, now: Moment) {
         self.next_submission += 1;
         self.open.push(OpenProposal {
@@ -74,7 +73,7 @@
         });
     }
 
-    /// Sends and repeats proposals; returns those that this node takes itself.
+    /// Sends and repeats proposals. Returns those for this node itself.
     #[allow(clippy::too_many_arguments)]
     pub fn tick(
         &mut self,
@@ -125,7 +124,7 @@
         own
     }
 
-    /// A reader answered.
+    /// Handles the reply of a reader.
     pub fn on_answer(
         &mut self,
         from: &NodeId,
@@ -164,7 +163,8 @@
 impl OpenProposal {
     fn aim(&mut self, reader: NodeId, life: Life, now: Moment) {
         let next = (reader, life);
-        // Life 0 means that the reader's life is not known; it acts on nothing.
+        // Epoch 0 means that the reader's process epoch is not known. Such a proposal has no
+        // effect.
         let moved = self
             .target
             .as_ref()
@@ -191,7 +191,8 @@
     (waited >= settings.proposal_patience).then_some(ProposalAnswer::Unknown)
 }
 
-/// The same reader as before while it is one, else any, own zone first.
+/// Returns the previously chosen reader if it still is one, otherwise any, preferably of the
+/// same zone.
 fn choose_reader(
     open: &OpenProposal,
     membership: &Membership,
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -1,9 +1,9 @@
-//! Who reads the store: a few members with a lease each.
+//! Leases of the few members that read the store.
 //!
-//! No safety rests on a lease. It only bounds how many nodes the store sees.
-//! A reader whose lease ran out by its own clock stops before it does
-//! anything else. Store answers of an ended term are dropped by their request
-//! id, except that log entries are true whoever reads them.
+//! Safety does not depend on a lease; it only bounds the number of nodes that call the store. A
+//! reader whose lease expired by its own clock gives it up before anything else. Store answers
+//! that belong to an ended lease are dropped by their request id, except for log entries, which
+//! are valid whoever read them.
 
 use super::action::{
     Action, Decision, LeaseId, Outbox, RequestId, StoreAnswer, StoreFailure, StoreRequest,
@@ -16,11 +16,11 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Renewals within one life of a lease.
+/// Renewals per time to live of a lease.
 const RENEWALS_PER_TTL: u32 = 3;
-/// Key of the rendezvous order of candidates.
+/// Rendezvous key of the reader candidates.
 const CANDIDATE_KEY: &str = "store-reader";
-/// Doublings after which the backoff stops to grow.
+/// Number of doublings after which the backoff stays constant.
 const MAX_DOUBLINGS: u32 = 6;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,42 +43,42 @@
 struct Lease {
     id: LeaseId,
     place: usize,
-    /// Counted from when the request was sent, so never later than the store's end.
+    /// Counted from when the request was sent, so never later than the expiry in the store.
     expires: Moment,
     renew_at: Moment,
 }
 
-/// Questions for the head that wait for one common read.
+/// Queries for the head of the log that share one store read.
 #[derive(Debug, Default)]
 struct HeadReads {
-    /// Asked since the running read began.
+    /// Received since the current read began.
     waiting: Vec<(NodeId, u64)>,
-    /// Served by the running read.
+    /// Answered by the current read.
     running: Vec<(NodeId, u64)>,
 }
 
-/// News that the reader passes to the agent.
+/// Data that the reader passes to the agent.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReaderNews {
-    /// Log entries.
+    /// Entries of the log.
     Entries {
-        /// Version of the first.
+        /// Version of the first entry.
         first: Version,
-        /// The entries.
+        /// Consecutive entries.
         entries: Vec<super::message::SharedBytes>,
     },
-    /// A snapshot.
+    /// An encoded state.
     Snapshot(super::message::SharedBytes),
-    /// Answers to questions for the head.
+    /// Replies to queries for the head of the log.
     Heads {
-        /// The head.
+        /// Head of the log.
         head: Version,
-        /// Who asked, with the nonce of the question.
+        /// Nodes that sent a query, with its nonce.
         askers: Vec<(NodeId, u64)>,
     },
 }
 
-/// A member's part as reader or candidate.
+/// State of a member as a reader or as a candidate.
 #[derive(Debug)]
 pub struct Reader {
     lease: Option<Lease>,
@@ -93,7 +93,7 @@
 }
 
 impl Reader {
-    /// No lease; request ids begin at `first_request`.
+    /// Creates the state without a lease. Request ids are assigned from `first_request` on.
     pub fn new(first_request: RequestId) -> Self {
         Self {
             lease: None,
@@ -108,34 +108,34 @@
         }
     }
 
-    /// True while the lease lasts by this node's own clock.
+    /// Returns true if the lease is valid by this node's own clock.
     pub fn holds_lease(&self, now: Moment) -> bool {
         self.lease.is_some_and(|lease| now < lease.expires)
     }
 
-    /// True while the store answers nothing.
+    /// Returns true while requests to the store fail.
     pub fn store_down(&self) -> bool {
         self.store_down
     }
 
-    /// When the store may be asked again.
+    /// Returns the delay before the store may be called again.
     pub fn retry_after(&self, now: Moment) -> Duration {
         self.not_before.since(now).max(Duration::from_millis(100))
     }
 
-    /// A fresh request id; the writer draws from the same numbers.
+    /// Returns a new request id. The writer takes its ids from the same sequence.
     pub fn fresh_request(&mut self) -> RequestId {
         self.next_request += 1;
         self.next_request
     }
 
-    /// Somebody asks for the head of the log.
+    /// Records a query for the head of the log.
     pub fn ask_head(&mut self, from: NodeId, nonce: u64) {
         self.heads.waiting.retain(|(asker, _)| *asker != from);
         self.heads.waiting.push((from, nonce));
     }
 
-    /// Takes, renews and uses the lease.
+    /// Acquires, renews and uses the lease.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Gives up the lease, for instance after a freeze or at a stop.
+    /// Gives up the lease locally, for instance after the process was suspended.
     pub fn give_up(&mut self, reason: &str, outbox: &mut Outbox) {
         let Some(lease) = self.lease.take() else {
             return;
@@ -169,7 +169,7 @@
         });
     }
 
-    /// Gives the lease back to the store, so that another takes over at once.
+    /// Releases the lease in the store, so that another node can acquire it at once.
     pub fn release(&mut self, outbox: &mut Outbox) {
         if let Some(lease) = self.lease {
             self.give_up("released at a planned stop", outbox);
@@ -191,7 +191,7 @@
         }
     }
 
-    /// A request without an answer counts as failed.
+    /// Treats requests without a timely answer as failed.
     fn drop_overdue(
         &mut self,
         now: Moment,
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Questions of a failed read wait for the next one.
+    /// Moves the queries of a failed read to the next one.
     fn restart_heads(&mut self) {
         if !self.is_open(Purpose::Head) {
             let mut askers = std::mem::take(&mut self.heads.running);
@@ -297,7 +297,7 @@
         }
         let rank = candidate_rank(membership, settings.reader_candidates);
         let Some(rank) = rank else { return };
-        // The first members take their own places; the next ones take any.
+        // The first candidates try their own slots, the others a random one.
         let place = if rank < settings.reader_count {
             rank
         } else {
@@ -310,8 +310,7 @@
         self.request(Purpose::Acquire { place }, request, now, outbox);
     }
 
-    /// Takes a store answer; returns news for the agent. Answers to the
-    /// writer's requests are not taken.
+    /// Handles a store answer and returns its data. Ignores answers to requests of the writer.
     pub fn on_store(
         &mut self,
         id: RequestId,
@@ -399,7 +398,7 @@
         }
     }
 
-    /// The writer saw the store fail.
+    /// Handles a failed store request of the writer.
     pub fn note_failure(
         &mut self,
         failure: StoreFailure,
@@ -415,7 +414,7 @@
         self.back_off(wish, &failure.to_string(), now, settings, rng, outbox);
     }
 
-    /// Any answer shows that the store works.
+    /// Handles a successful store request, including those of the writer.
     pub fn store_answered(&mut self, outbox: &mut Outbox) {
         self.failures = 0;
         if self.store_down {
@@ -424,7 +423,7 @@
         }
     }
 
-    /// Exponential backoff with full jitter; never below the store's wish.
+    /// Exponential backoff with full jitter, but at least the delay requested by the store.
     fn back_off(
         &mut self,
         wish: Option<Duration>,
@@ -450,8 +449,8 @@
     }
 }
 
-/// This node's place among the candidates, spread over zones; none when it is
-/// not among the first `count`.
+/// Returns this node's rank among the reader candidates, which are spread over the zones, or
+/// `None` if it is not one of the first `count`.
 fn candidate_rank(membership: &Membership, count: usize) -> Option<usize> {
     let me = &membership.me().id;
     let candidates = membership
--- a/crates/rampthread-core/src/fleet/replica.rs
+++ b/crates/rampthread-core/src/fleet/replica.rs
@@ -1,7 +1,7 @@
-//! The log entries that this node knows, and the state they lead to.
+//! The known log entries and the resulting state.
 //!
-//! Invariant: `staged` is the state after all entries up to its version, in
-//! order; it never moves to a lower version.
+//! Invariant: `staged` is the state after all entries up to its version, in order. Its version
+//! never decreases.
 
 use super::message::SharedBytes;
 use crate::config::{ConfigState, SnapshotError};
@@ -9,24 +9,24 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Entries that arrived ahead of a gap, at most.
+/// Maximum number of entries kept that arrived ahead of a gap.
 const MAX_AHEAD: usize = 256;
 
-/// This node's copy of the change log.
+/// Copy of the change log on this node.
 #[derive(Debug)]
 pub struct Replica {
     staged: Arc<ConfigState>,
-    /// Entries at or below the staged version, kept for peers that lag.
+    /// Entries up to the staged version, kept for lagging peers.
     kept: BTreeMap<Version, SharedBytes>,
-    /// Entries above a gap.
+    /// Entries that arrived ahead of a gap.
     ahead: BTreeMap<Version, SharedBytes>,
     kept_limit: usize,
-    /// Highest version that any message or store answer has named.
+    /// Highest version known to exist.
     newest_heard: Version,
 }
 
 impl Replica {
-    /// An empty copy that keeps `kept_limit` entries for others.
+    /// Creates an empty copy that keeps up to `kept_limit` entries for peers.
     pub fn new(kept_limit: usize) -> Self {
         Self {
             staged: Arc::new(ConfigState::default()),
@@ -37,27 +37,28 @@
         }
     }
 
-    /// The state after all known entries.
+    /// Returns the state after all consecutive entries.
     pub fn staged(&self) -> &Arc<ConfigState> {
         &self.staged
     }
 
-    /// Version of [`Replica::staged`].
+    /// Returns the version of [`Replica::staged`].
     pub fn version(&self) -> Version {
         self.staged.version()
     }
 
-    /// True while a version is known to exist that this node lacks.
+    /// Returns true if a version is known to exist that this node lacks.
     pub fn lags(&self) -> bool {
         self.newest_heard > self.version()
     }
 
-    /// Notes that `version` exists.
+    /// Records that `version` exists.
     pub fn hear(&mut self, version: Version) {
         self.newest_heard = self.newest_heard.max(version);
     }
 
-    /// Takes in one entry; returns the states that it leads to, in order.
+    /// Inserts an entry and returns the resulting states in order. There may be none or
+    /// several, depending on gaps.
     pub fn insert(&mut self, version: Version, entry: SharedBytes) -> Vec<Arc<ConfigState>> {
         self.hear(version);
         if version <= self.version() {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Takes over a whole state that lies ahead; returns it if it did.
+    /// Replaces the state with a newer one. Returns `None` if `state` is not newer.
     pub fn replace(&mut self, state: Arc<ConfigState>) -> Option<Arc<ConfigState>> {
         if state.version() <= self.version() {
             return None;
@@ -96,14 +97,14 @@
         Some(self.staged.clone())
     }
 
-    /// Takes over a snapshot that lies ahead; returns the state if it did.
+    /// Replaces the state with that of a newer snapshot. Returns `None` if it is not newer.
     pub fn restore(&mut self, snapshot: &[u8]) -> Result<Option<Arc<ConfigState>>, SnapshotError> {
         let state = ConfigState::decode_snapshot(snapshot)?;
         Ok(self.replace(Arc::new(state)))
     }
 
-    /// The entries after `held`, at most `limit_bytes` of them; none when they
-    /// are no longer kept.
+    /// Returns the entries after `held`, up to `limit_bytes` but at least one. Returns `None`
+    /// if they are no longer kept.
     pub fn entries_after(&self, held: Version, limit_bytes: usize) -> Option<Vec<SharedBytes>> {
         if held >= self.version() {
             return Some(Vec::new());
@@ -123,7 +124,7 @@
         Some(entries)
     }
 
-    /// The entry of one version, if it is kept.
+    /// Returns the entry of a version if it is still kept.
     pub fn entry(&self, version: Version) -> Option<&SharedBytes> {
         self.kept.get(&version)
     }
--- a/crates/rampthread-core/src/fleet/reported_backend.rs
+++ b/crates/rampthread-core/src/fleet/reported_backend.rs
@@ -1,12 +1,11 @@
-//! What the back end beside this node says of itself: the present incarnation,
-//! and which reports are of it.
+//! Tracks which incarnation of the local backend is current, based on its reports.
 //!
-//! Reports may be late: one of an incarnation that has ended may arrive after the next
-//! one has reported. Starts are ordered by the back end's own clock, which may jump, and
-//! the id may be the same. So a report that seems to be of an earlier incarnation is
-//! [`Reported::Doubtful`]: it changes nothing, and is not acknowledged. What has ended
-//! soon falls silent; an incarnation that goes on reporting while the present one is
-//! silent is the newer one, whatever its clock says.
+//! Reports can arrive late: one of an ended incarnation may follow the first report of the next
+//! one. Incarnations are ordered by the backend's own clock, which may jump, and they may share
+//! the id. So a report that seems to be of an earlier incarnation is [`Reported::Doubtful`]: it
+//! is neither applied nor acknowledged. Ended incarnations soon stop reporting. Therefore an
+//! incarnation that continues to report while the current one is silent is the newer one,
+//! whatever its clock says.
 
 use super::member::EndpointRecord;
 use crate::backend_incarnation::{BackendIncarnation, BornAt};
@@ -15,29 +14,28 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Earlier incarnations that are remembered, so that a late report of one does
-/// not bring it back.
+/// Maximum number of earlier incarnations kept, to detect their late reports.
 const MAX_RETIRED: usize = 64;
-/// Least time for which an incarnation that seems to be an earlier one must go on
-/// reporting, and the present one be silent, until it counts as the newer one. Reports
-/// that were held up arrive seconds late and close to each other.
+/// Minimum time for which an apparently earlier incarnation must report, and the current one be
+/// silent, before it replaces the current one. Delayed reports arrive up to seconds late, but
+/// close to each other.
 pub const SUCCESSION_TIME: Duration = Duration::from_secs(5);
-/// The same in times between two reports: one that is silent for less may be between two.
-/// With reports each 5 s, 5 s alone let a late report take the place of a back end that
-/// lives.
+/// The same in heartbeat intervals, since a backend is always silent between two heartbeats.
+/// With an interval of 5 s, [`SUCCESSION_TIME`] alone would let a late report replace a live
+/// backend.
 const SUCCESSION_HEARTBEATS: u32 = 3;
 
-/// What a back end told the node beside it.
+/// Report of a backend to the local node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BackendReport {
-    /// It lives.
+    /// The backend is alive.
     Heartbeat(EndpointRecord),
-    /// It leaves, or has left.
+    /// The backend is departing or has departed.
     Departure(BackendIncarnation),
 }
 
 impl BackendReport {
-    /// The name of the incarnation that it is of.
+    /// Returns the name of the reporting incarnation.
     pub fn incarnation(&self) -> InstanceId {
         match self {
             BackendReport::Heartbeat(record) => record.instance.clone(),
@@ -46,19 +44,19 @@
     }
 }
 
-/// What became of a report.
+/// Result of processing a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reported {
-    /// This is new, and in force here from now on.
+    /// The report changed the state; this is the new record.
     Changed(EndpointRecord),
-    /// All that it says is in force here.
+    /// The report contains nothing new.
     Known,
-    /// It seems to be of another incarnation than the present one, and is not acted
-    /// upon: it must not be acknowledged.
+    /// The report seems to be of another incarnation than the current one. It was not applied
+    /// and must not be acknowledged.
     Doubtful,
 }
 
-/// An incarnation that may turn out to be the present one.
+/// Incarnation that may replace the current one.
 #[derive(Debug, Clone)]
 struct Candidate {
     incarnation: InstanceId,
@@ -66,30 +64,32 @@
     sequence: u64,
 }
 
-/// An incarnation that is not the present one.
+/// A previous incarnation.
 #[derive(Debug)]
 struct Retired {
-    /// Its name; an id alone where a leave named no start: any under this id.
+    /// Name of the incarnation. A plain id, if the departure did not include the start time,
+    /// matches all incarnations with this id.
     instance: InstanceId,
-    /// It has taken its leave, which holds when its heartbeats come late.
+    /// True if it departed. Late heartbeats do not revoke a departure.
     left: bool,
 }
 
-/// What the reports say so far: the present incarnation and earlier ones.
+/// The current incarnation and the previous ones, as far as reported.
 #[derive(Debug)]
 pub struct ReportedBackend {
-    /// Silence of the present one after which another may succeed it.
+    /// Minimum silence of the current incarnation before another may replace it.
     succession_time: Duration,
     current: Option<EndpointRecord>,
-    /// When the present one reported last.
+    /// Time of the last report of the current incarnation.
     heard: Moment,
-    /// The present one was remembered, and has not reported to this life yet.
+    /// True if the current record was restored and the backend has not reported to this process
+    /// yet.
     unconfirmed: bool,
     candidate: Option<Candidate>,
     retired: VecDeque<Retired>,
 }
 
-/// How a heartbeat relates to the present incarnation.
+/// Relation of a heartbeat to the current incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Relation {
     Same,
@@ -104,7 +104,7 @@
 }
 
 impl ReportedBackend {
-    /// Nothing was reported yet; the back end reports each `heartbeat`.
+    /// Creates a tracker without a backend. `heartbeat` is the interval between reports.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
         Self {
             succession_time: SUCCESSION_TIME.max(heartbeat * SUCCESSION_HEARTBEATS),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes a report.
+    /// Processes a report.
     pub fn take(&mut self, report: BackendReport, now: Moment) -> Reported {
         match report {
             BackendReport::Heartbeat(record) => self.take_heartbeat(record, now),
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Takes up what an earlier life of this node had been told; returns it if
-    /// nothing newer is known. Any heartbeat of the same incarnation is newer.
+    /// Restores the record known to an earlier run of this node. Returns it unless a record is
+    /// known already. Any heartbeat of the same incarnation is newer.
     pub fn remember(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         match self.current {
             None => self.take_up(record),
@@ -133,8 +133,8 @@
         }
     }
 
-    /// The same as a peer has heard it. It may take the place of what the store told, which
-    /// is some seconds older, if it tells a leave or a later start.
+    /// Restores a record received from a peer. It replaces a record from the store, which lags
+    /// by some seconds, if it contains a departure or a later incarnation.
     pub fn remember_from_peer(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         match self.may_replace_memory(&record) {
             true => self.take_up(record),
@@ -166,8 +166,8 @@
         self.unconfirmed && newer
     }
 
-    /// Drops a memory that no heartbeat has confirmed; true if there was one.
-    /// The back end may have taken its leave from the last life at its end.
+    /// Drops a restored record that no heartbeat has confirmed, since the backend may have
+    /// departed at the end of the previous run. Returns true if there was one.
     pub fn forget_unconfirmed(&mut self) -> bool {
         let forgotten = self.unconfirmed && self.current.is_some();
         if forgotten {
@@ -177,8 +177,8 @@
         forgotten
     }
 
-    /// Another incarnation answers at the address: `instance` is gone, unless
-    /// it reports again.
+    /// Handles a response of another incarnation at the backend's address. `instance` counts as
+    /// gone until its next report. Returns true if it was the current one.
     pub fn misdirected(&mut self, instance: &InstanceId) -> bool {
         let is_current = self
             .current
@@ -190,9 +190,8 @@
         is_current
     }
 
-    /// Nothing is offered any more. A leave that was acknowledged outlasts that: a
-    /// heartbeat that a cut held up must not bring the back end back. One that has not
-    /// left is taken up again with its next heartbeat.
+    /// Clears the current record. An acknowledged departure is remembered, so that a delayed
+    /// heartbeat does not revoke it. Otherwise the next heartbeat restores the backend.
     fn drop_current(&mut self) {
         let current = self.current.take();
         if let Some(left) = current.filter(|current| current.draining) {
@@ -200,7 +199,7 @@
         }
     }
 
-    /// The present incarnation, and when it reported last to this process.
+    /// Returns the current incarnation and the time of its last report to this process.
     pub fn heard(&self) -> Option<(&InstanceId, Moment)> {
         let current = self.current.as_ref().filter(|_| !self.unconfirmed)?;
         Some((&current.instance, self.heard))
@@ -219,7 +218,7 @@
         }
     }
 
-    /// A heartbeat of an incarnation whose leave has overtaken it.
+    /// Handles a heartbeat of an incarnation whose departure arrived earlier.
     fn take_departed(&mut self, mut record: EndpointRecord, now: Moment) -> Reported {
         let present = self.current.as_ref();
         let present = present.map(|present| BackendIncarnation::named(&present.instance).born());
@@ -231,7 +230,7 @@
         self.succeed(record, now)
     }
 
-    /// The present incarnation reports.
+    /// Handles a heartbeat of the current incarnation.
     fn update(&mut self, mut record: EndpointRecord, now: Moment) -> Reported {
         let Some(current) = &self.current else {
             return self.succeed(record, now);
@@ -241,14 +240,15 @@
         }
         let takes_work_again = current.draining && !record.draining;
         if takes_work_again && BackendIncarnation::named(&record.instance).born().is_none() {
-            // It may be another start whose numbers have passed those of the last one. The
-            // leave that was acknowledged holds, and this is not acknowledged.
+            // This may be a new start with the same name, whose sequence numbers have passed
+            // those of the previous one. The acknowledged departure stays and this heartbeat is
+            // not acknowledged.
             return Reported::Doubtful;
         }
         self.unconfirmed = false;
         self.heard = now;
         self.candidate = None;
-        // A back end that has said that it leaves does not come back.
+        // A departing backend does not return.
         record.draining |= current.draining;
         let changed = says_other(&record, current) || record.instance != current.instance;
         self.current = Some(record.clone());
@@ -258,12 +258,13 @@
         }
     }
 
-    /// A number that is not above the last one is late, or of another start at the same
-    /// millisecond. It is acknowledged only if nothing that it says is left undone.
+    /// Handles a sequence number that is not above the last one: a late heartbeat, or one of
+    /// another start in the same millisecond. It is acknowledged only if all of its content is
+    /// already applied.
     fn take_old_number(&mut self, record: EndpointRecord, now: Moment) -> Reported {
         let done = self.current.as_ref().is_some_and(|current| {
-            // A copy of the last report: it was acted upon, and its sender may have taken
-            // its leave since.
+            // A copy of the last heartbeat, which was applied. The backend may have departed
+            // since.
             let names_start = BackendIncarnation::named(&record.instance).born().is_some();
             let copy = names_start && record.sequence == current.sequence && !record.draining;
             let left_since = EndpointRecord {
@@ -278,7 +279,7 @@
         }
     }
 
-    /// `record` is of the present incarnation from now on.
+    /// Makes `record` the current incarnation.
     fn succeed(&mut self, record: EndpointRecord, now: Moment) -> Reported {
         self.retire_current();
         let id = BackendIncarnation::named(&record.instance).id().clone();
@@ -300,7 +301,7 @@
                 ..known
             },
             Some(known) if record.sequence == known.sequence => known,
-            // A lower number is of another start under the same name.
+            // A lower sequence number belongs to another start under the same name.
             _ => Candidate {
                 incarnation: record.instance.clone(),
                 since: now,
@@ -318,7 +319,7 @@
     fn take_departure(&mut self, departed: &BackendIncarnation, now: Moment) -> Reported {
         let is_candidate = |candidate: &Candidate| candidate.incarnation == departed.name();
         if self.candidate.as_ref().is_some_and(is_candidate) {
-            // It may be the present one, which is offered at its address.
+            // The candidate may be the current incarnation, which is still announced.
             return Reported::Doubtful;
         }
         let Some(current) = self.current.as_mut() else {
@@ -329,7 +330,7 @@
         if present.id() != departed.id()
             || departed.born().is_some_and(|at| is_earlier(at, &present))
         {
-            // Its heartbeats may still be on their way.
+            // Heartbeats of this incarnation may still arrive.
             self.retire(departed.name(), true);
             return Reported::Known;
         }
@@ -343,8 +344,8 @@
         Reported::Changed(current.clone())
     }
 
-    /// A later start leaves before its heartbeats have come: the present one has ended
-    /// before that.
+    /// Handles the departure of a later incarnation that arrives before its first heartbeat.
+    /// The current incarnation must have ended.
     fn take_departure_of_next(&mut self, departed: &BackendIncarnation, now: Moment) -> Reported {
         let Some(current) = &self.current else {
             return Reported::Known;
@@ -358,8 +359,8 @@
         self.succeed(gone, now)
     }
 
-    /// True when this incarnation has left, or was followed by another. A leave that
-    /// names no start may be of any under its id.
+    /// Returns true if the incarnation has departed or was replaced. A recorded departure
+    /// without a start time matches every incarnation with its id.
     fn is_retired(&self, instance: &InstanceId) -> bool {
         let incarnation = BackendIncarnation::named(instance);
         let names =
@@ -367,7 +368,7 @@
         self.retired.iter().any(names)
     }
 
-    /// True when this very incarnation has taken its leave.
+    /// Returns true if exactly this incarnation has departed.
     fn has_left(&self, instance: &InstanceId) -> bool {
         let of_it = |known: &Retired| known.instance == *instance && known.left;
         let names_start = BackendIncarnation::named(instance).born().is_some();
@@ -400,7 +401,8 @@
     present.born().is_some_and(|present| born < present)
 }
 
-/// What others must hear of. The time for which it stays slow goes by itself.
+/// Returns true if other nodes must learn of the difference. The warm-up time is left out,
+/// since it runs down by itself.
 fn says_other(record: &EndpointRecord, current: &EndpointRecord) -> bool {
     record.draining != current.draining
         || record.slots != current.slots
@@ -417,17 +419,17 @@
     let reported = BackendIncarnation::named(&record.instance);
     match (present.born(), reported.born()) {
         (Some(present), Some(reported)) if reported >= present => Relation::Newer,
-        // A back end that says when it started always does.
+        // A backend that reports its start time always does so.
         (Some(_), _) => Relation::Doubtful,
-        // Known from a node that does not read starts: the same one, unless it says that
-        // it takes work again.
+        // The current record comes from a node that ignores start times: it is the same
+        // incarnation, unless it accepts work again after its departure.
         (None, Some(_)) if present.id() == reported.id() => {
             match record.sequence > current.sequence && (record.draining || !current.draining) {
                 true => Relation::Same,
                 false => Relation::Doubtful,
             }
         }
-        // Nothing but the order of arrival tells which is later.
+        // Only the order of arrival tells which one is later.
         (None, _) => Relation::Newer,
     }
 }
--- a/crates/rampthread-core/src/fleet/settings.rs
+++ b/crates/rampthread-core/src/fleet/settings.rs
@@ -3,123 +3,123 @@
 use crate::rollout::RollOutBounds;
 use std::time::Duration;
 
-/// Settings of one agent. The defaults fit 430 nodes within 4 KB/s a node
-/// (letter 1); `docs/CAPACITY.md` shows the sums.
+/// Settings of one agent. The defaults fit 430 nodes within 4 KB/s per node; `docs/CAPACITY.md`
+/// has the calculation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetSettings {
-    /// Time between two direct probes.
+    /// Interval between direct probes.
     pub probe_interval: Duration,
-    /// Wait for a direct answer before others are asked to probe.
+    /// Time without an ack after which other peers are asked to probe.
     pub probe_timeout: Duration,
-    /// Peers that are asked to probe on this node's behalf.
+    /// Number of peers asked to probe on this node's behalf.
     pub indirect_probes: usize,
-    /// Shortest time for which a member stays suspect before it counts as dead.
+    /// Minimum time for which a member stays suspect before it is declared dead.
     pub suspicion: Duration,
-    /// Time between two tries to reach a listed member thought dead.
+    /// Interval between attempts to reach listed members that are considered dead.
     pub rejoin_interval: Duration,
-    /// Time between two comparisons of the member table with a peer whose table
+    /// Mean interval between comparisons of the member table with a peer whose table digest
     /// differs.
     pub sync_interval: Duration,
-    /// Member updates carried by one datagram.
+    /// Maximum number of member updates per datagram.
     pub updates_per_message: usize,
-    /// A gap between two ticks above this means that the process was frozen.
+    /// A longer gap between two ticks means that the process was frozen.
     pub freeze_threshold: Duration,
-    /// Peers that get the first notice of a new version.
+    /// Number of peers notified of a new version per round.
     pub notice_fanout: usize,
-    /// Rounds of notices a node sends for a new version.
+    /// Rounds of notices that a node sends for a new version.
     pub notice_rounds: u32,
-    /// Time between two rounds of notices.
+    /// Interval between rounds of notices.
     pub notice_interval: Duration,
-    /// Largest entry that travels inside a notice, in bytes.
+    /// Largest log entry sent within a notice, in bytes. 0 disables inlining.
     pub inline_entry_bytes: usize,
-    /// Pulls that a node serves at once, counted over one second.
+    /// Maximum number of pulls that a node serves per second.
     pub pulls_per_second: u32,
-    /// Wait before a pull that was not answered is sent to another peer.
+    /// Time after which an unanswered pull is sent to another peer.
     pub pull_timeout: Duration,
-    /// Entries kept in memory for peers that lag.
+    /// Maximum number of log entries kept in memory for lagging peers.
     pub kept_entries: usize,
-    /// Readers of the store.
+    /// Number of nodes that hold a reader lease at a time.
     pub reader_count: usize,
-    /// Members that may try for a reader's lease.
+    /// Number of members that may try to acquire a reader lease.
     pub reader_candidates: usize,
-    /// Life of a reader's lease.
+    /// Time to live of a reader lease.
     pub lease_ttl: Duration,
-    /// Longest wait of one watch on the store.
+    /// Maximum wait of a single watch on the store.
     pub watch_wait: Duration,
-    /// First wait after a failed store request; doubles with full jitter.
+    /// Base of the exponential backoff (with full jitter) after a failed store request.
     pub store_backoff: Duration,
-    /// Longest wait after a failed store request.
+    /// Upper bound of the backoff after failed store requests.
     pub store_backoff_limit: Duration,
-    /// Versions between two snapshots.
+    /// Number of versions between snapshots of the log.
     pub snapshot_interval: u64,
-    /// Witnesses of one node.
+    /// Number of witnesses per node.
     pub witness_count: usize,
-    /// Time between two repeats of an unanswered question.
+    /// Interval between repeats of an unanswered query.
     pub question_interval: Duration,
-    /// Patience with one proposal before its outcome is called unknown.
+    /// Time after which the outcome of a proposal is reported as unknown.
     pub proposal_patience: Duration,
-    /// Wait for other nodes to hold an accepted version before the answer.
+    /// Maximum wait for other nodes to hold an accepted version before the proposal is
+    /// answered.
     pub hold_wait: Duration,
-    /// Other nodes that must hold a version before `accepted` is answered.
+    /// Number of other nodes that must hold a version before its proposal is answered as
+    /// accepted.
     pub hold_count: usize,
-    /// How versions travel; the baseline is for experiments only.
+    /// How versions reach the other nodes. `PollReader` is for experiments only.
     pub distribution: DistributionMode,
-    /// Where versions come from.
+    /// Origin of configuration versions.
     pub source: ConfigSource,
-    /// Time for which a node that hears of a newer document leaves it to its
-    /// peers before it reads the store.
+    /// Time that a node leaves its peers to deliver a newer document before it reads the store
+    /// itself.
     pub pull_grace: Duration,
-    /// Time for which a back end counts that an earlier life of this node knew,
-    /// without a heartbeat to this life. It stays below the time within which a
-    /// back end that leaves must get no more work: it may have taken its leave
-    /// from the last life just before that ended.
+    /// Time for which a backend known from an earlier run of this node counts without a
+    /// heartbeat. It must stay below the time within which a departing backend stops getting
+    /// work: the backend may have deregistered at the previous run just before that ended.
     pub remembered_life: Duration,
-    /// Time between two reports of a back end.
+    /// Interval between heartbeats of a backend.
     pub heartbeat: Duration,
-    /// Nodes that wait at the store for a new document.
+    /// Number of nodes that watch the store for a new document.
     pub document_watchers: usize,
-    /// Peers of the zone that are told in a round what others may have told them.
+    /// Number of peers in the zone that receive member updates per gossip round.
     pub news_fanout: usize,
-    /// Peers of the zone that are told at once by the first that know news.
+    /// Maximum number of peers in the zone to which the first node that learns of an update
+    /// sends it directly.
     pub news_direct: usize,
-    /// Transmissions of one member update by one node, times the decimal
-    /// logarithm of the zone.
+    /// Each node transmits a member update at most this many times the decimal logarithm of the
+    /// zone's size.
     pub transmission_factor: f64,
-    /// Time between two rounds of telling while there is news.
+    /// Interval between gossip rounds while there are updates to send.
     pub news_interval: Duration,
-    /// Listed members thought dead that are tried at each rejoin.
+    /// Number of listed members considered dead that are contacted per rejoin attempt.
     pub rejoin_fanout: usize,
-    /// Bounds of roll-outs; none: orders to roll out are not carried out.
+    /// Limits for rollouts. Rollout orders are ignored if absent.
     pub roll_outs: Option<RollOutBounds>,
 }
 
-/// Where versions come from.
+/// Origin of configuration versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigSource {
-    /// The product's own change log, which a few readers read and write.
+    /// The built-in change log. A few reader nodes access it in the store.
     ChangeLog,
     /// A document in the store, written by operators and read by every node.
     Document,
 }
 
-/// How versions travel from the readers to the other nodes.
+/// How versions get from the readers to the other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DistributionMode {
-    /// Notices to random peers, then pulls by whoever lags.
+    /// Notices to random peers; nodes that lag pull the missing entries.
     Rumour,
-    /// The plain baseline: every node asks a reader once a second.
+    /// Baseline for comparison: every node polls a reader once a second.
     PollReader,
 }
 
-/// Time for which a node that hears of a newer document leaves it to its peers:
-/// well below the 2 s within which the users want a version in force, and long
-/// enough for two rounds of notices and a pull.
+/// Well below the 2 s within which a version must be active, and long enough for two rounds of
+/// notices and a pull.
 const DOCUMENT_PULL_GRACE: Duration = Duration::from_millis(600);
 
 impl FleetSettings {
-    /// The settings where the configuration is a document: changes of a member
-    /// are told at once, and nodes thought dead are tried often, since nothing
-    /// else says that they are back.
+    /// Defaults for configuration from a document. Member updates are sent directly and dead
+    /// members are contacted often, since no other source says that a member is back.
     pub fn for_documents() -> Self {
         Self {
             source: ConfigSource::Document,
--- a/crates/rampthread-core/src/fleet/store_watch.rs
+++ b/crates/rampthread-core/src/fleet/store_watch.rs
@@ -1,11 +1,11 @@
-//! Who waits at the store for a new document, whether the store answers this
-//! node, and who asks it besides while watchers lose it.
+//! Selection of the nodes that watch the store for a new document, and what happens if a
+//! watcher gets no answers.
 //!
-//! A watcher that hears nothing must not look like one with no news. So a watch is
-//! short against the time within which a version must be in force, and one without
-//! an answer is told to all peers at once. That watcher is replaced, and since the
-//! store may be silent to its successors too, it has a few others ask the store as
-//! well (a *hedge*), each once; whoever gets an answer watches for a while.
+//! A watcher without answers must not be mistaken for one without new versions. Therefore each
+//! watch is short compared with the time within which a version must become active, and a
+//! watcher whose call fails announces that to all peers at once. It is replaced, and since its
+//! successors may not get answers either, it also asks a few other nodes to query the store
+//! once (a *hedge*). Nodes that get an answer keep watching for a while.
 
 use super::action::{Decision, Outbox};
 use super::member::{MemberRecord, Status};
@@ -18,78 +18,79 @@
 use rand::seq::IteratorRandom;
 use std::time::Duration;
 
-/// Key of the rendezvous order of those that watch the document.
+/// Rendezvous key for the selection of watchers.
 const WATCHERS_KEY: &str = "document watchers";
-/// Nodes that watch the document even if it reaches them slowly: a storm of
-/// versions fills their links, so no more than are needed when one or two fail.
+/// Minimum number of watchers, even if the store is slow for them. Limited because a burst of
+/// versions saturates their links; enough to survive the failure of one or two.
 const LEAST_WATCHERS: usize = 4;
-/// Longest wait of a watch, for each watcher. What counts is when the first watch
-/// of any of them ends after the store has fallen silent: with eight, within 0.7 s
-/// in 998 of 1,000 cases. Together they call the store 6.4 times a second.
+/// Maximum wait of a watch per watcher. What matters is when the first watch of any watcher
+/// ends after the store stopped answering: with eight watchers within 0.7 s in 998 of 1,000
+/// cases. Together they make 6.4 store calls a second.
 const WAIT_PER_WATCHER: Duration = Duration::from_millis(250);
-/// Longest wait of a watch where there are few watchers: it leaves half of the 2 s
-/// within which the users want a version in force.
+/// Lower bound for the maximum wait when there are few watchers. It leaves half of the 2 s
+/// within which a version must be active.
 const LEAST_LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Shortest wait, as a share of the longest. Waits are drawn anew each time: a
-/// version ends all watches at once, and they must not go on in step.
+/// Minimum wait of a watch as a share of the maximum. Each wait is random, since a new version
+/// ends all watches at once and they must not stay synchronized.
 const SHORTEST_WAIT_SHARE: f64 = 0.25;
-/// Least wait for an answer that is due. It leaves 1.6 s of 2 s for the rest, and
-/// is twice what a slow store takes.
+/// Minimum timeout of a store call, on top of the requested wait. Twice the latency of a slow
+/// store; it leaves 1.6 s of the 2 s within which a version must be active.
 const LEAST_PATIENCE: Duration = Duration::from_millis(400);
-/// Longest wait for an answer that is due.
+/// Maximum timeout of a store call, on top of the requested wait.
 const LONGEST_PATIENCE: Duration = Duration::from_millis(1_600);
-/// An answer may take so many times as long as the last one.
+/// Ratio of the timeout to the latency of the last answer.
 const PATIENCE_FACTOR: u32 = 2;
-/// What is left of the patience after an answer that came sooner.
+/// Factor by which the timeout shrinks after an answer that was faster.
 const PATIENCE_DECAY: f64 = 0.8;
-/// Time for which a node that lost the store does not count among those that it
-/// answers, whatever it answers then: the set of watchers must not flap.
+/// Time after a failed call for which a node does not count as reached by the store, even if
+/// calls succeed, so that the set of watchers does not flap.
 const HOLD: Duration = Duration::from_secs(5);
-/// Nodes that a watcher asks to ask the store when it has lost it: where the store is
-/// silent to 85 in 100 nodes, some get an answer in 93 of 100 cases, and eight
-/// watchers lose it within moments of each other.
+/// Number of nodes that a watcher asks to query the store after a failure. If 85 % of the nodes
+/// get no answers, some of them succeed in 93 of 100 cases; eight watchers fail within moments
+/// of each other.
 const HEDGES_PER_LOSS: usize = 16;
-/// Least time between two hedges of one node: in an outage of the store many watchers
-/// lose it one after the other. A question that comes sooner is kept until then: the
-/// store may be silent to others by now (dropped, a version was 4 s late at 74 nodes).
+/// Minimum interval between hedges of one node, since many watchers fail one after the other in
+/// an outage. A request during the interval is delayed, not dropped, because other nodes may
+/// have lost the store by then.
 const HEDGE_PAUSE: Duration = Duration::from_millis(800);
-/// Time over which the hedges of one loss are spread: the store is not asked by all
-/// at once.
+/// Interval over which the hedges for one failure are spread, to avoid a burst of calls to the
+/// store.
 const HEDGE_SPREAD: Duration = Duration::from_millis(200);
-/// Time for which a node that was answered watches besides those that are chosen:
-/// longer than it takes until all that lost the store are replaced.
+/// Time for which a successful hedge watches in addition to the selected nodes. Longer than it
+/// takes to replace all watchers that lost the store.
 const HEDGE_TERM: Duration = Duration::from_secs(5);
 
-/// For each node that has lost the store, the time between two tries of one of them to
-/// reach it again: all together make four a second, however many they are.
+/// Retry interval per node without answers from the store: together these nodes make four calls
+/// a second, whatever their number.
 const RETRY_PER_LOST: Duration = Duration::from_millis(250);
-/// The same while the store answers fewer than [`LEAST_WATCHERS`] nodes: nobody else
-/// hears of a version. Where it comes back to 15 nodes in 100, one of 20 tries a second
-/// is answered within 1.5 s in 99 of 100 cases.
+/// The same while fewer than [`LEAST_WATCHERS`] nodes get answers, because no other node would
+/// learn of a new version. If 15 % of the nodes are served again, one of 20 calls a second
+/// succeeds within 1.5 s in 99 of 100 cases.
 const RETRY_PER_LOST_ALONE: Duration = Duration::from_millis(50);
-/// Least time between two such tries of one node.
+/// Minimum retry interval of one node.
 const LEAST_RETRY: Duration = Duration::from_millis(400);
 
-/// The watchers of the document as this node sees them, and its own part.
+/// Selected watchers according to this node's member table, and the state of this node's own
+/// calls.
 #[derive(Debug)]
 pub struct StoreWatch {
-    /// Chosen from `revision` of the member table.
+    /// Selected at `revision` of the member table.
     watchers: Vec<NodeId>,
     revision: u64,
-    /// This node is one of them.
+    /// True if this node is one of the selected watchers.
     chosen: bool,
-    /// The store answered the last call.
+    /// True if the store answered the last call.
     answers: bool,
     answered_at: Option<Moment>,
     lost_at: Option<Moment>,
     patience: Duration,
-    /// When this node asks besides the watchers.
+    /// Time of the scheduled hedge.
     hedge_at: Option<Moment>,
-    /// When it did so last.
+    /// Time of the last hedge.
     hedged_at: Option<Moment>,
-    /// Until when it watches besides them.
+    /// End of the watch that follows a hedge.
     hedge_until: Option<Moment>,
-    /// When a node that lost the store tries it again.
+    /// Time of the next call after a failure.
     retry_at: Option<Moment>,
 }
 
@@ -98,7 +99,7 @@
         Self {
             watchers: Vec::new(),
             revision: 0,
-            // A node that knows no other is the only one that can watch.
+            // A node without known peers is the only one that can watch.
             chosen: true,
             answers: false,
             answered_at: None,
@@ -113,63 +114,61 @@
 }
 
 impl StoreWatch {
-    /// Who watches, as far as this node knows.
+    /// Returns the selected watchers according to this node's member table.
     pub fn chosen_watchers(&self) -> &[NodeId] {
         &self.watchers
     }
 
-    /// True when this node waits at the store: it is one of the few that are chosen,
-    /// or asks besides them for a while.
+    /// Returns true if this node watches, as a selected watcher or after a hedge.
     pub fn watches(&self) -> bool {
         self.chosen || self.hedge_until.is_some()
     }
 
-    /// True when the choice was made from the present member table.
+    /// Returns true if the selection is based on the current member table.
     pub fn is_current(&self, membership: &Membership) -> bool {
         self.revision == membership.revision()
     }
 
-    /// True when the store answers this node, and has for a while since it last did
-    /// not.
+    /// Returns true if the last call succeeded and the last failure is at least [`HOLD`] ago.
     pub fn answers(&self, now: Moment) -> bool {
         let held = self.lost_at.is_some_and(|lost| now.since(lost) < HOLD);
         self.answers && !held
     }
 
-    /// Time since the store last answered this node for the document.
+    /// Returns the time since the store last answered this node for the document.
     pub fn answer_age(&self, now: Moment) -> Option<Duration> {
         self.answered_at.map(|answered| now.since(answered))
     }
 
-    /// How long the next watch may wait.
+    /// Returns a random wait for the next watch.
     pub fn wait(&self, rng: &mut impl Rng) -> Duration {
         let watchers = self.watchers.len().max(1) as u32;
         let longest = (WAIT_PER_WATCHER * watchers).max(LEAST_LONGEST_WAIT);
         longest.mul_f64(rng.random_range(SHORTEST_WAIT_SHARE..1.0))
     }
 
-    /// How long a call to the store may take, over the wait that it asked for.
+    /// Returns the timeout of a store call, on top of the wait that it requests.
     pub fn patience(&self) -> Duration {
         self.patience
     }
 
-    /// Notes how long the store took, over the wait that was asked for. Whoever
-    /// knows a slow store waits longer for it.
+    /// Updates the timeout with the latency of a call, less the requested wait. Nodes with a
+    /// slow connection to the store wait longer.
     pub fn took(&mut self, time: Duration) {
         let kept = self.patience.mul_f64(PATIENCE_DECAY);
         let wanted = kept.max(time * PATIENCE_FACTOR);
         self.patience = wanted.clamp(LEAST_PATIENCE, LONGEST_PATIENCE);
     }
 
-    /// Notes that the store answered this node's last call.
+    /// Records a successful store call.
     pub fn answered(&mut self, now: Moment) {
         self.answers = true;
         self.answered_at = Some(now);
         self.retry_at = None;
     }
 
-    /// Notes that the store did not answer this node's last call. Comes back with the
-    /// nodes that must ask in place of a watcher that has just lost it.
+    /// Records a failed store call. Returns the nodes to ask for a hedge, if this node was a
+    /// watcher and the previous call succeeded.
     pub fn lost(
         &mut self,
         now: Moment,
@@ -177,7 +176,7 @@
         rng: &mut impl Rng,
     ) -> Vec<NodeId> {
         let just_lost = std::mem::replace(&mut self.answers, false);
-        // A hedge that was never answered has told nobody anything.
+        // No other node relied on a hedge that never got an answer.
         let was_heard = self.answered_at >= self.hedged_at;
         let relied_on = just_lost && (self.chosen || (self.hedge_until.is_some() && was_heard));
         self.lost_at = Some(now);
@@ -191,7 +190,7 @@
         }
     }
 
-    /// Who asks besides the watchers: those first that the store answers.
+    /// Selects nodes for hedges, those with answers from the store first.
     fn hedges(&self, membership: &Membership, rng: &mut impl Rng) -> Vec<NodeId> {
         let me = &membership.me().id;
         let candidates = |answered: bool| {
@@ -206,8 +205,8 @@
         chosen.into_iter().cloned().collect()
     }
 
-    /// A watcher has lost the store: this node asks in its place, unless the store has
-    /// answered it a moment ago.
+    /// Schedules a hedge for a watcher that failed, unless this node watches and got an answer
+    /// within [`HEDGE_PAUSE`].
     pub fn hedge(&mut self, now: Moment, rng: &mut impl Rng) {
         let heard = self
             .answer_age(now)
@@ -219,8 +218,8 @@
         self.hedge_at = Some(begin.max(now) + HEDGE_SPREAD.mul_f64(rng.random()));
     }
 
-    /// Chooses the watchers again if the member table has changed. True when this
-    /// node must ask the store now: it was chosen, or asks besides those chosen.
+    /// Selects the watchers again if the member table has changed. Returns true if this node
+    /// must call the store now: it has just become a watcher, or a hedge or retry is due.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -264,7 +263,7 @@
     }
 }
 
-/// The mean time until a node that has lost the store tries it again.
+/// Returns the mean time until a node without answers calls the store again.
 fn retry_pause(membership: &Membership) -> Duration {
     let readers = alive(membership).filter(|record| record.conditions.reader);
     let lost = alive(membership).filter(|record| !record.conditions.reader);
@@ -281,7 +280,7 @@
         .filter(|record| record.status == Status::Alive)
 }
 
-/// Those that the store answers come first, spread over the zones.
+/// Selects watchers spread over the zones, those with answers from the store first.
 fn choice(membership: &Membership, settings: &FleetSettings) -> Vec<NodeId> {
     let candidates = |answered: bool| {
         alive(membership)
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -1,17 +1,15 @@
-//! When a version may come into force, and the floor after a restart.
+//! Activation of versions, and the version floor after a restart.
 //!
-//! A node forgets everything when its process ends, but must never serve a
-//! version below one that it served before. So before a version comes into
-//! force, a majority of the node's *witnesses* note that this id will hold it.
-//! Witnesses are the first of the rendezvous order of the id over the nodes
-//! that the configuration itself names in the region, so that every process
+//! A node loses its memory when its process ends, but must never serve a version below one that
+//! it served before. Therefore a majority of the node's *witnesses* records a version before
+//! the node activates it. Witnesses are the first nodes of the region in rendezvous order of
+//! the node's id, among the nodes that the configuration itself names. Every process thus
 //! computes the same set from the same version.
 //!
-//! A version whose witness set differs from the one in force is noted by a
-//! majority of both sets. A record names the set it was made for: after a
-//! restart, a majority of the set of version *x* confirms the floor only with
-//! records made for that very set and not above *x*; a record above *x* means
-//! that *x* is too old, and the node catches up and asks again.
+//! A version whose witness set differs from the active one needs a majority of both sets. Each
+//! record names the set that it was made for. After a restart, a majority of the set of version
+//! *x* confirms the floor only with records for that same set and not above *x*. A record above
+//! *x* means that *x* is outdated: the node catches up and queries again.
 
 use super::action::{Decision, Outbox};
 use super::message::{Life, Message, WitnessRecord, WitnessSetId};
@@ -23,20 +21,22 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// With fewer witnesses than this, none are used: a restart then waits for the
-/// store.
+/// Minimum size of a witness set. With fewer candidates no witnesses are used, and a restarted
+/// node has to wait for the store.
 const LEAST_WITNESSES: usize = 3;
-/// Staged states that wait for witnesses, at most; older ones are skipped.
+/// Maximum number of staged states that await their witnesses. The oldest is dropped beyond
+/// that.
 const MAX_WAITING: usize = 64;
 
-/// The witnesses of one node under one configuration.
+/// The witnesses of a node under a given configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WitnessSet {
     members: BTreeSet<NodeId>,
 }
 
 impl WitnessSet {
-    /// The witnesses of `id` under `state`; empty where there are too few.
+    /// Returns the witnesses of `id` under `state`, or an empty set if there are too few
+    /// candidates.
     pub fn of(id: &NodeId, region: &Region, state: &ConfigState, count: usize) -> Self {
         let candidates = state
             .backends()
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Names the set by its members.
+    /// Returns a digest of the members.
     pub fn id(&self) -> WitnessSetId {
         let mut hasher = blake3::Hasher::new();
         for member in &self.members {
@@ -67,8 +67,7 @@
         self.members.len() / 2 + 1
     }
 
-    /// True when a majority of this set fulfils `test`; an empty set never
-    /// stands in the way.
+    /// Returns true if a majority of the set satisfies `test`, or if the set is empty.
     fn agrees(&self, test: impl Fn(&NodeId) -> bool) -> bool {
         self.members.is_empty()
             || self.members.iter().filter(|member| test(member)).count() >= self.majority()
@@ -81,18 +80,18 @@
     set: WitnessSet,
 }
 
-/// The answer that the witnesses gave to a restarted node.
+/// Result of querying the witnesses after a restart.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FloorVerdict {
-    /// Too few usable answers so far.
+    /// Not enough usable replies yet.
     Open,
-    /// The node held this version before; it must catch up before it asks again.
+    /// The node has held this version before. It must catch up and query again.
     CatchUp(Version),
-    /// The state that was asked about is at or above the floor.
+    /// The queried state is not below the floor.
     Confirmed(Version),
 }
 
-/// Steps from staged to in force.
+/// State machine from staged to active versions.
 #[derive(Debug)]
 pub struct Adoption {
     me: NodeId,
@@ -100,16 +99,16 @@
     active: Arc<ConfigState>,
     active_set: WitnessSet,
     waiting: VecDeque<Waiting>,
-    /// Highest version that each witness has acknowledged.
+    /// Highest version acknowledged by each witness.
     acknowledged: BTreeMap<NodeId, Version>,
-    /// The last life seen of each witness.
+    /// Latest known run of each witness.
     lives: BTreeMap<NodeId, Life>,
     next_repeat: Moment,
     explained: Version,
 }
 
 impl Adoption {
-    /// Nothing in force yet.
+    /// Creates an instance without an active version.
     pub fn new(me: NodeId, region: Region) -> Self {
         Self {
             me,
@@ -124,17 +123,17 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     pub fn active(&self) -> &Arc<ConfigState> {
         &self.active
     }
 
-    /// Version in force.
+    /// Returns the active version.
     pub fn version(&self) -> Version {
         self.active.version()
     }
 
-    /// A newer state is staged; ask the witnesses to note it.
+    /// Stages a newer state and asks the witnesses to record it.
     pub fn stage(
         &mut self,
         state: Arc<ConfigState>,
@@ -151,7 +150,8 @@
         self.ask(outbox);
     }
 
-    /// Sends the newest waiting version to every witness of either set.
+    /// Sends the newest pending version to the witnesses of the active set and all pending
+    /// sets.
     fn ask(&self, outbox: &mut Outbox) {
         let Some(newest) = self.waiting.back() else {
             return;
@@ -167,7 +167,8 @@
         }
     }
 
-    /// A witness has noted `version`, or named its present life with 0.
+    /// Handles the acknowledgement of `version` by a witness. Version 0 only tells the
+    /// witness's current run.
     pub fn on_ack(&mut self, from: &NodeId, life: Life, version: Version, outbox: &mut Outbox) {
         let known_life = self.lives.insert(from.clone(), life);
         if known_life != Some(life) {
@@ -199,16 +200,16 @@
         );
     }
 
-    /// The sets that a restarted node was confirmed with must agree to what it
-    /// adopts next.
+    /// Sets the witness set that confirmed the floor after a restart. It must also agree to the
+    /// next activation.
     pub fn start_from(&mut self, set: WitnessSet) {
         self.active_set = set;
     }
 
-    /// The newest waiting state that may come into force now.
+    /// Activates the newest pending state that may become active now and returns it.
     ///
-    /// All sets from the one in force to the new one must agree, since a
-    /// restarted process may start from any version in between.
+    /// All sets from the active one up to the new one must agree, since a restarted process may
+    /// start from any version in between.
     pub fn advance(&mut self) -> Option<Arc<ConfigState>> {
         let mut ready = None;
         for (index, waiting) in self.waiting.iter().enumerate() {
@@ -231,7 +232,8 @@
         Some(self.active.clone())
     }
 
-    /// Drops every witness set: wrong, for tests only.
+    /// Clears every witness set, so that versions activate without witnesses. Right only where
+    /// the store itself decides on versions, and in tests.
     #[doc(hidden)]
     pub fn advance_without_witnesses(&mut self) {
         self.active_set = WitnessSet::default();
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Repeats unanswered questions.
+    /// Repeats unanswered requests to witnesses.
     pub fn tick(&mut self, now: Moment, settings: &FleetSettings, outbox: &mut Outbox) {
         if self.waiting.is_empty() || now < self.next_repeat {
             return;
@@ -270,15 +272,15 @@
     }
 }
 
-/// What this node remembers of others, as their witness.
+/// Versions recorded on behalf of other nodes, for which this node is a witness.
 #[derive(Debug, Default)]
 pub struct WitnessBook {
     records: BTreeMap<NodeId, WitnessRecord>,
 }
 
 impl WitnessBook {
-    /// Notes that `id` will hold the record's version; answers the version on
-    /// record, which never falls.
+    /// Records that `id` will hold the record's version. Returns the recorded version, which
+    /// never decreases.
     pub fn note(&mut self, id: &NodeId, record: WitnessRecord) -> Version {
         let noted = self.records.entry(id.clone()).or_insert(record);
         if record.version >= noted.version {
@@ -287,29 +289,29 @@
         noted.version
     }
 
-    /// What is on record for `id`; none when this process never heard of it.
+    /// Returns the record of `id`, or `None` if this process has none.
     pub fn record(&self, id: &NodeId) -> Option<WitnessRecord> {
         self.records.get(id).copied()
     }
 
-    /// Number of ids on record.
+    /// Returns the number of nodes with a record.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 }
 
-/// The question that a restarted node asks its witnesses.
+/// Query that a restarted node sends to its witnesses.
 #[derive(Debug, Default)]
 pub struct FloorQuestion {
     nonce: u64,
     set: WitnessSet,
     answers: BTreeMap<NodeId, WitnessRecord>,
-    /// Highest version that any asked witness has heard of.
+    /// Highest version known to any queried witness.
     heard: Version,
 }
 
 impl FloorQuestion {
-    /// Asks the witnesses that `state` names for `me`.
+    /// Queries the witnesses that `state` names for `me`.
     pub fn ask(
         &mut self,
         me: &NodeId,
@@ -330,7 +332,7 @@
         }
     }
 
-    /// Takes an answer; a witness that has forgotten does not count.
+    /// Handles a reply. A witness without a record does not count.
     pub fn on_answer(
         &mut self,
         from: &NodeId,
@@ -348,12 +350,12 @@
         };
     }
 
-    /// The set that is asked.
+    /// Returns the queried witness set.
     pub fn set(&self) -> &WitnessSet {
         &self.set
     }
 
-    /// What the answers say about a state at `version`.
+    /// Evaluates the replies for a state at `version`.
     pub fn verdict(&self, version: Version) -> FloorVerdict {
         let recorded = self.answers.values().map(|record| record.version).max();
         let Some(recorded) = recorded else {
--- a/crates/rampthread-core/src/fleet/writer.rs
+++ b/crates/rampthread-core/src/fleet/writer.rs
@@ -1,13 +1,13 @@
-//! How a proposal becomes a log entry.
+//! Appends proposals to the log.
 //!
-//! The log alone decides. The writer never judges a change: it writes the
-//! entry into the next empty slot, and `ConfigState::apply` says, alike at
-//! every node, what became of it. So a refusal is as durable as an acceptance,
-//! and no refused operation can appear later.
+//! The log alone decides. The writer does not validate a change: it writes the entry to the
+//! next empty slot, and `ConfigState::apply` determines the outcome identically on every node.
+//! So a rejection is as durable as an acceptance, and a rejected operation cannot take effect
+//! later.
 //!
-//! A lost answer leaves the slot unknown. An empty slot is no proof, since the
-//! write may still be on its way: the same entry is written again to the same
-//! slot until somebody's entry is there.
+//! If the answer to a write is lost, its outcome is unknown. An empty slot proves nothing,
+//! since the write may still arrive. The same entry is therefore written to the same slot again
+//! until the slot holds some entry.
 
 use super::action::{Action, Outbox, RequestId, StoreAnswer, StoreFailure, StoreRequest};
 use super::message::SharedBytes;
@@ -20,20 +20,20 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Proposals that wait at once; more are refused with when to come back.
+/// Maximum number of queued proposals. Further ones are rejected with a delay before another
+/// attempt.
 const MAX_QUEUED: usize = 256;
-/// Wait before the same slot is tried again after a lost answer.
+/// Delay before a write is repeated after a lost answer.
 const REWRITE_PAUSE: Duration = Duration::from_millis(50);
-/// A proposal that nobody waits for any longer is dropped after this time,
-/// unless a write of it is unresolved.
+/// Time after which a queued proposal is dropped, unless a write of it is in progress.
 const ABANDON_AFTER: Duration = Duration::from_secs(30);
 
-/// Who waits for a proposal's outcome.
+/// A node that awaits the outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Asker {
-    /// The node that forwarded it; this node itself for its own API.
+    /// Node that forwarded the proposal; this node itself for its own API.
     pub node: NodeId,
-    /// The submission at that node.
+    /// Number of the submission at that node.
     pub submission: u64,
 }
 
@@ -43,7 +43,7 @@
     entry: SharedBytes,
     askers: Vec<Asker>,
     accepted_at: Moment,
-    /// A write of this entry had no answer and may have taken effect.
+    /// True if a write of this entry got no answer and may have taken effect.
     maybe_written: bool,
 }
 
@@ -56,27 +56,27 @@
     sent: Moment,
 }
 
-/// A proposal that no write was tried for.
+/// A dropped proposal for which no write was attempted.
 #[derive(Debug)]
 pub struct Untried {
-    /// The operation.
+    /// Id of the operation.
     pub operation_id: OperationId,
-    /// Who waits.
+    /// Nodes that await the outcome.
     pub askers: Vec<Asker>,
 }
 
-/// What the writer tells the agent about a finished proposal.
+/// A proposal whose outcome is in the log.
 #[derive(Debug)]
 pub struct Finished {
-    /// The operation.
+    /// Id of the operation.
     pub operation_id: OperationId,
-    /// Who waits.
+    /// Nodes that await the outcome.
     pub askers: Vec<Asker>,
-    /// The slot that decided it.
+    /// Log slot that decided it.
     pub decided_at: Version,
 }
 
-/// The queue of proposals at a reader.
+/// Queue of proposals at a reader.
 #[derive(Debug, Default)]
 pub struct Writer {
     queue: VecDeque<Proposal>,
@@ -85,7 +85,7 @@
 }
 
 impl Writer {
-    /// One more asker of a proposal that waits already; false when none does.
+    /// Adds a requester to a queued proposal. Returns false if the operation is not queued.
     pub fn join(&mut self, operation_id: &OperationId, asker: &Asker) -> bool {
         let known = self
             .queue
@@ -97,7 +97,7 @@
         true
     }
 
-    /// True when the proposal was taken over; false when the queue is full.
+    /// Queues a proposal. Returns false if the queue is full.
     pub fn propose(
         &mut self,
         entry: SharedBytes,
@@ -119,7 +119,8 @@
         true
     }
 
-    /// Proposals that no write was tried for; they can be called not run.
+    /// Removes and returns the proposals for which no write was attempted. They can be reported
+    /// as not run.
     pub fn take_untried(&mut self) -> Vec<Untried> {
         let open = self.open.as_ref().map(|open| open.operation_id.clone());
         let mut untried = Vec::new();
@@ -136,7 +137,7 @@
         untried
     }
 
-    /// Writes the first proposal into the next empty slot.
+    /// Writes the first queued proposal to the next empty slot.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -189,15 +190,15 @@
         }
     }
 
-    /// True when the request is one of the writer's.
+    /// Returns true if the request is the writer's pending write.
     pub fn owns(&self, request: RequestId) -> bool {
         self.open
             .as_ref()
             .is_some_and(|open| open.request == request)
     }
 
-    /// Takes the answer to a write; returns the entry that the slot now holds,
-    /// when that is this writer's own.
+    /// Handles the answer to the pending write. Returns the version and entry if this writer's
+    /// entry took the slot.
     pub fn on_store(
         &mut self,
         result: &Result<StoreAnswer, StoreFailure>,
@@ -210,18 +211,18 @@
         if let Err(StoreFailure::Unknown) = result {
             self.mark_maybe_written(&open.operation_id);
         }
-        // Where the slot is taken, the watch brings the entry that took it.
+        // If the slot was taken, the watch delivers the entry that took it.
         self.not_before = now + REWRITE_PAUSE;
         None
     }
 
-    /// Treats the open write as never tried: wrong, for tests only.
+    /// Discards the pending write as if it was never sent. Incorrect; only for tests.
     #[doc(hidden)]
     pub fn forget_open(&mut self) {
         self.open = None;
     }
 
-    /// Finds the proposals that the log has decided.
+    /// Removes and returns the proposals that the log has decided.
     pub fn finished(&mut self, replica: &Replica) -> Vec<Finished> {
         let state = replica.staged();
         let mut finished = Vec::new();
