--- a/crates/rampthread-core/src/fleet/zone_directory.rs
+++ b/crates/rampthread-core/src/fleet/zone_directory.rs
@@ -1,17 +1,18 @@
-//! What the platform's store holds of one zone, and who writes it.
+//! Snapshot of a zone in the platform's store, and which member writes it.
 //!
-//! The store holds one snapshot a zone: its members, each with the back end beside it.
-//! A node that starts reads all snapshots in one call, so that a start of all costs a
-//! node the same call in a fleet of any size; with one record a node it cost four
-//! calls, and the bytes of all lists grew with the square of the fleet.
+//! The store holds one snapshot per zone with its members and their backends. A starting node
+//! reads all snapshots in one call, so that its cost does not depend on the size of the fleet.
+//! With one record per node, the bytes read at a start of all nodes would grow with the square
+//! of their number.
 //!
-//! One member writes: the first in a rendezvous order of those alive. A write is
-//! conditional on the revision that the writer has seen, and keeps every member that
-//! it has seen there, so that two writers never undo each other. The next in the order
-//! look after it, and write where it does not.
+//! One member writes: the first of the reachable members in rendezvous order. A write is
+//! conditional on the revision that the writer has read and keeps every member found there, so
+//! that concurrent writers never undo each other's changes. The next members in the order take
+//! over if the writer does not write.
 //!
-//! On an empty store nobody knows whom the zone has. A few nodes, drawn by lot, write
-//! themselves early; the others look again once that can be read.
+//! While the store is empty, no node knows the members of its zone. A few randomly chosen nodes
+//! write themselves early; the others read again after that and then join the existing
+//! snapshot.
 
 use super::action::LeaseId;
 use super::member::{EndpointRecord, Machine, MemberRecord};
@@ -24,117 +25,119 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time for which the zone must differ from its snapshot before that is written again:
-/// changes come in groups, and each write costs the store a call. A newcomer needs no
-/// newer list, since those that it names tell it the rest.
+/// Minimum time for which the zone must differ from its snapshot before a write. Changes come
+/// in groups and each write costs a store call. A new node does not depend on an up-to-date
+/// snapshot, since the members in it tell it the rest.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// Further time that each next one in the order leaves to those before it: a write that
-/// is lost is tried again within it.
+/// Additional delay for each further member in the rendezvous order. It leaves the previous
+/// member enough time to repeat a lost write.
 const SUCCESSION_STEP: Duration = Duration::from_secs(5);
-/// Members that may write: with the writer and two more gone at once, one is left.
+/// Number of members that may write. One remains if the writer and two others fail at once.
 const CANDIDATES: usize = 4;
-/// Time after which a member that does not answer is dropped from the snapshot. Those
-/// that a cut hides must be found again when it ends.
+/// Time after which an unreachable member is dropped from the snapshot. Members hidden by a
+/// network partition must be found again when it heals.
 const GONE_AFTER: Duration = Duration::from_secs(600);
-/// Time between two renewals of the snapshot's lease: a third of the lease, so that a
-/// renewal that fails is tried again in time.
+/// Interval between renewals of the snapshot's lease. A third of the lease, so that a failed
+/// renewal can be repeated in time.
 const RENEW_INTERVAL: Duration = Duration::from_secs(200);
-/// On an empty store, one node in so many writes early. At 1,000 nodes these are 60
-/// calls, most of them refused.
+/// While the store is empty, one in this many nodes writes early. With 1,000 nodes that makes
+/// about 60 calls, most of which are rejected.
 const EARLY_ONE_IN: u32 = 16;
-/// When they do, in milliseconds after the first look.
+/// Delay of an early first write in milliseconds, after the first read.
 const EARLY_MS: std::ops::Range<u64> = 200..1_000;
-/// When the others look again, in milliseconds after the first look. A read at a reduced
-/// price may be as old as two seconds.
+/// Delay of the second read of all other nodes in milliseconds, after the first one. Eventually
+/// consistent reads can lag by two seconds.
 const LATE_MS: std::ops::Range<u64> = 3_000..3_800;
-/// After the store was restored, time that each next one in the order leaves to those
-/// before it: they look and write first.
+/// Delay per rank for reads after the store was restored, so that members earlier in the
+/// rendezvous order read and write first.
 const RESTORED_STEP: Duration = Duration::from_secs(3);
-/// Leaves that one write takes off the record: the platform does at most 32 changes at
-/// once, and the snapshot is one of them, on two rows.
+/// Maximum number of departure records deleted by one write. The platform limits a transaction
+/// to 32 changes, and the snapshot takes two of them.
 const MAX_LEAVES: usize = 30;
 
-/// The snapshot of a zone as the store holds it.
+/// Snapshot of a zone as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ZoneSnapshot {
-    /// The zone's members.
+    /// Members of the zone.
     pub members: BTreeMap<NodeId, Machine>,
-    /// Its last change; 0 where the store holds none.
+    /// Revision of the last change; 0 if the store has no snapshot.
     pub revision: u64,
-    /// The lease that it ends with; 0 where there is none.
+    /// Lease that the snapshot is attached to; 0 if none.
     pub lease: LeaseId,
 }
 
-/// Names the record of a leave that a node has acknowledged.
+/// Key of a recorded backend departure.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaveId {
-    /// The node.
+    /// Node that acknowledged the departure.
     pub node: NodeId,
-    /// The start of its back end that leaves.
+    /// Incarnation of the backend that departed.
     pub instance: InstanceId,
 }
 
-/// A snapshot to be written.
+/// A conditional write of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneWrite {
-    /// What it says, at the revision and under the lease that it replaces.
+    /// New content, with the revision and the lease that it replaces.
     pub snapshot: ZoneSnapshot,
-    /// It must end with a lease. A first one has none yet: most that are tried are refused,
-    /// and a lease costs a call of its own.
+    /// True if the snapshot needs a lease. The first snapshot of a zone is written without one:
+    /// most first writes are rejected, and a lease costs another call.
     pub under_lease: bool,
-    /// Recorded leaves that it makes needless.
+    /// Departure records that are redundant after this write.
     pub leaves: Vec<LeaveId>,
 }
 
-/// What must be done at the store.
+/// Store operation requested by [`ZoneDirectory::next_step`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ZoneStep {
     /// Read the directory.
     Look {
-        /// What is some seconds old will not do.
+        /// True if the read must not be stale.
         current: bool,
     },
-    /// Write it.
+    /// Write the snapshot.
     Write(ZoneWrite),
-    /// Renew its lease.
+    /// Renew the lease of the snapshot.
     Renew(LeaseId),
 }
 
-/// When a node writes that found no snapshot and knows nobody of its zone.
+/// Schedule of the first write of a node that found no snapshot and knows no other member of
+/// its zone.
 #[derive(Debug, Clone, Copy)]
 struct FirstWrite {
     at: Moment,
-    /// It looks again before.
+    /// True if the node has to read again before the write.
     looks: bool,
 }
 
-/// One node's part in keeping its zone's snapshot.
+/// State of one node for maintaining the snapshot of its zone.
 #[derive(Debug)]
 pub struct ZoneDirectory {
     zone: Zone,
     stored: ZoneSnapshot,
-    /// When the snapshot was read last; none: never, or not since a write whose outcome
-    /// is unknown.
+    /// Time of the last read. `None` before the first read, and after a write with unknown
+    /// outcome.
     looked: Option<Moment>,
     first_write: Option<FirstWrite>,
     /// Since when the zone differs from the snapshot.
     differs_since: Option<Moment>,
     next_renewal: Moment,
-    /// Place of this node among those that write, as of a revision of the member table.
+    /// Rank of this node among the writers, valid for the revision `ranked_at` of the member
+    /// table.
     rank: usize,
     ranked_at: Option<u64>,
-    /// Revisions of the member table and of the snapshot that were found alike.
+    /// Revisions of the member table and of the snapshot at which both had the same content.
     alike_at: Option<(u64, u64)>,
-    /// Recorded leaves that were read.
+    /// Departure records from the last read.
     leaves: BTreeSet<LeaveId>,
-    /// When the store came back from an older copy, until it was looked at again.
+    /// Time at which the store was restored from an older copy, until the next read.
     restored: Option<Moment>,
-    /// What stood there before, which the copy may lack.
+    /// Members from before the restore, which the restored copy may lack.
     remembered: BTreeMap<NodeId, Machine>,
 }
 
 impl ZoneDirectory {
-    /// Of a node in `zone` that knows nothing of the store.
+    /// Creates the state of a node in `zone` that has not read the store yet.
     pub fn new(zone: Zone) -> Self {
         Self {
             zone,
@@ -152,8 +155,8 @@
         }
     }
 
-    /// Takes what a read has shown: the snapshot of this node's zone, and recorded leaves.
-    /// A read may be older than what is known.
+    /// Handles the result of a read: the snapshot of this node's zone and the recorded
+    /// departures. A snapshot older than the known one is ignored.
     pub fn on_read(
         &mut self,
         snapshot: Option<&ZoneSnapshot>,
@@ -176,7 +179,7 @@
         }
     }
 
-    /// What this node must do at the store now.
+    /// Returns the store operation that is due, if any.
     pub fn next_step(&mut self, now: Moment, membership: &Membership) -> Option<ZoneStep> {
         if let Some(restored) = self.restored {
             return self.step_after_restore(restored, now, membership);
@@ -214,7 +217,7 @@
         Some(self.write(members))
     }
 
-    /// The snapshot was written.
+    /// Handles a successful write.
     pub fn on_written(&mut self, written: ZoneSnapshot, now: Moment) {
         self.stored = written;
         self.remembered.clear();
@@ -223,7 +226,7 @@
         self.next_renewal = now + RENEW_INTERVAL;
     }
 
-    /// Somebody else has written since; `current` is what stands now.
+    /// Handles a write rejected because of a concurrent one; `current` is the stored snapshot.
     pub fn on_conflict(&mut self, current: Option<&ZoneSnapshot>, now: Moment) {
         self.first_write = None;
         self.differs_since = Some(now);
@@ -233,17 +236,18 @@
         }
     }
 
-    /// True until a first snapshot of the zone is known to stand.
+    /// Returns true until a snapshot of the zone is known to exist.
     pub fn is_first(&self) -> bool {
         self.stored.revision == 0
     }
 
-    /// The store did not say what has become of a write: it may stand, or still come.
+    /// Handles a write with unknown outcome: it may have taken effect, or may still do so.
     pub fn on_unknown(&mut self) {
         self.looked = None;
     }
 
-    /// The lease was renewed, or is over, and the snapshot gone with it.
+    /// Handles the result of a lease renewal. If the lease has expired, the snapshot is gone as
+    /// well.
     pub fn on_renewed(&mut self, stands: bool, now: Moment) {
         self.next_renewal = now + RENEW_INTERVAL;
         if !stands {
@@ -251,8 +255,8 @@
         }
     }
 
-    /// The store came back from an older copy: revisions and leases of before mean nothing
-    /// any more. Members that stood there are kept for the next write.
+    /// Handles a restore of the store from an older copy. Previous revisions and leases are
+    /// invalid. The previous members are kept for the next write.
     pub fn on_store_restored(&mut self, now: Moment) {
         self.remembered
             .extend(std::mem::take(&mut self.stored.members));
@@ -265,7 +269,8 @@
         self.restored = Some(now);
     }
 
-    /// The store is said to have been restored: its writer looks now.
+    /// Handles a notice from a peer that the store was restored: the writer of the zone reads
+    /// again.
     pub fn on_restore_told(&mut self, membership: &Membership) {
         self.rank(membership);
         if self.rank == 0 {
@@ -273,8 +278,8 @@
         }
     }
 
-    /// The writer looks at once, and those after it in the order later, where it does not
-    /// write; nobody else looks for the sake of the snapshot.
+    /// The writer reads at once, the next members in the order with a delay, in case the writer
+    /// does not write. Other nodes do not read because of the snapshot.
     fn step_after_restore(
         &mut self,
         restored: Moment,
@@ -289,8 +294,7 @@
         Some(ZoneStep::Look { current: true })
     }
 
-    /// What stood there is gone: a member that is alone in its zone must look before it
-    /// writes again, as at its start.
+    /// Forgets the stored snapshot. The next step is a read, as after a start.
     fn forget_stored(&mut self) {
         self.stored = ZoneSnapshot::default();
         self.looked = None;
@@ -332,8 +336,9 @@
         })
     }
 
-    /// The leave that may be on record at `machine` and is not needed once the snapshot
-    /// says this: the leave itself, or that another start has followed.
+    /// Returns the departure that may be on record for `machine` and that the snapshot makes
+    /// redundant: it says itself that the backend departs, or that another incarnation has
+    /// followed.
     fn leave_taken_in(&self, machine: &Machine) -> Option<LeaveId> {
         let endpoint = machine.endpoint.as_ref()?;
         let stored = self.stored.members.get(&machine.id);
@@ -350,8 +355,8 @@
         })
     }
 
-    /// Place of this node among those of its zone that may write. One that is known from
-    /// the snapshot alone counts: it may have written just now.
+    /// Computes the rank of this node among the writers of its zone. Members known only from
+    /// the snapshot count as well, since they may have written it just now.
     fn rank(&mut self, membership: &Membership) {
         if self.ranked_at == Some(membership.revision()) {
             return;
@@ -362,8 +367,8 @@
         self.rank = rank.min(CANDIDATES);
     }
 
-    /// The zone as it should stand in the store: all that stand there, and those known
-    /// besides, without those that have been gone for long.
+    /// Returns the members that the snapshot should have: the stored and the known ones,
+    /// without those that have been unreachable for [`GONE_AFTER`].
     fn wanted(&self, now: Moment, membership: &Membership) -> BTreeMap<NodeId, Machine> {
         let mut members = self.stored.members.clone();
         members.extend(self.remembered.clone());
@@ -383,8 +388,8 @@
     }
 }
 
-/// The back end beside a member. One that has just restarted does not know its back end
-/// yet: that is what it reads the snapshot for.
+/// Returns the backend of a member. A node that has just restarted announces none yet and will
+/// read it from the snapshot, so the stored one is kept.
 fn known_endpoint(record: &MemberRecord, stored: Option<&Machine>) -> Option<EndpointRecord> {
     let announced = record.endpoint.clone();
     let stored = stored.and_then(|machine| machine.endpoint.clone());
@@ -408,7 +413,7 @@
     }
 }
 
-/// True when a snapshot that says this of a node tells all that the leave tells.
+/// Returns true if the entry of `machine` implies the departure.
 fn makes_needless(machine: &Machine, leave: &LeaveId) -> bool {
     let Some(endpoint) = &machine.endpoint else {
         return false;
@@ -419,7 +424,7 @@
     }
 }
 
-/// True when both starts are named with their time, and `instance` was the earlier one.
+/// Returns true if both names contain a start time and that of `instance` is earlier.
 fn started_before(instance: &InstanceId, other: &InstanceId) -> bool {
     let born = |instance| BackendIncarnation::named(instance).born();
     match (born(instance), born(other)) {
@@ -440,9 +445,9 @@
     }
 }
 
-/// What a node that starts takes up of its back end: what the snapshot of its zone says,
-/// unless the node itself has recorded a leave that is not known to be an earlier one. A
-/// leave that was acknowledged holds over the death of all who heard of it.
+/// Returns the backend that a starting node restores: the one from the zone snapshot, unless
+/// the node has recorded a departure that is not known to be of an earlier incarnation. Thus an
+/// acknowledged departure survives the loss of all nodes that knew about it.
 pub fn recorded_backend(
     snapshot: Option<EndpointRecord>,
     leaves: impl IntoIterator<Item = EndpointRecord>,
