--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -244,7 +244,8 @@
         origin: String,
     },
     /// A rollout started, advanced or ended.
-    RollOut {
+    #[serde(rename = "roll_out")]
+    Rollout {
         /// Service that is rolled out.
         service: ResourceName,
         /// Version that is rolled out.
@@ -308,7 +309,7 @@
     /// Send a rollout request to the store.
     AskDeciderStore(DeciderCall),
     /// The routing limits of rollouts changed.
-    RollOutsChanged,
+    RolloutsChanged,
     /// A peer reported this store era. Verify it with the store.
     AskForEra(u64),
     /// A peer holds a newer document than this node. Read the store now.
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -151,7 +151,7 @@
     crashes: crash_news::CrashNews,
     loads: LoadExchange,
     /// None where orders to roll out are not carried out.
-    roll_outs: Option<rollouts::RollOuts>,
+    roll_outs: Option<rollouts::Rollouts>,
     draining: bool,
     backend_up: bool,
     /// Reports of the back end beside this node, where it reports here.
@@ -223,7 +223,7 @@
             loads: LoadExchange::default(),
             roll_outs: settings
                 .roll_outs
-                .map(|bounds| rollouts::RollOuts::new(identity.id.clone(), bounds)),
+                .map(|bounds| rollouts::Rollouts::new(identity.id.clone(), bounds)),
             draining: false,
             backend_up: true,
             reported: ReportedBackend::with_heartbeat(settings.heartbeat),
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -14,7 +14,7 @@
 use crate::rollout::decider::{DeciderStep, Surroundings};
 use crate::rollout::table::Learnt;
 use crate::rollout::{
-    Decider, DeciderAnswer, RollOutBounds, RollOutOrder, RollOutState, RollOutTable,
+    Decider, DeciderAnswer, RolloutBounds, RolloutOrder, RolloutState, RolloutTable,
     VersionEvidence, VersionRule,
 };
 use crate::time::Moment;
@@ -58,9 +58,9 @@
 
 /// One node's part in roll-outs.
 #[derive(Debug)]
-pub(super) struct RollOuts {
-    bounds: RollOutBounds,
-    table: RollOutTable,
+pub(super) struct Rollouts {
+    bounds: RolloutBounds,
+    table: RolloutTable,
     decider: Decider,
     /// States that are still to be passed on, with the rounds left.
     untold: BTreeMap<ResourceName, u32>,
@@ -76,11 +76,11 @@
     questions: u32,
 }
 
-impl RollOuts {
-    pub(super) fn new(me: NodeId, bounds: RollOutBounds) -> Self {
+impl Rollouts {
+    pub(super) fn new(me: NodeId, bounds: RolloutBounds) -> Self {
         Self {
             bounds,
-            table: RollOutTable::default(),
+            table: RolloutTable::default(),
             decider: Decider::new(me, bounds),
             untold: BTreeMap::new(),
             next_telling: Moment::default(),
@@ -99,7 +99,7 @@
     /// Takes orders that stand in the store: written just now, or found there.
     pub fn on_orders(
         &mut self,
-        orders: &[RollOutOrder],
+        orders: &[RolloutOrder],
         learnt: Learnt,
         now: Moment,
     ) -> Vec<Action> {
@@ -124,7 +124,7 @@
             // Most likely others know more of it: a node that starts finds old orders.
             Learnt::Found => {
                 self.pass_on_later(&new, 1, now);
-                outbox.actions.push(Action::RollOutsChanged);
+                outbox.actions.push(Action::RolloutsChanged);
             }
         }
         self.tick_roll_outs(now, &mut outbox);
@@ -161,7 +161,7 @@
     }
 
     /// All roll-outs that this node knows.
-    pub fn roll_outs(&self, now: Moment) -> Vec<RollOutState> {
+    pub fn roll_outs(&self, now: Moment) -> Vec<RolloutState> {
         let roll_outs = self.roll_outs.as_ref();
         roll_outs.map_or_else(Vec::new, |roll_outs| roll_outs.table.states(now))
     }
@@ -181,7 +181,7 @@
     }
 
     pub(super) fn tick_roll_outs(&mut self, now: Moment, outbox: &mut Outbox) {
-        let idle = |roll_outs: &RollOuts| roll_outs.table.is_empty();
+        let idle = |roll_outs: &Rollouts| roll_outs.table.is_empty();
         if self.roll_outs.as_ref().is_none_or(idle) {
             self.ask_peers(now, outbox);
             return;
@@ -251,7 +251,7 @@
         };
         roll_outs.next_question = now + pause;
         if let Some(peer) = peer.filter(|_| lacks) {
-            outbox.send(&peer, Message::RollOuts(asked));
+            outbox.send(&peer, Message::Rollouts(asked));
         }
     }
 
@@ -292,7 +292,7 @@
         if let Some(call) = step.call {
             outbox.actions.push(Action::AskDeciderStore(call));
         }
-        let changed = |told: &RollOutState| {
+        let changed = |told: &RolloutState| {
             let made = step.made.iter();
             made.clone().any(|made| made.state.service == told.service)
         };
@@ -302,23 +302,23 @@
     }
 
     /// What changes for callers goes to many at once.
-    fn tell_widely(&mut self, states: Vec<RollOutState>, now: Moment, outbox: &mut Outbox) {
+    fn tell_widely(&mut self, states: Vec<RolloutState>, now: Moment, outbox: &mut Outbox) {
         if states.is_empty() {
             return;
         }
         self.pass_on_later(&states, ROUNDS_OF_CHANGES, now);
-        outbox.actions.push(Action::RollOutsChanged);
+        outbox.actions.push(Action::RolloutsChanged);
         let peers = self
             .membership
             .reachable_peers()
             .map(|peer| peer.id.clone());
         let order = rendezvous::order(self.identity.id.as_str(), peers);
         for peer in order.iter().take(DIRECTLY_TOLD) {
-            outbox.send(peer, Message::RollOuts(states.clone()));
+            outbox.send(peer, Message::Rollouts(states.clone()));
         }
     }
 
-    fn pass_on_later(&mut self, states: &[RollOutState], rounds: u32, now: Moment) {
+    fn pass_on_later(&mut self, states: &[RolloutState], rounds: u32, now: Moment) {
         let Some(roll_outs) = &mut self.roll_outs else {
             return;
         };
@@ -339,7 +339,7 @@
         roll_outs.next_telling = now + ROUND;
         let due = std::mem::take(&mut roll_outs.untold);
         let services = due.keys();
-        let states: Vec<RollOutState> = services
+        let states: Vec<RolloutState> = services
             .filter_map(|service| roll_outs.table.state(service, now))
             .collect();
         let changes = due.values().any(|left| *left > 1);
@@ -352,7 +352,7 @@
             targets.extend(self.membership.far_peer(&mut self.rng));
         }
         for target in &targets {
-            outbox.send(target, Message::RollOuts(states.clone()));
+            outbox.send(target, Message::Rollouts(states.clone()));
         }
     }
 
@@ -360,7 +360,7 @@
     pub(super) fn on_roll_outs(
         &mut self,
         from: &NodeId,
-        states: Vec<RollOutState>,
+        states: Vec<RolloutState>,
         now: Moment,
         outbox: &mut Outbox,
     ) {
@@ -378,7 +378,7 @@
                 let changed = known.is_none_or(|known| !state.says_the_same(&known));
                 let rounds = if changed { ROUNDS_OF_CHANGES } else { 1 };
                 if changed {
-                    outbox.actions.push(Action::RollOutsChanged);
+                    outbox.actions.push(Action::RolloutsChanged);
                 }
                 self.pass_on_later(&[state], rounds, now);
             } else if let Some(known) = known
@@ -388,7 +388,7 @@
             }
         }
         if !newer_here.is_empty() {
-            outbox.send(from, Message::RollOuts(newer_here));
+            outbox.send(from, Message::Rollouts(newer_here));
         }
         self.pass_on_states(now, outbox);
     }
@@ -397,7 +397,7 @@
     pub(super) fn tell_newcomer(&self, peer: &NodeId, now: Moment, outbox: &mut Outbox) {
         let states = self.roll_outs(now);
         if !states.is_empty() {
-            outbox.send(peer, Message::RollOuts(states));
+            outbox.send(peer, Message::Rollouts(states));
         }
     }
 
@@ -462,8 +462,8 @@
     LEAST_REPORT_INTERVAL.max(REPORT_INTERVAL_A_MEMBER * members as u32)
 }
 
-fn decision(state: &RollOutState, reason: &str) -> Decision {
-    Decision::RollOut {
+fn decision(state: &RolloutState, reason: &str) -> Decision {
+    Decision::Rollout {
         service: state.service.clone(),
         target: state.target.clone(),
         phase: state.phase,
--- a/crates/rampthread-core/src/fleet/message.rs
+++ b/crates/rampthread-core/src/fleet/message.rs
@@ -5,7 +5,7 @@
 use super::member::MemberRecord;
 use crate::config::Outcome;
 use crate::ids::{NodeId, OperationId, Version};
-use crate::rollout::{RollOutState, VersionEvidence};
+use crate::rollout::{RolloutState, VersionEvidence};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -255,7 +255,7 @@
     ZoneLoads(Vec<ZoneLoad>),
     /// Rollout states known to the sender. The receiver replies with later states that it
     /// knows, or with all of them if the list is empty.
-    RollOuts(Vec<RollOutState>),
+    Rollouts(Vec<RolloutState>),
     /// Call outcomes by version, sent to the node that decides a rollout.
     VersionEvidence(Vec<VersionEvidence>),
     /// The store was restored from an older copy. Each restore starts a new era.
@@ -296,7 +296,7 @@
             Message::CrashReports { .. } => "crash-reports",
             Message::LoadReport(_) => "load-report",
             Message::ZoneLoads(_) => "zone-loads",
-            Message::RollOuts(_) => "roll-outs",
+            Message::Rollouts(_) => "roll-outs",
             Message::VersionEvidence(_) => "version-evidence",
             Message::StoreEra { .. } => "store-era",
             Message::Drain => "drain",
--- a/crates/rampthread-core/src/fleet/settings.rs
+++ b/crates/rampthread-core/src/fleet/settings.rs
@@ -1,6 +1,6 @@
 //! Intervals and limits of the control protocol.
 
-use crate::rollout::RollOutBounds;
+use crate::rollout::RolloutBounds;
 use std::time::Duration;
 
 /// Settings of one agent. The defaults fit 430 nodes within 4 KB/s per node; `docs/CAPACITY.md`
@@ -92,7 +92,7 @@
     /// Number of listed members considered dead that are contacted per rejoin attempt.
     pub rejoin_fanout: usize,
     /// Limits for rollouts. Rollout orders are ignored if absent.
-    pub roll_outs: Option<RollOutBounds>,
+    pub roll_outs: Option<RolloutBounds>,
 }
 
 /// Origin of configuration versions.
--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -9,11 +9,11 @@
 //! One call to the store is under way at a time. A call without an answer may have been
 //! done: the records are read again before anything else is written.
 
-use super::RollOutBounds;
+use super::RolloutBounds;
 use super::evidence::{Counts, VersionEvidence};
 use super::schedule::{self, Next, Progress};
-use super::state::{OrderId, Phase, RollOutState, WHOLE_PERMILLE};
-use super::table::RollOutTable;
+use super::state::{OrderId, Phase, RolloutState, WHOLE_PERMILLE};
+use super::table::RolloutTable;
 use super::verdict::VersionJudge;
 use crate::fleet::{LeaseId, Life};
 use crate::ids::{NodeId, ResourceName, SoftwareVersion};
@@ -47,9 +47,9 @@
 
 /// A state as the store holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoredRollOut {
+pub struct StoredRollout {
     /// The state.
-    pub state: RollOutState,
+    pub state: RolloutState,
     /// Its last change.
     pub revision: u64,
     /// When it was written, by the wall clock of who wrote it, in milliseconds since 1970.
@@ -76,7 +76,7 @@
     /// Put a state on record, if this node still decides and nobody else has.
     Write {
         /// The state.
-        state: RollOutState,
+        state: RolloutState,
         /// Last change of the state that it takes the place of; 0: there is none.
         expected: u64,
         /// Last change of the record of the lease.
@@ -99,7 +99,7 @@
         /// The highest term that anything on record names.
         term: u64,
         /// The states.
-        states: Vec<StoredRollOut>,
+        states: Vec<StoredRollout>,
     },
     /// This node decides.
     Claimed {
@@ -125,7 +125,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecisionMade {
     /// The state from now on.
-    pub state: RollOutState,
+    pub state: RolloutState,
     /// The inputs.
     pub reason: String,
 }
@@ -136,7 +136,7 @@
     /// The store is to be called.
     pub call: Option<DeciderCall>,
     /// These states are new and are to be told.
-    pub told: Vec<RollOutState>,
+    pub told: Vec<RolloutState>,
     /// Decisions, for the log.
     pub made: Vec<DecisionMade>,
 }
@@ -198,7 +198,7 @@
 #[derive(Debug)]
 pub struct Decider {
     me: NodeId,
-    bounds: RollOutBounds,
+    bounds: RolloutBounds,
     role: Role,
     /// The call under way, and when it began.
     calling: Option<(DeciderCall, Moment)>,
@@ -206,7 +206,7 @@
     next_round: Moment,
     last_round: Moment,
     /// Last change of each state on record; known while this node decides.
-    on_record: BTreeMap<ResourceName, StoredRollOut>,
+    on_record: BTreeMap<ResourceName, StoredRollout>,
     cases: BTreeMap<ResourceName, Case>,
     /// What is on record may differ from `on_record`.
     doubts_records: bool,
@@ -223,7 +223,7 @@
 
 impl Decider {
     /// A node that decides nothing yet.
-    pub fn new(me: NodeId, bounds: RollOutBounds) -> Self {
+    pub fn new(me: NodeId, bounds: RolloutBounds) -> Self {
         Self {
             me,
             bounds,
@@ -276,7 +276,7 @@
     /// Lets time pass.
     pub fn tick(
         &mut self,
-        table: &mut RollOutTable,
+        table: &mut RolloutTable,
         around: &Surroundings<'_>,
         now: Moment,
     ) -> DeciderStep {
@@ -306,7 +306,7 @@
 
     fn next_call(
         &mut self,
-        table: &RollOutTable,
+        table: &RolloutTable,
         around: &Surroundings<'_>,
         now: Moment,
     ) -> Option<DeciderCall> {
@@ -336,7 +336,7 @@
     }
 
     /// True when nobody seems to decide, and it is this node's turn.
-    fn should_try(&mut self, table: &RollOutTable, around: &Surroundings<'_>, now: Moment) -> bool {
+    fn should_try(&mut self, table: &RolloutTable, around: &Surroundings<'_>, now: Moment) -> bool {
         let turn = TURN * around.rank;
         if !around.eligible || now < self.next_try {
             return false;
@@ -364,7 +364,7 @@
 
     /// The store came back from an older copy. A lease of before is none any more, whatever
     /// bears its number now: this node stops, and takes its place anew.
-    pub fn on_store_restored(&mut self, table: &RollOutTable, now: Moment) {
+    pub fn on_store_restored(&mut self, table: &RolloutTable, now: Moment) {
         self.call_is_void = self.calling.is_some();
         self.step_down(now);
         self.restored = !table.is_empty();
@@ -372,7 +372,7 @@
     }
 
     /// A state that is not on record as it is known, with the last change of what is.
-    fn unrecorded(&self, table: &RollOutTable, now: Moment) -> Option<(RollOutState, u64)> {
+    fn unrecorded(&self, table: &RolloutTable, now: Moment) -> Option<(RolloutState, u64)> {
         table.states(now).into_iter().find_map(|state| {
             let stored = self.on_record.get(&state.service);
             let state = self.to_record(state);
@@ -386,7 +386,7 @@
 
     /// What the record is to hold: a move is not on record, since who takes over judges
     /// anew; what is being ended is on record as its end.
-    fn to_record(&self, state: RollOutState) -> RollOutState {
+    fn to_record(&self, state: RolloutState) -> RolloutState {
         let case = self.cases.get(&state.service);
         let phase = match state.phase {
             Phase::RollingBack => Phase::RolledBack,
@@ -402,7 +402,7 @@
             Role::Decides(lease) => lease.term,
             _ => state.term,
         };
-        RollOutState {
+        RolloutState {
             phase,
             share_permille,
             term,
@@ -416,7 +416,7 @@
     pub fn on_answer(
         &mut self,
         answer: DeciderAnswer,
-        table: &mut RollOutTable,
+        table: &mut RolloutTable,
         now: Moment,
     ) -> DeciderStep {
         let mut step = DeciderStep::default();
@@ -476,8 +476,8 @@
         &mut self,
         fence: Option<u64>,
         term: u64,
-        states: Vec<StoredRollOut>,
-        table: &mut RollOutTable,
+        states: Vec<StoredRollout>,
+        table: &mut RolloutTable,
         now: Moment,
         step: &mut DeciderStep,
     ) {
@@ -517,7 +517,7 @@
     }
 
     /// A recheck is done once the records hold all that is known.
-    fn settle_recheck(&mut self, table: &RollOutTable, now: Moment) {
+    fn settle_recheck(&mut self, table: &RolloutTable, now: Moment) {
         if self.unrecorded(table, now).is_none() {
             self.recheck_from = None;
             self.restored = false;
@@ -526,9 +526,9 @@
 
     fn on_written(
         &mut self,
-        state: RollOutState,
+        state: RolloutState,
         revision: u64,
-        table: &mut RollOutTable,
+        table: &mut RolloutTable,
         now: Moment,
         step: &mut DeciderStep,
     ) {
@@ -540,7 +540,7 @@
             state: state.clone(),
             reason,
         });
-        let stored = StoredRollOut {
+        let stored = StoredRollout {
             state,
             revision,
             // Only who reads it from the store needs it.
@@ -554,7 +554,7 @@
 
     fn decide(
         &mut self,
-        table: &mut RollOutTable,
+        table: &mut RolloutTable,
         around: &Surroundings<'_>,
         now: Moment,
         step: &mut DeciderStep,
@@ -581,7 +581,7 @@
                 continue;
             }
             let (decided, reason) = self.judge(&state, around, passed, now);
-            let next = RollOutState {
+            let next = RolloutState {
                 term,
                 step: state.step.saturating_add(1),
                 decider: Some(self.me.clone()),
@@ -600,14 +600,14 @@
     /// One round of one roll-out: its state from now on, and what that rests on.
     fn judge(
         &mut self,
-        state: &RollOutState,
+        state: &RolloutState,
         around: &Surroundings<'_>,
         passed: Duration,
         now: Moment,
-    ) -> (RollOutState, String) {
+    ) -> (RolloutState, String) {
         let case = case_of(&mut self.cases, state, now);
         case.take_round(passed);
-        let with = |phase, share_permille| RollOutState {
+        let with = |phase, share_permille| RolloutState {
             phase,
             share_permille,
             ..state.clone()
@@ -675,7 +675,7 @@
 
 fn case_of<'a>(
     cases: &'a mut BTreeMap<ResourceName, Case>,
-    state: &RollOutState,
+    state: &RolloutState,
     now: Moment,
 ) -> &'a mut Case {
     let known = cases.get(&state.service);
--- a/crates/rampthread-core/src/rollout/mod.rs
+++ b/crates/rampthread-core/src/rollout/mod.rs
@@ -21,17 +21,17 @@
 pub mod table;
 pub mod verdict;
 
-pub use decider::{Decider, DeciderAnswer, DeciderCall, StoredRollOut};
+pub use decider::{Decider, DeciderAnswer, DeciderCall, StoredRollout};
 pub use evidence::{EvidenceBook, VersionEvidence};
 pub use exposure::{ExposureMeter, VersionRule, VersionShare};
-pub use state::{OrderId, Phase, RollOutOrder, RollOutState};
-pub use table::RollOutTable;
+pub use state::{OrderId, Phase, RolloutOrder, RolloutState};
+pub use table::RolloutTable;
 
 use std::time::Duration;
 
 /// What the operator allows every roll-out.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RollOutBounds {
+pub struct RolloutBounds {
     /// Largest part of a service's calls that a bad version may get.
     pub exposure_share: f64,
     /// Calls that it may get besides.
--- a/crates/rampthread-core/src/rollout/schedule.rs
+++ b/crates/rampthread-core/src/rollout/schedule.rs
@@ -4,8 +4,8 @@
 //! the share stays small, and the traffic moves once what is left of the calls until then
 //! fits into the bound; at the latest in time to leave the old back ends.
 
-use super::RollOutBounds;
-use super::state::{Phase, RollOutState, WHOLE_PERMILLE};
+use super::RolloutBounds;
+use super::state::{Phase, RolloutState, WHOLE_PERMILLE};
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 const ENOUGH_SLOTS: f64 = 0.6;
 
 /// True near the end, where the decider must not wait for its next round.
-pub fn is_near_end(state: &RollOutState) -> bool {
+pub fn is_near_end(state: &RolloutState) -> bool {
     let left = state.duration.saturating_sub(state.elapsed);
     !state.phase.is_ended() && left <= EARLIEST_MOVE
 }
@@ -98,7 +98,7 @@
     }
 
     /// What is missing for the next step of `state`, if anything.
-    pub fn lack(&self, state: &RollOutState, bounds: &RollOutBounds) -> Option<Lack> {
+    pub fn lack(&self, state: &RolloutState, bounds: &RolloutBounds) -> Option<Lack> {
         let moving = state.phase == Phase::Moving;
         let lacks = [
             (!moving && !self.has_enough_slots(), Lack::Slots),
@@ -119,7 +119,7 @@
 
     /// True where the traffic is so thin that no entry has earned a call to the version,
     /// and the calls after the latest move fit into the bound: the move tries it.
-    fn is_thin(&self, state: &RollOutState, bounds: &RollOutBounds) -> bool {
+    fn is_thin(&self, state: &RolloutState, bounds: &RolloutBounds) -> bool {
         let permille = f64::from(judged_permille(state.duration, bounds));
         let earned = self.answers as f64 * permille / f64::from(WHOLE_PERMILLE);
         let rest = self.rate * LATEST_MOVE.as_secs_f64();
@@ -146,7 +146,7 @@
 
 /// Share of the calls, of a thousand, that a version under judgement gets: with the calls
 /// after the latest move it makes up the exposure.
-pub fn judged_permille(duration: Duration, bounds: &RollOutBounds) -> u16 {
+pub fn judged_permille(duration: Duration, bounds: &RolloutBounds) -> u16 {
     let judged = duration.saturating_sub(LATEST_MOVE).as_secs_f64();
     let allowed = bounds.exposure_share * USED_PART * duration.as_secs_f64();
     let share = (allowed - LATEST_MOVE.as_secs_f64()) / judged.max(f64::EPSILON);
@@ -156,7 +156,7 @@
 }
 
 /// What comes next in `state`.
-pub fn next(state: &RollOutState, progress: &Progress, bounds: &RollOutBounds) -> Next {
+pub fn next(state: &RolloutState, progress: &Progress, bounds: &RolloutBounds) -> Next {
     let left = state.duration.saturating_sub(state.elapsed);
     let lack = progress.lack(state, bounds);
     if let Some(lack) = lack.filter(|lack| is_given_up(*lack, state, progress)) {
@@ -179,13 +179,13 @@
 
 /// True when what lacks was waited for long enough. Slots are known without evidence; for
 /// the rest a decider that took over late waits as long as any other.
-fn is_given_up(lack: Lack, state: &RollOutState, progress: &Progress) -> bool {
+fn is_given_up(lack: Lack, state: &RolloutState, progress: &Progress) -> bool {
     let heard = progress.hearing_for >= progress.hearing_time + LAST_WAIT;
     state.elapsed >= state.duration + LAST_WAIT && (heard || lack == Lack::Slots)
 }
 
 /// True when all calls until the deadline may go to the version.
-fn rest_fits(left: Duration, progress: &Progress, bounds: &RollOutBounds) -> bool {
+fn rest_fits(left: Duration, progress: &Progress, bounds: &RolloutBounds) -> bool {
     let rest = progress.rate * left.as_secs_f64();
     let allowed = bounds.exposure_share * USED_PART * (progress.answers as f64 + rest);
     progress.answers > 0 && progress.target_answers as f64 + rest <= allowed
--- a/crates/rampthread-core/src/rollout/state.rs
+++ b/crates/rampthread-core/src/rollout/state.rs
@@ -12,7 +12,7 @@
 
 /// An operator's order to move a service's traffic to another version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RollOutOrder {
+pub struct RolloutOrder {
     /// The service.
     pub service: ResourceName,
     /// Which order it is.
@@ -60,7 +60,7 @@
 
 /// The state of one roll-out as nodes tell it to each other.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RollOutState {
+pub struct RolloutState {
     /// The service.
     pub service: ResourceName,
     /// The order that it carries out.
@@ -83,9 +83,9 @@
     pub decider: Option<NodeId>,
 }
 
-impl RollOutState {
+impl RolloutState {
     /// An order that nobody has taken up.
-    pub fn begin(order: &RollOutOrder, elapsed: Duration) -> Self {
+    pub fn begin(order: &RolloutOrder, elapsed: Duration) -> Self {
         Self {
             service: order.service.clone(),
             order: order.order,
--- a/crates/rampthread-core/src/rollout/table.rs
+++ b/crates/rampthread-core/src/rollout/table.rs
@@ -1,8 +1,8 @@
 //! What one node knows of all roll-outs.
 
-use super::RollOutBounds;
+use super::RolloutBounds;
 use super::exposure::{VersionRule, VersionShare};
-use super::state::{Phase, RollOutOrder, RollOutState};
+use super::state::{Phase, RolloutOrder, RolloutState};
 use crate::ids::ResourceName;
 use crate::time::Moment;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 
 #[derive(Debug, Clone)]
 struct Held {
-    state: RollOutState,
+    state: RolloutState,
     /// When it was heard, which its `elapsed` refers to.
     at: Moment,
 }
@@ -39,13 +39,13 @@
 
 /// The newest state of each service's roll-out.
 #[derive(Debug, Default)]
-pub struct RollOutTable {
+pub struct RolloutTable {
     held: BTreeMap<ResourceName, Held>,
 }
 
-impl RollOutTable {
+impl RolloutTable {
     /// Takes what somebody tells; true when it is later than what is held.
-    pub fn take(&mut self, state: RollOutState, now: Moment) -> bool {
+    pub fn take(&mut self, state: RolloutState, now: Moment) -> bool {
         let mut state = state;
         if let Some(held) = self.held.get_mut(&state.service) {
             if held.state.order == state.order {
@@ -65,7 +65,7 @@
 
     /// Takes an order; true when it is a new one. The same target again is the order that
     /// is held: the store may have been restored, and the order written again.
-    pub fn take_order(&mut self, order: &RollOutOrder, learnt: Learnt, now: Moment) -> bool {
+    pub fn take_order(&mut self, order: &RolloutOrder, learnt: Learnt, now: Moment) -> bool {
         let mut order = order.clone();
         if let Some(held) = self.held.get(&order.service) {
             let older = order.order <= held.state.order;
@@ -75,21 +75,21 @@
             }
             order.order = order.order.max(held.state.order.saturating_add(1));
         }
-        self.take(RollOutState::begin(&order, Duration::ZERO), now)
+        self.take(RolloutState::begin(&order, Duration::ZERO), now)
     }
 
     /// The state of `service`, as of now.
-    pub fn state(&self, service: &ResourceName, now: Moment) -> Option<RollOutState> {
+    pub fn state(&self, service: &ResourceName, now: Moment) -> Option<RolloutState> {
         let held = self.held.get(service)?;
         let elapsed = held.elapsed(now);
-        Some(RollOutState {
+        Some(RolloutState {
             elapsed,
             ..held.state.clone()
         })
     }
 
     /// All states, as of now.
-    pub fn states(&self, now: Moment) -> Vec<RollOutState> {
+    pub fn states(&self, now: Moment) -> Vec<RolloutState> {
         let services = self.held.keys();
         services
             .filter_map(|service| self.state(service, now))
@@ -117,7 +117,7 @@
     /// What entries may do with the versions of each service.
     pub fn rules(
         &self,
-        bounds: &RollOutBounds,
+        bounds: &RolloutBounds,
         now: Moment,
     ) -> BTreeMap<ResourceName, VersionRule> {
         let patience = bounds.roll_back.mul_f64(CONFIRMATION_SHARE);
--- a/crates/rampthread-core/tests/rollout_evidence.rs
+++ b/crates/rampthread-core/tests/rollout_evidence.rs
@@ -5,7 +5,7 @@
 use rampthread_core::rollout::evidence::{Counts, TIME_STEPS};
 use rampthread_core::rollout::table::Learnt;
 use rampthread_core::rollout::{
-    Decider, DeciderAnswer, DeciderCall, Phase, RollOutBounds, RollOutOrder, RollOutTable,
+    Decider, DeciderAnswer, DeciderCall, Phase, RolloutBounds, RolloutOrder, RolloutTable,
     VersionEvidence,
 };
 use rampthread_core::time::Moment;
@@ -15,7 +15,7 @@
 const STEP: Duration = Duration::from_millis(50);
 const START: Moment = Moment(3_600_000_000);
 const DURATION: Duration = Duration::from_secs(12);
-const BOUNDS: RollOutBounds = RollOutBounds {
+const BOUNDS: RolloutBounds = RolloutBounds {
     exposure_share: 0.05,
     exposure_slack: 20.0,
     roll_back: Duration::from_secs(3),
@@ -37,7 +37,7 @@
 /// Plays a roll-out with these reports up to the move.
 fn reason_of_the_move(reports: &[(u64, u32)]) -> String {
     let mut decider = Decider::new(NodeId::new("node-1").unwrap(), BOUNDS);
-    let mut table = RollOutTable::default();
+    let mut table = RolloutTable::default();
     assert!(table.take_order(&order(), Learnt::Written, START));
     let from = NodeId::new("node-2").unwrap();
     let around = Surroundings {
@@ -81,8 +81,8 @@
     }
 }
 
-fn order() -> RollOutOrder {
-    RollOutOrder {
+fn order() -> RolloutOrder {
+    RolloutOrder {
         service: ResourceName::new("shop").unwrap(),
         order: 4,
         target: SoftwareVersion::new("2.0").unwrap(),
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -7,14 +7,14 @@
 use rampthread_core::rollout::schedule::{Lack, Next, Progress, judged_permille, next};
 use rampthread_core::rollout::table::Learnt;
 use rampthread_core::rollout::{
-    ExposureMeter, Phase, RollOutBounds, RollOutOrder, RollOutState, RollOutTable, VersionShare,
+    ExposureMeter, Phase, RolloutBounds, RolloutOrder, RolloutState, RolloutTable, VersionShare,
 };
 use rampthread_core::time::Moment;
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-const BOUNDS: RollOutBounds = RollOutBounds {
+const BOUNDS: RolloutBounds = RolloutBounds {
     exposure_share: 0.1,
     exposure_slack: 50.0,
     roll_back: Duration::from_secs(5),
@@ -28,8 +28,8 @@
     SoftwareVersion::new(text).unwrap()
 }
 
-fn order(number: u64, target: &str) -> RollOutOrder {
-    RollOutOrder {
+fn order(number: u64, target: &str) -> RolloutOrder {
+    RolloutOrder {
         service: name("shop"),
         order: number,
         target: version(target),
@@ -37,13 +37,13 @@
     }
 }
 
-fn state(order: u64, phase: Phase, term: u64, step: u64) -> RollOutState {
-    RollOutState {
+fn state(order: u64, phase: Phase, term: u64, step: u64) -> RolloutState {
+    RolloutState {
         phase,
         term,
         step,
         share_permille: 40,
-        ..RollOutState::begin(&self::order(order, "v2"), Duration::ZERO)
+        ..RolloutState::begin(&self::order(order, "v2"), Duration::ZERO)
     }
 }
 
@@ -106,7 +106,7 @@
             shuffled.swap(index, (seed as usize).wrapping_add(index * 7) % length);
         }
         let hear = |told: &[(u64, Phase, u64, u64)]| {
-            let mut table = RollOutTable::default();
+            let mut table = RolloutTable::default();
             let mut known: Option<(u64, Phase)> = None;
             for (order, phase, term, step) in told {
                 table.take(state(*order, *phase, *term, *step), now);
@@ -147,7 +147,7 @@
                 moving_for: moving.map(|since| at - since),
                 ..heard()
             };
-            let known = RollOutState {
+            let known = RolloutState {
                 elapsed: at,
                 duration,
                 ..state(1, phase, 1, 1)
@@ -164,7 +164,7 @@
 
 #[test]
 fn a_share_that_is_not_confirmed_ends() {
-    let mut table = RollOutTable::default();
+    let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
     table.take(state(1, Phase::Running, 1, 1), now);
     let share = |at: Moment| table.rules(&BOUNDS, at)[&name("shop")].share;
@@ -176,10 +176,10 @@
 /// The decider may have found it bad since, and the word of it not have arrived.
 #[test]
 fn a_move_that_is_not_confirmed_leaves_the_others_their_calls() {
-    let mut table = RollOutTable::default();
+    let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
     table.take(state(1, Phase::Moving, 1, 1), now);
-    let share = |table: &RollOutTable, at: Moment| table.rules(&BOUNDS, at)[&name("shop")].share;
+    let share = |table: &RolloutTable, at: Moment| table.rules(&BOUNDS, at)[&name("shop")].share;
     assert_eq!(share(&table, now), VersionShare::Preferred);
     let later = now + Duration::from_millis(1_600);
     assert_eq!(share(&table, later), VersionShare::OnlyAlone);
@@ -192,8 +192,8 @@
 #[case::the_same_again(order(9, "v2"), Learnt::Written, false)]
 #[case::an_older_one_found(order(3, "v1"), Learnt::Found, false)]
 #[case::written_after_a_restore(order(3, "v3"), Learnt::Written, true)]
-fn orders_that_count(#[case] second: RollOutOrder, #[case] learnt: Learnt, #[case] counts: bool) {
-    let mut table = RollOutTable::default();
+fn orders_that_count(#[case] second: RolloutOrder, #[case] learnt: Learnt, #[case] counts: bool) {
+    let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
     table.take(state(5, Phase::Succeeded, 1, 9), now);
     assert_eq!(table.take_order(&second, learnt, now), counts);
@@ -229,7 +229,7 @@
 #[case::too_few_slots(20, Next::Judge { permille: 30 })]
 #[case::enough(80, Next::Move)]
 fn traffic_moves_only_to_enough_back_ends(#[case] target_slots: u32, #[case] expected: Next) {
-    let known = RollOutState {
+    let known = RolloutState {
         elapsed: Duration::from_millis(11_500),
         ..state(1, Phase::Running, 1, 1)
     };
@@ -267,7 +267,7 @@
 
 /// What comes next, whatever the share of a version that is judged further.
 fn progress_of(phase: Phase, elapsed_ms: u64, progress: Progress) -> Next {
-    let known = RollOutState {
+    let known = RolloutState {
         elapsed: Duration::from_millis(elapsed_ms),
         ..state(1, phase, 1, 1)
     };
--- a/crates/rampthread-core/tests/rollout_restored.rs
+++ b/crates/rampthread-core/tests/rollout_restored.rs
@@ -4,8 +4,8 @@
 use rampthread_core::rollout::decider::{DeciderStep, Surroundings};
 use rampthread_core::rollout::table::Learnt;
 use rampthread_core::rollout::{
-    Decider, DeciderAnswer, DeciderCall, Phase, RollOutBounds, RollOutOrder, RollOutState,
-    RollOutTable, StoredRollOut,
+    Decider, DeciderAnswer, DeciderCall, Phase, RolloutBounds, RolloutOrder, RolloutState,
+    RolloutTable, StoredRollout,
 };
 use rampthread_core::time::Moment;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// Longer than any pause before the store is asked again.
 const LONG: Duration = Duration::from_secs(2);
 
-const BOUNDS: RollOutBounds = RollOutBounds {
+const BOUNDS: RolloutBounds = RolloutBounds {
     exposure_share: 0.05,
     exposure_slack: 20.0,
     roll_back: Duration::from_secs(3),
@@ -23,7 +23,7 @@
 
 struct Node {
     decider: Decider,
-    table: RollOutTable,
+    table: RolloutTable,
     now: Moment,
     rank: u32,
 }
@@ -33,7 +33,7 @@
         let me = NodeId::new("node-1").unwrap();
         Self {
             decider: Decider::new(me, BOUNDS),
-            table: RollOutTable::default(),
+            table: RolloutTable::default(),
             now: START,
             rank: 0,
         }
@@ -126,7 +126,7 @@
 #[test]
 fn an_end_that_the_copy_lacks_is_put_on_record_again() {
     let mut node = Node::new();
-    let ended = RollOutState {
+    let ended = RolloutState {
         phase: Phase::Succeeded,
         term: 3,
         ..begun()
@@ -145,7 +145,7 @@
 #[test]
 fn while_the_copy_names_a_decider_the_records_are_read_again() {
     let mut node = Node::new();
-    let ended = RollOutState {
+    let ended = RolloutState {
         phase: Phase::RolledBack,
         term: 3,
         ..begun()
@@ -167,7 +167,7 @@
     let mut node = Node::new();
     node.restore();
     assert_eq!(node.call(), None);
-    let ended = RollOutState {
+    let ended = RolloutState {
         phase: Phase::Succeeded,
         ..begun()
     };
@@ -179,8 +179,8 @@
     }
 }
 
-fn order() -> RollOutOrder {
-    RollOutOrder {
+fn order() -> RolloutOrder {
+    RolloutOrder {
         service: ResourceName::new("shop").unwrap(),
         order: 4,
         target: SoftwareVersion::new("2.0").unwrap(),
@@ -188,8 +188,8 @@
     }
 }
 
-fn begun() -> RollOutState {
-    RollOutState::begin(&order(), Duration::ZERO)
+fn begun() -> RolloutState {
+    RolloutState::begin(&order(), Duration::ZERO)
 }
 
 /// The order was written again. Calls fail and claims are refused, and what the store has
@@ -232,7 +232,7 @@
     node.answer(DeciderAnswer::Records {
         fence: None,
         term: 3,
-        states: vec![StoredRollOut {
+        states: vec![StoredRollout {
             state: rolled_back(),
             revision: 5,
             written_ms: 0,
@@ -242,8 +242,8 @@
     assert_eq!(node.call(), None);
 }
 
-fn rolled_back() -> RollOutState {
-    RollOutState {
+fn rolled_back() -> RolloutState {
+    RolloutState {
         phase: Phase::RolledBack,
         term: 3,
         ..begun()
--- a/crates/rampthread-node/src/api/mod.rs
+++ b/crates/rampthread-node/src/api/mod.rs
@@ -15,7 +15,7 @@
 use rampthread_wire::SecretKeeper;
 use std::sync::Arc;
 pub use views::{
-    ChangeView, CrashView, LaggardView, QuarantineView, ResourceView, RollOutView, SpreadView,
+    ChangeView, CrashView, LaggardView, QuarantineView, ResourceView, RolloutView, SpreadView,
     StatusView, TenantView,
 };
 
--- a/crates/rampthread-node/src/api/rollouts.rs
+++ b/crates/rampthread-node/src/api/rollouts.rs
@@ -2,13 +2,13 @@
 
 use super::ApiState;
 use super::changes::json;
-use super::views::RollOutView;
+use super::views::RolloutView;
 use tide::{Request, Response, StatusCode};
 
 /// All roll-outs.
 pub async fn list(request: Request<ApiState>) -> tide::Result {
     let states = request.state().control.roll_outs();
-    let views: Vec<RollOutView> = states.iter().map(RollOutView::from).collect();
+    let views: Vec<RolloutView> = states.iter().map(RolloutView::from).collect();
     Ok(json(StatusCode::Ok, &views))
 }
 
@@ -20,7 +20,7 @@
         .iter()
         .find(|state| state.service.as_str() == service);
     Ok(match state {
-        Some(state) => json(StatusCode::Ok, &RollOutView::from(state)),
+        Some(state) => json(StatusCode::Ok, &RolloutView::from(state)),
         None => Response::new(StatusCode::NotFound),
     })
 }
--- a/crates/rampthread-node/src/api/views.rs
+++ b/crates/rampthread-node/src/api/views.rs
@@ -8,7 +8,7 @@
 use rampthread_core::ids::{
     InstanceId, NodeId, OperationId, ResourceName, SoftwareVersion, Version,
 };
-use rampthread_core::rollout::{OrderId, Phase, RollOutState};
+use rampthread_core::rollout::{OrderId, Phase, RolloutState};
 use serde::{Deserialize, Serialize};
 
 /// A resource with its generation. Secrets show their key id, not their value, and
@@ -241,7 +241,7 @@
 
 /// A roll-out as the answering node knows it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RollOutView {
+pub struct RolloutView {
     /// The service.
     pub service: ResourceName,
     /// The version that is brought in.
@@ -262,8 +262,8 @@
     pub duration_ms: u64,
 }
 
-impl From<&RollOutState> for RollOutView {
-    fn from(state: &RollOutState) -> Self {
+impl From<&RolloutState> for RolloutView {
+    fn from(state: &RolloutState) -> Self {
         Self {
             service: state.service.clone(),
             target: state.target.clone(),
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -46,7 +46,7 @@
 use rampthread_core::config::Route;
 use rampthread_core::fleet::{Decision, TenantTag};
 use rampthread_core::ids::{NodeId, ResourceName, Zone};
-use rampthread_core::rollout::RollOutBounds;
+use rampthread_core::rollout::RolloutBounds;
 use rampthread_core::time::Moment;
 use rampthread_http::{Body, ReceivedAt, RequestBody};
 use std::borrow::Cow;
@@ -109,7 +109,7 @@
     /// Limits and allowances that may change while the node runs.
     pub live: LiveSettings,
     /// Bounds of roll-outs; none: all versions are alike.
-    pub roll_outs: Option<RollOutBounds>,
+    pub roll_outs: Option<RolloutBounds>,
     /// How calls are placed.
     pub mode: EntryMode,
 }
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -8,7 +8,7 @@
 use rampthread_core::rollout::evidence::{Answer, EvidencePlace};
 use rampthread_core::rollout::exposure::split_by_version;
 use rampthread_core::rollout::{
-    EvidenceBook, ExposureMeter, RollOutBounds, VersionEvidence, VersionRule, VersionShare,
+    EvidenceBook, ExposureMeter, RolloutBounds, VersionEvidence, VersionRule, VersionShare,
 };
 use rampthread_core::time::Moment;
 use std::borrow::Cow;
@@ -116,7 +116,7 @@
         &self,
         call: &Call,
         rule: &VersionRule,
-        bounds: &RollOutBounds,
+        bounds: &RolloutBounds,
         act: impl FnOnce(&mut ExposureMeter) -> T,
     ) -> T {
         let nodes = self.control().endpoints().alive;
--- a/crates/rampthread-node/src/control/actions.rs
+++ b/crates/rampthread-node/src/control/actions.rs
@@ -60,7 +60,7 @@
                 }
                 Action::StartDrain => self.draining.store(true, Ordering::Release),
                 Action::AskDeciderStore(call) => self.ask_decider_store(call),
-                Action::RollOutsChanged => self.refresh_version_rules(),
+                Action::RolloutsChanged => self.refresh_version_rules(),
                 Action::Explain(decision) => self.explain(decision),
             }
         }
@@ -71,7 +71,7 @@
         if matches!(decision, Decision::VersionRefused { .. }) {
             self.metrics.documents_refused.inc();
         }
-        if let Decision::RollOut { phase, .. } = &decision {
+        if let Decision::Rollout { phase, .. } = &decision {
             self.metrics.count_roll_out(*phase);
         }
         self.journal.note(decision);
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -25,7 +25,7 @@
 };
 use rampthread_core::ids::{InstanceId, NodeId, Version};
 use rampthread_core::time::Moment;
-use rampthread_platform::{LogStore, MachineList, RollOutStore, StoreEras, Transfer};
+use rampthread_platform::{LogStore, MachineList, RolloutStore, StoreEras, Transfer};
 use rampthread_wire::Codec;
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -86,7 +86,7 @@
     /// None where the configuration is a change log.
     pub(super) crash_recorder: Option<Arc<CrashRecorder>>,
     /// None where orders to roll out are not carried out.
-    pub(super) roll_out_store: Option<Arc<dyn RollOutStore>>,
+    pub(super) roll_out_store: Option<Arc<dyn RolloutStore>>,
     /// The eras of the platform's store; never any where the configuration is a change log.
     pub(super) eras: Arc<StoreEras>,
     /// What entries may do with the versions of services.
--- a/crates/rampthread-node/src/control/parts.rs
+++ b/crates/rampthread-node/src/control/parts.rs
@@ -3,7 +3,7 @@
 use rampthread_core::call::identity::IdentityKey;
 use rampthread_core::fleet::{AgentIdentity, FleetSettings, Machine};
 use rampthread_platform::{
-    Directory, DocumentSource, LogStore, MachineList, RollOutStore, StoreEras,
+    Directory, DocumentSource, LogStore, MachineList, RolloutStore, StoreEras,
 };
 use rampthread_wire::Codec;
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
         /// Where nodes find each other.
         directory: Arc<dyn Directory>,
         /// Decisions on roll-outs; none where orders are not carried out.
-        roll_outs: Option<Arc<dyn RollOutStore>>,
+        roll_outs: Option<Arc<dyn RolloutStore>>,
         /// The eras of the store behind all of these.
         eras: Arc<StoreEras>,
     },
--- a/crates/rampthread-node/src/control/rollouts.rs
+++ b/crates/rampthread-node/src/control/rollouts.rs
@@ -7,7 +7,7 @@
 use rampthread_core::ids::ResourceName;
 use rampthread_core::rollout::table::Learnt;
 use rampthread_core::rollout::{
-    DeciderAnswer, DeciderCall, RollOutOrder, RollOutState, VersionEvidence, VersionRule,
+    DeciderAnswer, DeciderCall, RolloutOrder, RolloutState, VersionEvidence, VersionRule,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 
 impl Control {
     /// Takes orders to roll out that stand in the store.
-    pub(super) fn on_orders(self: &Arc<Self>, orders: &[RollOutOrder], learnt: Learnt) {
+    pub(super) fn on_orders(self: &Arc<Self>, orders: &[RolloutOrder], learnt: Learnt) {
         let now = self.clock.now();
         let actions = self.agent().on_orders(orders, learnt, now);
         self.perform(actions);
@@ -35,7 +35,7 @@
     }
 
     /// All roll-outs that this node knows.
-    pub fn roll_outs(&self) -> Vec<RollOutState> {
+    pub fn roll_outs(&self) -> Vec<RolloutState> {
         let now = self.clock.now();
         self.with_agent(|agent| agent.roll_outs(now))
     }
--- a/crates/rampthread-node/src/journal.rs
+++ b/crates/rampthread-node/src/journal.rs
@@ -188,7 +188,7 @@
             crashes,
             origin,
         } => tracing::info!(%identity, crashes, %origin, "request cleared"),
-        Decision::RollOut {
+        Decision::Rollout {
             service,
             target,
             phase,
--- a/crates/rampthread-node/src/metrics.rs
+++ b/crates/rampthread-node/src/metrics.rs
@@ -82,7 +82,7 @@
 
 /// Label of a decision on a roll-out: as many as there are phases.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct RollOutLabel {
+pub struct RolloutLabel {
     /// How far the roll-out is from then on.
     pub phase: &'static str,
 }
@@ -135,7 +135,7 @@
     /// Reports of another incarnation of the back end than the present one.
     pub doubtful_reports: Counter,
     /// Decisions on roll-outs that this node made or read, by phase.
-    pub roll_out_decisions: Family<RollOutLabel, Counter>,
+    pub roll_out_decisions: Family<RolloutLabel, Counter>,
     /// Calls of this node's callers while a version was under judgement.
     pub judged_calls: Family<JudgedCallLabel, Counter>,
     /// 1 while this node decides on roll-outs.
@@ -256,7 +256,7 @@
 
     /// Counts a decision on a roll-out.
     pub fn count_roll_out(&self, phase: Phase) {
-        let label = RollOutLabel {
+        let label = RolloutLabel {
             phase: phase.as_str(),
         };
         self.roll_out_decisions.get_or_create(&label).inc();
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -11,7 +11,7 @@
 use crate::control::{
     Control, ControlError, ControlParts, ReportService, SourceParts, answer_readiness,
 };
-use crate::settings::{LiveSettings, NodeSettings, RollOutSettings};
+use crate::settings::{LiveSettings, NodeSettings, RolloutSettings};
 use crate::task_group::TaskGroup;
 use async_std::net::TcpListener;
 use http::{Request, Response};
@@ -406,7 +406,7 @@
             caller: settings.node.service.clone(),
             heartbeat: settings.backend.heartbeat,
             live: live.clone(),
-            roll_outs: settings.roll_outs.map(RollOutSettings::to_bounds),
+            roll_outs: settings.roll_outs.map(RolloutSettings::to_bounds),
             mode,
         }));
         let peers = PeerService::new(
@@ -462,7 +462,7 @@
             FleetSettings {
                 remembered_life: settings.backend.remembered_life(),
                 heartbeat: settings.backend.heartbeat,
-                roll_outs: settings.roll_outs.map(RollOutSettings::to_bounds),
+                roll_outs: settings.roll_outs.map(RolloutSettings::to_bounds),
                 ..settings.fleet.to_document_settings()
             },
             SourceParts::Document {
--- a/crates/rampthread-node/src/settings/mod.rs
+++ b/crates/rampthread-node/src/settings/mod.rs
@@ -13,7 +13,7 @@
 pub use load::{LoadError, Overrides, load, load_text};
 pub use node_settings::{
     BackendSettings, ConfigurationKind, DrainSettings, FleetTuning, KeySettings, LimitSettings,
-    ListenSettings, NodeIdentity, NodeSettings, PlatformSettings, RetrySettings, RollOutSettings,
+    ListenSettings, NodeIdentity, NodeSettings, PlatformSettings, RetrySettings, RolloutSettings,
 };
 pub use resource_file::{
     ResourceFile, SecretInput, read_resource_json, read_resource_toml, toml_to_json,
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -5,7 +5,7 @@
 use rampthread_core::call::quota::QuotaTerms;
 use rampthread_core::fleet::{DistributionMode, FleetSettings, Machine};
 use rampthread_core::ids::{NodeId, Region, ResourceName, Zone};
-use rampthread_core::rollout::RollOutBounds;
+use rampthread_core::rollout::RolloutBounds;
 use secrecy::SecretString;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
     pub quota: QuotaSettings,
     /// Bounds of roll-outs; none: orders to roll out are not carried out.
     #[serde(default)]
-    pub roll_outs: Option<RollOutSettings>,
+    pub roll_outs: Option<RolloutSettings>,
 }
 
 /// How closely the limits of tenants hold over all nodes.
@@ -88,7 +88,7 @@
 /// Bounds of every roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RollOutSettings {
+pub struct RolloutSettings {
     /// Largest part of a service's calls that a version under judgement may get.
     pub exposure_share: f64,
     /// Calls that it may get besides.
@@ -98,10 +98,10 @@
     pub roll_back: Duration,
 }
 
-impl RollOutSettings {
+impl RolloutSettings {
     /// The bounds as the core knows them.
-    pub fn to_bounds(self) -> RollOutBounds {
-        RollOutBounds {
+    pub fn to_bounds(self) -> RolloutBounds {
+        RolloutBounds {
             exposure_share: self.exposure_share,
             exposure_slack: self.exposure_slack,
             roll_back: self.roll_back,
--- a/crates/rampthread-platform/src/adapter.rs
+++ b/crates/rampthread-platform/src/adapter.rs
@@ -17,7 +17,7 @@
     BackendReport, EndpointRecord, LeaseId, LeaveId, Machine, ZoneSnapshot, ZoneWrite,
 };
 use rampthread_core::ids::{InstanceId, NodeId, Zone};
-use rampthread_core::rollout::{DeciderAnswer, DeciderCall, RollOutOrder};
+use rampthread_core::rollout::{DeciderAnswer, DeciderCall, RolloutOrder};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
 #[derive(Debug, Default)]
 pub struct OrdersRead {
     /// The orders.
-    pub orders: Vec<RollOutOrder>,
+    pub orders: Vec<RolloutOrder>,
     /// What is wrong with those that cannot be used, each with its place.
     pub unusable: Findings,
 }
@@ -207,7 +207,7 @@
 /// Where one node at a time takes the right to decide on roll-outs, and puts on record
 /// how far they are.
 #[async_trait]
-pub trait RollOutStore: Send + Sync {
+pub trait RolloutStore: Send + Sync {
     /// Carries out one call; records keep `wall_clock_ms`, milliseconds since 1970.
     async fn execute(
         &self,
@@ -254,5 +254,5 @@
     /// Reports of back ends.
     pub reports: Arc<dyn ReportReader>,
     /// Decisions on roll-outs; none where orders are not carried out.
-    pub roll_outs: Option<Arc<dyn RollOutStore>>,
+    pub roll_outs: Option<Arc<dyn RolloutStore>>,
 }
--- a/crates/rampthread-platform/src/lib.rs
+++ b/crates/rampthread-platform/src/lib.rs
@@ -20,7 +20,7 @@
 pub use adapter::{
     Directory, DirectoryRead, Document, DocumentNews, DocumentRead, DocumentSource, OrdersRead,
     PlatformAdapter, ReadAge, RecordedCrash, RecordedLeave, ReportError, ReportReader, Revision,
-    RollOutStore, ZoneWritten,
+    RolloutStore, ZoneWritten,
 };
 pub use error::PlatformError;
 pub use health::{BackendHealth, BackendReport, HttpBackendHealth};
--- a/crates/rampthread-wire/src/decode.rs
+++ b/crates/rampthread-wire/src/decode.rs
@@ -197,7 +197,7 @@
         Which::LoadReport(from) => Message::LoadReport(load_message::read_report(from)?),
         Which::ZoneLoads(from) => Message::ZoneLoads(load_message::read_zones(from.get_zones()?)?),
         Which::RollOuts(from) => {
-            Message::RollOuts(rollout_message::read_states(from.get_states()?)?)
+            Message::Rollouts(rollout_message::read_states(from.get_states()?)?)
         }
         Which::VersionEvidence(from) => {
             Message::VersionEvidence(rollout_message::read_evidence(from.get_evidence()?)?)
--- a/crates/rampthread-wire/src/encode.rs
+++ b/crates/rampthread-wire/src/encode.rs
@@ -150,7 +150,7 @@
             let list = to.init_zone_loads().init_zones(zones.len() as u32);
             load_message::write_zones(list, zones);
         }
-        Message::RollOuts(states) => {
+        Message::Rollouts(states) => {
             let list = to.init_roll_outs().init_states(states.len() as u32);
             rollout_message::write_states(list, states);
         }
--- a/crates/rampthread-wire/src/rollout_message.rs
+++ b/crates/rampthread-wire/src/rollout_message.rs
@@ -4,7 +4,7 @@
 use crate::decode::{DecodeError, check_length};
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::evidence::{Counts, TIME_STEPS};
-use rampthread_core::rollout::{Phase, RollOutState, VersionEvidence};
+use rampthread_core::rollout::{Phase, RolloutState, VersionEvidence};
 use std::time::Duration;
 
 type StatesWriter<'a> = capnp::struct_list::Builder<'a, schema::roll_out_state::Owned>;
@@ -12,7 +12,7 @@
 type EvidenceWriter<'a> = capnp::struct_list::Builder<'a, schema::version_evidence::Owned>;
 type EvidenceReader<'a> = capnp::struct_list::Reader<'a, schema::version_evidence::Owned>;
 
-pub(crate) fn write_states(mut to: StatesWriter<'_>, states: &[RollOutState]) {
+pub(crate) fn write_states(mut to: StatesWriter<'_>, states: &[RolloutState]) {
     for (index, state) in states.iter().enumerate() {
         let mut to = to.reborrow().get(index as u32);
         to.set_service(state.service.as_str());
@@ -36,11 +36,11 @@
     }
 }
 
-pub(crate) fn read_states(list: StatesReader<'_>) -> Result<Vec<RollOutState>, DecodeError> {
+pub(crate) fn read_states(list: StatesReader<'_>) -> Result<Vec<RolloutState>, DecodeError> {
     check_length(list.len())?;
     list.iter()
         .map(|from| {
-            Ok(RollOutState {
+            Ok(RolloutState {
                 service: ResourceName::new(from.get_service()?.to_str()?)?,
                 order: from.get_order(),
                 target: SoftwareVersion::new(from.get_target()?.to_str()?)?,
--- a/crates/rampthread-wire/tests/fleet/mod.rs
+++ b/crates/rampthread-wire/tests/fleet/mod.rs
@@ -23,12 +23,12 @@
     InstanceId, NodeId, Region, ResourceName, SoftwareVersion, Version, Zone,
 };
 use rampthread_core::rollout::table::Learnt;
-use rampthread_core::rollout::{RollOutBounds, RollOutOrder, VersionEvidence};
+use rampthread_core::rollout::{RolloutBounds, RolloutOrder, VersionEvidence};
 use rampthread_core::time::Moment;
 use rampthread_wire::encode;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rollouts::RollOutRecords;
+use rollouts::RolloutRecords;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -103,13 +103,13 @@
     /// The directory in the store, for nodes that start from it.
     pub directory: StoreDirectory,
     /// Bounds of roll-outs; none: orders are not carried out.
-    pub roll_out_bounds: Option<RollOutBounds>,
+    pub roll_out_bounds: Option<RolloutBounds>,
     /// What the store keeps of roll-outs.
-    pub roll_outs: RollOutRecords,
+    pub roll_outs: RolloutRecords,
     /// Versions of the software of back ends, by node.
     pub versions: BTreeMap<usize, SoftwareVersion>,
     /// Orders that stand in the store.
-    pub orders: Vec<RollOutOrder>,
+    pub orders: Vec<RolloutOrder>,
     rng: ChaCha8Rng,
 }
 
@@ -135,7 +135,7 @@
             store: StoreCalls::new(size),
             directory: StoreDirectory::default(),
             roll_out_bounds: None,
-            roll_outs: RollOutRecords::default(),
+            roll_outs: RolloutRecords::default(),
             versions: BTreeMap::new(),
             orders: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -318,7 +318,7 @@
     }
 
     /// The operator writes an order; who watches the document gets it.
-    pub fn write_order(&mut self, order: RollOutOrder) {
+    pub fn write_order(&mut self, order: RolloutOrder) {
         self.orders.push(order.clone());
         for index in self.watchers() {
             if !self.frozen.contains(&index) && !self.refused.contains(&index) {
@@ -327,7 +327,7 @@
         }
     }
 
-    fn tell_orders(&mut self, index: usize, orders: &[RollOutOrder], learnt: Learnt) {
+    fn tell_orders(&mut self, index: usize, orders: &[RolloutOrder], learnt: Learnt) {
         let now = self.now;
         let actions = self.agent_mut(index).on_orders(orders, learnt, now);
         self.deliver(index, actions);
--- a/crates/rampthread-wire/tests/fleet/rollouts.rs
+++ b/crates/rampthread-wire/tests/fleet/rollouts.rs
@@ -2,7 +2,7 @@
 
 use rampthread_core::fleet::LeaseId;
 use rampthread_core::ids::ResourceName;
-use rampthread_core::rollout::{DeciderAnswer, DeciderCall, Phase, StoredRollOut};
+use rampthread_core::rollout::{DeciderAnswer, DeciderCall, Phase, StoredRollout};
 use rampthread_core::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 /// What the store keeps of roll-outs, and every state that was ever on record.
 #[derive(Debug, Default)]
-pub struct RollOutRecords {
+pub struct RolloutRecords {
     /// Nodes that it refuses.
     pub refused: BTreeSet<usize>,
     /// Of a hundred calls, those whose answers are lost after they were done.
@@ -27,12 +27,12 @@
     revision: u64,
     holder: Option<Holder>,
     granted: BTreeMap<LeaseId, (u128, Moment)>,
-    states: BTreeMap<ResourceName, StoredRollOut>,
+    states: BTreeMap<ResourceName, StoredRollout>,
     /// Orders and phases in the order in which they were written.
     pub written: Vec<(u64, Phase, Moment)>,
 }
 
-impl RollOutRecords {
+impl RolloutRecords {
     /// Carries out a call of `node`; `lost`: its answer does not arrive.
     pub fn call(
         &mut self,
@@ -110,7 +110,7 @@
                     return DeciderAnswer::Conflict;
                 }
                 self.revision += 1;
-                let stored = StoredRollOut {
+                let stored = StoredRollout {
                     state: state.clone(),
                     revision: self.revision,
                     written_ms: now.0 / 1_000,
@@ -137,7 +137,7 @@
 }
 
 /// As a node reads it: what has passed since it was written counts.
-fn aged(stored: &StoredRollOut, now: Moment) -> StoredRollOut {
+fn aged(stored: &StoredRollout, now: Moment) -> StoredRollout {
     let mut stored = stored.clone();
     let since = (now.0 / 1_000).saturating_sub(stored.written_ms);
     stored.state.elapsed += Duration::from_millis(since);
--- a/crates/rampthread-wire/tests/rollouts.rs
+++ b/crates/rampthread-wire/tests/rollouts.rs
@@ -6,7 +6,7 @@
 use fleet::Fleet;
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::evidence::{Answer, EvidenceBook, EvidencePlace};
-use rampthread_core::rollout::{ExposureMeter, Phase, RollOutBounds, RollOutOrder, VersionShare};
+use rampthread_core::rollout::{ExposureMeter, Phase, RolloutBounds, RolloutOrder, VersionShare};
 use rampthread_core::time::Moment;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -18,7 +18,7 @@
 const ZONES: usize = 3;
 const STEP: Duration = Duration::from_millis(100);
 const DURATION: Duration = Duration::from_secs(12);
-const BOUNDS: RollOutBounds = RollOutBounds {
+const BOUNDS: RolloutBounds = RolloutBounds {
     exposure_share: 0.1,
     exposure_slack: 50.0,
     roll_back: Duration::from_secs(5),
@@ -90,7 +90,7 @@
 
     fn order(&mut self) {
         self.began = self.fleet.now;
-        self.fleet.write_order(RollOutOrder {
+        self.fleet.write_order(RolloutOrder {
             service: name("shop"),
             order: 100,
             target: version("v2"),
--- a/crates/rampthread-wire/tests/wire_properties.rs
+++ b/crates/rampthread-wire/tests/wire_properties.rs
@@ -13,7 +13,7 @@
     InstanceId, NodeId, OperationId, Region, ResourceName, SoftwareVersion, Version, Zone,
 };
 use rampthread_core::rollout::evidence::{Counts, TIME_STEPS};
-use rampthread_core::rollout::{Phase, RollOutState, VersionEvidence};
+use rampthread_core::rollout::{Phase, RolloutState, VersionEvidence};
 use rampthread_wire::{FleetKey, HopKeys, Keyring, Sealer, SecretKeeper, decode, encode};
 use secrecy::{ExposeSecret, SecretString};
 use std::net::SocketAddr;
@@ -212,7 +212,7 @@
         })
 }
 
-fn roll_out() -> impl Strategy<Value = RollOutState> {
+fn roll_out() -> impl Strategy<Value = RolloutState> {
     let phase = prop_oneof![
         Just(Phase::Running),
         Just(Phase::Moving),
@@ -231,7 +231,7 @@
     )
         .prop_map(
             |(service, target, phase, share_permille, [order, term, step], times, decider)| {
-                RollOutState {
+                RolloutState {
                     service,
                     order,
                     target,
@@ -273,7 +273,7 @@
     prop_oneof![
         load_report().prop_map(Message::LoadReport),
         prop::collection::vec(zone_load(), 0..4).prop_map(Message::ZoneLoads),
-        prop::collection::vec(roll_out(), 0..4).prop_map(Message::RollOuts),
+        prop::collection::vec(roll_out(), 0..4).prop_map(Message::Rollouts),
         prop::collection::vec(evidence(), 0..4).prop_map(Message::VersionEvidence),
         any::<u64>().prop_map(|era| Message::StoreEra { era }),
         probe().prop_map(Message::Ping),
--- a/crates/rampthread/src/commands.rs
+++ b/crates/rampthread/src/commands.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use rampthread_core::findings::Findings;
 use rampthread_node::api::{
-    ChangeView, QuarantineView, ResourceView, RollOutView, SpreadView, StatusView, TenantView,
+    ChangeView, QuarantineView, ResourceView, RolloutView, SpreadView, StatusView, TenantView,
 };
 use rampthread_node::settings::{LoadError, load, read_resource_toml};
 use serde::Deserialize;
@@ -365,7 +365,7 @@
         Ok(answer) => answer,
         Err(error) => return read_failed(&error),
     };
-    match (wants_json(matches), parse::<Vec<RollOutView>>(&answer)) {
+    match (wants_json(matches), parse::<Vec<RolloutView>>(&answer)) {
         (false, Some(views)) => tables::print_rollouts(&views),
         _ => print_json(&answer),
     }
@@ -385,7 +385,7 @@
         eprintln!("no roll-out of {service} is known here");
         return Exit::Failed;
     }
-    match (wants_json(matches), parse::<RollOutView>(&answer)) {
+    match (wants_json(matches), parse::<RolloutView>(&answer)) {
         (false, Some(view)) => tables::print_rollouts(&[view]),
         _ => print_json(&answer),
     }
--- a/crates/rampthread/src/tables.rs
+++ b/crates/rampthread/src/tables.rs
@@ -1,7 +1,7 @@
 //! Readable forms of the API's answers.
 
 use rampthread_node::api::{
-    ChangeView, QuarantineView, ResourceView, RollOutView, StatusView, TenantView,
+    ChangeView, QuarantineView, ResourceView, RolloutView, StatusView, TenantView,
 };
 
 /// Prints rows in columns under `head`.
@@ -93,7 +93,7 @@
 }
 
 /// Roll-outs, a line each.
-pub fn print_rollouts(views: &[RollOutView]) {
+pub fn print_rollouts(views: &[RolloutView]) {
     let rows: Vec<Vec<String>> = views
         .iter()
         .map(|view| {
