--- a/crates/rampthread-core/src/call/admission.rs
+++ b/crates/rampthread-core/src/call/admission.rs
@@ -30,7 +30,7 @@
 
 /// What becomes of an arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admitted {
+pub enum AdmissionDecision {
     /// It runs now.
     Run,
     /// It waits; `release` will name it.
@@ -53,7 +53,7 @@
 
 /// The door of one back end.
 #[derive(Debug)]
-pub struct Admission {
+pub struct AdmissionController {
     limits: AdmissionLimits,
     running: u32,
     ranks: BTreeMap<Rank, RankQueue>,
@@ -61,7 +61,7 @@
     draining: bool,
 }
 
-impl Admission {
+impl AdmissionController {
     /// An idle back end.
     pub fn new(limits: AdmissionLimits) -> Self {
         Self {
@@ -99,32 +99,32 @@
     }
 
     /// A call arrives.
-    pub fn arrive(&mut self, arrival: Arrival, now: Moment) -> Admitted {
-        let admitted = self.judge(&arrival, now);
+    pub fn arrive(&mut self, arrival: Arrival, now: Moment) -> AdmissionDecision {
+        let admitted = self.decide(&arrival, now);
         match admitted {
-            Admitted::Run => self.running += 1,
-            Admitted::Wait => self.ranks.entry(arrival.rank).or_default().push(arrival),
-            Admitted::Refused { .. } => {}
+            AdmissionDecision::Run => self.running += 1,
+            AdmissionDecision::Wait => self.ranks.entry(arrival.rank).or_default().push(arrival),
+            AdmissionDecision::Refused { .. } => {}
         }
         admitted
     }
 
     /// What would become of a call that arrived now.
-    pub fn judge(&self, arrival: &Arrival, now: Moment) -> Admitted {
+    pub fn decide(&self, arrival: &Arrival, now: Moment) -> AdmissionDecision {
         if self.draining || arrival.deadline <= now {
             return self.refuse(arrival);
         }
         if self.running < self.limits.slots && self.queued() == 0 {
-            return Admitted::Run;
+            return AdmissionDecision::Run;
         }
         if !self.may_wait(arrival, now) {
             return self.refuse(arrival);
         }
-        Admitted::Wait
+        AdmissionDecision::Wait
     }
 
-    fn refuse(&self, arrival: &Arrival) -> Admitted {
-        Admitted::Refused {
+    fn refuse(&self, arrival: &Arrival) -> AdmissionDecision {
+        AdmissionDecision::Refused {
             retry_after: self.expected_wait(arrival).max(LEAST_RETRY_AFTER),
         }
     }
@@ -208,7 +208,7 @@
 
     /// A waiting call was given up by its caller. False when it does not wait
     /// any more: it runs or has ended.
-    pub fn withdraw(&mut self, call: CallNumber) -> bool {
+    pub fn cancel(&mut self, call: CallNumber) -> bool {
         self.ranks
             .values_mut()
             .any(|rank| rank.remove(call).is_some())
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -1,7 +1,9 @@
 //! The promises to callers, as properties of the decisions on calls.
 
 use proptest::prelude::*;
-use rampthread_core::call::admission::{Admission, AdmissionLimits, Admitted, Arrival};
+use rampthread_core::call::admission::{
+    AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
+};
 use rampthread_core::call::attempts::{
     Attempts, MAX_TRIES, Next, RetryBudget, RetryClaim, RetryShare,
 };
@@ -56,7 +58,7 @@
         queue in 0_u32..12,
         steps in prop::collection::vec(door(), 1..200),
     ) {
-        let mut admission = Admission::new(AdmissionLimits { slots, queue });
+        let mut admission = AdmissionController::new(AdmissionLimits { slots, queue });
         let mut now = Moment(1);
         let mut running: u32 = 0;
         let mut waiting: Vec<u64> = Vec::new();
@@ -74,9 +76,9 @@
                         work: None,
                     };
                     match admission.arrive(arrival, now) {
-                        Admitted::Run => running += 1,
-                        Admitted::Wait => waiting.push(call),
-                        Admitted::Refused { retry_after } => prop_assert!(!retry_after.is_zero()),
+                        AdmissionDecision::Run => running += 1,
+                        AdmissionDecision::Wait => waiting.push(call),
+                        AdmissionDecision::Refused { retry_after } => prop_assert!(!retry_after.is_zero()),
                     }
                 }
                 Door::End if running > 0 => {
@@ -92,9 +94,9 @@
                 Door::End => {}
                 Door::Withdraw(pick) if !waiting.is_empty() => {
                     let call = waiting.remove(pick % waiting.len());
-                    prop_assert!(admission.withdraw(call));
+                    prop_assert!(admission.cancel(call));
                 }
-                Door::Withdraw(_) => prop_assert!(!admission.withdraw(u64::MAX)),
+                Door::Withdraw(_) => prop_assert!(!admission.cancel(u64::MAX)),
                 Door::Pass(ms) => now = now + Duration::from_millis(ms),
             }
             prop_assert!(running <= slots);
@@ -106,9 +108,9 @@
     /// With one caller flooding the door, another still gets turns.
     #[test]
     fn one_caller_cannot_starve_another(flood in 20_usize..200) {
-        let mut admission = Admission::new(AdmissionLimits { slots: 1, queue: 4 });
+        let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 4 });
         let now = Moment(1);
-        let arrive = |admission: &mut Admission, call: u64, caller: &str| {
+        let arrive = |admission: &mut AdmissionController, call: u64, caller: &str| {
             let deadline = now + Duration::from_secs(10);
             let arrival = Arrival {
                 call,
@@ -125,7 +127,7 @@
             arrive(&mut admission, call, "flood");
         }
         let quiet = arrive(&mut admission, 1_000, "quiet");
-        prop_assert_eq!(quiet, Admitted::Wait);
+        prop_assert_eq!(quiet, AdmissionDecision::Wait);
         let first = admission.release(Some(Duration::from_millis(1)), now).run;
         let second = admission.release(Some(Duration::from_millis(1)), now).run;
         prop_assert!(first == Some(1_000) || second == Some(1_000));
--- a/crates/rampthread-core/tests/fair_turns.rs
+++ b/crates/rampthread-core/tests/fair_turns.rs
@@ -1,7 +1,9 @@
 //! The slots of a full back end are shared by work among the tenants that want them.
 
 use proptest::prelude::*;
-use rampthread_core::call::admission::{Admission, AdmissionLimits, Admitted, Arrival};
+use rampthread_core::call::admission::{
+    AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
+};
 use rampthread_core::call::fair_turns::FairTurns;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::time::Moment;
@@ -39,7 +41,7 @@
     seed: u64,
 ) -> BTreeMap<String, Duration> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut gate = Admission::new(AdmissionLimits {
+    let mut gate = AdmissionController::new(AdmissionLimits {
         slots: SLOTS,
         queue: 16,
     });
@@ -64,7 +66,7 @@
             let (_, tenant, work) = &arrivals[ended as usize];
             *served.entry(tenant.clone()).or_insert(Duration::ZERO) += *work;
             let overdue = |since: &Moment| ends.since(*since) > Duration::from_millis(200);
-            waiting.retain(|call, since| !overdue(since) || !gate.withdraw(*call));
+            waiting.retain(|call, since| !overdue(since) || !gate.cancel(*call));
             if let Some(next) = gate.release(Some(*work), ends).run {
                 waiting.remove(&next);
                 running.push((ends + arrivals[next as usize].2, next));
@@ -72,11 +74,11 @@
             }
         }
         match gate.arrive(arrival(call, tenant, *work, *now), *now) {
-            Admitted::Run => running.push((*now + *work, call)),
-            Admitted::Wait => {
+            AdmissionDecision::Run => running.push((*now + *work, call)),
+            AdmissionDecision::Wait => {
                 waiting.insert(call, *now);
             }
-            Admitted::Refused { .. } => {}
+            AdmissionDecision::Refused { .. } => {}
         }
     }
     served
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -7,7 +7,9 @@
 use mesh::{Mesh, agent, document, endpoint_record, machine, name, route, service};
 use proptest::prelude::*;
 use rampthread_core::backend_incarnation::BackendIncarnation;
-use rampthread_core::call::admission::{Admission, AdmissionLimits, Admitted, Arrival};
+use rampthread_core::call::admission::{
+    AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
+};
 use rampthread_core::call::attempts::{RetryBudget, RetryClaim, RetryShare};
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
 use rampthread_core::call::cause::Cause;
@@ -96,11 +98,11 @@
     /// Without patience a call runs now or is refused; it never waits.
     #[test]
     fn without_patience_nobody_waits(slots in 1_u32..10, calls in 1_u64..40) {
-        let mut admission = Admission::new(AdmissionLimits { slots, queue: 100 });
+        let mut admission = AdmissionController::new(AdmissionLimits { slots, queue: 100 });
         let now = Moment(1);
         for call in 0..calls {
             let answer = admission.arrive(arrival(call, 1, now + HOUR, Duration::ZERO), now);
-            prop_assert!(answer != Admitted::Wait);
+            prop_assert!(answer != AdmissionDecision::Wait);
         }
         prop_assert_eq!(admission.queued(), 0);
     }
@@ -145,7 +147,7 @@
         use rand::seq::SliceRandom;
         let mut order: Vec<u64> = deadlines.iter().copied().collect();
         order.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
-        let mut admission = Admission::new(AdmissionLimits { slots: 1, queue: 100 });
+        let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 100 });
         let now = Moment(1);
         admission.arrive(arrival(0, 1, now + HOUR, HOUR), now);
         for deadline in &order {
@@ -162,7 +164,7 @@
     /// Short calls that come later go first, and long ones still get their turns.
     #[test]
     fn short_calls_overtake_long_ones_without_starving_them(long in 1_u64..10, short in 8_u64..40) {
-        let mut admission = Admission::new(AdmissionLimits { slots: 1, queue: 100 });
+        let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 100 });
         let now = Moment(1);
         admission.arrive(arrival(0, 1, now + HOUR, HOUR), now);
         for call in 0..long {
@@ -276,22 +278,22 @@
 
 #[test]
 fn a_queue_of_long_calls_keeps_no_short_one_out() {
-    let mut admission = Admission::new(AdmissionLimits { slots: 2, queue: 4 });
+    let mut admission = AdmissionController::new(AdmissionLimits { slots: 2, queue: 4 });
     let now = Moment(1);
     let patience = Duration::from_millis(300);
     let long = |call| Arrival {
         patience,
         ..arrival_with_work(call, 200)
     };
-    let waiting: Vec<Admitted> = (0..20)
+    let waiting: Vec<AdmissionDecision> = (0..20)
         .map(|call| admission.arrive(long(call), now))
         .collect();
-    assert!(matches!(waiting[19], Admitted::Refused { .. }));
+    assert!(matches!(waiting[19], AdmissionDecision::Refused { .. }));
     let short = Arrival {
         patience: Duration::from_millis(30),
         ..arrival_with_work(100, 20)
     };
-    assert_eq!(admission.arrive(short, now), Admitted::Wait);
+    assert_eq!(admission.arrive(short, now), AdmissionDecision::Wait);
 }
 
 #[test]
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -1,7 +1,9 @@
 //! A service at its gates under generated load: calls come, ask gates in turn, wait, run
 //! or are refused, and come back. Time is simulated; all decisions are the product's own.
 
-use rampthread_core::call::admission::{Admission, AdmissionLimits, Admitted, Arrival};
+use rampthread_core::call::admission::{
+    AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
+};
 use rampthread_core::call::patience::WorkTimes;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::room::Room;
@@ -81,7 +83,7 @@
 
 /// Gates, callers and what is to happen.
 pub struct Overload {
-    gates: Vec<Admission>,
+    gates: Vec<AdmissionController>,
     room: Room,
     zone: Zone,
     work_times: WorkTimes,
@@ -105,7 +107,9 @@
             queue: QUEUE,
         };
         Self {
-            gates: (0..GATES).map(|_| Admission::new(limits)).collect(),
+            gates: (0..GATES)
+                .map(|_| AdmissionController::new(limits))
+                .collect(),
             room: Room::new(zone.clone()),
             zone,
             work_times,
@@ -172,16 +176,16 @@
             let patience = self.patience(call, others, now);
             let arrival = self.arrival(call, patience, now);
             let admitted = self.gates[gate].arrive(arrival, now);
-            let refused = matches!(admitted, Admitted::Refused { .. });
+            let refused = matches!(admitted, AdmissionDecision::Refused { .. });
             self.room.note(&self.zone.clone(), refused, now);
             match admitted {
-                Admitted::Run => return self.begins(call, gate, now),
-                Admitted::Wait => {
+                AdmissionDecision::Run => return self.begins(call, gate, now),
+                AdmissionDecision::Wait => {
                     self.callers.get_mut(&call).unwrap().waits = true;
                     let at = now + patience.mul_f64(OVERTAKEN);
                     return self.at(at, Event::GivesUp { call, gate });
                 }
-                Admitted::Refused { .. } => self.served.refused_tries += 1,
+                AdmissionDecision::Refused { .. } => self.served.refused_tries += 1,
             }
             if !others {
                 break;
@@ -243,7 +247,7 @@
     }
 
     fn gives_up(&mut self, call: u64, gate: usize, now: Moment) {
-        if self.callers[&call].waits && self.gates[gate].withdraw(call) {
+        if self.callers[&call].waits && self.gates[gate].cancel(call) {
             self.served.refused_tries += 1;
             self.refused(call, now);
         }
--- a/crates/rampthread-core/tests/precedence_properties.rs
+++ b/crates/rampthread-core/tests/precedence_properties.rs
@@ -2,7 +2,9 @@
 //! the time that callers bring.
 
 use proptest::prelude::*;
-use rampthread_core::call::admission::{Admission, AdmissionLimits, Admitted, Arrival};
+use rampthread_core::call::admission::{
+    AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
+};
 use rampthread_core::call::attempt_age::AttemptAges;
 use rampthread_core::call::dependency::Dependencies;
 use rampthread_core::call::patience::WorkTimes;
@@ -30,20 +32,20 @@
 }
 
 /// A gate whose slots are taken and in whose queue `waiting` stand.
-fn full_gate(waiting: impl IntoIterator<Item = Arrival>) -> Admission {
-    let mut admission = Admission::new(AdmissionLimits {
+fn full_gate(waiting: impl IntoIterator<Item = Arrival>) -> AdmissionController {
+    let mut admission = AdmissionController::new(AdmissionLimits {
         slots: 1,
         queue: 1_000,
     });
     let now = Moment(1);
     admission.arrive(arrival(10_000, Precedence::FirstAttempt, 1), now);
     for one in waiting {
-        assert_eq!(admission.arrive(one, now), Admitted::Wait);
+        assert_eq!(admission.arrive(one, now), AdmissionDecision::Wait);
     }
     admission
 }
 
-fn order(mut admission: Admission) -> Vec<u64> {
+fn order(mut admission: AdmissionController) -> Vec<u64> {
     let release = || admission.release(None, Moment(1)).run;
     std::iter::from_fn(release).collect()
 }
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -2,7 +2,9 @@
 //! under more demand than there is room: nothing stands still, and fewer parents lose
 //! their work where nested calls go first.
 
-use rampthread_core::call::admission::{Admission, AdmissionLimits, Admitted, Arrival};
+use rampthread_core::call::admission::{
+    AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
+};
 use rampthread_core::call::patience::WorkTimes;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::ids::ResourceName;
@@ -58,7 +60,7 @@
 }
 
 struct Ring {
-    gates: Vec<Admission>,
+    gates: Vec<AdmissionController>,
     calls: Vec<Call>,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     times: WorkTimes,
@@ -79,7 +81,9 @@
         let mut times = WorkTimes::default();
         times.answered(&route, WORK);
         Self {
-            gates: (0..SERVICES).map(|_| Admission::new(limits)).collect(),
+            gates: (0..SERVICES)
+                .map(|_| AdmissionController::new(limits))
+                .collect(),
             calls: Vec::new(),
             events: BinaryHeap::new(),
             times,
@@ -151,9 +155,9 @@
             work: Some(WORK),
         };
         match self.gates[call.service].arrive(arrival, now) {
-            Admitted::Run => self.begins(number, now),
-            Admitted::Wait => self.at(now + patience, Event::GivesUp(number)),
-            Admitted::Refused { .. } => self.refused(number, now),
+            AdmissionDecision::Run => self.begins(number, now),
+            AdmissionDecision::Wait => self.at(now + patience, Event::GivesUp(number)),
+            AdmissionDecision::Refused { .. } => self.refused(number, now),
         }
     }
 
@@ -190,7 +194,7 @@
 
     fn gives_up(&mut self, number: u64, now: Moment) {
         let call = self.calls[number as usize];
-        if call.state == State::Waits && self.gates[call.service].withdraw(number) {
+        if call.state == State::Waits && self.gates[call.service].cancel(number) {
             self.refused(number, now);
         }
     }
--- a/crates/rampthread-core/tests/room_properties.rs
+++ b/crates/rampthread-core/tests/room_properties.rs
@@ -2,7 +2,9 @@
 //! asked.
 
 use proptest::prelude::*;
-use rampthread_core::call::admission::{Admission, AdmissionLimits, Admitted, Arrival};
+use rampthread_core::call::admission::{
+    AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
+};
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::room::Room;
@@ -120,7 +122,7 @@
     fn a_question_gets_the_answer_that_the_call_would_get(
         slots in 0_u32..4, queue in 0_u32..4, calls in prop::collection::vec(0_u64..400, 1..20),
     ) {
-        let mut admission = Admission::new(AdmissionLimits { slots, queue });
+        let mut admission = AdmissionController::new(AdmissionLimits { slots, queue });
         for (number, patience_ms) in calls.into_iter().enumerate() {
             let arrival = Arrival {
                 call: number as u64,
@@ -132,10 +134,10 @@
                 work: Some(Duration::from_millis(100)),
             };
             let before = admission.load();
-            let asked = admission.judge(&arrival, START);
+            let asked = admission.decide(&arrival, START);
             prop_assert_eq!(admission.load(), before, "a question takes no place");
             prop_assert_eq!(admission.arrive(arrival, START), asked);
-            let taken = !matches!(asked, Admitted::Refused { .. });
+            let taken = !matches!(asked, AdmissionDecision::Refused { .. });
             prop_assert_eq!(admission.load(), before + u32::from(taken));
         }
     }
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use exchange::UnderWay;
 use http::{Request, Response};
-use rampthread_core::call::admission::{Admission, AdmissionLimits, CallNumber};
+use rampthread_core::call::admission::{AdmissionController, AdmissionLimits, CallNumber};
 use rampthread_core::call::balance::NO_WORK_LOAD;
 use rampthread_core::call::crash_watch::CrashWatch;
 use rampthread_core::call::dependency::Dependencies;
@@ -60,7 +60,7 @@
 pub const TRY_SEPARATOR: char = '~';
 
 struct GateState {
-    admission: Admission,
+    admission: AdmissionController,
     fences: FenceTable,
     work_times: WorkTimes,
     dependencies: Dependencies,
@@ -169,7 +169,7 @@
                 ..PoolSettings::default()
             }),
             state: Mutex::new(GateState {
-                admission: Admission::new(limits),
+                admission: AdmissionController::new(limits),
                 fences: FenceTable::new(now),
                 work_times: WorkTimes::default(),
                 dependencies: Dependencies::default(),
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -5,7 +5,7 @@
 use super::{CONFIG_RETRY, Gate, GateState, Hop};
 use crate::calls::answer::Refusal;
 use crate::control::LocalBackend;
-use rampthread_core::call::admission::{AdmissionLimits, Admitted, Arrival, CallNumber};
+use rampthread_core::call::admission::{AdmissionDecision, AdmissionLimits, Arrival, CallNumber};
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::dependency::Dependencies;
 use rampthread_core::call::fence::StartRefused;
@@ -78,9 +78,11 @@
             let arrival = self.arrival(&state, hop, number, precedence, now);
             let (patience, left) = (arrival.patience, hop.deadline.since(now));
             match state.admission.arrive(arrival, now) {
-                Admitted::Run => None,
-                Admitted::Refused { retry_after } => return Err(full(&state, retry_after)),
-                Admitted::Wait => {
+                AdmissionDecision::Run => None,
+                AdmissionDecision::Refused { retry_after } => {
+                    return Err(full(&state, retry_after));
+                }
+                AdmissionDecision::Wait => {
                     let (sender, receiver) = async_channel::bounded(1);
                     state.waiting.insert(number, sender);
                     let longest = patience.mul_f64(OVERTAKEN_SHARE);
--- a/crates/rampthread-node/src/calls/gate/reserve.rs
+++ b/crates/rampthread-node/src/calls/gate/reserve.rs
@@ -6,7 +6,7 @@
 use crate::calls::answer::{Refusal, set};
 use crate::calls::content::KeptContent;
 use http::Response;
-use rampthread_core::call::admission::{Admitted, CallNumber};
+use rampthread_core::call::admission::{AdmissionDecision, CallNumber};
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::{self, Waiting};
 use rampthread_core::call::precedence::Precedence;
@@ -147,9 +147,9 @@
         let state = self.state();
         let precedence = known_precedence(&state.dependencies, hop);
         let arrival = self.arrival(&state, hop, NO_CALL, precedence, now);
-        match state.admission.judge(&arrival, now) {
-            Admitted::Refused { retry_after } => Err(full(&state, retry_after)),
-            Admitted::Run | Admitted::Wait => Ok(None),
+        match state.admission.decide(&arrival, now) {
+            AdmissionDecision::Refused { retry_after } => Err(full(&state, retry_after)),
+            AdmissionDecision::Run | AdmissionDecision::Wait => Ok(None),
         }
     }
 
--- a/crates/rampthread-node/src/calls/gate/slot.rs
+++ b/crates/rampthread-node/src/calls/gate/slot.rs
@@ -118,7 +118,7 @@
         let unread = {
             let mut state = self.gate.state();
             state.waiting.remove(&self.number);
-            state.admission.withdraw(self.number);
+            state.admission.cancel(self.number);
             self.turn.try_recv()
         };
         if unread == Ok(Turn::Run) {
