--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -22,7 +22,7 @@
 //! | [`pace_meter`] | how that is measured |
 //! | [`backend_load`] | what a back end says of its own load |
 //! | [`path_delay`] | how long a hop stood in full links |
-//! | [`patience`] | how long a call may wait for a slot |
+//! | [`service_times`] | how long a call may wait for a slot |
 //! | [`transfers`] | when a large body may be sent to a gate |
 //! | [`fence`] | whether a call that was given up on can still start |
 //! | [`fence_finding`] | what the answer to a fence proves |
@@ -67,7 +67,6 @@
 pub mod pace;
 pub mod pace_meter;
 pub mod path_delay;
-pub mod patience;
 pub mod peer_crash_watch;
 pub mod precedence;
 pub mod quarantine;
@@ -78,6 +77,7 @@
 pub mod return_advice;
 pub mod room;
 pub mod route_table;
+pub mod service_times;
 pub mod tenant_table;
 pub mod transfers;
 pub mod unnamed_starts;
--- a/crates/rampthread-core/src/call/patience.rs
+++ b/crates/rampthread-core/src/call/service_times.rs
@@ -21,11 +21,11 @@
 
 /// Mean working times at one back end, by route.
 #[derive(Debug, Default)]
-pub struct WorkTimes {
+pub struct ServiceTimes {
     means: HashMap<ResourceName, Duration>,
 }
 
-impl WorkTimes {
+impl ServiceTimes {
     /// The back end answered a call of `route` after `time`.
     pub fn answered(&mut self, route: &ResourceName, time: Duration) {
         match self.means.get_mut(route) {
@@ -47,7 +47,7 @@
     /// Longest wait that leaves a call of `route` a chance to meet `target`.
     /// A retry waits only a little: its caller needs to know soon. The call of a
     /// back end waits longer, whatever its own target: `left` until its deadline.
-    pub fn patience(
+    pub fn max_wait(
         &self,
         route: &ResourceName,
         target: Duration,
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -15,9 +15,9 @@
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::Waiting;
 use rampthread_core::call::log_budget::{LogBudget, is_sampled};
-use rampthread_core::call::patience::WorkTimes;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::route_table::{CallHead, RouteTable};
+use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::config::ConfigState;
 use rampthread_core::fleet::{BackendReport, Machine, Reported, ReportedBackend};
 use rampthread_core::ids::{NodeId, Version, Zone};
@@ -116,9 +116,9 @@
         works.sort_unstable();
         let mut last = target;
         for work in works {
-            let mut times = WorkTimes::default();
+            let mut times = ServiceTimes::default();
             times.answered(&name("r"), Duration::from_millis(work));
-            let patience = times.patience(&name("r"), target, Precedence::FirstAttempt, HOUR);
+            let patience = times.max_wait(&name("r"), target, Precedence::FirstAttempt, HOUR);
             prop_assert!(patience <= last && patience <= target.mul_f64(0.4));
             prop_assert!(patience >= target.mul_f64(0.15));
             last = patience;
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -4,9 +4,9 @@
 use rampthread_core::call::admission::{
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
 };
-use rampthread_core::call::patience::WorkTimes;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::room::Room;
+use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::ids::{ResourceName, Zone};
 use rampthread_core::time::Moment;
 use rand::rngs::StdRng;
@@ -86,7 +86,7 @@
     gates: Vec<AdmissionController>,
     room: Room,
     zone: Zone,
-    work_times: WorkTimes,
+    work_times: ServiceTimes,
     route: ResourceName,
     callers: HashMap<u64, Caller>,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
@@ -100,7 +100,7 @@
     pub fn new(seed: u64, expects_room: ExpectsRoom) -> Self {
         let zone = Zone::new("zone").unwrap();
         let route = ResourceName::new("route").unwrap();
-        let mut work_times = WorkTimes::default();
+        let mut work_times = ServiceTimes::default();
         work_times.answered(&route, WORK);
         let limits = AdmissionLimits {
             slots: SLOTS,
@@ -208,7 +208,7 @@
         let left = (self.callers[&call].first + DEADLINE).since(now);
         let precedence = self.precedence(call);
         self.work_times
-            .patience(&self.route, TARGET, precedence, left)
+            .max_wait(&self.route, TARGET, precedence, left)
     }
 
     fn arrival(&self, call: u64, patience: Duration, now: Moment) -> Arrival {
--- a/crates/rampthread-core/tests/precedence_properties.rs
+++ b/crates/rampthread-core/tests/precedence_properties.rs
@@ -7,8 +7,8 @@
 };
 use rampthread_core::call::attempt_age::AttemptAges;
 use rampthread_core::call::dependency::Dependencies;
-use rampthread_core::call::patience::WorkTimes;
 use rampthread_core::call::precedence::Precedence;
+use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::ids::ResourceName;
 use rampthread_core::time::Moment;
 use std::time::Duration;
@@ -121,10 +121,10 @@
     /// A retry never waits longer than a first attempt would.
     #[test]
     fn retries_wait_no_longer(target_ms in 1_u64..10_000, work_ms in 0_u64..10_000) {
-        let mut times = WorkTimes::default();
+        let mut times = ServiceTimes::default();
         let (route, target) = (name("route"), Duration::from_millis(target_ms));
         times.answered(&route, Duration::from_millis(work_ms));
-        let wait = |precedence| times.patience(&route, target, precedence, HOUR);
+        let wait = |precedence| times.max_wait(&route, target, precedence, HOUR);
         prop_assert!(wait(Precedence::Retry) <= wait(Precedence::FirstAttempt));
     }
 }
@@ -175,10 +175,10 @@
         arrival(3, Precedence::Dependency, 500),
     ];
     assert_eq!(order(full_gate(calls)), [3, 2, 1]);
-    let (times, target) = (WorkTimes::default(), Duration::from_millis(100));
+    let (times, target) = (ServiceTimes::default(), Duration::from_millis(100));
     for (left_ms, wait_ms) in [(600, 90), (2_000, 300)] {
         let left = Duration::from_millis(left_ms);
-        let wait = times.patience(&name("r"), target, Precedence::Dependency, left);
+        let wait = times.max_wait(&name("r"), target, Precedence::Dependency, left);
         assert_eq!(wait, Duration::from_millis(wait_ms));
     }
 }
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -5,8 +5,8 @@
 use rampthread_core::call::admission::{
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
 };
-use rampthread_core::call::patience::WorkTimes;
 use rampthread_core::call::precedence::Precedence;
+use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::ids::ResourceName;
 use rampthread_core::time::Moment;
 use rand::rngs::StdRng;
@@ -63,7 +63,7 @@
     gates: Vec<AdmissionController>,
     calls: Vec<Call>,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
-    times: WorkTimes,
+    times: ServiceTimes,
     route: ResourceName,
     nested: Precedence,
     rng: StdRng,
@@ -78,7 +78,7 @@
             queue: SLOTS,
         };
         let route = ResourceName::new("route").unwrap();
-        let mut times = WorkTimes::default();
+        let mut times = ServiceTimes::default();
         times.answered(&route, WORK);
         Self {
             gates: (0..SERVICES)
@@ -144,7 +144,7 @@
             None => Precedence::FirstAttempt,
         };
         let left = call.deadline.since(now);
-        let patience = self.times.patience(&self.route, TARGET, precedence, left);
+        let patience = self.times.max_wait(&self.route, TARGET, precedence, left);
         let arrival = Arrival {
             call: number,
             caller: String::new(),
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -31,8 +31,8 @@
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::load_watch::LoadWatch;
 use rampthread_core::call::pace_meter::PaceMeter;
-use rampthread_core::call::patience::WorkTimes;
 use rampthread_core::call::precedence::Precedence;
+use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::call::transfers::Transfers;
 use rampthread_core::call::unnamed_starts::UnnamedStarts;
 use rampthread_core::ids::ResourceName;
@@ -62,7 +62,7 @@
 struct GateState {
     admission: AdmissionController,
     fences: FenceTable,
-    work_times: WorkTimes,
+    work_times: ServiceTimes,
     dependencies: Dependencies,
     transfers: Transfers,
     /// Bodies that wait for their turn.
@@ -171,7 +171,7 @@
             state: Mutex::new(GateState {
                 admission: AdmissionController::new(limits),
                 fences: FenceTable::new(now),
-                work_times: WorkTimes::default(),
+                work_times: ServiceTimes::default(),
                 dependencies: Dependencies::default(),
                 transfers: Transfers::default(),
                 body_turns: HashMap::new(),
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -123,7 +123,7 @@
             Waiting::Never => Duration::ZERO,
             Waiting::ForTarget(target) => state
                 .work_times
-                .patience(&hop.route, target, precedence, left),
+                .max_wait(&hop.route, target, precedence, left),
             Waiting::UntilDeadline => left,
         };
         Arrival {
--- a/crates/rampthread-node/src/calls/gate/reserve.rs
+++ b/crates/rampthread-node/src/calls/gate/reserve.rs
@@ -209,7 +209,7 @@
                 let target = target.saturating_sub(self.transfers.expected(bytes));
                 let precedence = Precedence::FirstAttempt;
                 self.work_times
-                    .patience(&hop.route, target, precedence, left)
+                    .max_wait(&hop.route, target, precedence, left)
             }
         }
     }
