--- a/crates/rampthread-core/src/call/admission.rs
+++ b/crates/rampthread-core/src/call/admission.rs
@@ -132,7 +132,7 @@
     fn may_wait(&self, arrival: &Arrival, now: Moment) -> bool {
         let wait = self.expected_wait(arrival);
         let answer_expected = now + wait + self.mean;
-        wait <= arrival.patience && self.has_room(arrival) && answer_expected <= arrival.deadline
+        wait <= arrival.max_wait && self.has_room(arrival) && answer_expected <= arrival.deadline
     }
 
     /// A caller with nothing in the queue finds room even when others have
--- a/crates/rampthread-core/src/call/arrival.rs
+++ b/crates/rampthread-core/src/call/arrival.rs
@@ -25,7 +25,7 @@
     pub precedence: Precedence,
     /// Longest wait that is worth it; zero: the call runs now or not at all,
     /// since another back end may be free.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Time that the back end is expected to work on it; none: not known yet.
-    pub work: Option<Duration>,
+    pub expected_service_time: Option<Duration>,
 }
--- a/crates/rampthread-core/src/call/rank_queue.rs
+++ b/crates/rampthread-core/src/call/rank_queue.rs
@@ -32,7 +32,7 @@
 impl Backlog {
     fn add(&mut self, arrival: &Arrival, mean: Duration) {
         self.calls += 1;
-        self.work += arrival.work.unwrap_or(mean);
+        self.work += arrival.expected_service_time.unwrap_or(mean);
     }
 }
 
@@ -51,7 +51,7 @@
 
 /// Place of a call among those of its caller; less goes first.
 fn place_of(arrival: &Arrival) -> (Precedence, u32, Moment) {
-    let length = length_step(arrival.work);
+    let length = length_step(arrival.expected_service_time);
     (arrival.precedence, length, arrival.deadline)
 }
 
@@ -118,7 +118,8 @@
     /// Takes `call`, which is served now.
     fn take(&mut self, call: CallNumber) -> Option<Arrival> {
         let taken = self.remove(call)?;
-        self.turns.served(&taken.caller, taken.work);
+        self.turns
+            .served(&taken.caller, taken.expected_service_time);
         Some(taken)
     }
 
@@ -130,7 +131,7 @@
         let steps = || {
             all()
                 .filter(|arrival| arrival.precedence == highest)
-                .map(|arrival| (length_step(arrival.work), arrival.call))
+                .map(|arrival| (length_step(arrival.expected_service_time), arrival.call))
         };
         let shortest = steps().map(|(step, _)| step).min()?;
         steps()
--- a/crates/rampthread-core/src/call/transfers.rs
+++ b/crates/rampthread-core/src/call/transfers.rs
@@ -37,7 +37,7 @@
     /// Its length.
     pub bytes: u64,
     /// Longest wait that is worth it.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
 /// What becomes of an offer.
@@ -109,7 +109,7 @@
             return Offered::Granted;
         }
         let wait = self.expected_wait();
-        if wait > offer.patience {
+        if wait > offer.max_wait {
             return Offered::Refused {
                 retry_after: wait.max(LEAST_RETRY_AFTER),
             };
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -72,8 +72,8 @@
                         deadline: now + Duration::from_millis(patience_ms),
                         rank: u32::from(caller) % 2,
                         precedence: Precedence::FirstAttempt,
-                        patience: Duration::from_secs(10),
-                        work: None,
+                        max_wait: Duration::from_secs(10),
+                        expected_service_time: None,
                     };
                     match admission.arrive(arrival, now) {
                         AdmissionDecision::Run => running += 1,
@@ -118,8 +118,8 @@
                 deadline,
                 rank: 1,
                 precedence: Precedence::FirstAttempt,
-                patience: Duration::from_secs(10),
-                work: None,
+                max_wait: Duration::from_secs(10),
+                expected_service_time: None,
             };
             admission.arrive(arrival, now)
         };
--- a/crates/rampthread-core/tests/fair_turns.rs
+++ b/crates/rampthread-core/tests/fair_turns.rs
@@ -29,8 +29,8 @@
         deadline: now + SECOND,
         rank: 1,
         precedence: Precedence::FirstAttempt,
-        patience: SECOND,
-        work: Some(work),
+        max_wait: SECOND,
+        expected_service_time: Some(work),
     }
 }
 
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -35,14 +35,14 @@
         deadline,
         rank,
         precedence: Precedence::FirstAttempt,
-        patience,
-        work: None,
+        max_wait: patience,
+        expected_service_time: None,
     }
 }
 
 fn arrival_with_work(call: u64, work_ms: u64) -> Arrival {
     Arrival {
-        work: Some(Duration::from_millis(work_ms)),
+        expected_service_time: Some(Duration::from_millis(work_ms)),
         ..arrival(call, 1, Moment(1) + HOUR, HOUR)
     }
 }
@@ -282,7 +282,7 @@
     let now = Moment(1);
     let patience = Duration::from_millis(300);
     let long = |call| Arrival {
-        patience,
+        max_wait: patience,
         ..arrival_with_work(call, 200)
     };
     let waiting: Vec<AdmissionDecision> = (0..20)
@@ -290,7 +290,7 @@
         .collect();
     assert!(matches!(waiting[19], AdmissionDecision::Refused { .. }));
     let short = Arrival {
-        patience: Duration::from_millis(30),
+        max_wait: Duration::from_millis(30),
         ..arrival_with_work(100, 20)
     };
     assert_eq!(admission.arrive(short, now), AdmissionDecision::Wait);
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -218,8 +218,8 @@
             deadline: (self.callers[&call].first + DEADLINE).max(now),
             rank: 1,
             precedence: self.precedence(call),
-            patience,
-            work: Some(WORK),
+            max_wait: patience,
+            expected_service_time: Some(WORK),
         }
     }
 
--- a/crates/rampthread-core/tests/precedence_properties.rs
+++ b/crates/rampthread-core/tests/precedence_properties.rs
@@ -26,8 +26,8 @@
         deadline: Moment(1) + HOUR,
         rank: 1,
         precedence,
-        patience: HOUR,
-        work: Some(Duration::from_millis(work_ms)),
+        max_wait: HOUR,
+        expected_service_time: Some(Duration::from_millis(work_ms)),
     }
 }
 
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -151,8 +151,8 @@
             deadline: call.deadline,
             rank: 1,
             precedence,
-            patience,
-            work: Some(WORK),
+            max_wait: patience,
+            expected_service_time: Some(WORK),
         };
         match self.gates[call.service].arrive(arrival, now) {
             AdmissionDecision::Run => self.begins(number, now),
--- a/crates/rampthread-core/tests/room_properties.rs
+++ b/crates/rampthread-core/tests/room_properties.rs
@@ -130,8 +130,8 @@
                 deadline: START + Duration::from_secs(1),
                 rank: 1,
                 precedence: Precedence::FirstAttempt,
-                patience: Duration::from_millis(patience_ms),
-                work: Some(Duration::from_millis(100)),
+                max_wait: Duration::from_millis(patience_ms),
+                expected_service_time: Some(Duration::from_millis(100)),
             };
             let before = admission.load();
             let asked = admission.decide(&arrival, START);
--- a/crates/rampthread-core/tests/transfer_properties.rs
+++ b/crates/rampthread-core/tests/transfer_properties.rs
@@ -33,7 +33,7 @@
     BodyOffer {
         call,
         bytes,
-        patience,
+        max_wait: patience,
     }
 }
 
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -76,7 +76,7 @@
             let mut state = self.state();
             let precedence = precedence(&mut state.dependencies, hop);
             let arrival = self.arrival(&state, hop, number, precedence, now);
-            let (patience, left) = (arrival.patience, hop.deadline.since(now));
+            let (patience, left) = (arrival.max_wait, hop.deadline.since(now));
             match state.admission.arrive(arrival, now) {
                 AdmissionDecision::Run => None,
                 AdmissionDecision::Refused { retry_after } => {
@@ -132,8 +132,8 @@
             deadline: hop.deadline,
             rank: hop.rank,
             precedence,
-            patience,
-            work: state.work_times.expected(&hop.route),
+            max_wait: patience,
+            expected_service_time: state.work_times.expected(&hop.route),
         }
     }
 
--- a/crates/rampthread-node/src/calls/gate/reserve.rs
+++ b/crates/rampthread-node/src/calls/gate/reserve.rs
@@ -162,7 +162,7 @@
             let offer = BodyOffer {
                 call: number,
                 bytes,
-                patience: state.body_patience(hop, bytes, hop.deadline.since(now)),
+                max_wait: state.body_patience(hop, bytes, hop.deadline.since(now)),
             };
             match state.transfers.offer(offer, now) {
                 Offered::Granted => return Ok(self.grant(number)),
@@ -174,7 +174,7 @@
                 Offered::Waits => {
                     let (sender, turn) = async_channel::bounded(1);
                     state.body_turns.insert(number, sender);
-                    (turn, offer.patience.mul_f64(OVERTAKEN_SHARE))
+                    (turn, offer.max_wait.mul_f64(OVERTAKEN_SHARE))
                 }
             }
         };
