--- a/crates/rampthread-core/src/call/demand.rs
+++ b/crates/rampthread-core/src/call/demand.rs
@@ -8,7 +8,7 @@
 
 /// Time over which calls are counted: shorter than demand's swings, long enough that a
 /// zone's sum does not jump.
-pub const COUNTED: Duration = Duration::from_millis(500);
+pub const DEMAND_WINDOW: Duration = Duration::from_millis(500);
 /// Weight of the newest call in a route's means.
 const MEAN_WEIGHT: f64 = 0.05;
 /// Time after its last call until a route is forgotten, with the work that it needs.
@@ -55,7 +55,7 @@
 
 impl RouteDemand {
     fn rate(&self, now: Moment) -> f64 {
-        let age = now.since(self.at).as_secs_f64() / COUNTED.as_secs_f64();
+        let age = now.since(self.at).as_secs_f64() / DEMAND_WINDOW.as_secs_f64();
         self.rate * (-age).exp()
     }
 }
@@ -73,7 +73,7 @@
 
 impl DemandMeter {
     /// A caller asks for a call of `route` at `service`, of so many bytes.
-    pub fn asked(
+    pub fn record_request(
         &mut self,
         service: &ResourceName,
         route: &ResourceName,
@@ -87,12 +87,12 @@
             work: 0.0,
             bytes: bytes as f64,
         });
-        demand.rate = demand.rate(now) + 1.0 / COUNTED.as_secs_f64();
+        demand.rate = demand.rate(now) + 1.0 / DEMAND_WINDOW.as_secs_f64();
         demand.at = now;
     }
 
     /// A call held a slot for `work`; request and answer had so many bytes.
-    pub fn answered(
+    pub fn record_response(
         &mut self,
         service: &ResourceName,
         route: &ResourceName,
@@ -119,7 +119,7 @@
     }
 
     /// Mean time for which a call of each route to `service` holds a slot.
-    pub fn work_times(&self, service: &ResourceName) -> HashMap<ResourceName, Duration> {
+    pub fn service_times(&self, service: &ResourceName) -> HashMap<ResourceName, Duration> {
         let service = self.services.get(service).into_iter();
         let routes = service.flat_map(|service| &service.routes);
         let known = routes.filter(|(_, demand)| demand.work > 0.0);
@@ -145,7 +145,7 @@
     /// Chance by route that a call to `service` leaves, so that the part `away` of the
     /// demand leaves in all. Those leave first that carry the fewest bytes for the slots
     /// that they need; a route that is not named stays.
-    pub fn chances(
+    pub fn spill_probabilities(
         &self,
         service: &ResourceName,
         away: f64,
--- a/crates/rampthread-core/src/call/demand_trend.rs
+++ b/crates/rampthread-core/src/call/demand_trend.rs
@@ -5,7 +5,7 @@
 //! zone whose room is gone. Level and slope are followed by an alpha-beta filter (Holt's
 //! linear smoothing; C. C. Holt, 1957, reprinted in Int. J. Forecasting 20, 2004).
 
-use super::demand::COUNTED;
+use super::demand::DEMAND_WINDOW;
 use super::zone_choice::ZoneStanding;
 use crate::ids::{ResourceName, Zone};
 use crate::time::Moment;
@@ -45,7 +45,7 @@
     }
 
     /// A further word; one that is not newer says nothing.
-    pub fn note(&mut self, demand: f64, at: Moment) {
+    pub fn update(&mut self, demand: f64, at: Moment) {
         let step = at.since(self.at);
         if step < LEAST_STEP {
             return;
@@ -63,7 +63,7 @@
     }
 
     /// Demand at `now`, as far as the words tell.
-    pub fn at(&self, now: Moment) -> f64 {
+    pub fn forecast(&self, now: Moment) -> f64 {
         let ahead = now.since(self.at).min(LONGEST_FORECAST);
         let largest = self.level * LARGEST_CHANGE;
         let change = self.slope * ahead.as_secs_f64();
@@ -92,17 +92,17 @@
                 continue;
             };
             // What is told is a mean over the time for which calls are counted.
-            let at = now - (age + COUNTED);
+            let at = now - (age + DEMAND_WINDOW);
             let trend = zones
                 .entry(standing.zone.clone())
                 .or_insert_with(|| DemandTrend::new(standing.demand, at));
-            trend.note(standing.demand, at);
-            standing.demand = trend.at(now);
+            trend.update(standing.demand, at);
+            standing.demand = trend.forecast(now);
         }
     }
 
     /// Forgets services other than `called`.
-    pub fn keep(&mut self, called: &[ResourceName]) {
+    pub fn retain_services(&mut self, called: &[ResourceName]) {
         self.trends.retain(|service, _| called.contains(service));
     }
 }
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Memory of the counts that are told: short beside the time that telling takes.
-const COUNTED: Duration = Duration::from_millis(250);
+const DEMAND_WINDOW: Duration = Duration::from_millis(250);
 /// Time that counts take from a node to its zone's sum, in the mean.
 const TOLD_AFTER: Duration = Duration::from_millis(300);
 /// Time in which what the bucket holds is spent, in seconds.
@@ -140,8 +140,8 @@
         let mut quota = Self {
             terms,
             limit,
-            asked: DecayingRate::new(COUNTED, now),
-            admitted: DecayingRate::new(COUNTED, now),
+            asked: DecayingRate::new(DEMAND_WINDOW, now),
+            admitted: DecayingRate::new(DEMAND_WINDOW, now),
             usual: DecayingRate::new(USUAL, now),
             zones: Vec::new(),
             last_asked: now,
@@ -487,7 +487,7 @@
 
 /// What a rate surely is that was counted as `rate`.
 fn at_least(rate: f64) -> f64 {
-    let deviation = (rate / (2.0 * COUNTED.as_secs_f64())).sqrt();
+    let deviation = (rate / (2.0 * DEMAND_WINDOW.as_secs_f64())).sqrt();
     (rate - DOUBT * deviation).max(0.0)
 }
 
--- a/crates/rampthread-core/tests/zone_choice.rs
+++ b/crates/rampthread-core/tests/zone_choice.rs
@@ -145,10 +145,10 @@
         let at = step as f64 * STEP;
         let told = (at / TOLD_EVERY).floor() * TOLD_EVERY - news_age;
         for (index, trend) in trends.iter_mut().enumerate() {
-            trend.note(demand(index, told), moment(told));
+            trend.update(demand(index, told), moment(told));
         }
         let known: Vec<ZoneStanding> = (0..2)
-            .map(|index| standing(index, CAPACITY, trends[index].at(moment(at))))
+            .map(|index| standing(index, CAPACITY, trends[index].forecast(moment(at))))
             .collect();
         let now = [demand(0, at), demand(1, at)];
         let arriving = served(&known, &now);
@@ -311,10 +311,10 @@
     let mut now = Moment(1_000_000);
     for _ in 0..200 {
         now = now + Duration::from_millis(20);
-        meter.asked(&service, &small, 200, now);
-        meter.asked(&service, &large, 60_000, now);
-        meter.answered(&service, &small, Duration::from_millis(200), 1_000);
-        meter.answered(&service, &large, Duration::from_millis(200), 61_000);
+        meter.record_request(&service, &small, 200, now);
+        meter.record_request(&service, &large, 60_000, now);
+        meter.record_response(&service, &small, Duration::from_millis(200), 1_000);
+        meter.record_response(&service, &large, Duration::from_millis(200), 61_000);
     }
     (meter, now)
 }
@@ -340,7 +340,7 @@
     let (mut meter, now) = metered();
     let before = meter.slots(&name("s"), now);
     for _ in 0..10 {
-        meter.asked(&name("s"), &name("new"), 100, now);
+        meter.record_request(&name("s"), &name("new"), 100, now);
     }
     let more = meter.slots(&name("s"), now) - before;
     assert!(
@@ -361,7 +361,7 @@
     #[case] large: Option<f64>,
 ) {
     let (meter, now) = metered();
-    let chances = meter.chances(&name("s"), away, now);
+    let chances = meter.spill_probabilities(&name("s"), away, now);
     let percent = |chance: Option<f64>| chance.map(|chance| (chance * 100.0).round());
     let found = |route| percent(chances.get(&name(route)).copied());
     assert_eq!(found("small"), percent(small));
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -63,14 +63,14 @@
     pub(super) fn note_demand(&self, call: &Call, bytes: usize) {
         let now = self.now();
         let demand = &mut self.state().zones.demand;
-        demand.asked(&call.service, &call.route.name, bytes, now);
+        demand.record_request(&call.service, &call.route.name, bytes, now);
     }
 
     /// A call was answered after it had a slot for `work`.
     pub(super) fn note_work(&self, call: &Call, choice: &Choice, work: Duration, bytes: usize) {
         let mut state = self.state();
         let demand = &mut state.zones.demand;
-        demand.answered(&call.service, &call.route.name, work, bytes);
+        demand.record_response(&call.service, &call.route.name, work, bytes);
         drop(state);
         if choice.zone != self.parts.zone {
             let label = SentAwayLabel {
@@ -84,7 +84,7 @@
     /// Mean time for which a call of each route to `service` holds a slot, at all its
     /// back ends together.
     pub fn usual_times(&self, service: &ResourceName) -> HashMap<ResourceName, Duration> {
-        self.state().zones.demand.work_times(service)
+        self.state().zones.demand.service_times(service)
     }
 
     /// Shares calls out anew by what zones have told.
@@ -98,7 +98,7 @@
         zones.demand.forget_idle(now);
         let services: Vec<ResourceName> = zones.demand.services().cloned().collect();
         zones.plans.retain(|service, _| services.contains(service));
-        zones.trends.keep(&services);
+        zones.trends.retain_services(&services);
         for service in services {
             let known = endpoints.service(&service);
             let slots = known.map(|known| known.slots_by_zone()).unwrap_or_default();
@@ -109,7 +109,7 @@
             zones.trends.forecast(&service, &mut standings, now);
             let shares = share_out(home, &standings);
             zones.log(&service, home, &shares, &standings, now);
-            let chances = zones.demand.chances(&service, shares.away, now);
+            let chances = zones.demand.spill_probabilities(&service, shares.away, now);
             let plan = Arc::new(ZonePlan { shares, chances });
             zones.plans.insert(service, plan);
         }
