--- a/crates/rampthread-core/src/call/fair_turns.rs
+++ b/crates/rampthread-core/src/call/fair_queue.rs
@@ -19,23 +19,23 @@
 
 /// The turns of owners at one queue.
 #[derive(Debug, Default)]
-pub struct FairTurns {
+pub struct FairQueue {
     /// Start of the call served last.
     clock: Duration,
     /// End of the last call of an owner, where that is ahead of the clock.
     ends: HashMap<String, Duration>,
 }
 
-impl FairTurns {
+impl FairQueue {
     /// Where the next call of `owner` starts; less goes first.
-    pub fn start(&self, owner: &str) -> Duration {
+    pub fn start_tag(&self, owner: &str) -> Duration {
         let end = self.ends.get(owner).copied().unwrap_or_default();
         end.max(self.clock)
     }
 
     /// A call of `owner` that needs so much work is served.
     pub fn served(&mut self, owner: &str, work: Option<Duration>) {
-        let start = self.start(owner);
+        let start = self.start_tag(owner);
         self.clock = start;
         let end = start + work.unwrap_or(UNKNOWN_WORK);
         if self.ends.len() >= MAX_REMEMBERED {
@@ -52,7 +52,7 @@
     }
 
     /// Nobody waited: what was served before, while others waited, is settled.
-    pub fn clear(&mut self) {
+    pub fn reset(&mut self) {
         self.clock = Duration::ZERO;
         self.ends.clear();
     }
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -17,7 +17,7 @@
 //! | [`admission`] | whether the node beside the back end lets it in |
 //! | [`rank_queue`] | which of the waiting calls of one rank goes next |
 //! | [`arrival`] | what a gate knows of a call that wants a slot |
-//! | [`fair_turns`] | whose turn it is among tenants or calling services |
+//! | [`fair_queue`] | whose turn it is among tenants or calling services |
 //! | [`pace`] | how fast a back end works, as the gate beside it has measured it |
 //! | [`pace_meter`] | how that is measured |
 //! | [`backend_load`] | what a back end says of its own load |
@@ -56,7 +56,7 @@
 pub mod demand_trend;
 pub mod dependency;
 pub mod dialect;
-pub mod fair_turns;
+pub mod fair_queue;
 pub mod fence;
 pub mod fence_finding;
 pub mod headers;
--- a/crates/rampthread-core/src/call/rank_queue.rs
+++ b/crates/rampthread-core/src/call/rank_queue.rs
@@ -1,7 +1,7 @@
 //! The waiting calls of one rank.
 //!
 //! Calls of higher precedence go first. Among those of one precedence their owners,
-//! tenants or calling services, take turns by work (see [`FairTurns`]), so that none can
+//! tenants or calling services, take turns by work (see [`FairQueue`]), so that none can
 //! starve the rest. Of one owner's calls the shorter one goes first (shortest job
 //! first): where slots are scarce, that answers the most callers, and a short call is
 //! often one that a longer call elsewhere holds its slot for. Among calls of about the
@@ -10,7 +10,7 @@
 //! ones, so that none is starved.
 
 use super::arrival::{Arrival, CallNumber};
-use super::fair_turns::FairTurns;
+use super::fair_queue::FairQueue;
 use super::precedence::Precedence;
 use crate::time::Moment;
 use std::collections::{HashMap, VecDeque};
@@ -60,7 +60,7 @@
 pub struct RankQueue {
     /// By caller, next first.
     waiting: HashMap<String, VecDeque<Arrival>>,
-    turns: FairTurns,
+    turns: FairQueue,
     length: u32,
     /// Turns since a longer call went before shorter ones.
     turns_taken: u32,
@@ -85,7 +85,7 @@
     /// Puts `arrival` in its place.
     pub fn push(&mut self, arrival: Arrival) {
         if self.is_empty() {
-            self.turns.clear();
+            self.turns.reset();
         }
         let queue = self.waiting.entry(arrival.caller.clone()).or_default();
         let place = queue.partition_point(|waiting| place_of(waiting) <= place_of(&arrival));
@@ -110,7 +110,7 @@
     fn next_in_turn(&self) -> Option<CallNumber> {
         let heads = self.waiting.iter().filter_map(|(owner, queue)| {
             let head = queue.front()?;
-            Some((head.precedence, self.turns.start(owner), head.call))
+            Some((head.precedence, self.turns.start_tag(owner), head.call))
         });
         heads.min().map(|(_, _, call)| call)
     }
--- a/crates/rampthread-core/tests/fair_turns.rs
+++ b/crates/rampthread-core/tests/fair_queue.rs
@@ -4,7 +4,7 @@
 use rampthread_core::call::admission::{
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
 };
-use rampthread_core::call::fair_turns::FairTurns;
+use rampthread_core::call::fair_queue::FairQueue;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::time::Moment;
 use rand::rngs::StdRng;
@@ -135,11 +135,11 @@
     /// Owners who always want more are served the same work, within two calls each.
     #[test]
     fn owners_with_demand_get_the_same(works in prop::collection::vec(1_u64..50, 2..12)) {
-        let mut turns = FairTurns::default();
+        let mut turns = FairQueue::default();
         let owners: Vec<String> = (0..works.len()).map(|owner| format!("owner-{owner}")).collect();
         let mut served = vec![0_u64; works.len()];
         for _ in 0..2_000 {
-            let next = (0..works.len()).min_by_key(|owner| turns.start(&owners[*owner])).unwrap();
+            let next = (0..works.len()).min_by_key(|owner| turns.start_tag(&owners[*owner])).unwrap();
             turns.served(&owners[next], Some(Duration::from_millis(works[next])));
             served[next] += works[next];
         }
@@ -152,13 +152,13 @@
 /// State stays bounded with ten thousand tenants, and the gate goes on serving all.
 #[test]
 fn ten_thousand_tenants() {
-    let mut turns = FairTurns::default();
+    let mut turns = FairQueue::default();
     for round in 0..3 {
         for tenant in 0..10_000 {
             let owner = format!("tenant-{tenant}");
-            let before = turns.start(&owner);
+            let before = turns.start_tag(&owner);
             turns.served(&owner, Some(Duration::from_millis(5)));
-            assert!(turns.start(&owner) >= before, "round {round}");
+            assert!(turns.start_tag(&owner) >= before, "round {round}");
         }
     }
     assert!(turns.remembered() <= 1_024);
