--- a/crates/rampthread-core/src/call/room.rs
+++ b/crates/rampthread-core/src/call/acceptance.rs
@@ -47,13 +47,13 @@
 
 /// What recent tries tell of the room at one service.
 #[derive(Debug, Clone)]
-pub struct Room {
+pub struct AcceptanceEstimator {
     own_zone: Zone,
     /// By zone; few, so that a search is cheap.
     refusals: Vec<Refusals>,
 }
 
-impl Room {
+impl AcceptanceEstimator {
     /// Nothing is known, as seen from `own_zone`.
     pub fn new(own_zone: Zone) -> Self {
         Self {
@@ -63,7 +63,7 @@
     }
 
     /// A gate of `zone` took a call or refused it for lack of room.
-    pub fn note(&mut self, zone: &Zone, refused: bool, now: Moment) {
+    pub fn record(&mut self, zone: &Zone, refused: bool, now: Moment) {
         let weight = match *zone == self.own_zone {
             true => NEAR_WEIGHT,
             false => FAR_WEIGHT,
@@ -84,34 +84,34 @@
     }
 
     /// Chance that a gate of `zone` has room.
-    pub fn chance(&self, zone: &Zone, now: Moment) -> f64 {
+    pub fn probability(&self, zone: &Zone, now: Moment) -> f64 {
         let known = self.refusals.iter().find(|known| known.zone == *zone);
         1.0 - known.map_or(0.0, |known| known.share(now))
     }
 
     /// True while it is worth asking a gate there that may have room.
-    pub fn is_worth_asking(&self, zone: &Zone, now: Moment) -> bool {
+    pub fn should_ask(&self, zone: &Zone, now: Moment) -> bool {
         let least = match *zone == self.own_zone {
             true => LEAST_NEAR_CHANCE,
             false => LEAST_FAR_CHANCE,
         };
-        self.chance(zone, now) >= least
+        self.probability(zone, now) >= least
     }
 
     /// True while a nested call should ask a gate there: in its own zone always, since the
     /// work done for its parent is lost if no gate is found.
-    pub fn is_worth_asking_nested(&self, zone: &Zone, now: Moment) -> bool {
-        *zone == self.own_zone || self.is_worth_asking(zone, now)
+    pub fn should_ask_nested(&self, zone: &Zone, now: Moment) -> bool {
+        *zone == self.own_zone || self.should_ask(zone, now)
     }
 
     /// True when a gate there that seems free most likely runs a call at once.
-    pub fn is_likely(&self, zone: &Zone, now: Moment) -> bool {
-        self.chance(zone, now) >= LIKELY_CHANCE
+    pub fn is_acceptance_likely(&self, zone: &Zone, now: Moment) -> bool {
+        self.probability(zone, now) >= LIKELY_CHANCE
     }
 
     /// True when a body of so many bytes is likely to be wasted by more than a
     /// question beforehand costs.
-    pub fn is_worth_a_question(&self, zone: &Zone, bytes: usize, now: Moment) -> bool {
-        bytes as f64 * (1.0 - self.chance(zone, now)) > QUESTION_BYTES
+    pub fn should_ask_before_body(&self, zone: &Zone, bytes: usize, now: Moment) -> bool {
+        bytes as f64 * (1.0 - self.probability(zone, now)) > QUESTION_BYTES
     }
 }
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -13,7 +13,7 @@
 //! | [`demand`] | what callers ask for, and which routes' calls are cheap to send away |
 //! | [`demand_trend`] | where demand stands now, from words that are old |
 //! | [`load_watch`] | whether a load is worth telling |
-//! | [`room`] | whether another gate is worth asking |
+//! | [`acceptance`] | whether another gate is worth asking |
 //! | [`admission`] | whether the node beside the back end lets it in |
 //! | [`rank_queue`] | which of the waiting calls of one rank goes next |
 //! | [`arrival`] | what a gate knows of a call that wants a slot |
@@ -43,6 +43,7 @@
 //! | [`recent_answers`] | which requests were answered since a crash |
 //! | [`quarantine`] | what becomes of a request under which back ends crash |
 
+pub mod acceptance;
 pub mod admission;
 pub mod arrival;
 pub mod attempt_age;
@@ -75,7 +76,6 @@
 pub mod recent_answers;
 pub mod retry_budget;
 pub mod return_advice;
-pub mod room;
 pub mod route_table;
 pub mod service_times;
 pub mod tenant_table;
--- a/crates/rampthread-core/tests/room_properties.rs
+++ b/crates/rampthread-core/tests/acceptance_properties.rs
@@ -2,12 +2,12 @@
 //! asked.
 
 use proptest::prelude::*;
+use rampthread_core::call::acceptance::AcceptanceEstimator;
 use rampthread_core::call::admission::{
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
 };
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
 use rampthread_core::call::precedence::Precedence;
-use rampthread_core::call::room::Room;
 use rampthread_core::ids::{NodeId, Zone};
 use rampthread_core::time::Moment;
 use rand::{Rng, SeedableRng};
@@ -23,19 +23,19 @@
 
 /// What is known after 200 tries in `zone_name` of which `percent` in 100 were
 /// refused.
-fn after_refusals(percent: u32, zone_name: &str) -> Room {
-    let mut room = Room::new(zone("near"));
+fn after_refusals(percent: u32, zone_name: &str) -> AcceptanceEstimator {
+    let mut room = AcceptanceEstimator::new(zone("near"));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for _ in 0..200 {
-        room.note(&zone(zone_name), rng.random_range(0..100) < percent, START);
+        room.record(&zone(zone_name), rng.random_range(0..100) < percent, START);
     }
     room
 }
 
 #[rstest]
 fn gates_are_asked_in_turn_only_where_some_have_room(#[values("near", "far")] at: &str) {
-    let asked = |percent| after_refusals(percent, at).is_worth_asking(&zone(at), START);
-    assert!(Room::new(zone("near")).is_worth_asking(&zone(at), START));
+    let asked = |percent| after_refusals(percent, at).should_ask(&zone(at), START);
+    assert!(AcceptanceEstimator::new(zone("near")).should_ask(&zone(at), START));
     assert!(asked(0) && asked(2));
     assert!(!asked(95) && !asked(100));
 }
@@ -43,8 +43,8 @@
 /// Another gate is expected to run a call at once only while most tries find room.
 #[rstest]
 fn a_call_waits_in_order_where_many_are_refused(#[values("near", "far")] at: &str) {
-    let likely = |percent| after_refusals(percent, at).is_likely(&zone(at), START);
-    assert!(Room::new(zone("near")).is_likely(&zone(at), START));
+    let likely = |percent| after_refusals(percent, at).is_acceptance_likely(&zone(at), START);
+    assert!(AcceptanceEstimator::new(zone("near")).is_acceptance_likely(&zone(at), START));
     assert!(likely(0) && likely(2));
     assert!(!likely(95) && !likely(100));
 }
@@ -53,32 +53,32 @@
 #[test]
 fn a_nested_call_asks_all_gates_of_its_zone() {
     let near = after_refusals(100, "near");
-    assert!(!near.is_worth_asking(&zone("near"), START));
-    assert!(near.is_worth_asking_nested(&zone("near"), START));
+    assert!(!near.should_ask(&zone("near"), START));
+    assert!(near.should_ask_nested(&zone("near"), START));
     let far = after_refusals(100, "far");
-    assert!(!far.is_worth_asking_nested(&zone("far"), START));
+    assert!(!far.should_ask_nested(&zone("far"), START));
 }
 
 #[test]
 fn refusals_of_one_zone_say_nothing_of_another() {
     let near = after_refusals(100, "near");
-    assert!(near.is_worth_asking(&zone("far"), START));
+    assert!(near.should_ask(&zone("far"), START));
     let far = after_refusals(100, "far");
-    assert!(far.is_worth_asking(&zone("near"), START));
-    assert!(far.is_worth_asking(&zone("third"), START));
+    assert!(far.should_ask(&zone("near"), START));
+    assert!(far.should_ask(&zone("third"), START));
 }
 
 #[test]
 fn what_was_learnt_fades() {
     let room = after_refusals(100, "far");
     let later = START + Duration::from_secs(4);
-    assert!(room.is_worth_asking(&zone("far"), later));
+    assert!(room.should_ask(&zone("far"), later));
 }
 
 #[test]
 fn a_question_goes_before_a_body_that_is_likely_wasted() {
     let asks = |percent, bytes| {
-        after_refusals(percent, "near").is_worth_a_question(&zone("near"), bytes, START)
+        after_refusals(percent, "near").should_ask_before_body(&zone("near"), bytes, START)
     };
     assert!(!asks(0, 100_000), "nobody refuses");
     assert!(!asks(100, 0), "there is no body");
--- a/crates/rampthread-core/tests/order_under_overload.rs
+++ b/crates/rampthread-core/tests/order_under_overload.rs
@@ -4,19 +4,19 @@
 mod overload;
 
 use overload::{ExpectsRoom, Overload, Served};
-use rampthread_core::call::room::Room;
+use rampthread_core::call::acceptance::AcceptanceEstimator;
 use rampthread_core::ids::Zone;
 use rampthread_core::time::Moment;
 use rstest::rstest;
 
 /// As long as it is worth asking another gate at all.
-fn while_worth_asking(room: &Room, zone: &Zone, now: Moment) -> bool {
-    room.is_worth_asking(zone, now)
+fn while_worth_asking(room: &AcceptanceEstimator, zone: &Zone, now: Moment) -> bool {
+    room.should_ask(zone, now)
 }
 
 /// As long as another gate most likely runs the call at once.
-fn while_likely(room: &Room, zone: &Zone, now: Moment) -> bool {
-    room.is_likely(zone, now)
+fn while_likely(room: &AcceptanceEstimator, zone: &Zone, now: Moment) -> bool {
+    room.is_acceptance_likely(zone, now)
 }
 
 fn play(seed: u64, expects_room: ExpectsRoom, load: fn(u64) -> f64) -> Served {
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -1,11 +1,11 @@
 //! A service at its gates under generated load: calls come, ask gates in turn, wait, run
 //! or are refused, and come back. Time is simulated; all decisions are the product's own.
 
+use rampthread_core::call::acceptance::AcceptanceEstimator;
 use rampthread_core::call::admission::{
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
 };
 use rampthread_core::call::precedence::Precedence;
-use rampthread_core::call::room::Room;
 use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::ids::{ResourceName, Zone};
 use rampthread_core::time::Moment;
@@ -33,7 +33,7 @@
 const OVERTAKEN: f64 = 1.5;
 
 /// While an entry takes it that another gate runs the call at once.
-pub type ExpectsRoom = fn(&Room, &Zone, Moment) -> bool;
+pub type ExpectsRoom = fn(&AcceptanceEstimator, &Zone, Moment) -> bool;
 
 /// What callers got.
 #[derive(Debug, Default, Clone)]
@@ -84,7 +84,7 @@
 /// Gates, callers and what is to happen.
 pub struct Overload {
     gates: Vec<AdmissionController>,
-    room: Room,
+    room: AcceptanceEstimator,
     zone: Zone,
     work_times: ServiceTimes,
     route: ResourceName,
@@ -110,7 +110,7 @@
             gates: (0..GATES)
                 .map(|_| AdmissionController::new(limits))
                 .collect(),
-            room: Room::new(zone.clone()),
+            room: AcceptanceEstimator::new(zone.clone()),
             zone,
             work_times,
             route,
@@ -177,7 +177,7 @@
             let arrival = self.arrival(call, patience, now);
             let admitted = self.gates[gate].arrive(arrival, now);
             let refused = matches!(admitted, AdmissionDecision::Refused { .. });
-            self.room.note(&self.zone.clone(), refused, now);
+            self.room.record(&self.zone.clone(), refused, now);
             match admitted {
                 AdmissionDecision::Run => return self.begins(call, gate, now),
                 AdmissionDecision::Wait => {
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -32,6 +32,7 @@
 
 use http::{Request, Response};
 use progress::Progress;
+use rampthread_core::call::acceptance::AcceptanceEstimator;
 use rampthread_core::call::attempt_age::AttemptAges;
 use rampthread_core::call::attempts::{RetryBudget, RetryShare};
 use rampthread_core::call::balance::{BalanceMode, Balancer};
@@ -42,7 +43,6 @@
 use rampthread_core::call::peer_crash_watch::PeerCrashWatch;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::quarantine::Standing;
-use rampthread_core::call::room::Room;
 use rampthread_core::config::Route;
 use rampthread_core::fleet::{Decision, TenantTag};
 use rampthread_core::ids::{NodeId, ResourceName, Zone};
@@ -119,7 +119,7 @@
     budgets: HashMap<ResourceName, RetryBudget>,
     serving: HashMap<NodeId, ResourceName>,
     ages: AttemptAges,
-    rooms: HashMap<ResourceName, Room>,
+    rooms: HashMap<ResourceName, AcceptanceEstimator>,
     nested: NestedRoutes,
     /// Answers that other nodes' back ends lost.
     losses: PeerCrashWatch,
@@ -374,8 +374,8 @@
         let zone = &self.parts.zone;
         let room = self.room(call);
         let may_ask = |zone: &Zone| match call.is_nested() {
-            true => room.is_worth_asking_nested(zone, now),
-            false => room.is_worth_asking(zone, now),
+            true => room.should_ask_nested(zone, now),
+            false => room.should_ask(zone, now),
         };
         let mut rng = rand::rng();
         let mut state = self.state();
@@ -388,7 +388,7 @@
         let may_go_to = |to: &Zone| may_ask(to) && has_told_room(to);
         let away = (plan.as_ref())
             .and_then(|plan| plan.draw(&call.route.name, &mut rng))
-            .filter(|zone| room.chance(zone, now) >= LEAST_PLANNED_CHANCE);
+            .filter(|zone| room.probability(zone, now) >= LEAST_PLANNED_CHANCE);
         let placed = away.and_then(|zone| {
             let balancer = &state.balancer;
             balancer.choose_in(&candidates, tried, zone, now, &mut rng)
@@ -401,7 +401,7 @@
             other.node != chosen.node
                 && !tried.contains(&other.node)
                 && may_go_to(&other.zone)
-                && room.is_likely(&other.zone, now)
+                && room.is_acceptance_likely(&other.zone, now)
                 && state.balancer.has_room(other, now)
         });
         Some(Choice {
@@ -412,7 +412,7 @@
             target: service.targets.get(&chosen.node)?.clone(),
             others_free,
             seen_load: state.balancer.seen_load(&chosen.node, now),
-            room_percent: (room.chance(&chosen.zone, now) * 100.0) as u32,
+            room_percent: (room.probability(&chosen.zone, now) * 100.0) as u32,
             on_trial,
         })
     }
@@ -420,22 +420,22 @@
 
 impl Entry {
     /// What recent tries tell of the room at the call's service.
-    fn room(&self, call: &Call) -> Room {
+    fn room(&self, call: &Call) -> AcceptanceEstimator {
         let state = self.state();
         let known = state.rooms.get(&call.service).cloned();
-        known.unwrap_or_else(|| Room::new(self.parts.zone.clone()))
+        known.unwrap_or_else(|| AcceptanceEstimator::new(self.parts.zone.clone()))
     }
 
     /// A gate of the call's service took it, or refused it for lack of room.
     fn note_room(&self, call: &Call, choice: &Choice, refused: bool) {
         let now = self.now();
         let mut state = self.state();
-        let unknown = || Room::new(self.parts.zone.clone());
+        let unknown = || AcceptanceEstimator::new(self.parts.zone.clone());
         let room = state
             .rooms
             .entry(call.service.clone())
             .or_insert_with(unknown);
-        room.note(&choice.zone, refused, now);
+        room.record(&choice.zone, refused, now);
         if refused {
             state.zones.refused(&call.service, now);
         }
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -107,7 +107,7 @@
         bytes >= LARGE_BODY
             || self
                 .room(call)
-                .is_worth_a_question(&choice.zone, bytes, now)
+                .should_ask_before_body(&choice.zone, bytes, now)
     }
 
     /// While another back end seems free, this one runs the call now or not at
