--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -28,14 +28,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn arrival(call: u64, rank: u32, deadline: Moment, patience: Duration) -> Arrival {
+fn arrival(call: u64, rank: u32, deadline: Moment, max_wait: Duration) -> Arrival {
     Arrival {
         call,
         caller: "caller".to_string(),
         deadline,
         rank,
         precedence: Precedence::FirstAttempt,
-        max_wait: patience,
+        max_wait,
         expected_service_time: None,
     }
 }
@@ -118,10 +118,10 @@
         for work in works {
             let mut times = ServiceTimes::default();
             times.answered(&name("r"), Duration::from_millis(work));
-            let patience = times.max_wait(&name("r"), target, Precedence::FirstAttempt, HOUR);
-            prop_assert!(patience <= last && patience <= target.mul_f64(0.4));
-            prop_assert!(patience >= target.mul_f64(0.15));
-            last = patience;
+            let max_wait = times.max_wait(&name("r"), target, Precedence::FirstAttempt, HOUR);
+            prop_assert!(max_wait <= last && max_wait <= target.mul_f64(0.4));
+            prop_assert!(max_wait >= target.mul_f64(0.15));
+            last = max_wait;
         }
     }
 
@@ -280,9 +280,9 @@
 fn a_queue_of_long_calls_keeps_no_short_one_out() {
     let mut admission = AdmissionController::new(AdmissionLimits { slots: 2, queue: 4 });
     let now = Moment(1);
-    let patience = Duration::from_millis(300);
+    let max_wait = Duration::from_millis(300);
     let long = |call| Arrival {
-        max_wait: patience,
+        max_wait,
         ..arrival_with_work(call, 200)
     };
     let waiting: Vec<AdmissionDecision> = (0..20)
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -173,8 +173,8 @@
             tried.push(gate);
             let others =
                 tried.len() < MAX_TRIES && (self.expects_room)(&self.room, &self.zone, now);
-            let patience = self.patience(call, others, now);
-            let arrival = self.arrival(call, patience, now);
+            let max_wait = self.max_wait(call, others, now);
+            let arrival = self.arrival(call, max_wait, now);
             let admitted = self.gates[gate].arrive(arrival, now);
             let refused = matches!(admitted, AdmissionDecision::Refused { .. });
             self.room.record(&self.zone.clone(), refused, now);
@@ -182,7 +182,7 @@
                 AdmissionDecision::Run => return self.begins(call, gate, now),
                 AdmissionDecision::Wait => {
                     self.callers.get_mut(&call).unwrap().waits = true;
-                    let at = now + patience.mul_f64(OVERTAKEN);
+                    let at = now + max_wait.mul_f64(OVERTAKEN);
                     return self.at(at, Event::GivesUp { call, gate });
                 }
                 AdmissionDecision::Refused { .. } => self.served.refused_tries += 1,
@@ -201,7 +201,7 @@
         }
     }
 
-    fn patience(&self, call: u64, others: bool, now: Moment) -> Duration {
+    fn max_wait(&self, call: u64, others: bool, now: Moment) -> Duration {
         if others {
             return Duration::ZERO;
         }
@@ -211,14 +211,14 @@
             .max_wait(&self.route, TARGET, precedence, left)
     }
 
-    fn arrival(&self, call: u64, patience: Duration, now: Moment) -> Arrival {
+    fn arrival(&self, call: u64, max_wait: Duration, now: Moment) -> Arrival {
         Arrival {
             call,
             caller: String::new(),
             deadline: (self.callers[&call].first + DEADLINE).max(now),
             rank: 1,
             precedence: self.precedence(call),
-            max_wait: patience,
+            max_wait,
             expected_service_time: Some(WORK),
         }
     }
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -144,19 +144,19 @@
             None => Precedence::FirstAttempt,
         };
         let left = call.deadline.since(now);
-        let patience = self.times.max_wait(&self.route, TARGET, precedence, left);
+        let max_wait = self.times.max_wait(&self.route, TARGET, precedence, left);
         let arrival = Arrival {
             call: number,
             caller: String::new(),
             deadline: call.deadline,
             rank: 1,
             precedence,
-            max_wait: patience,
+            max_wait,
             expected_service_time: Some(WORK),
         };
         match self.gates[call.service].arrive(arrival, now) {
             AdmissionDecision::Run => self.begins(number, now),
-            AdmissionDecision::Wait => self.at(now + patience, Event::GivesUp(number)),
+            AdmissionDecision::Wait => self.at(now + max_wait, Event::GivesUp(number)),
             AdmissionDecision::Refused { .. } => self.refused(number, now),
         }
     }
--- a/crates/rampthread-core/tests/transfer_properties.rs
+++ b/crates/rampthread-core/tests/transfer_properties.rs
@@ -9,7 +9,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Offer { bytes: u64, patience_ms: u64 },
+    Offer { bytes: u64, max_wait_ms: u64 },
     End { pick: usize, arrived: bool },
     Withdraw(usize),
     Pass(u64),
@@ -18,7 +18,7 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (1_u64..400_000, 0_u64..500)
-            .prop_map(|(bytes, patience_ms)| Step::Offer { bytes, patience_ms }),
+            .prop_map(|(bytes, max_wait_ms)| Step::Offer { bytes, max_wait_ms }),
         3 => (any::<usize>(), any::<bool>()).prop_map(|(pick, arrived)| Step::End { pick, arrived }),
         1 => any::<usize>().prop_map(Step::Withdraw),
         2 => (1_u64..80).prop_map(Step::Pass),
@@ -29,11 +29,11 @@
     set.iter().nth(pick % set.len().max(1)).copied()
 }
 
-fn offer(call: u64, bytes: u64, patience: Duration) -> BodyOffer {
+fn offer(call: u64, bytes: u64, max_wait: Duration) -> BodyOffer {
     BodyOffer {
         call,
         bytes,
-        max_wait: patience,
+        max_wait,
     }
 }
 
@@ -48,9 +48,9 @@
         for (number, step) in steps.into_iter().enumerate() {
             let call = number as u64;
             match step {
-                Step::Offer { bytes, patience_ms } => {
-                    let patience = Duration::from_millis(patience_ms);
-                    match transfers.offer(offer(call, bytes, patience), now) {
+                Step::Offer { bytes, max_wait_ms } => {
+                    let max_wait = Duration::from_millis(max_wait_ms);
+                    match transfers.offer(offer(call, bytes, max_wait), now) {
                         Offered::Granted => prop_assert!(sent.insert(call)),
                         Offered::Waits => prop_assert!(waiting.insert(call)),
                         Offered::Refused { retry_after } => prop_assert!(!retry_after.is_zero()),
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -17,7 +17,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// A call that others overtake waits this much longer than its patience; then
+/// A call that others overtake waits this much longer than its maximum wait; then
 /// its slot is worth more to a call that can still be answered in time.
 pub(super) const OVERTAKEN_SHARE: f64 = 1.5;
 
@@ -76,7 +76,7 @@
             let mut state = self.state();
             let precedence = precedence(&mut state.dependencies, hop);
             let arrival = self.arrival(&state, hop, number, precedence, now);
-            let (patience, left) = (arrival.max_wait, hop.deadline.since(now));
+            let (max_wait, left) = (arrival.max_wait, hop.deadline.since(now));
             match state.admission.arrive(arrival, now) {
                 AdmissionDecision::Run => None,
                 AdmissionDecision::Refused { retry_after } => {
@@ -85,7 +85,7 @@
                 AdmissionDecision::Wait => {
                     let (sender, receiver) = async_channel::bounded(1);
                     state.waiting.insert(number, sender);
-                    let longest = patience.mul_f64(OVERTAKEN_SHARE);
+                    let longest = max_wait.mul_f64(OVERTAKEN_SHARE);
                     Some((receiver, longest.min(left)))
                 }
             }
@@ -119,7 +119,7 @@
         now: Moment,
     ) -> Arrival {
         let left = hop.deadline.since(now);
-        let patience = match hop.waiting {
+        let max_wait = match hop.waiting {
             Waiting::Never => Duration::ZERO,
             Waiting::ForTarget(target) => state
                 .work_times
@@ -132,7 +132,7 @@
             deadline: hop.deadline,
             rank: hop.rank,
             precedence,
-            max_wait: patience,
+            max_wait,
             expected_service_time: state.work_times.expected(&hop.route),
         }
     }
