--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -12,7 +12,7 @@
     pub(super) fn dispatch(&mut self, envelope: Envelope, now: Moment, outbox: &mut Outbox) {
         let Envelope {
             from,
-            life,
+            process_epoch,
             message,
         } = envelope;
         match message {
@@ -115,29 +115,29 @@
             Message::HeadAnswer { nonce, head } => self.on_head(nonce, head, now, outbox),
             Message::Record {
                 record,
-                witness_life,
+                witness_epoch,
             } => {
                 self.hear(&from, record.version, now, outbox);
-                let version = if witness_life == self.identity.life {
+                let version = if witness_epoch == self.identity.process_epoch {
                     self.witness_book.note(&from, record)
                 } else {
                     Version::ZERO
                 };
-                let asker_life = life;
+                let asker_epoch = process_epoch;
                 outbox.send(
                     &from,
                     Message::RecordAck {
                         version,
-                        asker_life,
+                        asker_epoch,
                     },
                 );
             }
             Message::RecordAck {
                 version,
-                asker_life,
+                asker_epoch,
             } => {
-                if asker_life == self.identity.life {
-                    self.adoption.on_ack(&from, life, version, outbox);
+                if asker_epoch == self.identity.process_epoch {
+                    self.adoption.on_ack(&from, process_epoch, version, outbox);
                 }
             }
             Message::FloorQuestion { nonce } => {
@@ -163,20 +163,20 @@
             }
             Message::Propose {
                 submission,
-                reader_life,
+                reader_epoch,
                 entry,
             } => {
                 let asker = Asker {
                     node: from,
                     submission,
                 };
-                self.on_propose(asker, reader_life, entry, now, outbox);
+                self.on_propose(asker, reader_epoch, entry, now, outbox);
             }
             Message::ProposeAnswer {
                 submission, answer, ..
             } => self
                 .proposals
-                .on_answer(&from, life, submission, answer, outbox),
+                .on_answer(&from, process_epoch, submission, answer, outbox),
             Message::SpreadQuestion { nonce } => {
                 if self.reader.holds_lease(now) {
                     let spread = self.spread();
@@ -195,7 +195,7 @@
             }
             Message::Rollouts(states) => self.on_roll_outs(&from, states, now, outbox),
             Message::VersionEvidence(evidence) => {
-                self.on_version_evidence(&from, life, &evidence);
+                self.on_version_evidence(&from, process_epoch, &evidence);
             }
             Message::StoreEra { era } => self.on_store_era(era, outbox),
             Message::Drain => self.start_drain("machine list, told by a reader", outbox),
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -38,7 +38,7 @@
     Conditions, EndpointRecord, Incarnation, Machine, MemberRecord, Status,
 };
 use crate::fleet::membership::Membership;
-use crate::fleet::message::{Envelope, Life, Message, SharedBytes};
+use crate::fleet::message::{Envelope, Message, ProcessEpoch, SharedBytes};
 use crate::fleet::proposals::Proposals;
 use crate::fleet::reader::Reader;
 use crate::fleet::replica::Replica;
@@ -74,7 +74,7 @@
     /// Its region.
     pub region: Region,
     /// Wall clock at the start of the process, in microseconds.
-    pub life: Life,
+    pub process_epoch: ProcessEpoch,
 }
 
 /// A deliberate fault. Tests switch one on to show that a property can fail.
@@ -114,7 +114,7 @@
     /// Chance for the calls to the store that holds the document.
     watch_rng: ChaCha8Rng,
     membership: Membership,
-    lives: BTreeMap<NodeId, Life>,
+    epochs: BTreeMap<NodeId, ProcessEpoch>,
     replica: Replica,
     distribution: Distribution,
     /// The last states, where the configuration is a document.
@@ -182,17 +182,17 @@
             address: identity.address,
             zone: identity.zone.clone(),
             region: identity.region.clone(),
-            incarnation: first_incarnation(identity.life),
+            incarnation: first_incarnation(identity.process_epoch),
             status: Status::Alive,
             conditions: Conditions::default(),
             endpoint: None,
         };
-        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ identity.life);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ identity.process_epoch);
         let mut membership = Membership::new(me, settings.transmission_factor, now);
         membership.list_machines(machines, now);
         Self {
             membership,
-            lives: BTreeMap::new(),
+            epochs: BTreeMap::new(),
             replica: Replica::new(settings.kept_entries),
             distribution: Distribution::default(),
             history: DocumentHistory::default(),
@@ -217,7 +217,7 @@
             refused: VecDeque::new(),
             holders: Holders::default(),
             reports: HeldReports::default(),
-            proposals: Proposals::new(identity.life),
+            proposals: Proposals::new(identity.process_epoch),
             spread_requests: Vec::new(),
             crashes: crash_news::CrashNews::new(),
             loads: LoadExchange::default(),
@@ -235,7 +235,7 @@
             snapshot_request: None,
             defect: None,
             settings,
-            watch_rng: ChaCha8Rng::seed_from_u64(!seed ^ identity.life),
+            watch_rng: ChaCha8Rng::seed_from_u64(!seed ^ identity.process_epoch),
             identity,
             rng,
         }
@@ -315,9 +315,9 @@
         if envelope.from == self.identity.id {
             return Vec::new();
         }
-        let known_life = self.lives.entry(envelope.from.clone()).or_default();
-        let started_anew = envelope.life > *known_life;
-        *known_life = envelope.life.max(*known_life);
+        let known_epoch = self.epochs.entry(envelope.from.clone()).or_default();
+        let started_anew = envelope.process_epoch > *known_epoch;
+        *known_epoch = envelope.process_epoch.max(*known_epoch);
         if started_anew {
             self.tell_newcomer(&envelope.from, now, &mut outbox);
         }
@@ -411,7 +411,7 @@
                 crosses_zones: record.zone != self.identity.zone,
                 envelope: Envelope {
                     from: self.identity.id.clone(),
-                    life: self.identity.life,
+                    process_epoch: self.identity.process_epoch,
                     message,
                 },
                 to,
@@ -439,7 +439,7 @@
     }
 }
 
-fn first_incarnation(life: Life) -> Incarnation {
+fn first_incarnation(process_epoch: ProcessEpoch) -> Incarnation {
     const MICROS_PER_SECOND: u64 = 1_000_000;
-    life / MICROS_PER_SECOND
+    process_epoch / MICROS_PER_SECOND
 }
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -3,7 +3,7 @@
 use super::{Agent, AwaitedHold, MAX_REFUSED};
 use crate::config::{LogEntry, Outcome};
 use crate::fleet::action::{Action, Outbox};
-use crate::fleet::message::{Life, Message, ProposalAnswer, SharedBytes, Spread};
+use crate::fleet::message::{Message, ProcessEpoch, ProposalAnswer, SharedBytes, Spread};
 use crate::fleet::writer::Asker;
 use crate::ids::{OperationId, Version};
 use crate::time::Moment;
@@ -12,27 +12,27 @@
     pub(super) fn tick_proposals(&mut self, now: Moment, outbox: &mut Outbox) {
         let own = self.proposals.tick(
             now,
-            self.identity.life,
-            &self.lives,
+            self.identity.process_epoch,
+            &self.epochs,
             &self.membership,
             &self.settings,
             &mut self.rng,
             outbox,
         );
-        let life = self.identity.life;
+        let process_epoch = self.identity.process_epoch;
         for proposal in own {
             let asker = Asker {
                 node: self.identity.id.clone(),
                 submission: proposal.submission,
             };
-            self.on_propose(asker, life, proposal.entry, now, outbox);
+            self.on_propose(asker, process_epoch, proposal.entry, now, outbox);
         }
     }
 
     pub(super) fn on_propose(
         &mut self,
         asker: Asker,
-        reader_life: Life,
+        reader_epoch: ProcessEpoch,
         entry: SharedBytes,
         now: Moment,
         outbox: &mut Outbox,
@@ -41,8 +41,8 @@
             return;
         };
         let operation_id = decoded.change.operation_id.clone();
-        if reader_life != self.identity.life {
-            let answer = ProposalAnswer::OtherLife;
+        if reader_epoch != self.identity.process_epoch {
+            let answer = ProposalAnswer::EpochMismatch;
             self.answer_asker(asker, operation_id, answer, outbox);
             return;
         }
@@ -87,9 +87,9 @@
         }
         let submission = asker.submission;
         if asker.node == self.identity.id {
-            let life = self.identity.life;
+            let process_epoch = self.identity.process_epoch;
             self.proposals
-                .on_answer(&asker.node, life, submission, answer, outbox);
+                .on_answer(&asker.node, process_epoch, submission, answer, outbox);
             return;
         }
         let message = Message::ProposeAnswer {
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -8,7 +8,7 @@
 
 use super::Agent;
 use crate::fleet::action::{Action, Decision, Outbox};
-use crate::fleet::message::{Life, Message};
+use crate::fleet::message::{Message, ProcessEpoch};
 use crate::ids::{NodeId, ResourceName, SoftwareVersion};
 use crate::rendezvous;
 use crate::rollout::decider::{DeciderStep, Surroundings};
@@ -405,11 +405,11 @@
     pub(super) fn on_version_evidence(
         &mut self,
         from: &NodeId,
-        life: Life,
+        process_epoch: ProcessEpoch,
         evidence: &[VersionEvidence],
     ) {
         if let Some(roll_outs) = &mut self.roll_outs {
-            roll_outs.decider.on_evidence(from, life, evidence);
+            roll_outs.decider.on_evidence(from, process_epoch, evidence);
         }
     }
 
@@ -446,8 +446,10 @@
         }
         for (decider, evidence) in by_decider {
             if decider == self.identity.id {
-                let life = self.identity.life;
-                roll_outs.decider.on_evidence(&decider, life, &evidence);
+                let process_epoch = self.identity.process_epoch;
+                roll_outs
+                    .decider
+                    .on_evidence(&decider, process_epoch, &evidence);
                 continue;
             }
             for rows in evidence.chunks(ROWS_PER_MESSAGE) {
--- a/crates/rampthread-core/src/fleet/message.rs
+++ b/crates/rampthread-core/src/fleet/message.rs
@@ -14,16 +14,16 @@
 
 /// Identifies one run of a node's process: the wall clock at its start, in microseconds.
 /// Requests meant for one run must not affect another.
-pub type Life = u64;
+pub type ProcessEpoch = u64;
 
 /// A message with its sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Envelope {
     /// Id of the sending node.
     pub from: NodeId,
-    /// Run of the sender.
-    pub life: Life,
-    /// What it says.
+    /// Process epoch of the sender.
+    pub process_epoch: ProcessEpoch,
+    /// Payload of the message.
     pub message: Message,
 }
 
@@ -74,7 +74,7 @@
     /// A write may have taken effect. The caller has to look up the operation later.
     Unknown,
     /// The proposal was addressed to another run of the reader.
-    OtherLife,
+    EpochMismatch,
 }
 
 /// A node that does not hold the newest version.
@@ -184,16 +184,16 @@
     Record {
         /// Record to store.
         record: WitnessRecord,
-        /// Run of the witness that the record is meant for. Other runs must not store it: a
+        /// Process epoch of the witness that the record is meant for. Other runs must not store it: a
         /// delayed copy could take the place of newer records that were lost in a restart.
-        witness_life: Life,
+        witness_epoch: ProcessEpoch,
     },
     /// Reply to [`Message::Record`].
     RecordAck {
         /// Recorded version; 0 if the request was meant for another run of the witness.
         version: Version,
-        /// Run of the requesting node.
-        asker_life: Life,
+        /// Process epoch of the requesting node.
+        asker_epoch: ProcessEpoch,
     },
     /// Asks a witness which version the sender held before its restart.
     FloorQuestion {
@@ -213,8 +213,8 @@
     Propose {
         /// Number of the submission, unique at its sender.
         submission: u64,
-        /// Run of the reader that the submission is meant for. Other runs must not process it.
-        reader_life: Life,
+        /// Process epoch of the reader that the submission is meant for. Other runs must not process it.
+        reader_epoch: ProcessEpoch,
         /// The encoded entry.
         entry: SharedBytes,
     },
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -5,7 +5,7 @@
 
 use super::action::{Action, Outbox, Ticket};
 use super::membership::Membership;
-use super::message::{Life, Message, ProposalAnswer, SharedBytes};
+use super::message::{Message, ProcessEpoch, ProposalAnswer, SharedBytes};
 use super::settings::FleetSettings;
 use crate::ids::NodeId;
 use crate::time::Moment;
@@ -27,7 +27,7 @@
     submission: u64,
     entry: SharedBytes,
     begun: Moment,
-    target: Option<(NodeId, Life)>,
+    target: Option<(NodeId, ProcessEpoch)>,
     sent: Moment,
     /// True if the proposal was sent to more than one reader or to several runs of one.
     spread_out: bool,
@@ -52,10 +52,10 @@
 impl Proposals {
     /// Submissions are numbered from the process epoch on, so that replies to an earlier run of
     /// this node do not match those of the current one.
-    pub fn new(life: Life) -> Self {
+    pub fn new(process_epoch: ProcessEpoch) -> Self {
         Self {
             open: Vec::new(),
-            next_submission: life,
+            next_submission: process_epoch,
         }
     }
 
@@ -78,8 +78,8 @@
     pub fn tick(
         &mut self,
         now: Moment,
-        my_life: Life,
-        lives: &BTreeMap<NodeId, Life>,
+        my_epoch: ProcessEpoch,
+        epochs: &BTreeMap<NodeId, ProcessEpoch>,
         membership: &Membership,
         settings: &FleetSettings,
         rng: &mut impl Rng,
@@ -99,12 +99,12 @@
             let Some(reader) = choose_reader(open, membership, rng) else {
                 continue;
             };
-            let life = if reader == *me {
-                my_life
+            let process_epoch = if reader == *me {
+                my_epoch
             } else {
-                lives.get(&reader).copied().unwrap_or_default()
+                epochs.get(&reader).copied().unwrap_or_default()
             };
-            open.aim(reader.clone(), life, now);
+            open.aim(reader.clone(), process_epoch, now);
             let submission = open.submission;
             let entry = open.entry.clone();
             if reader == *me {
@@ -112,7 +112,7 @@
             } else {
                 let message = Message::Propose {
                     submission,
-                    reader_life: life,
+                    reader_epoch: process_epoch,
                     entry,
                 };
                 outbox.send(&reader, message);
@@ -128,7 +128,7 @@
     pub fn on_answer(
         &mut self,
         from: &NodeId,
-        life: Life,
+        process_epoch: ProcessEpoch,
         submission: u64,
         answer: ProposalAnswer,
         outbox: &mut Outbox,
@@ -140,10 +140,10 @@
         let Some(open) = found else { return };
         let answer = match answer {
             ProposalAnswer::Decided { .. } => answer,
-            ProposalAnswer::NotRun { .. } if open.is_sure_of(from, life) => answer,
+            ProposalAnswer::NotRun { .. } if open.is_sure_of(from, process_epoch) => answer,
             ProposalAnswer::NotRun { .. } => return,
             ProposalAnswer::Unknown => ProposalAnswer::Unknown,
-            ProposalAnswer::OtherLife => {
+            ProposalAnswer::EpochMismatch => {
                 open.sent = Moment::default();
                 return;
             }
@@ -161,22 +161,21 @@
 }
 
 impl OpenProposal {
-    fn aim(&mut self, reader: NodeId, life: Life, now: Moment) {
-        let next = (reader, life);
+    fn aim(&mut self, reader: NodeId, process_epoch: ProcessEpoch, now: Moment) {
+        let next = (reader, process_epoch);
         // Epoch 0 means that the reader's process epoch is not known. Such a proposal has no
         // effect.
-        let moved = self
-            .target
-            .as_ref()
-            .is_some_and(|(_, life)| *life != 0 && self.target.as_ref() != Some(&next));
+        let moved = self.target.as_ref().is_some_and(|(_, process_epoch)| {
+            *process_epoch != 0 && self.target.as_ref() != Some(&next)
+        });
         self.spread_out |= moved;
         self.target = Some(next);
         self.sent = now;
     }
 
-    fn is_sure_of(&self, from: &NodeId, life: Life) -> bool {
+    fn is_sure_of(&self, from: &NodeId, process_epoch: ProcessEpoch) -> bool {
         let aimed = self.target.as_ref();
-        !self.spread_out && aimed.is_some_and(|(id, aimed)| id == from && *aimed == life)
+        !self.spread_out && aimed.is_some_and(|(id, aimed)| id == from && *aimed == process_epoch)
     }
 }
 
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -12,7 +12,7 @@
 //! *x* means that *x* is outdated: the node catches up and queries again.
 
 use super::action::{Decision, Outbox};
-use super::message::{Life, Message, WitnessRecord, WitnessSetId};
+use super::message::{Message, ProcessEpoch, WitnessRecord, WitnessSetId};
 use super::settings::FleetSettings;
 use crate::config::ConfigState;
 use crate::ids::{NodeId, Region, Version};
@@ -101,8 +101,8 @@
     waiting: VecDeque<Waiting>,
     /// Highest version acknowledged by each witness.
     acknowledged: BTreeMap<NodeId, Version>,
-    /// Latest known run of each witness.
-    lives: BTreeMap<NodeId, Life>,
+    /// Latest known process epoch of each witness.
+    epochs: BTreeMap<NodeId, ProcessEpoch>,
     next_repeat: Moment,
     explained: Version,
 }
@@ -117,7 +117,7 @@
             active_set: WitnessSet::default(),
             waiting: VecDeque::new(),
             acknowledged: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            epochs: BTreeMap::new(),
             next_repeat: Moment::default(),
             explained: Version::ZERO,
         }
@@ -168,10 +168,16 @@
     }
 
     /// Handles the acknowledgement of `version` by a witness. Version 0 only tells the
-    /// witness's current run.
-    pub fn on_ack(&mut self, from: &NodeId, life: Life, version: Version, outbox: &mut Outbox) {
-        let known_life = self.lives.insert(from.clone(), life);
-        if known_life != Some(life) {
+    /// witness's current process epoch.
+    pub fn on_ack(
+        &mut self,
+        from: &NodeId,
+        process_epoch: ProcessEpoch,
+        version: Version,
+        outbox: &mut Outbox,
+    ) {
+        let known_epoch = self.epochs.insert(from.clone(), process_epoch);
+        if known_epoch != Some(process_epoch) {
             self.acknowledged.remove(from);
             self.ask_one(from, outbox);
         }
@@ -190,12 +196,12 @@
             version: newest.state.version(),
             set: newest.set.id(),
         };
-        let witness_life = self.lives.get(witness).copied().unwrap_or_default();
+        let witness_epoch = self.epochs.get(witness).copied().unwrap_or_default();
         outbox.send(
             witness,
             Message::Record {
                 record,
-                witness_life,
+                witness_epoch,
             },
         );
     }
--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -15,7 +15,7 @@
 use super::state::{OrderId, Phase, RolloutState, WHOLE_PERMILLE};
 use super::table::RolloutTable;
 use super::verdict::VersionJudge;
-use crate::fleet::{LeaseId, Life};
+use crate::fleet::{LeaseId, ProcessEpoch};
 use crate::ids::{NodeId, ResourceName, SoftwareVersion};
 use crate::time::Moment;
 use std::collections::BTreeMap;
@@ -167,7 +167,7 @@
     order: OrderId,
     judge: VersionJudge,
     /// What each node has told last in each of its lives: counts begin anew with a life.
-    heard: BTreeMap<(NodeId, Life), BTreeMap<EvidenceKey, Counts>>,
+    heard: BTreeMap<(NodeId, ProcessEpoch), BTreeMap<EvidenceKey, Counts>>,
     /// Counted since the last round.
     round: Vec<VersionEvidence>,
     rate: f64,
@@ -248,7 +248,12 @@
     }
 
     /// Takes what a node tells to have seen.
-    pub fn on_evidence(&mut self, from: &NodeId, life: Life, evidence: &[VersionEvidence]) {
+    pub fn on_evidence(
+        &mut self,
+        from: &NodeId,
+        process_epoch: ProcessEpoch,
+        evidence: &[VersionEvidence],
+    ) {
         for seen in evidence {
             let Some(case) = self.cases.get_mut(&seen.service) else {
                 continue;
@@ -257,7 +262,7 @@
                 continue;
             }
             let key = (seen.version.clone(), seen.group, seen.route.clone());
-            let heard = case.heard.entry((from.clone(), life)).or_default();
+            let heard = case.heard.entry((from.clone(), process_epoch)).or_default();
             let before = heard.entry(key).or_default();
             // A smaller count is an earlier report that came late.
             let Some(counts) = seen.counts.since(before) else {
--- a/crates/rampthread-core/tests/crash_properties.rs
+++ b/crates/rampthread-core/tests/crash_properties.rs
@@ -277,7 +277,7 @@
         address: "127.0.0.1:1".parse().unwrap(),
         zone: Zone::new("zone").unwrap(),
         region: Region::new("region").unwrap(),
-        life: 1,
+        process_epoch: 1,
     };
     let mut agent = Agent::new(identity, FleetSettings::for_documents(), &[], 1, NOW);
     let crashes = [1, 2].map(|back_end| report(1, back_end, Duration::ZERO, false));
--- a/crates/rampthread-core/tests/document_properties.rs
+++ b/crates/rampthread-core/tests/document_properties.rs
@@ -337,7 +337,7 @@
         let at = at % delta.len();
         delta[at] ^= 1 << bit;
         let message = Message::PullEntries { first: Version(2), entries: vec![delta.into()] };
-        agent.on_message(Envelope { from, life: 1, message }, Moment(3));
+        agent.on_message(Envelope { from, process_epoch: 1, message }, Moment(3));
         let held = agent.active().version();
         prop_assert!(held == Version(1) || held == Version(2));
     }
--- a/crates/rampthread-core/tests/mesh/mod.rs
+++ b/crates/rampthread-core/tests/mesh/mod.rs
@@ -59,14 +59,14 @@
     }
 }
 
-pub fn agent(id: &str, life: u64) -> Agent {
+pub fn agent(id: &str, process_epoch: u64) -> Agent {
     let settings = FleetSettings::for_documents();
     let identity = AgentIdentity {
         id: NodeId::new(id).unwrap(),
         address: address(id),
         zone: Zone::new("zone").unwrap(),
         region: Region::new("region").unwrap(),
-        life,
+        process_epoch,
     };
     Agent::new(identity, settings, &[], 1, Moment(1))
 }
--- a/crates/rampthread-core/tests/peers_documents.rs
+++ b/crates/rampthread-core/tests/peers_documents.rs
@@ -42,11 +42,11 @@
 
 fn give(agent: &mut Agent, message: Message) {
     let from = NodeId::new("node-1").unwrap();
-    let life = 1;
+    let process_epoch = 1;
     agent.on_message(
         Envelope {
             from,
-            life,
+            process_epoch,
             message,
         },
         Moment(3),
--- a/crates/rampthread-core/tests/rollout_evidence.rs
+++ b/crates/rampthread-core/tests/rollout_evidence.rs
@@ -59,9 +59,9 @@
         }
         // By then the decider has taken up the order.
         if now > START + Duration::from_secs(1)
-            && let Some((life, answers)) = reports.next()
+            && let Some((process_epoch, answers)) = reports.next()
         {
-            decider.on_evidence(&from, *life, &[evidence(*answers)]);
+            decider.on_evidence(&from, *process_epoch, &[evidence(*answers)]);
         }
         now = now + STEP;
     }
--- a/crates/rampthread-core/tests/simulation/world.rs
+++ b/crates/rampthread-core/tests/simulation/world.rs
@@ -18,14 +18,14 @@
 
 const TICK: Duration = Duration::from_millis(100);
 const WATCH_STEP: Duration = Duration::from_millis(20);
-const LIFE_BASE: u64 = 1_700_000_000_000_000;
+const EPOCH_BASE: u64 = 1_700_000_000_000_000;
 pub const ZONES: usize = 4;
 
 #[derive(Debug)]
 enum Event {
     Tick {
         node: usize,
-        life: u64,
+        process_epoch: u64,
     },
     Deliver {
         to: usize,
@@ -33,7 +33,7 @@
     },
     StoreArrives {
         node: usize,
-        life: u64,
+        process_epoch: u64,
         id: RequestId,
         request: StoreRequest,
         until: Moment,
@@ -43,7 +43,7 @@
     },
     StoreAnswers {
         node: usize,
-        life: u64,
+        process_epoch: u64,
         id: RequestId,
         result: Result<StoreAnswer, StoreFailure>,
     },
@@ -51,7 +51,7 @@
 
 struct Slot {
     agent: Option<Agent>,
-    life: u64,
+    process_epoch: u64,
     frozen: bool,
     /// Side of a cut; nodes on different sides do not hear each other.
     side: u8,
@@ -122,7 +122,7 @@
         for index in 0..nodes {
             world.slots.push(Slot {
                 agent: None,
-                life: 0,
+                process_epoch: 0,
                 frozen: false,
                 side: 0,
                 held_back: Vec::new(),
@@ -147,24 +147,30 @@
         if self.slots[node].agent.is_some() {
             return;
         }
-        let life = LIFE_BASE + self.now.0 + self.next_event;
+        let process_epoch = EPOCH_BASE + self.now.0 + self.next_event;
         self.next_event += 1;
         let identity = AgentIdentity {
             id: node_id(node),
             address: address(node),
             zone: zone_of(node, ZONES),
             region: region(),
-            life,
+            process_epoch,
         };
         let seed = self.rng.random();
         let settings = self.settings.clone();
         let mut agent = Agent::new(identity, settings, &self.machines, seed, self.now);
         agent.set_defect(self.defect);
         self.slots[node].agent = Some(agent);
-        self.slots[node].life = life;
+        self.slots[node].process_epoch = process_epoch;
         self.slots[node].frozen = false;
         let offset = Duration::from_millis(self.rng.random_range(0..100));
-        self.schedule(offset, Event::Tick { node, life });
+        self.schedule(
+            offset,
+            Event::Tick {
+                node,
+                process_epoch,
+            },
+        );
     }
 
     /// The process dies; all its memory is lost.
@@ -255,18 +261,30 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Tick { node, life } => {
-                if !self.is_live(node, life) {
+            Event::Tick {
+                node,
+                process_epoch,
+            } => {
+                if !self.is_live(node, process_epoch) {
                     return;
                 }
                 if self.slots[node].frozen {
-                    self.slots[node].held_back.push(Event::Tick { node, life });
+                    self.slots[node].held_back.push(Event::Tick {
+                        node,
+                        process_epoch,
+                    });
                     return;
                 }
                 let now = self.now;
                 let actions = self.slots[node].agent.as_mut().unwrap().tick(now);
                 self.perform(node, actions);
-                self.schedule(TICK, Event::Tick { node, life });
+                self.schedule(
+                    TICK,
+                    Event::Tick {
+                        node,
+                        process_epoch,
+                    },
+                );
             }
             Event::Deliver { to, envelope } => {
                 if self.slots[to].frozen {
@@ -283,12 +301,12 @@
             }
             Event::StoreArrives {
                 node,
-                life,
+                process_epoch,
                 id,
                 request,
                 until,
             } => {
-                self.store_arrives(node, life, id, request, until);
+                self.store_arrives(node, process_epoch, id, request, until);
             }
             Event::StoreRuns { request } => {
                 let now = self.now;
@@ -296,17 +314,17 @@
             }
             Event::StoreAnswers {
                 node,
-                life,
+                process_epoch,
                 id,
                 result,
             } => {
-                if !self.is_live(node, life) {
+                if !self.is_live(node, process_epoch) {
                     return;
                 }
                 if self.slots[node].frozen {
                     let event = Event::StoreAnswers {
                         node,
-                        life,
+                        process_epoch,
                         id,
                         result,
                     };
@@ -321,14 +339,14 @@
         }
     }
 
-    fn is_live(&self, node: usize, life: u64) -> bool {
-        self.slots[node].agent.is_some() && self.slots[node].life == life
+    fn is_live(&self, node: usize, process_epoch: u64) -> bool {
+        self.slots[node].agent.is_some() && self.slots[node].process_epoch == process_epoch
     }
 
     fn store_arrives(
         &mut self,
         node: usize,
-        life: u64,
+        process_epoch: u64,
         id: RequestId,
         request: StoreRequest,
         until: Moment,
@@ -340,7 +358,7 @@
                     back,
                     Event::StoreAnswers {
                         node,
-                        life,
+                        process_epoch,
                         id,
                         result,
                     },
@@ -349,7 +367,7 @@
             Fate::Wait => {
                 let event = Event::StoreArrives {
                     node,
-                    life,
+                    process_epoch,
                     id,
                     request,
                     until,
@@ -363,7 +381,7 @@
                     back,
                     Event::StoreAnswers {
                         node,
-                        life,
+                        process_epoch,
                         id,
                         result,
                     },
@@ -379,7 +397,7 @@
     // ---- actions and invariants ----
 
     fn perform(&mut self, node: usize, actions: Vec<Action>) {
-        let life = self.slots[node].life;
+        let process_epoch = self.slots[node].process_epoch;
         for action in actions {
             match action {
                 Action::Send { to, envelope, .. } => self.send(node, to.as_str(), envelope),
@@ -396,7 +414,7 @@
                     let id = request_id;
                     let event = Event::StoreArrives {
                         node,
-                        life,
+                        process_epoch,
                         id,
                         request,
                         until,
--- a/crates/rampthread-core/tests/store_era.rs
+++ b/crates/rampthread-core/tests/store_era.rs
@@ -15,7 +15,7 @@
 fn asked(agent: &mut Agent, era: u64) -> Vec<u64> {
     let envelope = Envelope {
         from: NodeId::new("node-1").unwrap(),
-        life: 1,
+        process_epoch: 1,
         message: Message::StoreEra { era },
     };
     let actions = agent.on_message(envelope, NOW).into_iter();
--- a/crates/rampthread-core/tests/zone_directory.rs
+++ b/crates/rampthread-core/tests/zone_directory.rs
@@ -25,7 +25,7 @@
         address: "127.0.0.1:1".parse().unwrap(),
         zone: zone(),
         region: Region::new("region").unwrap(),
-        life: 1_700_000_000_000_000,
+        process_epoch: 1_700_000_000_000_000,
     };
     Agent::new(identity, FleetSettings::for_documents(), &[], 1, START)
 }
--- a/crates/rampthread-node/src/api/changes.rs
+++ b/crates/rampthread-node/src/api/changes.rs
@@ -265,7 +265,7 @@
         ProposalAnswer::NotRun { retry_after } => {
             not_run(ChangeView::new(operation_id, "not-run"), *retry_after)
         }
-        ProposalAnswer::Unknown | ProposalAnswer::OtherLife => json(
+        ProposalAnswer::Unknown | ProposalAnswer::EpochMismatch => json(
             StatusCode::GatewayTimeout,
             &ChangeView::new(operation_id, "unknown"),
         ),
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -483,7 +483,7 @@
             address: settings.listen.peers,
             zone: settings.node.zone.clone(),
             region: settings.node.region.clone(),
-            life: wall_clock_micros(),
+            process_epoch: wall_clock_micros(),
         },
         fleet,
         seeds: settings.seeds.clone(),
--- a/crates/rampthread-node/tests/control_support/mod.rs
+++ b/crates/rampthread-node/tests/control_support/mod.rs
@@ -193,7 +193,7 @@
     pub fn say(&self, node: SocketAddr, message: Message) {
         let envelope = Envelope {
             from: self.id.clone(),
-            life: LIFE,
+            process_epoch: LIFE,
             message,
         };
         self.socket.send_to(&encode(&envelope), node).unwrap();
@@ -242,7 +242,7 @@
             address,
             zone: zone(),
             region: region(),
-            life: LIFE,
+            process_epoch: LIFE,
         },
         fleet: FleetSettings::for_documents(),
         seeds: Vec::new(),
--- a/crates/rampthread-wire/src/decode.rs
+++ b/crates/rampthread-wire/src/decode.rs
@@ -90,7 +90,7 @@
     let root = reader.get_root::<schema::envelope::Reader<'_>>()?;
     Ok(Envelope {
         from: NodeId::new(root.get_from()?.to_str()?)?,
-        life: root.get_life(),
+        process_epoch: root.get_life(),
         message: read_message(root.get_message().which()?)?,
     })
 }
@@ -156,11 +156,11 @@
                 version: Version(from.get_version()),
                 set: from.get_set(),
             },
-            witness_life: from.get_witness_life(),
+            witness_epoch: from.get_witness_life(),
         },
         Which::RecordAck(from) => Message::RecordAck {
             version: Version(from.get_version()),
-            asker_life: from.get_asker_life(),
+            asker_epoch: from.get_asker_life(),
         },
         Which::FloorQuestion(from) => Message::FloorQuestion {
             nonce: from.get_nonce(),
@@ -175,7 +175,7 @@
         },
         Which::Propose(from) => Message::Propose {
             submission: from.get_submission(),
-            reader_life: from.get_reader_life(),
+            reader_epoch: from.get_reader_life(),
             entry: from.get_entry()?.into(),
         },
         Which::ProposeAnswer(from) => Message::ProposeAnswer {
@@ -223,7 +223,7 @@
             retry_after: Duration::from_micros(from.get_retry_after_micros()),
         },
         Which::Unknown(()) => ProposalAnswer::Unknown,
-        Which::OtherLife(()) => ProposalAnswer::OtherLife,
+        Which::OtherLife(()) => ProposalAnswer::EpochMismatch,
     })
 }
 
--- a/crates/rampthread-wire/src/encode.rs
+++ b/crates/rampthread-wire/src/encode.rs
@@ -13,7 +13,7 @@
     let mut builder = capnp::message::Builder::new_default();
     let mut root = builder.init_root::<schema::envelope::Builder<'_>>();
     root.set_from(envelope.from.as_str());
-    root.set_life(envelope.life);
+    root.set_life(envelope.process_epoch);
     write_message(root.init_message(), &envelope.message);
     let mut bytes = Vec::new();
     capnp::serialize_packed::write_message(&mut bytes, &builder)
@@ -79,20 +79,20 @@
         }
         Message::Record {
             record,
-            witness_life,
+            witness_epoch,
         } => {
             let mut to = to.init_record();
             to.set_version(record.version.0);
             to.set_set(record.set);
-            to.set_witness_life(*witness_life);
+            to.set_witness_life(*witness_epoch);
         }
         Message::RecordAck {
             version,
-            asker_life,
+            asker_epoch,
         } => {
             let mut to = to.init_record_ack();
             to.set_version(version.0);
-            to.set_asker_life(*asker_life);
+            to.set_asker_life(*asker_epoch);
         }
         Message::FloorQuestion { nonce } => to.init_floor_question().set_nonce(*nonce),
         Message::FloorAnswer {
@@ -111,12 +111,12 @@
         }
         Message::Propose {
             submission,
-            reader_life,
+            reader_epoch,
             entry,
         } => {
             let mut to = to.init_propose();
             to.set_submission(*submission);
-            to.set_reader_life(*reader_life);
+            to.set_reader_life(*reader_epoch);
             to.set_entry(entry);
         }
         Message::ProposeAnswer {
@@ -193,7 +193,7 @@
             .init_not_run()
             .set_retry_after_micros(retry_after.as_micros() as u64),
         ProposalAnswer::Unknown => to.set_unknown(()),
-        ProposalAnswer::OtherLife => to.set_other_life(()),
+        ProposalAnswer::EpochMismatch => to.set_other_life(()),
     }
 }
 
--- a/crates/rampthread-wire/src/replay.rs
+++ b/crates/rampthread-wire/src/replay.rs
@@ -1,6 +1,6 @@
 //! Copies of a message are accepted once (sliding window as in RFC 4303, 3.4.3).
 
-use rampthread_core::fleet::Life;
+use rampthread_core::fleet::ProcessEpoch;
 use rampthread_core::ids::NodeId;
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
 
 #[derive(Debug, Default)]
 struct Window {
-    life: Life,
+    process_epoch: ProcessEpoch,
     highest: u64,
     seen: [u64; WORDS],
 }
@@ -22,13 +22,13 @@
         ((position / WORD_BITS) as usize, 1 << (position % WORD_BITS))
     }
 
-    fn accept(&mut self, life: Life, sequence: u64) -> bool {
-        if life < self.life {
+    fn accept(&mut self, process_epoch: ProcessEpoch, sequence: u64) -> bool {
+        if process_epoch < self.process_epoch {
             return false;
         }
-        if life > self.life {
+        if process_epoch > self.process_epoch {
             *self = Window {
-                life,
+                process_epoch,
                 ..Window::default()
             };
         }
@@ -64,11 +64,11 @@
 }
 
 impl ReplayGuard {
-    /// True the first time that this sequence of this life of `from` is seen.
-    pub fn accept(&mut self, from: &NodeId, life: Life, sequence: u64) -> bool {
+    /// True the first time that this sequence of this process epoch of `from` is seen.
+    pub fn accept(&mut self, from: &NodeId, process_epoch: ProcessEpoch, sequence: u64) -> bool {
         self.windows
             .entry(from.clone())
             .or_default()
-            .accept(life, sequence)
+            .accept(process_epoch, sequence)
     }
 }
--- a/crates/rampthread-wire/src/seal.rs
+++ b/crates/rampthread-wire/src/seal.rs
@@ -129,7 +129,7 @@
             .replay
             .lock()
             .unwrap_or_else(|broken| broken.into_inner());
-        if !replay.accept(&envelope.from, envelope.life, sequence) {
+        if !replay.accept(&envelope.from, envelope.process_epoch, sequence) {
             return Err(OpenError::Replay);
         }
         Ok(envelope)
--- a/crates/rampthread-wire/tests/backend_incarnations.rs
+++ b/crates/rampthread-wire/tests/backend_incarnations.rs
@@ -34,7 +34,7 @@
     };
     Envelope {
         from: NodeId::new("node-17").unwrap(),
-        life: 1,
+        process_epoch: 1,
         message: Message::Ack(ProbeBody {
             updates: vec![record],
             ..ProbeBody::default()
--- a/crates/rampthread-wire/tests/fleet/mod.rs
+++ b/crates/rampthread-wire/tests/fleet/mod.rs
@@ -260,7 +260,7 @@
             address: address(index),
             zone: self.zone_name(index),
             region: Region::new("region").unwrap(),
-            life: self.lives[index],
+            process_epoch: self.lives[index],
         };
         let settings = FleetSettings {
             roll_outs: self.roll_out_bounds,
--- a/crates/rampthread-wire/tests/wire_properties.rs
+++ b/crates/rampthread-wire/tests/wire_properties.rs
@@ -126,7 +126,7 @@
         }),
         wait().prop_map(|retry_after| ProposalAnswer::NotRun { retry_after }),
         Just(ProposalAnswer::Unknown),
-        Just(ProposalAnswer::OtherLife),
+        Just(ProposalAnswer::EpochMismatch),
     ]
 }
 
@@ -301,15 +301,15 @@
         version().prop_map(|version| Message::HeldAck { version }),
         any::<u64>().prop_map(|nonce| Message::HeadQuestion { nonce }),
         (any::<u64>(), version()).prop_map(|(nonce, head)| Message::HeadAnswer { nonce, head }),
-        (version(), any::<u64>(), any::<u64>()).prop_map(|(version, set, witness_life)| {
+        (version(), any::<u64>(), any::<u64>()).prop_map(|(version, set, witness_epoch)| {
             Message::Record {
                 record: WitnessRecord { version, set },
-                witness_life,
+                witness_epoch,
             }
         }),
-        (version(), any::<u64>()).prop_map(|(version, asker_life)| Message::RecordAck {
+        (version(), any::<u64>()).prop_map(|(version, asker_epoch)| Message::RecordAck {
             version,
-            asker_life
+            asker_epoch
         }),
         any::<u64>().prop_map(|nonce| Message::FloorQuestion { nonce }),
         (
@@ -322,10 +322,10 @@
                 record: record.map(|(version, set)| WitnessRecord { version, set }),
                 heard,
             }),
-        (any::<u64>(), any::<u64>(), bytes()).prop_map(|(submission, reader_life, entry)| {
+        (any::<u64>(), any::<u64>(), bytes()).prop_map(|(submission, reader_epoch, entry)| {
             Message::Propose {
                 submission,
-                reader_life,
+                reader_epoch,
                 entry,
             }
         }),
@@ -357,9 +357,9 @@
 }
 
 fn envelope() -> impl Strategy<Value = Envelope> {
-    (node(), any::<u64>(), message()).prop_map(|(from, life, message)| Envelope {
+    (node(), any::<u64>(), message()).prop_map(|(from, process_epoch, message)| Envelope {
         from,
-        life,
+        process_epoch,
         message,
     })
 }
@@ -424,7 +424,7 @@
     ) {
         let sender = Sealer::new(id("sender"), &keyring(1));
         let receiver = Sealer::new(id("receiver"), &keyring(1));
-        let envelope = Envelope { from: id("sender"), life: 9, message: Message::Drain };
+        let envelope = Envelope { from: id("sender"), process_epoch: 9, message: Message::Drain };
         let sealed: Vec<Vec<u8>> = (0..64).map(|_| sender.seal(&id("receiver"), &envelope)).collect();
         for index in &order {
             prop_assert!(receiver.open(&sealed[*index]).is_ok());
