--- a/crates/rampthread-http/src/body.rs
+++ b/crates/rampthread-http/src/body.rs
@@ -1,4 +1,4 @@
-//! One body type for requests and answers.
+//! Body type shared by requests and responses, and functions that read bodies.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::combinators::BoxBody;
@@ -6,39 +6,39 @@
 use hyper::body::Body as _;
 use std::time::Duration;
 
-/// Why a body ended early.
+/// Error of a body that ended early.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a body was not read to its end.
+/// Error while reading a body to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// No byte came for as long as was allowed.
+    /// No data arrived for the given time.
     #[error("no byte for {waited:?}")]
     Stalled {
-        /// That time.
+        /// The stall timeout.
         waited: Duration,
     },
-    /// The body ended early or is too long.
+    /// The body ended early or exceeds the size limit.
     #[error(transparent)]
     Broken(#[from] BodyError),
 }
 
-/// A body that may come from memory or from a peer.
+/// A buffered or streamed body.
 pub type Body = BoxBody<Bytes, BodyError>;
 
-/// A body of known bytes.
+/// Creates a body from buffered bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// No body.
+/// Creates an empty body.
 pub fn empty() -> Body {
     Empty::new().map_err(|never| match never {}).boxed()
 }
 
-/// Wraps any body.
+/// Boxes a body of any type.
 pub fn boxed<B>(body: B) -> Body
 where
     B: hyper::body::Body<Data = Bytes> + Send + Sync + 'static,
@@ -57,9 +57,8 @@
     Ok(collected.to_bytes())
 }
 
-/// Reads a whole body of at most `limit` bytes, however long it takes while bytes
-/// keep coming: a slow link is not a silent one. A pause longer than `stall`
-/// between two parts ends it.
+/// Reads a whole body of at most `limit` bytes. The total time is unlimited, but a pause longer
+/// than `stall` between two frames is an error.
 pub async fn read_while_moving<B>(
     body: B,
     limit: usize,
@@ -84,7 +83,8 @@
     }
 }
 
-/// Reads the whole of a boxed body of at most `limit` bytes.
+/// Reads a boxed body of at most `limit` bytes, without copying a body that consists of a
+/// single frame.
 pub async fn read_whole(mut body: Body, limit: usize) -> Result<Bytes, BodyError> {
     let mut whole = BytesMut::new();
     while let Some(frame) = body.frame().await {
--- a/crates/rampthread-http/src/connect.rs
+++ b/crates/rampthread-http/src/connect.rs
@@ -6,29 +6,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why there is no connection. No byte of a request has left.
+/// Error while connecting. No part of a request was sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The peer or the network refused.
+    /// The peer or the network refused the connection.
     #[error("cannot connect to {address}: {source}")]
     Refused {
-        /// Whom.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The system's reason.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// No answer in time.
+    /// The connection attempt timed out.
     #[error("no connection to {address} within {wait:?}")]
     Timeout {
-        /// Whom.
+        /// Address of the peer.
         address: SocketAddr,
-        /// How long.
+        /// The timeout.
         wait: Duration,
     },
 }
 
-/// True when nobody listens at `address`. Silence says nothing, so that only a
-/// refusal within `wait` counts.
+/// Whether a connection to `address` is refused within `wait`. A timeout or any other error
+/// returns false.
 pub async fn refuses_connections(address: SocketAddr, wait: Duration) -> bool {
     let connecting = TcpStream::connect(address);
     match crate::time::timeout(wait, connecting).await {
@@ -37,9 +37,8 @@
     }
 }
 
-/// Connects with `TCP_NODELAY`, since requests are small and latency counts.
-/// Bytes that the peer does not acknowledge within `unacknowledged` end the
-/// connection (`TCP_USER_TIMEOUT`): a machine without power says nothing else.
+/// Connects with `TCP_NODELAY`, since requests are small and latency matters. `unacknowledged`
+/// sets `TCP_USER_TIMEOUT`, which detects peers that vanished without a reset.
 pub async fn connect(
     address: SocketAddr,
     wait: Duration,
--- a/crates/rampthread-http/src/listener.rs
+++ b/crates/rampthread-http/src/listener.rs
@@ -5,10 +5,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Connections that wait to be accepted.
+/// Length of the queue of connections not yet accepted.
 const BACKLOG: i32 = 1_024;
 
-/// Binds a listener; the address may be used again at once after a restart.
+/// Binds a listener with `SO_REUSEADDR`, so that the address is available right after a
+/// restart.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
--- a/crates/rampthread-http/src/pool.rs
+++ b/crates/rampthread-http/src/pool.rs
@@ -1,8 +1,8 @@
-//! A client pool that knows whether a request can have left.
+//! Client connection pool that reports whether a request may have been sent.
 //!
-//! hyper hands a request back when it never reached the connection; only then
-//! does [`SendError::NotSent`] come out. A connection that the peer closed
-//! while it was idle therefore never turns one request into two.
+//! hyper returns a request that never reached the connection, and only then is the error
+//! [`SendError::NotSent`]. A request is therefore not sent twice when the peer closes an idle
+//! connection.
 
 use crate::body::Body;
 use crate::connect::{ConnectError, connect};
@@ -18,32 +18,31 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Which connections a request may use.
+/// Which pooled connections a request may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
     /// Any idle connection.
     Any,
-    /// An idle connection only if it was used a moment ago; for requests that
-    /// may not run twice.
+    /// Only an idle connection that was used recently, or else a new one; for requests that
+    /// must not run twice.
     Recent,
 }
 
-/// Share of the time promised by the peer for which an idle connection is used.
+/// Fraction of the peer's announced keep-alive timeout for which an idle connection is reused.
 const KEPT_SHARE: f64 = 0.8;
 
-/// Settings of a pool.
+/// Settings of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
-    /// Wait for a connection.
+    /// Timeout of connecting.
     pub connect_wait: Duration,
-    /// Idle connections kept to one address.
+    /// Maximum number of idle connections per address.
     pub max_idle: usize,
-    /// Age at which an idle connection is dropped.
+    /// Age at which an idle connection is closed.
     pub idle_limit: Duration,
-    /// Age up to which an idle connection counts as recent.
+    /// Maximum age of an idle connection for requests that must not run twice.
     pub recent_limit: Duration,
-    /// Time after which bytes that the peer does not acknowledge end the
-    /// connection; none: the system's own.
+    /// `TCP_USER_TIMEOUT` of the connections; `None` keeps the default of the operating system.
     pub unacknowledged: Option<Duration>,
 }
 
@@ -59,28 +58,28 @@
     }
 }
 
-/// Why there is no answer, and whether the request can have run.
+/// Error without a response, with whether the request may have run.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// No byte of the request left; a second try is safe.
+    /// No part of the request was sent; a retry is safe.
     #[error("not sent: {reason}")]
     NotSent {
-        /// What happened.
+        /// Description of the error.
         reason: String,
-        /// True when the peer cannot be reached at all.
+        /// The peer could not be reached at all.
         unreachable: bool,
     },
-    /// The request may have run.
+    /// The request was sent, but no response arrived; it may have run.
     #[error("sent, then lost: {reason}")]
     Lost {
-        /// What happened.
+        /// Description of the error.
         reason: String,
     },
 }
 
 impl SendError {
-    /// The same for a question that goes before a request: whatever became of
-    /// it, the request itself was not sent.
+    /// Converts the error of a preliminary query: whatever happened to it, the request itself
+    /// was not sent.
     pub fn of_a_question(self) -> Self {
         match self {
             SendError::Lost { reason } => SendError::NotSent {
@@ -104,7 +103,7 @@
 struct Idle {
     sender: SendRequest<Body>,
     since: BootInstant,
-    /// Time for which the peer said that it keeps an idle connection.
+    /// Keep-alive timeout announced by the peer, less a margin.
     kept_for: Option<Duration>,
 }
 
@@ -117,18 +116,18 @@
 
 type IdleMap = Arc<Mutex<HashMap<SocketAddr, Vec<Idle>>>>;
 
-/// Connections by address.
+/// Pool of idle connections by address.
 #[derive(Clone)]
 pub struct Pool {
     idle: IdleMap,
     settings: PoolSettings,
 }
 
-/// An answer whose body gives the connection back when it ends.
+/// A response whose body returns its connection to the pool when it ends.
 pub type Sent = Response<PooledBody>;
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         Self {
             idle: IdleMap::default(),
@@ -136,8 +135,8 @@
         }
     }
 
-    /// Sends one request. The caller bounds the time; dropping the future
-    /// closes the connection, which cancels the request at the peer.
+    /// Sends one request, over a pooled connection if possible. There is no time limit;
+    /// dropping the future closes the connection, which cancels the request at the peer.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -248,8 +247,8 @@
     Lost(SendError),
 }
 
-/// What `Keep-Alive: timeout=N` promises, less a margin, since the close may
-/// cross a request.
+/// The timeout from `Keep-Alive: timeout=N`, less a margin, since the peer may close the
+/// connection while a request is on its way.
 fn kept_for(headers: &http::HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text
@@ -284,16 +283,16 @@
     }
 }
 
-/// A body from a pooled connection. Dropped before its end, it closes the
-/// connection, so that no late byte can reach another request.
+/// Body received over a pooled connection. Dropping it before its end closes the connection, so
+/// that no stale bytes reach another request.
 pub struct PooledBody {
     inner: Incoming,
     home: Option<Home>,
 }
 
 impl PooledBody {
-    /// Ends the connection after this answer: what follows on it cannot be
-    /// trusted.
+    /// Closes the connection instead of returning it to the pool, for a peer whose data cannot
+    /// be trusted.
     pub fn abandon(mut self) {
         self.home = None;
     }
--- a/crates/rampthread-http/src/server/answer_head.rs
+++ b/crates/rampthread-http/src/server/answer_head.rs
@@ -1,4 +1,4 @@
-//! The head of an answer, and how its body is delimited.
+//! Encoding of response heads and framing of response bodies.
 
 use super::pipeline::AnswerTo;
 use crate::body::Body;
@@ -9,28 +9,28 @@
 use hyper::body::Body as _;
 use std::time::SystemTime;
 
-/// Room for a usual head; it grows where that is too little.
+/// Initial capacity for a head, in bytes.
 const USUAL_HEAD: usize = 512;
 
-/// The interim answer that asks for a body.
+/// Interim response that requests the body.
 pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// The end of a body in chunks.
+/// Last chunk of a chunked body.
 pub(super) const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// How the body of an answer is delimited.
+/// Framing of a response body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Delimited {
-    /// It has none, whatever its head says.
+    /// No body, even if the head announces a length.
     NoBody,
-    /// By so many bytes.
+    /// A body of this number of bytes.
     Length(u64),
-    /// By chunks.
+    /// Chunked transfer coding.
     Chunks,
-    /// By the end of the connection.
+    /// The body ends with the connection.
     Close,
 }
 
-/// How the body of the answer to `to` is delimited.
+/// Framing of the body of the response to `to`.
 pub(super) fn delimited(to: &AnswerTo, parts: &Parts, body: &Body) -> Delimited {
     let no_body = to.method == Method::HEAD
         || parts.status.is_informational()
@@ -48,7 +48,7 @@
     }
 }
 
-/// Writes the head. `keeps` tells the caller whether the connection stays.
+/// Encodes the head. `keeps` tells the client whether the connection is kept open.
 pub(super) fn encode(
     to: &AnswerTo,
     parts: &Parts,
@@ -66,7 +66,7 @@
     for (name, value) in &parts.headers {
         let replaced = match *name {
             CONNECTION | TRANSFER_ENCODING => true,
-            // To a HEAD request it tells the length of another answer.
+            // In response to HEAD, it is the length of the corresponding GET response.
             CONTENT_LENGTH => delimited != Delimited::NoBody,
             _ => false,
         };
--- a/crates/rampthread-http/src/server/connection.rs
+++ b/crates/rampthread-http/src/server/connection.rs
@@ -1,9 +1,9 @@
-//! One connection of a caller: requests are read in order, run at the same time
-//! where that is safe, and answered in their order.
+//! A server connection. Requests are read in order, run concurrently where that is safe, and
+//! answered in order.
 //!
-//! Three parts of one task share the [`Pipeline`]: the reader starts requests,
-//! the driver runs their handlers, the writer writes the answers. A caller that
-//! leaves ends all three, which drops the handlers.
+//! Three parts of one task share the [`Pipeline`]: the reader starts requests, the driver polls
+//! their handlers, and the writer writes the responses. A disconnect of the client ends all
+//! three and drops the handlers.
 
 use super::answer_head::{CONTINUE, Delimited, LAST_CHUNK, delimited, encode};
 use super::framing::{BodyDecoder, Framing, Piece};
@@ -26,32 +26,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Requests of one connection that run at the same time, at most. Browsers
-/// keep six connections with one each; a pipeline may have a few more.
+/// Maximum number of concurrent requests per connection. Browsers open six connections with one
+/// request each; pipelining clients may send a few more.
 const OVERLAPPING_REQUESTS: usize = 16;
-/// Bytes of answers that wait for earlier ones; no request is started beside
-/// others above it.
+/// Size of the responses queued behind earlier ones above which no further request is started
+/// concurrently, in bytes.
 const WAITING_ANSWER_BYTES: u64 = 256 * 1024;
-/// Unread bytes of a body that are passed over after an early answer; with more
-/// of them the connection ends, which costs less than reading them.
+/// Maximum unread part of a request body that is discarded after an early response, in bytes.
+/// With more, closing the connection is cheaper.
 const PASSED_OVER_BYTES: u64 = 64 * 1024;
-/// Time for which a closed connection is read on, so that a reset does not
-/// take away an answer that is still on its way to the caller.
+/// Time for which input is still read after the response side was closed. Closing with unread
+/// input would send a reset, which can destroy the response before the client reads it.
 const LINGER: Duration = Duration::from_millis(500);
-/// Bytes that are passed over meanwhile.
+/// Maximum number of bytes discarded during that time.
 const LINGER_BYTES: usize = 1024 * 1024;
-/// Largest first piece of a body that is written together with the head.
+/// Data up to this size is collected and written together with the head, in bytes.
 const JOINED_BYTES: usize = 16 * 1024;
 
-/// Why the reader has ended.
+/// Reason why the reader ended.
 enum ReaderEnd {
-    /// The caller left: nobody waits for answers.
+    /// The client disconnected; responses are no longer needed.
     Left(ReadEnd),
-    /// No further request is taken; those that were started are answered.
+    /// No further request is read; responses to started requests are still written.
     NoMore,
 }
 
-/// What a connection is made of.
+/// State of one server connection.
 pub(super) struct Connection<S> {
     pub(super) stream: TcpStream,
     pub(super) peer: SocketAddr,
@@ -61,7 +61,7 @@
 }
 
 impl<S: Service> Connection<S> {
-    /// Serves until either side closes.
+    /// Serves requests until either side closes the connection.
     pub(super) async fn run(self) {
         if let Err(error) = self.stream.set_nodelay(true) {
             tracing::debug!(peer = %self.peer, %error, "TCP_NODELAY cannot be set");
@@ -79,8 +79,8 @@
                 tracing::trace!(peer = %self.peer, %error, "the caller's connection broke");
                 return None;
             }
-            // Whoever closes has left, as far as TCP can tell: nothing more is
-            // run for it. Answers that are there already are still written.
+            // A half-close cannot be told from a disconnect, so running handlers are dropped.
+            // Responses that are ready are still written.
             self.pipeline.leave();
             std::future::pending().await
         };
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Reads requests and starts them; ends when the caller has left.
+    /// Reads and starts requests until the client disconnects.
     async fn read(&self, input: &mut Input<'_>) -> ReaderEnd {
         loop {
             match self.read_request(input).await {
@@ -105,7 +105,7 @@
         ReaderEnd::Left(input.until_left(limit).await)
     }
 
-    /// Reads one request and starts it; false when it is the last one.
+    /// Reads and starts one request; returns false if it is the last one.
     async fn read_request(&self, input: &mut Input<'_>) -> Result<bool, ReaderEnd> {
         let limits = self.wait_for_request(input).await?;
         let received = BootInstant::now();
@@ -140,8 +140,8 @@
                 self.server.stop.begun().await;
                 Ok(Ok(()))
             };
-            // Many connections rest, and one that rests longer after a suspension
-            // harms nobody: the runtime's own timer, which wakes once, will do.
+            // Many connections are idle, and closing one late after a suspension does no harm,
+            // so the runtime's own timer is used, which wakes up only once.
             let filled = async_std::future::timeout(limits.idle, input.fill());
             match future::or(filled, stopped).await {
                 Ok(Ok(())) => {}
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Waits until the request may start; meanwhile the caller may leave.
+    /// Waits until the request may start or the client disconnects.
     async fn wait_for_room(
         &self,
         input: &mut Input<'_>,
@@ -187,8 +187,8 @@
         };
         let free = self.pipeline.room(overlaps, room);
         unless_left(input, limits.head_bytes, free).await?;
-        // An answer before it ended the connection, or the server stops: what
-        // was read and not started never runs.
+        // If an earlier response closes the connection or the server shuts down, requests that
+        // were read but not started are never run.
         let stopping = self.server.stop.has_begun() && !self.pipeline.is_empty();
         if stopping || self.pipeline.is_closing() {
             return Err(ReaderEnd::NoMore);
@@ -196,7 +196,7 @@
         Ok(())
     }
 
-    /// Starts the request and feeds its body.
+    /// Starts the request and feeds its body to the handler.
     async fn start(
         &self,
         input: &mut Input<'_>,
@@ -222,7 +222,8 @@
         if head.expects_continue
             && let Some(feed) = &feed
         {
-            // Nobody knows whether it comes before it is asked for.
+            // The client may send the body before it is asked for, so its unread size is
+            // unknown.
             feed.left(None);
         }
         let mut request = Request::from_parts(head.parts, body);
@@ -242,7 +243,7 @@
         self.feed_body(input, &mut decoder, &feed).await
     }
 
-    /// Hands the body on as it arrives.
+    /// Passes the body to the handler as it arrives.
     async fn feed_body(
         &self,
         input: &mut Input<'_>,
@@ -286,7 +287,7 @@
         self.pipeline.answer(to, response);
     }
 
-    /// Writes answers until the last one.
+    /// Writes responses until the last one.
     async fn write_answers(&self) -> io::Result<()> {
         loop {
             match self.pipeline.output().await {
@@ -308,7 +309,7 @@
         }
     }
 
-    /// Writes one answer; tells whether the connection stays open.
+    /// Writes one response; returns whether the connection is kept open.
     async fn write_answer(
         &self,
         to: &AnswerTo,
@@ -353,7 +354,7 @@
         Ok(keeps)
     }
 
-    /// The next piece of an answer. What lies ready is written before a wait.
+    /// Returns the next frame of a response body. Data that is ready is flushed before waiting.
     async fn next_frame(
         &self,
         body: &mut Body,
@@ -367,18 +368,18 @@
         Ok(body.frame().await)
     }
 
-    /// Reads on for a moment after the last answer.
+    /// Discards input for a short time after the last response.
     async fn linger(&self, input: &mut Input<'_>) {
         if let Err(error) = end_writing(&self.stream) {
             tracing::trace!(peer = %self.peer, %error, "the connection has ended already");
             return;
         }
-        // A caller that does not close in time is closed.
+        // After the timeout, the connection is closed anyway.
         let _ = timeout(LINGER, input.pass_over(LINGER_BYTES)).await;
     }
 
-    /// An answer could not be written whole: a reset tells so, also where its
-    /// end is the end of the connection.
+    /// Resets the connection after a truncated response, so that the client notices even if the
+    /// response is delimited by the end of the connection.
     fn break_off(&self, error: &io::Error) {
         tracing::debug!(peer = %self.peer, %error, "an answer broke off");
         if let Err(error) = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)) {
@@ -387,8 +388,8 @@
     }
 }
 
-/// Waits for `wait`, unless the caller leaves before. At most `limit` bytes are
-/// read ahead meanwhile.
+/// Waits for `wait`, unless the client disconnects first. Meanwhile up to `limit` bytes are
+/// read ahead.
 async fn unless_left<T>(
     input: &mut Input<'_>,
     limit: usize,
@@ -399,7 +400,7 @@
     future::or(done, left).await
 }
 
-/// True when so many unread bytes are passed over and the connection kept.
+/// Whether the unread part of a body is discarded and the connection kept.
 fn passes_over(unread: Option<u64>) -> bool {
     unread.is_some_and(|bytes| bytes <= PASSED_OVER_BYTES)
 }
--- a/crates/rampthread-http/src/server/framing.rs
+++ b/crates/rampthread-http/src/server/framing.rs
@@ -1,35 +1,35 @@
-//! Where the body of a request ends. Chunk sizes are parsed by `httparse`.
+//! Framing of request bodies. Chunk sizes are parsed by `httparse`.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Bytes that the line with a chunk's size may take, its extensions included.
+/// Maximum length of a chunk size line including its extensions, in bytes.
 const MAX_CHUNK_LINE: usize = 256;
-/// Bytes that all trailers of a body may take; they are passed over.
+/// Maximum total length of the trailers, in bytes; they are discarded.
 const MAX_TRAILERS: usize = 4_096;
 
-/// How a body is delimited.
+/// Framing of a request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// There is none.
+    /// No body.
     Empty,
-    /// It has so many bytes.
+    /// A body of this number of bytes.
     Length(u64),
-    /// It comes in chunks.
+    /// Chunked transfer coding.
     Chunked,
 }
 
-/// What is next in a body.
+/// Result of decoding the next part of a body.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Piece {
-    /// Some of it.
+    /// Body data.
     Data(Bytes),
-    /// Nothing before more bytes arrive.
+    /// More input is needed.
     Incomplete,
-    /// Its end.
+    /// End of the body.
     End,
 }
 
-/// The chunks of a body contradict the protocol.
+/// The chunked coding of a body is malformed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the chunks of the body are malformed")]
 pub struct MalformedChunks;
@@ -44,14 +44,14 @@
     Nothing,
 }
 
-/// Takes a body from the bytes of a connection.
+/// Incremental decoder of a request body.
 #[derive(Debug)]
 pub(super) struct BodyDecoder {
     expected: Expected,
 }
 
 impl BodyDecoder {
-    /// At the beginning of a body.
+    /// Creates a decoder at the start of a body.
     pub(super) fn new(framing: Framing) -> Self {
         let expected = match framing {
             Framing::Empty => Expected::Nothing,
@@ -61,7 +61,7 @@
         Self { expected }
     }
 
-    /// Bytes of the body that are still to come; none where only its end tells.
+    /// Number of body bytes still to be read; `None` for a chunked body before its end.
     pub(super) fn remaining(&self) -> Option<u64> {
         match self.expected {
             Expected::Data(left) => Some(left),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes the next piece from the front of `buffer`.
+    /// Decodes the next part from the front of `buffer`.
     pub(super) fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, MalformedChunks> {
         loop {
             match self.expected {
@@ -125,7 +125,7 @@
     }
 }
 
-/// At most `left` bytes, and how many are left after them.
+/// Takes at most `left` bytes; returns them and the number of bytes then left.
 fn take_data(buffer: &mut BytesMut, left: u64) -> Option<(Bytes, u64)> {
     let length = (buffer.len() as u64).min(left);
     if length == 0 {
@@ -145,7 +145,7 @@
     }
 }
 
-/// Passes one line over and tells its length without its end.
+/// Skips one line; returns its length without the line ending.
 fn take_line(buffer: &mut BytesMut, limit: usize) -> Result<Option<usize>, MalformedChunks> {
     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
         return if buffer.len() > limit {
--- a/crates/rampthread-http/src/server/head.rs
+++ b/crates/rampthread-http/src/server/head.rs
@@ -1,4 +1,4 @@
-//! The head of a request: parsed by `httparse`, checked as RFC 9112 demands.
+//! Request heads: parsed by `httparse` and validated according to RFC 9112.
 
 use super::framing::Framing;
 use bytes::{Buf, BytesMut};
@@ -7,31 +7,31 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, StatusCode, Uri, Version};
 use std::time::Duration;
 
-/// Headers of one request, at most. The count that most servers allow.
+/// Maximum number of headers of a request, as in most servers.
 const MAX_HEADERS: usize = 100;
 
-/// Why a request was refused before anybody looked at what it asks for.
+/// Reason why a request was rejected by its head alone.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// It is not HTTP/1.x, or contradicts itself.
+    /// Not a valid HTTP/1.x request.
     #[error("{0}")]
     Malformed(String),
-    /// The head is larger than allowed.
+    /// The head exceeds the size limit or has too many headers.
     #[error("the head is larger than {limit} bytes or {MAX_HEADERS} headers")]
     HeadTooLarge {
-        /// Bytes that are allowed.
+        /// Maximum size, in bytes.
         limit: usize,
     },
     /// The head did not arrive in time.
     #[error("the head did not arrive within {wait:?}")]
     HeadTimeout {
-        /// Time that is allowed.
+        /// The timeout.
         wait: Duration,
     },
 }
 
 impl Rejection {
-    /// The status that tells it.
+    /// Status code of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Rejection::Malformed(_) => StatusCode::BAD_REQUEST,
@@ -45,18 +45,18 @@
     Rejection::Malformed(reason.into())
 }
 
-/// A request's head and what it says of its connection.
+/// A request's head, with its framing and connection options.
 #[derive(Debug)]
 pub(super) struct Head {
     pub(super) parts: Parts,
     pub(super) framing: Framing,
-    /// The connection can carry another request after this one.
+    /// The connection can be reused after this request.
     pub(super) keeps_connection: bool,
-    /// The body comes only after an interim answer asked for it.
+    /// The client waits for a 100 (Continue) response before it sends the body.
     pub(super) expects_continue: bool,
 }
 
-/// Takes a head from the front of `buffer`; none while it is incomplete.
+/// Parses a head from the front of `buffer`; `None` if it is incomplete.
 pub(super) fn take_head(buffer: &mut BytesMut, limit: usize) -> Result<Option<Head>, Rejection> {
     skip_empty_lines(buffer);
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -117,7 +117,7 @@
     })
 }
 
-/// Exactly one `Host` (RFC 9112, section 3.2).
+/// Requires exactly one `Host` header in HTTP/1.1 (RFC 9112, section 3.2).
 fn check_host(parts: &Parts) -> Result<(), Rejection> {
     let hosts = parts.headers.get_all(HOST).iter().count();
     if parts.version == Version::HTTP_11 && hosts != 1 {
@@ -127,8 +127,8 @@
     Ok(())
 }
 
-/// How the body is delimited (RFC 9112, section 6.3). What two recipients could
-/// read in two ways is refused, since a request could hide in it.
+/// Framing of the body (RFC 9112, section 6.3). Ambiguous framing is rejected, since it enables
+/// request smuggling.
 fn framing_of(parts: &Parts) -> Result<Framing, Rejection> {
     let lengths = parts.headers.get_all(CONTENT_LENGTH);
     let length = lengths.iter().next();
@@ -167,7 +167,7 @@
     !lists(&parts.headers, "close")
 }
 
-/// True when `Connection` lists `option`.
+/// Whether `Connection` lists `option`.
 fn lists(headers: &HeaderMap, option: &str) -> bool {
     headers
         .get_all(CONNECTION)
--- a/crates/rampthread-http/src/server/mod.rs
+++ b/crates/rampthread-http/src/server/mod.rs
@@ -1,5 +1,4 @@
-//! An accept loop with limits and a stop that cuts nothing, and the connections
-//! that it serves.
+//! HTTP/1.1 server with connection limits and graceful shutdown.
 
 mod answer_head;
 mod connection;
@@ -23,23 +22,23 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Pause after a failed accept, such as one for lack of file descriptors.
+/// Delay after a failed accept, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Pause between two looks at the number of open connections.
+/// Interval at which the shutdown polls the number of open connections.
 const IDLE_POLL: Duration = Duration::from_millis(10);
 
-/// What one listener lets in.
+/// Limits of one listener.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Connections at once; one more is closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Time for a request's head to arrive after its first byte.
+    /// Time from the first byte of a request until its head must be complete.
     pub head_wait: Duration,
-    /// Time for which a connection may rest between two requests.
+    /// Keep-alive timeout: how long a connection may be idle between requests.
     pub idle: Duration,
-    /// Answers carry a `Date`.
+    /// Whether responses have a `Date` header.
     pub dated: bool,
 }
 
@@ -49,15 +48,15 @@
             connections: 4_096,
             head_bytes: 32 * 1024,
             head_wait: Duration::from_secs(10),
-            // Longer than any pool of this product keeps a connection.
+            // Longer than any client pool of this project keeps an idle connection.
             idle: Duration::from_secs(60),
             dated: true,
         }
     }
 }
 
-/// Stops a server: no new connections, requests in flight end, idle
-/// connections close.
+/// Handle for shutting down a server: no new connections, requests in flight complete, idle
+/// connections are closed.
 #[derive(Debug, Clone)]
 pub struct Stop {
     sender: async_channel::Sender<Infallible>,
@@ -82,13 +81,12 @@
 }
 
 impl Stop {
-    /// Begins the stop.
+    /// Starts a graceful shutdown.
     pub fn begin(&self) {
         self.sender.close();
     }
 
-    /// Ends the accept loop and every connection at once, whatever runs on them,
-    /// as the end of the process would.
+    /// Ends the accept loop and all connections immediately, as if the process had ended.
     pub fn cut(&self) {
         self.begin();
         self.cut_sender.close();
@@ -98,19 +96,19 @@
         let _ = self.cut_receiver.recv().await;
     }
 
-    /// Waits until every connection has ended.
+    /// Waits until all connections have ended.
     pub async fn ended(&self) {
         while self.open.load(Ordering::Acquire) > 0 {
             async_std::task::sleep(IDLE_POLL).await;
         }
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// True once the stop has begun.
+    /// Whether a shutdown was started.
     fn has_begun(&self) -> bool {
         self.receiver.is_closed()
     }
@@ -120,20 +118,20 @@
     }
 }
 
-/// Tells the limits that hold now; each request asks anew.
+/// Returns the limits in force; called for every request.
 pub type LimitSource = Arc<dyn Fn() -> Limits + Send + Sync>;
 
-/// An accept loop.
+/// Accepts connections and serves HTTP/1.1 on them.
 #[derive(Clone)]
 pub struct Server {
-    /// What is let in.
+    /// Source of the limits.
     pub limits: LimitSource,
-    /// Ends it.
+    /// Shuts the server down.
     pub stop: Stop,
 }
 
 impl Server {
-    /// An accept loop whose limits do not change.
+    /// Creates a server with constant limits.
     pub fn new(limits: Limits, stop: Stop) -> Self {
         Self {
             limits: Arc::new(move || limits),
@@ -141,7 +139,7 @@
         }
     }
 
-    /// Serves until stopped.
+    /// Serves connections until a shutdown is started.
     pub async fn serve<S: Service>(self, listener: TcpListener, service: S) {
         let service = Arc::new(service);
         loop {
--- a/crates/rampthread-http/src/server/pipeline.rs
+++ b/crates/rampthread-http/src/server/pipeline.rs
@@ -1,5 +1,5 @@
-//! The requests of one connection that were started and are not answered yet,
-//! in the order in which they came.
+//! Started requests of one connection whose responses are not yet written, in the order of
+//! arrival.
 
 use super::request_body::UnreadBody;
 use crate::body::Body;
@@ -13,12 +13,12 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// What the answer to a request must know of the request.
+/// Properties of a request that its response depends on.
 #[derive(Debug, Clone)]
 pub(super) struct AnswerTo {
     pub(super) method: Method,
     pub(super) version: Version,
-    /// The caller keeps the connection after this answer.
+    /// The client allows the connection to be reused.
     pub(super) keeps_connection: bool,
     pub(super) unread: UnreadBody,
 }
@@ -39,44 +39,43 @@
     }
 }
 
-/// What is to be written next.
+/// What the writer writes next.
 pub(super) enum Output {
-    /// An interim answer: the body may come.
+    /// An interim response that requests the body.
     Continue,
-    /// The answer to the oldest request, and whether it is the last one.
+    /// The response to the oldest request; `last` if no other follows.
     Answer {
         to: AnswerTo,
         response: Response<Body>,
         last: bool,
     },
-    /// Nothing any more.
+    /// All responses are written.
     Finished,
 }
 
 #[derive(Default)]
 struct State {
     started: VecDeque<Started>,
-    /// The answer to the oldest request is being written.
+    /// The response to the oldest request is being written.
     writing: bool,
     continue_wanted: bool,
-    /// When the last answer was written.
+    /// When the last response was written.
     answered_at: Option<BootInstant>,
-    /// No request is started any more.
+    /// No further request is started.
     closing: bool,
 }
 
-/// Room for requests that run at the same time.
+/// Limits on starting a request concurrently with others.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Room {
-    /// Requests started and not answered, at most.
+    /// Maximum number of requests without a written response.
     pub(super) requests: usize,
-    /// Bytes of answers that wait for their turn, at most.
+    /// Maximum size of the responses queued behind earlier ones, in bytes.
     pub(super) answer_bytes: u64,
 }
 
-/// The started requests of one connection. Reader, driver and writer of the
-/// connection share it; they are parts of one task, which is woken after each
-/// change that another part waits for.
+/// Shared by the reader, driver and writer of one connection. They are parts of one task, which
+/// is woken after each change that another part may wait for.
 #[derive(Default)]
 pub(super) struct Pipeline {
     state: Mutex<State>,
@@ -95,30 +94,30 @@
         self.state().started.push_back(Started { to, progress });
     }
 
-    /// Queues an answer that needs no work.
+    /// Queues a response that needs no handler.
     pub(super) fn answer(&self, to: AnswerTo, response: Response<Body>) {
         let progress = Progress::Answered(response);
         self.state().started.push_back(Started { to, progress });
     }
 
-    /// True when every request has got its answer.
+    /// Whether all responses are written.
     pub(super) fn is_empty(&self) -> bool {
         self.state().started.is_empty()
     }
 
-    /// True when nothing was under way for as long as `time`.
+    /// Whether no request was in progress for at least `time`.
     pub(super) fn has_rested(&self, time: Duration) -> bool {
         let state = self.state();
         let answered = state.answered_at.map(|at| at.elapsed());
         state.started.is_empty() && answered.is_none_or(|rested| rested >= time)
     }
 
-    /// Nothing more is started.
+    /// Stops starting requests.
     pub(super) fn close(&self) {
         self.state().closing = true;
     }
 
-    /// The caller has left: what still runs is given up.
+    /// The client disconnected: drops running handlers and all responses behind them.
     pub(super) fn leave(&self) {
         let mut state = self.state();
         state.closing = true;
@@ -130,18 +129,18 @@
         state.started.truncate(answered);
     }
 
-    /// True when nothing more is started.
+    /// Whether starting requests has stopped.
     pub(super) fn is_closing(&self) -> bool {
         self.state().closing
     }
 
-    /// An interim answer is to be written.
+    /// Requests an interim 100 (Continue) response.
     pub(super) fn want_continue(&self) {
         self.state().continue_wanted = true;
     }
 
-    /// Waits until one more request may start: beside others, or after all of
-    /// them are answered.
+    /// Waits until a request may start: concurrently within `room`, or after all earlier
+    /// responses are written.
     pub(super) async fn room(&self, overlaps: bool, room: Room) {
         poll_fn(|_| {
             let state = self.state();
@@ -159,7 +158,7 @@
         .await
     }
 
-    /// Runs the handlers; ends never.
+    /// Polls the handlers; never completes.
     pub(super) async fn drive(&self) {
         poll_fn(|context| {
             self.state().poll_running(context);
@@ -177,14 +176,14 @@
         .await
     }
 
-    /// The answer that was taken last is written.
+    /// Marks the response that was taken last as written.
     pub(super) async fn written(&self) {
         poll_fn(|context| {
             let mut state = self.state();
             state.writing = false;
             state.answered_at = Some(BootInstant::now());
             state.started.pop_front();
-            // The reader may wait for room.
+            // The reader may be waiting for a free place.
             context.waker().wake_by_ref();
             Poll::Ready(())
         })
@@ -212,7 +211,7 @@
             };
             if let Poll::Ready(response) = handler.as_mut().poll(context) {
                 started.progress = Progress::Answered(response);
-                // The reader may wait for the body to be given up.
+                // The reader may be waiting for the handler to drop the body.
                 context.waker().wake_by_ref();
             }
         }
@@ -231,8 +230,8 @@
         }
         self.continue_wanted = false;
         let to = oldest.to.clone();
-        // The place is kept until the answer is written: nothing may start
-        // before that which must not run beside others.
+        // The entry stays in the queue until the response is written, since a request that must
+        // not run concurrently waits for an empty queue.
         let taken = Progress::Answered(Response::new(crate::body::empty()));
         let Progress::Answered(response) = std::mem::replace(&mut oldest.progress, taken) else {
             return None;
--- a/crates/rampthread-http/src/server/request_body.rs
+++ b/crates/rampthread-http/src/server/request_body.rs
@@ -1,4 +1,4 @@
-//! A request's body on its way from the connection to whoever handles it.
+//! Passes a request body from the connection to its handler.
 
 use super::framing::MalformedChunks;
 use bytes::Bytes;
@@ -9,38 +9,38 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::task::{Context, Poll};
 
-/// Pieces that wait for the handler: the connection reads on only after the
-/// handler took the piece before.
+/// Buffered pieces between connection and handler. The connection reads on only after the
+/// handler has taken the previous piece.
 const WAITING_PIECES: usize = 1;
 
-/// Stands for a number of bytes that only the body's end tells.
+/// Value for an unknown number of unread bytes.
 const UNKNOWN: u64 = u64::MAX;
 
-/// Why a request's body ended early.
+/// Error of a request body that ended early.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestBodyError {
-    /// Its chunks are malformed.
+    /// The chunked coding is malformed.
     #[error(transparent)]
     Malformed(#[from] MalformedChunks),
-    /// The connection ended within it.
+    /// The connection ended within the body.
     #[error("the connection ended within the body")]
     ConnectionLost,
 }
 
-/// A piece of a body on its way; none: the body is whole.
+/// A piece of the body; `None` at its end.
 type Handed = Result<Option<Bytes>, MalformedChunks>;
 
-/// A request's body. Dropped early, what is left of it is passed over, or the
-/// connection ends after the answer.
+/// Body of a request. If it is dropped early, the connection discards the rest or closes after
+/// the response.
 pub struct RequestBody {
     pieces: Option<Pin<Box<async_channel::Receiver<Handed>>>>,
-    /// Tells the connection that the body is wanted; taken with the first use.
+    /// Signals the connection that the handler reads the body; taken at the first poll.
     wanted: Option<async_channel::Sender<()>>,
     declared: Option<u64>,
 }
 
 impl RequestBody {
-    /// The body of a request that has none.
+    /// Creates an empty body.
     pub(super) fn empty() -> Self {
         Self {
             pieces: None,
@@ -59,7 +59,8 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, RequestBodyError>>> {
         if let Some(wanted) = self.wanted.take() {
-            // Full or closed: the connection knows already, or is gone.
+            // A full or closed channel means that the connection was already signalled, or has
+            // ended.
             let _ = wanted.try_send(());
         }
         let Some(pieces) = &mut self.pieces else {
@@ -87,14 +88,14 @@
     }
 }
 
-/// The connection's side of a body.
+/// Sending half of a request body, held by the connection.
 pub(super) struct BodyFeed {
     pieces: async_channel::Sender<Handed>,
     wanted: async_channel::Receiver<()>,
     unread: UnreadBody,
 }
 
-/// Bytes of a request's body that have not been read from the connection.
+/// Number of body bytes not yet read from the connection.
 #[derive(Debug, Clone)]
 pub(super) struct UnreadBody(Arc<AtomicU64>);
 
@@ -113,7 +114,7 @@
 }
 
 impl BodyFeed {
-    /// Both sides of a body of `declared` bytes.
+    /// Creates both halves for a body of `declared` bytes; `None` if the length is unknown.
     pub(super) fn new(declared: Option<u64>) -> (Self, RequestBody) {
         let (pieces, taken) = async_channel::bounded(WAITING_PIECES);
         let (wants, wanted) = async_channel::bounded(1);
@@ -132,22 +133,22 @@
         (feed, body)
     }
 
-    /// What is not read yet, for whoever writes the answer.
+    /// Shared counter of unread bytes, for the writer of the response.
     pub(super) fn unread(&self) -> UnreadBody {
         self.unread.clone()
     }
 
-    /// Waits until the handler asks for the body; false: it never will.
+    /// Waits until the handler reads the body; false if it dropped the body unread.
     pub(super) async fn wanted(&self) -> bool {
         self.wanted.recv().await.is_ok()
     }
 
-    /// Hands a piece on; false when nobody takes it any more.
+    /// Passes a piece to the handler; false if the handler dropped the body.
     pub(super) async fn hand_on(&self, piece: Handed) -> bool {
         self.pieces.send(piece).await.is_ok()
     }
 
-    /// Notes how much is left to read.
+    /// Updates the number of unread bytes; `None` if it is unknown.
     pub(super) fn left(&self, bytes: Option<u64>) {
         self.unread.set(bytes);
     }
--- a/crates/rampthread-http/src/server/service.rs
+++ b/crates/rampthread-http/src/server/service.rs
@@ -1,4 +1,4 @@
-//! What a server does with the requests that it reads.
+//! Interface between the server and request handlers.
 
 use super::head::Rejection;
 use super::request_body::RequestBody;
@@ -10,36 +10,36 @@
 use http::{Request, Response};
 use std::net::SocketAddr;
 
-/// When the first bytes of a request arrived; among the request's extensions.
-/// A request may wait for earlier ones of its connection before it starts.
+/// Time of arrival of a request's first bytes, added to its extensions. A request may wait for
+/// earlier ones on its connection before it starts.
 #[derive(Debug, Clone, Copy)]
 pub struct ReceivedAt(pub BootInstant);
 
-/// Handles requests. A closure from a request and the caller's address to a
-/// future of the answer is one, whose requests never overlap.
+/// Request handler. It is implemented for closures that take a request and the client's address
+/// and return a future of the response; their requests never overlap.
 pub trait Service: Send + Sync + 'static {
-    /// Answers a request. The future is dropped when the caller leaves.
+    /// Handles a request. The future is dropped if the client disconnects.
     fn handle(
         &self,
         request: Request<RequestBody>,
         peer: SocketAddr,
     ) -> BoxFuture<'static, Response<Body>>;
 
-    /// True when a request without a body may start while earlier ones of its
-    /// connection run. If one of those ends the connection, the caller sends it
-    /// again: it must bear to run twice.
+    /// Whether a request without a body may start while earlier ones on its connection are
+    /// running. If one of those closes the connection, the client resends the request, so it
+    /// must be repeatable.
     fn may_overlap(&self, _head: &Parts) -> bool {
         false
     }
 
-    /// The answer to a request that was refused by its head alone.
+    /// Response to a request that was rejected by its head alone.
     fn reject(&self, peer: SocketAddr, rejection: &Rejection) -> Response<Body> {
         tracing::debug!(%peer, %rejection, "request rejected");
         rejection_answer(rejection)
     }
 }
 
-/// A plain answer that tells a rejection.
+/// Plain text response with the reason of a rejection.
 pub fn rejection_answer(rejection: &Rejection) -> Response<Body> {
     let mut response = Response::new(full(format!("{rejection}\n")));
     *response.status_mut() = rejection.status();
--- a/crates/rampthread-http/src/server/socket.rs
+++ b/crates/rampthread-http/src/server/socket.rs
@@ -1,5 +1,4 @@
-//! The two directions of a caller's connection. Memory is held only while bytes
-//! are on their way.
+//! Reading from and writing to a server connection. Idle connections hold no buffers.
 
 use async_std::net::TcpStream;
 use bytes::BytesMut;
@@ -11,23 +10,23 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Bytes read at once; they lie on the stack, so that a connection that waits
-/// holds no buffer.
+/// Size of a read, in bytes. The buffer is on the stack, so that a waiting connection holds
+/// none.
 const READ_BYTES: usize = 16 * 1024;
-/// Time for which a caller may take no byte of its answer. Longer than any
-/// deadline that callers set; it only ends connections that are stuck.
+/// Time after which a write without progress fails. Longer than the deadlines of callers, so
+/// that it only ends stuck connections.
 const WRITE_STALL: Duration = Duration::from_secs(30);
 
-/// Why nothing more is read.
+/// Reason why reading ended.
 #[derive(Debug)]
 pub(super) enum ReadEnd {
-    /// The caller closed its side.
+    /// The client closed its sending side.
     Closed,
-    /// The connection broke.
+    /// The connection failed.
     Broken(io::Error),
 }
 
-/// Bytes from the caller that nobody has taken yet.
+/// Received bytes that are not yet processed.
 pub(super) struct Input<'socket> {
     stream: &'socket TcpStream,
     pub(super) buffer: BytesMut,
@@ -41,10 +40,10 @@
         }
     }
 
-    /// Reads some bytes.
+    /// Reads some bytes into the buffer.
     pub(super) async fn fill(&mut self) -> Result<(), ReadEnd> {
         if self.buffer.is_empty() {
-            // Gives the memory back before a wait that may be long.
+            // Frees the buffer before a wait of unknown length.
             self.buffer = BytesMut::new();
         }
         let (mut stream, buffer) = (self.stream, &mut self.buffer);
@@ -66,8 +65,8 @@
         }
     }
 
-    /// Reads ahead until the caller leaves. Once `limit` bytes wait, it reads no
-    /// further and ends never.
+    /// Reads ahead until the client disconnects. Once `limit` bytes are buffered, it stops
+    /// reading and never completes.
     pub(super) async fn until_left(&mut self, limit: usize) -> ReadEnd {
         while self.buffer.len() < limit {
             if let Err(end) = self.fill().await {
@@ -77,7 +76,7 @@
         std::future::pending().await
     }
 
-    /// Reads and forgets until the caller closes, `limit` bytes at the most.
+    /// Discards input until the client closes, up to about `limit` bytes.
     pub(super) async fn pass_over(&mut self, limit: usize) {
         let mut passed = 0;
         while passed < limit {
@@ -90,7 +89,7 @@
     }
 }
 
-/// Writes all bytes, unless the caller takes none for too long.
+/// Writes all bytes; fails if the client accepts none for [`WRITE_STALL`].
 pub(super) async fn write(mut stream: &TcpStream, bytes: &[u8]) -> io::Result<()> {
     let mut left = bytes;
     while !left.is_empty() {
@@ -105,7 +104,7 @@
     Ok(())
 }
 
-/// Says that nothing more is written.
+/// Closes the sending side of the connection.
 pub(super) fn end_writing(stream: &TcpStream) -> io::Result<()> {
     stream.shutdown(Shutdown::Write)
 }
--- a/crates/rampthread-http/src/tide_server.rs
+++ b/crates/rampthread-http/src/tide_server.rs
@@ -1,6 +1,6 @@
-//! tide behind our own accept loop: `TCP_NODELAY`, a connection limit and a 400
-//! for malformed requests, which async-h1 leaves out. The time limit on a
-//! request's head is async-h1's own, 60 s.
+//! Serves tide applications with `TCP_NODELAY`, a connection limit and a 400 response to
+//! malformed requests, which async-h1 does not provide. The timeout of a request's head is that
+//! of async-h1, 60 s.
 
 use async_h1::server::{ConnectionStatus, Server};
 use async_std::io::WriteExt;
@@ -14,7 +14,7 @@
 const BAD_REQUEST: &[u8] =
     b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// Serves `app` until the task is dropped.
+/// Serves `app` until the future is dropped.
 pub async fn serve_tide<State>(listener: TcpListener, app: tide::Server<State>)
 where
     State: Clone + Send + Sync + 'static,
--- a/crates/rampthread-http/src/time.rs
+++ b/crates/rampthread-http/src/time.rs
@@ -1,9 +1,8 @@
-//! The clock of the product, and waits that follow it.
+//! Boot-time clock, and timeouts that follow it.
 //!
-//! A machine may be suspended for seconds. The steady clock (`CLOCK_MONOTONIC`)
-//! does not count that time, and the runtime's timers run on it: a deadline, the
-//! age of a connection or a lease would be believed younger than it is by as long
-//! as the machine stood still. `CLOCK_BOOTTIME` counts it, and is never set back.
+//! `CLOCK_MONOTONIC`, which the runtime's timers use, does not advance while the machine is
+//! suspended, so deadlines, leases and the ages of connections would be too young after a
+//! suspension. `CLOCK_BOOTTIME` includes that time and is never set back.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::future::Future;
@@ -11,20 +10,19 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Longest that the runtime's timer is trusted before the clock is asked again: a
-/// wait that spans a suspension ends at most this much late. Calls of the users
-/// take a quarter of a second in the mean, so that most waits set one timer.
+/// Maximum duration of a single timer of the runtime. A wait that spans a suspension ends at
+/// most this late. Most calls take less, so that one timer is enough.
 const TIMER_SLICE: Duration = Duration::from_millis(500);
 
-/// Added to the clock, in nanoseconds: how tests suspend the machine.
+/// Offset added to the clock by tests, in nanoseconds.
 static SUSPENDED_NANOS: AtomicU64 = AtomicU64::new(0);
 
-/// A moment of the boot-time clock.
+/// A point in time of `CLOCK_BOOTTIME`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// The present moment.
+    /// Reads the clock.
     pub fn now() -> Self {
         let read = clock_gettime(ClockId::Boottime);
         let seconds = Duration::from_secs(read.tv_sec.unsigned_abs());
@@ -32,12 +30,12 @@
         Self(seconds + Duration::from_nanos(nanos))
     }
 
-    /// Time since then, a suspension included.
+    /// Time since this instant, including suspensions.
     pub fn elapsed(self) -> Duration {
         Self::now().0.saturating_sub(self.0)
     }
 
-    /// Time until this moment; zero once it has passed.
+    /// Time until this instant; zero once it has passed.
     fn left(self) -> Duration {
         self.0.saturating_sub(Self::now().0)
     }
@@ -47,12 +45,12 @@
     }
 }
 
-/// The wait ended before the future.
+/// The future did not complete within its timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the wait ended first")]
 pub struct TimeoutError;
 
-/// Waits for `future`, at most for `wait`, a suspension included.
+/// Waits for `future` for at most `wait`, including suspensions.
 pub async fn timeout<F: Future>(wait: Duration, future: F) -> Result<F::Output, TimeoutError> {
     let end = BootInstant::after(wait);
     let mut future = pin!(future);
@@ -66,7 +64,7 @@
     }
 }
 
-/// Sleeps for `wait`, a suspension included.
+/// Sleeps for `wait`, including suspensions.
 pub async fn sleep(wait: Duration) {
     let end = BootInstant::after(wait);
     loop {
@@ -78,8 +76,8 @@
     }
 }
 
-/// Moves the clock on while the steady clock and the timers stay, as a suspension
-/// of the machine does. For tests.
+/// Advances the clock but not the runtime's timers, like a suspension of the machine. For
+/// tests.
 #[doc(hidden)]
 pub fn suspend_for_tests(time: Duration) {
     SUSPENDED_NANOS.fetch_add(time.as_nanos() as u64, Ordering::Relaxed);
--- a/crates/rampthread-http/tests/connections.rs
+++ b/crates/rampthread-http/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Raw sockets against the server: pipelines, callers that leave, malformed
-//! requests, bodies, and the end of connections.
+//! Server connections over raw sockets: pipelining, disconnects, malformed requests, request
+//! bodies and connection close.
 
 use async_std::task;
 use futures_util::FutureExt;
@@ -16,10 +16,10 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longest wait for something that must happen.
+/// Timeout of conditions that must become true.
 const LIMIT: Duration = Duration::from_secs(20);
 
-/// What the handlers of a test have seen and may do.
+/// What the handlers of a test observed, and the responses that they may give.
 #[derive(Default)]
 struct Progress {
     started: Vec<String>,
@@ -28,14 +28,14 @@
     bodies: HashMap<String, Result<usize, String>>,
 }
 
-/// Handlers that wait until the test lets them answer.
+/// Service whose handlers wait until the test releases their responses.
 #[derive(Clone, Default)]
 struct Scripted {
     progress: Arc<(Mutex<Progress>, Condvar)>,
     released: Arc<event::Event>,
 }
 
-/// A wake-up for all handlers that wait.
+/// Wakes all waiting handlers.
 mod event {
     use std::sync::Mutex;
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Notes that a handler was dropped before it answered.
+/// Records a handler that was dropped before it responded.
 struct DropNote(Scripted, Option<String>);
 
 impl Drop for DropNote {
@@ -73,7 +73,7 @@
         changed
     }
 
-    /// Lets the handler of `path` answer.
+    /// Releases the response of the handler for `path`.
     fn release(&self, path: &str, body: &str) {
         let response = Response::new(body.as_bytes().to_vec());
         self.change(|progress| progress.released.insert(path.to_string(), response));
@@ -161,7 +161,7 @@
     format!("GET {path} HTTP/1.1\r\nhost: a\r\n\r\n")
 }
 
-/// Reads until `count` answers with `content-length` are whole.
+/// Reads `count` responses with a `content-length`.
 fn read_answers(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut bytes = Vec::new();
     let mut answers = Vec::new();
@@ -192,7 +192,7 @@
 
 fn read_to_end(mut stream: TcpStream) -> String {
     let mut answer = Vec::new();
-    // A reset ends it too.
+    // A reset ends the response as well.
     let _ = stream.read_to_end(&mut answer);
     String::from_utf8_lossy(&answer).to_string()
 }
@@ -289,7 +289,7 @@
     let mut stream = connect(address);
     stream.write_all(get("/safe/1").as_bytes()).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
-    // The close may be seen before the handler has run at all, or after.
+    // The server may see the close before or after the handler has run.
     let answer = read_to_end(stream);
     assert!(answer.is_empty() || answer.ends_with("one"), "{answer}");
 }
--- a/crates/rampthread-http/tests/one_clock.rs
+++ b/crates/rampthread-http/tests/one_clock.rs
@@ -1,9 +1,9 @@
-//! Product code compares times of one clock, which counts a suspension of the
-//! machine: no other clock, and no timer of the runtime where lateness matters.
+//! All time comparisons must use the boot-time clock, and timers must go through this crate,
+//! since others stop while the machine is suspended.
 
 use std::path::{Path, PathBuf};
 
-/// Crates whose code serves calls or keeps the fleet together.
+/// Crates that serve calls or run the control plane.
 const PRODUCT: &[&str] = &[
     "rampthread",
     "rampthread-core",
@@ -12,7 +12,7 @@
     "rampthread-platform",
     "rampthread-wire",
 ];
-/// The clock itself, and the one wait whose lateness harms nobody.
+/// The clock itself, and the one timer that may be late.
 const ALLOWED: &[&str] = &[
     "rampthread-http/src/time.rs",
     "rampthread-http/src/server/connection.rs",
--- a/crates/rampthread-http/tests/pipeline_properties.rs
+++ b/crates/rampthread-http/tests/pipeline_properties.rs
@@ -1,6 +1,5 @@
-//! Whatever a pipeline holds and in whatever order its requests end: answers
-//! come in the order of the requests, each to its own, and only requests that
-//! may overlap run beside earlier ones.
+//! Pipelining with random requests and handler durations: responses arrive in the order of
+//! their requests, and only requests that may overlap run concurrently.
 
 use async_std::task;
 use futures_util::FutureExt;
@@ -35,11 +34,12 @@
     )
 }
 
-/// Answers `/overlap|alone/NUMBER/WORK_MS/BYTES` with the number and so many bytes.
+/// Responds to `/overlap|alone/NUMBER/WORK_MS/BYTES` with the number and padding of the given
+/// size.
 #[derive(Clone, Default)]
 struct Numbered {
     running: Arc<AtomicUsize>,
-    /// Requests that ran beside others though they must not.
+    /// Number of requests that ran concurrently although they must not.
     beside_others: Arc<AtomicUsize>,
 }
 
@@ -84,7 +84,7 @@
     pipeline.iter().enumerate().map(text).collect()
 }
 
-/// Reads one answer; none at the end of the connection.
+/// Reads one response; `None` at the end of the connection.
 fn read_answer(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/rampthread-http/tests/suspension.rs
+++ b/crates/rampthread-http/tests/suspension.rs
@@ -1,5 +1,5 @@
-//! A suspended machine: its clock has moved on while its timers stood still. One
-//! test, since the clock is the whole process's.
+//! Timeouts and pooled connections after a suspension of the machine. A single test, since the
+//! clock offset is global to the process.
 
 use async_std::task::{block_on, spawn};
 use bytes::Bytes;
@@ -14,10 +14,10 @@
 use std::time::{Duration, Instant};
 
 const SUSPENSION: Duration = Duration::from_secs(30);
-/// Well below the waits that span the suspension, and above a slice of them.
+/// Much shorter than the waits that span the suspension, and longer than one timer slice.
 const SOON: Duration = Duration::from_secs(2);
 
-/// Suspends the machine a moment from now.
+/// Simulates a suspension 50 ms from now.
 fn suspend_soon() {
     spawn(async {
         async_std::task::sleep(Duration::from_millis(50)).await;
