--- a/crates/rampthread-node/src/calls/content.rs
+++ b/crates/rampthread-node/src/calls/content.rs
@@ -1,5 +1,5 @@
-//! What a request asks for, kept while it is under way: cheap to keep, since its
-//! parts are shared, and digested only when somebody asks, once.
+//! Identifying parts of a request, kept while the call is in progress. Clones share the data;
+//! the digest is computed once, on demand.
 
 use bytes::Bytes;
 use http::header::HOST;
@@ -7,7 +7,7 @@
 use rampthread_core::call::identity::{IdentityKey, RequestContent, RequestIdentity};
 use std::sync::{Arc, OnceLock};
 
-/// The parts of a request that make its identity; clones share them.
+/// The parts of a request that its identity is derived from; cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub(super) struct KeptContent(Arc<Parts>);
 
@@ -31,13 +31,12 @@
         }))
     }
 
-    /// Bytes of its body.
+    /// Size of the body, in bytes.
     pub(super) fn body_bytes(&self) -> usize {
         self.0.body.len()
     }
 
-    /// Names the request: 0.4 us without a body, 9 us with 4 kB, 0.2 ms with 250 kB
-    /// (20,000 and 200 digests in a loop, release build, one core).
+    /// Identity of the request, digested at the first use.
     pub(super) fn identity(&self, key: &IdentityKey) -> RequestIdentity {
         *self.0.identity.get_or_init(|| self.0.identify(key))
     }
--- a/crates/rampthread-node/src/calls/entry/admission.rs
+++ b/crates/rampthread-node/src/calls/entry/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a call may begin at all: whose it is, and whether its tenant may send more.
+//! Admission of calls: identifies the tenant and applies its rate limit.
 
 use super::Entry;
 use crate::calls::answer::Refusal;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl Entry {
-    /// The tenant that the call is of; none where it needs none.
+    /// Identifies the tenant of the call; `None` where the route needs none.
     pub(super) fn identify(
         &self,
         config: &ActiveConfig,
@@ -23,8 +23,8 @@
         Ok(tenant.cloned())
     }
 
-    /// Takes a token of the tenant's limit; none where there is no limit. All tries of the
-    /// call share it.
+    /// Takes a token from the tenant's rate limit, for all attempts of the call; `None` where
+    /// there is no limit.
     pub(super) fn take_token(&self, tenant: Option<&Tenant>) -> Result<Option<TenantTag>, Refusal> {
         match tenant {
             Some(tenant) => self.parts.limits.take(tenant),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Gives the token of a call back that no back end has run.
+    /// Returns the token of a call that no backend ran.
     pub(super) fn settle_token<T>(&self, token_of: Option<TenantTag>, result: &Result<T, Refusal>) {
         let (Some(tenant), Err(refusal)) = (token_of, result) else {
             return;
@@ -43,15 +43,14 @@
     }
 }
 
-/// Rank of a call: the tenant's, where it has one, goes before the route's.
+/// Priority of a call: the tenant's if it has one, or else the route's.
 pub(super) fn rank(tenant: Option<&Tenant>, route: &Route) -> u32 {
     tenant
         .and_then(|tenant| tenant.priority)
         .unwrap_or(route.priority)
 }
 
-/// Takes the key, which only this node needs, and the caller's own word on its tenant out
-/// of a request that goes on.
+/// Removes the caller's key, which only the entry needs, and any tenant name set by the caller.
 pub(super) fn remove_identity(config: &ActiveConfig, tenant: &HeaderName, headers: &mut HeaderMap) {
     headers.remove(tenant);
     if config.tenants.in_use() {
--- a/crates/rampthread-node/src/calls/entry/caller_service.rs
+++ b/crates/rampthread-node/src/calls/entry/caller_service.rs
@@ -1,4 +1,4 @@
-//! The entry as the service of the listener for callers.
+//! HTTP service of the listener for callers.
 
 use super::Entry;
 use crate::calls::answer::Refusal;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Hands what callers send to the entry.
+/// Forwards requests from callers to the entry.
 pub struct CallerService(pub Arc<Entry>);
 
 impl Service for CallerService {
--- a/crates/rampthread-node/src/calls/entry/claim.rs
+++ b/crates/rampthread-node/src/calls/entry/claim.rs
@@ -1,4 +1,4 @@
-//! The claim of an idempotency key before a call runs, and what becomes of it.
+//! Claims the idempotency key of a call before it runs, and settles the claim afterwards.
 
 use super::{Call, Entry, NO_BACKEND_RETRY, outcome_of};
 use crate::calls::answer::Refusal;
@@ -10,7 +10,7 @@
 use rampthread_http::Body;
 
 impl Entry {
-    /// A request that its caller may send again runs only with a claim.
+    /// Claims the idempotency key, if the request has one.
     pub(super) async fn claim(&self, call: &Call) -> Result<(), Refusal> {
         let (Some(key), Some(claims)) = (&call.key, &self.parts.claims) else {
             return Ok(());
@@ -48,7 +48,7 @@
         let action = match outcome {
             Outcome::Completed => ClaimAction::Done,
             Outcome::NotRun => ClaimAction::Release,
-            // It may still run: the claim stays open until its life ends.
+            // The call may still run, so the claim stays open until it expires.
             Outcome::Unknown => return,
         };
         let call_id = call.id.clone();
--- a/crates/rampthread-node/src/calls/entry/demand.rs
+++ b/crates/rampthread-node/src/calls/entry/demand.rs
@@ -1,4 +1,4 @@
-//! What the callers of this node ask for, as its zone is told it.
+//! Demand of this node's callers, as reported to its zone.
 
 use super::Entry;
 use rampthread_core::call::zone_choice::{is_at_work, to_milli};
@@ -6,8 +6,8 @@
 use rampthread_core::ids::ResourceName;
 
 impl Entry {
-    /// Slots that the calls of this node ask for, by service; empty while their services
-    /// are at rest here, or where no other zone has back ends of them.
+    /// Slots demanded by the calls of this node, by service. Empty while the services are idle
+    /// here, or if no other zone has backends of them.
     pub fn service_demand(&self) -> Vec<ServiceLoad> {
         let now = self.now();
         let home = &self.parts.zone;
@@ -36,7 +36,7 @@
         loads
     }
 
-    /// What tenants ask for here; none where there are no limits.
+    /// Demand of tenants at this node; `None` where no tenant has a limit.
     pub fn tenant_loads(&self) -> Option<Vec<TenantLoad>> {
         self.parts.limits.loads()
     }
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -1,8 +1,8 @@
-//! The entry: takes a caller's request and sees it through.
+//! The entry: the node that receives a call from its caller and routes it to a backend.
 //!
-//! Phases, in order: read the head ([`Entry::handle`]), find the route, admit, claim
-//! the idempotency key, choose a back end, send the hop, fence what was given
-//! up on, decide on a second try, pass the answer on. Only the entry tries again.
+//! Phases, in order: read the head ([`Entry::handle`]), match the route, admit, claim the
+//! idempotency key, choose a backend, send the hop, fence an abandoned hop, decide on a retry,
+//! forward the response. Only the entry retries.
 
 mod admission;
 mod caller_service;
@@ -57,23 +57,23 @@
 use versions::Versions;
 use zones::ZoneKnowledge;
 
-/// Advice when nothing can take the call now.
+/// `Retry-After` when no backend can take the call at present.
 const NO_BACKEND_RETRY: Duration = Duration::from_millis(500);
-/// Part of the fleet's retry slack that the nodes use; the rest covers nodes
-/// that do not know each other yet.
+/// Share of the fleet-wide retry slack that the known nodes divide among themselves; the rest
+/// is for nodes that have not yet discovered each other.
 const USED_SLACK: f64 = 0.7;
 
-/// Least chance of room, by this entry's own recent tries, for which a call goes to the zone
-/// that the plan names. Below it more of them were refused than taken there: what the zone
-/// told of its room is out of date.
+/// Lowest acceptance probability, estimated from this entry's recent attempts, at which a call
+/// follows the zone plan. Below it the zone rejects more of these calls than it accepts, so its
+/// published capacity is stale.
 const LEAST_PLANNED_CHANCE: f64 = 0.5;
 
-/// How calls are placed; baselines are for experiments only.
+/// Load balancing and retry policy. The non-default settings are baselines for experiments.
 #[derive(Debug, Clone, Copy)]
 pub struct EntryMode {
-    /// How back ends are chosen.
+    /// How a backend is selected.
     pub balance: BalanceMode,
-    /// Second tries are bounded.
+    /// Whether retries are limited by the retry budget.
     pub budget: bool,
 }
 
@@ -86,31 +86,31 @@
     }
 }
 
-/// What an entry is made of.
+/// Constructor arguments of [`Entry`].
 pub struct EntryParts {
-    /// The node's control side.
+    /// Control plane client of this node.
     pub control: Arc<Control>,
-    /// Names of headers towards callers.
+    /// Header names used with callers.
     pub dialect: Arc<CallDialect>,
-    /// Reaches the other nodes.
+    /// Client for hops and queries to other nodes.
     pub peers: Arc<PeerClient>,
-    /// The gate of this node, reached without a hop.
+    /// Gate of this node, called directly rather than over the network.
     pub gate: Arc<Gate>,
-    /// Claims of idempotency keys; none where callers send none.
+    /// Claims of idempotency keys; `None` where callers send no keys.
     pub claims: Option<Arc<Claims>>,
-    /// The limits of tenants.
+    /// Rate limits of tenants.
     pub limits: Arc<TenantLimits>,
-    /// This node's zone.
+    /// Zone of this node.
     pub zone: Zone,
-    /// The service beside this node, where it names all callers.
+    /// Service name used for all callers; `None` takes the name from the caller's header.
     pub caller: Option<ResourceName>,
-    /// Time between two reports of a back end.
+    /// Interval between two reports of a backend.
     pub heartbeat: Duration,
-    /// Limits and allowances that may change while the node runs.
+    /// Limits that can change while the node runs.
     pub live: LiveSettings,
-    /// Bounds of roll-outs; none: all versions are alike.
+    /// Bounds of rollouts; `None` treats all software versions alike.
     pub roll_outs: Option<RolloutBounds>,
-    /// How calls are placed.
+    /// Load balancing and retry policy.
     pub mode: EntryMode,
 }
 
@@ -121,65 +121,65 @@
     ages: AttemptAges,
     rooms: HashMap<ResourceName, AcceptanceEstimator>,
     nested: NestedRoutes,
-    /// Answers that other nodes' back ends lost.
+    /// Lost responses of backends at other nodes, kept until a new incarnation shows a crash.
     losses: PeerCrashWatch,
     zones: ZoneKnowledge,
     versions: Versions,
 }
 
-/// The entry side of one node.
+/// Accepts the calls that arrive at one node and routes them.
 pub struct Entry {
     parts: EntryParts,
     state: Mutex<EntryState>,
 }
 
-/// Everything that stays the same over the tries of one call.
+/// Properties of a call that are shared by all its attempts.
 struct Call {
     id: String,
     caller: String,
     hops: u32,
     begun: Moment,
     deadline: Moment,
-    /// Whose call it is.
+    /// Tenant identified by the request's key.
     tenant: Option<ResourceName>,
-    /// The tenant whose token it took, where there is a limit.
+    /// Tenant whose rate limit token the call took; `None` where it has no limit.
     token_of: Option<TenantTag>,
-    /// Rank of the tenant, else of the route; 0 goes first.
+    /// Priority of the tenant, or else of the route; 0 is served first.
     rank: u32,
     precedence: Precedence,
-    /// Since its caller's first attempt, as far as that is known.
+    /// Time since the caller's first attempt; zero where that is unknown.
     age: Duration,
     repeatable: bool,
     route: Arc<Route>,
     service: ResourceName,
     config: Arc<ActiveConfig>,
     key: Option<String>,
-    /// What it asks for, once its body is read.
+    /// Content that identifies the request; set once the body is read.
     content: KeptContent,
 }
 
-/// A back end chosen for one try.
+/// The backend chosen for one attempt.
 struct Choice {
     node: NodeId,
     target: Target,
-    /// Where it stands.
+    /// Zone of the backend.
     zone: Zone,
-    /// The plan by zones sent the call there.
+    /// The call was spilled to another zone by the zone plan.
     sent_away: bool,
-    /// It seems to have a slot free.
+    /// The backend appears to have a free slot.
     free: bool,
-    /// Another back end, not tried yet, seems to have a slot free.
+    /// Another backend, not tried yet, appears to have a free slot.
     others_free: bool,
-    /// Calls at the chosen one, as far as this node can know.
+    /// Estimated number of calls at the backend.
     seen_load: u32,
-    /// Of a hundred recent tries in its zone, those that found room.
+    /// Percentage of recent attempts in the zone that were admitted.
     room_percent: u32,
-    /// The request is on trial there.
+    /// The request runs as a quarantine trial at this backend.
     on_trial: bool,
 }
 
 impl Entry {
-    /// An entry that knows nothing of loads yet.
+    /// Creates an entry without any load information.
     pub fn new(parts: EntryParts) -> Self {
         let balancer = Balancer::new(parts.mode.balance, parts.control.clock.now());
         let losses = PeerCrashWatch::with_heartbeat(parts.heartbeat);
@@ -213,7 +213,8 @@
         self.parts.control.clock.now()
     }
 
-    /// Notices back ends that came into service; they start cold.
+    /// Takes over the present endpoints, starts the warm-up of new ones, and updates crash
+    /// detection and the zone plan.
     pub fn notice_changes(&self) {
         let serving = self.control().endpoints().serving();
         let now = self.now();
@@ -237,7 +238,7 @@
         self.plan_zones();
     }
 
-    /// Handles one request of a caller.
+    /// Handles one request from a caller.
     pub async fn handle(self: Arc<Self>, request: Request<RequestBody>) -> Response<Body> {
         let begun = self.received(&request);
         let call_id = self.call_id(&request);
@@ -260,7 +261,7 @@
         response
     }
 
-    /// When the request arrived; it may have waited for earlier ones of its
+    /// Time of arrival. A pipelined request may have waited for earlier requests on its
     /// connection since.
     fn received(&self, request: &Request<RequestBody>) -> Moment {
         let received: Option<&ReceivedAt> = request.extensions().get();
@@ -302,7 +303,7 @@
         result
     }
 
-    /// Runs a call whose tenant is known and whose token is taken.
+    /// Runs a call that passed admission and holds its tenant's token.
     async fn run_admitted(
         self: &Arc<Self>,
         mut call: Call,
@@ -345,8 +346,8 @@
         act(budget)
     }
 
-    /// This node's part of the fleet's allowance: its own calls carry their
-    /// share, and the slack is divided by the nodes alive.
+    /// This node's share of the fleet-wide retry limit. The ratio applies to the node's own
+    /// calls; the slack is divided by the number of live nodes.
     fn retry_share(&self, call: &Call) -> RetryShare {
         let Some(fleet) = self.parts.live.get().retry_share else {
             let service = call.config.state.service(&call.service);
@@ -380,7 +381,7 @@
         let mut rng = rand::rng();
         let mut state = self.state();
         let plan = state.zones.plan(&call.service).cloned();
-        // Where zones say what they have, only those with room are asked.
+        // Where zones publish their capacity, only zones with free capacity are tried.
         let has_told_room = |to: &Zone| {
             let shares = plan.as_ref().map(|plan| &plan.shares);
             to == zone || shares.is_none_or(|shares| shares.has_room(to))
@@ -419,14 +420,15 @@
 }
 
 impl Entry {
-    /// What recent tries tell of the room at the call's service.
+    /// Capacity estimate for the call's service, from recent attempts.
     fn room(&self, call: &Call) -> AcceptanceEstimator {
         let state = self.state();
         let known = state.rooms.get(&call.service).cloned();
         known.unwrap_or_else(|| AcceptanceEstimator::new(self.parts.zone.clone()))
     }
 
-    /// A gate of the call's service took it, or refused it for lack of room.
+    /// Records whether a gate of the call's service admitted the call or rejected it for lack of
+    /// capacity.
     fn note_room(&self, call: &Call, choice: &Choice, refused: bool) {
         let now = self.now();
         let mut state = self.state();
@@ -442,8 +444,8 @@
     }
 }
 
-/// An answer without the header comes from a process that knows nothing of
-/// outcomes; it may have run.
+/// Outcome named by a response. A response without the header comes from a process that does
+/// not report outcomes, so the request may have run.
 fn outcome_of<B>(response: &Response<B>) -> Outcome {
     forward::text(response.headers(), headers::OUTCOME)
         .and_then(Outcome::parse)
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -1,4 +1,4 @@
-//! Calls that the back end beside this entry makes in the middle of its own work.
+//! Nested calls: those that the local backend makes while it handles a call itself.
 
 use super::{Call, Entry};
 use crate::calls::forward;
@@ -8,7 +8,7 @@
 use rampthread_core::call::precedence::Precedence;
 
 impl Call {
-    /// True for the call of a back end, whose parent holds a slot until it ends.
+    /// Whether the caller is a backend that holds a slot until this call ends.
     pub(super) fn is_nested(&self) -> bool {
         self.precedence == Precedence::Dependency
     }
@@ -22,7 +22,8 @@
 }
 
 impl Entry {
-    /// A gate tells with its answer whether calls like this one are a back end's.
+    /// Records whether the route carries nested calls. Only the gate can tell, and reports it
+    /// with the response.
     pub(super) fn note_nested(&self, call: &Call, answer: &HeaderMap) {
         let word = forward::text(answer, headers::PRECEDENCE);
         if word == Some(Precedence::Dependency.as_str()) {
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -1,4 +1,4 @@
-//! One try: send the hop, take its answer, fence what was given up on.
+//! One attempt: sends the hop, processes the response, and fences an abandoned hop.
 
 use super::versions::VersionAnswer;
 use super::{Call, Choice, Entry, NO_BACKEND_RETRY, outcome_of};
@@ -23,20 +23,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a fence.
+/// Time limit of a fence request.
 const FENCE_WAIT: Duration = Duration::from_millis(250);
-/// A hop is given this much more than the call's deadline before it counts as
-/// lost, so that the gate's own answer arrives first.
+/// Added to the call's deadline before a hop counts as lost, so that the gate's own deadline
+/// error arrives first.
 const HOP_SLACK: Duration = Duration::from_millis(20);
-/// Largest answer that is read whole before it is passed on, in bytes: one that
-/// breaks off can then be tried again, or told as failed.
+/// Largest response that is buffered before it is forwarded, in bytes. If a buffered response
+/// is truncated, the call can still be retried or failed with a status.
 const WHOLE_ANSWER_BYTES: u64 = 1 << 20;
-/// Largest answer without a declared length, in bytes.
+/// Largest response without a `Content-Length`, in bytes.
 const MAX_UNDECLARED_BYTES: usize = 16 << 20;
 
 impl Entry {
-    /// Sends the call to the chosen back end and waits for its answer, at most
-    /// until the deadline. Dropped, it cancels a call that may run twice.
+    /// Sends the call to the chosen backend and waits for the response until the deadline.
+    /// Dropping the future cancels a repeatable call.
     pub(super) async fn try_once(
         self: &Arc<Self>,
         call: &Call,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Hands the call to the gate beside the chosen back end.
+    /// Forwards the call to the gate of the chosen backend.
     async fn send(
         self: &Arc<Self>,
         call: &Call,
@@ -100,8 +100,8 @@
         sent.map(|response| response.map(boxed)).map_err(failed)
     }
 
-    /// Whether the gate is asked before the body is sent: a large one needs its
-    /// turn, and a smaller one would most likely be wasted where gates are full.
+    /// Whether to reserve at the gate before sending the body. A large body needs a transfer
+    /// permit; a smaller one would probably be sent in vain where gates are full.
     fn asks_before_sending(&self, call: &Call, choice: &Choice, bytes: usize) -> bool {
         let now = self.now();
         bytes >= LARGE_BODY
@@ -110,21 +110,22 @@
                 .should_ask_before_body(&choice.zone, bytes, now)
     }
 
-    /// While another back end seems free, this one runs the call now or not at
-    /// all; the last one may let it wait.
+    /// Whether the gate may queue the call. While another backend appears free, the call must
+    /// run immediately or be rejected.
     pub(super) fn waiting(&self, call: &Call, choice: &Choice) -> Waiting {
         if choice.others_free {
             return Waiting::Never;
         }
         match call.route.target_latency_ms {
-            // Its answer is late anyway: it takes a slot that nobody waits for.
+            // The response misses the target anyway, so it must not delay calls that can meet
+            // it.
             Some(_) if call.precedence == Precedence::Retry => Waiting::Never,
             Some(_) => Waiting::ForTarget(self.target_left(call).unwrap_or_default()),
             None => Waiting::UntilDeadline,
         }
     }
 
-    /// The gate cannot be reached, or its answer was lost.
+    /// Handles a hop whose gate was unreachable or whose response was lost.
     async fn lost(
         self: &Arc<Self>,
         call: &Call,
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Given up on the hop that began at `begun`: may it still start?
+    /// Asks the gate never to start the abandoned hop, which was sent at `begun`, and derives
+    /// the outcome.
     async fn fence(
         &self,
         call: &Call,
@@ -234,7 +236,7 @@
         self.note_nested(call, response.headers());
         if outcome != Outcome::Completed {
             let refusal = refusal_of(&response, outcome);
-            // A back end that sheds had a slot for the call.
+            // A backend that sheds load had a slot for the call.
             let had_room = refusal.cause == Cause::Shed;
             if had_room || refusal.cause.is_lack_of_room() {
                 self.note_room(call, choice, !had_room);
@@ -257,7 +259,7 @@
         let took = now.since(begun);
         let route = &call.route.name;
         let failed = parts.status.is_server_error();
-        // How soon a back end fails says nothing of its speed.
+        // The time to a failure says nothing about the speed of the backend.
         if !failed {
             self.state().balancer.answered(node, route, took, now);
             let work = took.saturating_sub(Duration::from_millis(waited));
@@ -274,8 +276,8 @@
         Ok(Response::from_parts(parts, boxed(body)))
     }
 
-    /// Takes what the gate says of its back end's pace. Where one answered and nothing is
-    /// said, its pace is as usual.
+    /// Records the backend's speed as reported by the gate. A response without the header means
+    /// normal speed.
     fn note_pace(&self, node: &NodeId, outcome: Outcome, from: &HeaderMap) {
         let told = forward::text(from, headers::PACE).and_then(BackendPace::parse);
         let as_usual = (outcome == Outcome::Completed).then(BackendPace::default);
@@ -285,15 +287,15 @@
         }
     }
 
-    /// Reads an answer whole: a caller must not get the beginning of an answer that
-    /// breaks off when there is still a choice.
+    /// Buffers a response body, so that the caller does not receive a truncated response that
+    /// could still be retried.
     async fn whole_body(&self, call: &Call, body: Body) -> Result<Body, Refusal> {
         let remaining = call.deadline.since(self.now()) + HOP_SLACK;
         let reading = read_whole(body, MAX_UNDECLARED_BYTES);
         whole_answer(reading, remaining).await.map(full)
     }
 
-    /// Replaces the headers between nodes by those for callers.
+    /// Replaces internal headers by those meant for callers.
     fn dress_answer(&self, call: &Call, choice: &Choice, parts: &mut Parts, outcome: Outcome) {
         forward::remove_hop_by_hop(&mut parts.headers);
         forward::remove_own(&mut parts.headers);
@@ -305,14 +307,14 @@
     }
 }
 
-/// A hop without an answer.
+/// A hop that failed without a response.
 struct FailedHop {
     error: SendError,
-    /// Just before it was handed to the pool of connections.
+    /// Just before the hop was handed to the connection pool.
     begun: Moment,
 }
 
-/// Counts a hop as in flight until its answer has ended.
+/// Counts a hop as in flight until its response body ends.
 struct InFlight {
     entry: Arc<Entry>,
     node: NodeId,
@@ -342,7 +344,7 @@
     request
 }
 
-/// What the gate told in place of an answer.
+/// Decodes the error that a gate returned instead of a response of the backend.
 fn refusal_of<B>(response: &Response<B>, outcome: Outcome) -> Refusal {
     let from = response.headers();
     let wait = forward::number(from, headers::RETRY_AFTER_MS).map(Duration::from_millis);
--- a/crates/rampthread-node/src/calls/entry/plan.rs
+++ b/crates/rampthread-node/src/calls/entry/plan.rs
@@ -1,4 +1,4 @@
-//! What a call keeps over all its tries: id, route, service, deadline, body.
+//! Resolves what all attempts of a call share: id, route, service, deadline and body.
 
 use super::{Call, Entry, admission};
 use crate::calls::answer::Refusal;
@@ -16,13 +16,14 @@
 use rampthread_http::{RequestBody, read_limited};
 use std::time::Duration;
 
-/// Longest caller name that is kept.
+/// Longest caller name that is kept, in characters; the rest is cut off.
 const MAX_CALLER: usize = 63;
-/// Longest id of a request that is kept.
+/// Longest request id that is accepted from a caller, in bytes; a longer one is replaced.
 const MAX_REQUEST_ID: usize = 128;
 
 impl Entry {
-    /// The caller's own id where the dialect has one, else a new one.
+    /// Returns the caller's request id where the dialect names a header for it, or else a new
+    /// id.
     pub(super) fn call_id(&self, request: &Request<RequestBody>) -> String {
         let dialect = &self.parts.dialect;
         let sent = dialect
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Finds the route and fixes everything that the call keeps.
+    /// Matches the route and resolves the service, tenant, deadline and priority of the call.
     pub(super) fn plan(
         &self,
         call_id: &str,
@@ -81,8 +82,9 @@
         })
     }
 
-    /// True when a request may run beside earlier ones of its connection: it may
-    /// run twice, so that the end of the connection does no harm.
+    /// Whether a request may run concurrently with earlier requests on its connection. It must
+    /// be repeatable, since an earlier response can close the connection and make the client
+    /// resend it.
     pub(super) fn may_overlap(&self, head: &Parts) -> bool {
         let config = self.control().active();
         let route = config
@@ -91,8 +93,8 @@
         route.is_some_and(|route| is_repeatable(route, &head.method))
     }
 
-    /// How long the call may take. Where a platform names the deadline, the
-    /// route's time-out bounds it; the product's own callers may go beyond it.
+    /// Time limit of the call. Where the platform's dialect is in use, the requested deadline
+    /// is capped by the route's timeout; otherwise it may exceed it.
     fn patience(&self, route: &Route, wish: Option<Duration>) -> Duration {
         let timeout = Duration::from_millis(route.timeout_ms);
         match wish {
@@ -102,13 +104,14 @@
         }
     }
 
-    /// Time since the caller's first attempt, by the time that it brings.
+    /// Time since the caller's first attempt, derived from the deadline in the request.
     fn age(&self, route: &Route, wish: Option<Duration>) -> Duration {
         let age = wish.map(|wish| self.state().ages.age(&route.name, wish));
         age.unwrap_or_default()
     }
 
-    /// A call that comes back counts as a retry once its answer cannot be in time.
+    /// Classifies a repeated call as a retry once its response can no longer meet the route's
+    /// latency target.
     fn precedence(&self, route: &Route, age: Duration) -> Precedence {
         let state = self.state();
         if state.nested.is_nested(&route.name, self.now()) {
@@ -141,8 +144,7 @@
     ) -> Option<String> {
         self.parts.claims.as_ref()?;
         let key = forward::text(from, headers::IDEMPOTENCY_KEY)?;
-        // Keys of different routes and of different tenants are different keys. No name
-        // begins with the sign of a tenant.
+        // Keys are scoped by route and tenant. No resource name starts with `@`.
         let of_route = format!("{}/{key}", route.name);
         Some(match tenant {
             Some(tenant) => format!("@{}/{of_route}", tenant.name),
--- a/crates/rampthread-node/src/calls/entry/progress.rs
+++ b/crates/rampthread-node/src/calls/entry/progress.rs
@@ -1,4 +1,4 @@
-//! How far a call has come, for its last line in the log.
+//! Progress of a call, collected for its final log line.
 
 use super::Call;
 use crate::call_log::{CallStanding, EndedCall};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where the call stands among others.
+/// Priority attributes of a call.
 struct KeptStanding {
     tenant: Option<ResourceName>,
     rank: u32,
@@ -38,7 +38,7 @@
     }
 }
 
-/// What is known of a call so far.
+/// What is known about a call so far.
 #[derive(Default)]
 pub(super) struct Progress {
     route: Option<Arc<Route>>,
@@ -47,11 +47,11 @@
     version: u64,
     pub(super) tries: u32,
     allowed: Option<Duration>,
-    /// Where the last try went.
+    /// Zone of the last attempt.
     pub(super) zone: Option<Zone>,
-    /// The plan by zones sent it there.
+    /// The last attempt was spilled to another zone.
     pub(super) sent_away: bool,
-    /// What the request asks for, once an answer to it was lost.
+    /// Identity of the request, set once a response to it was lost.
     pub(super) identity: Option<RequestIdentity>,
 }
 
--- a/crates/rampthread-node/src/calls/entry/returns.rs
+++ b/crates/rampthread-node/src/calls/entry/returns.rs
@@ -1,4 +1,4 @@
-//! When callers come back, and what their calls can still be in time for.
+//! Remaining latency target of a call, and the retry delay advised to its caller.
 
 use super::{Call, Entry};
 use crate::calls::answer::Refusal;
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 impl Entry {
-    /// What is left of the route's target, counted from the caller's first attempt as far
-    /// as that is known; none where the route has no target.
+    /// Time left of the route's latency target, counted from the caller's first attempt where
+    /// that is known; `None` if the route has no target.
     pub(super) fn target_left(&self, call: &Call) -> Option<Duration> {
         let target = Duration::from_millis(call.route.target_latency_ms?);
         let used = call.age + self.now().since(call.begun);
         Some(target.saturating_sub(used))
     }
 
-    /// Advice to the caller of a call that ends with `refusal`.
+    /// Sets the retry delay of a call that was shed.
     pub(super) fn advise_return(&self, call: &Call, refusal: Refusal) -> Refusal {
         let shed = refusal.cause == Cause::Shed && refusal.outcome == Outcome::NotRun;
         if !shed {
--- a/crates/rampthread-node/src/calls/entry/suspicion.rs
+++ b/crates/rampthread-node/src/calls/entry/suspicion.rs
@@ -1,5 +1,5 @@
-//! What the entry does with requests under which back ends have crashed: refuses
-//! those in quarantine, places those on trial, and clears those that are answered.
+//! Quarantine at the entry: rejects quarantined requests, places requests on trial, and clears
+//! those that get a response.
 
 use super::progress::Progress;
 use super::{Call, Choice, Entry};
@@ -25,7 +25,7 @@
         self.control().standing(|| self.identity(call))
     }
 
-    /// A request in quarantine is refused before anything is spent on it.
+    /// Rejects a quarantined request before any resources are spent on it.
     pub(super) fn check_quarantine(
         &self,
         call: &Call,
@@ -38,11 +38,11 @@
         Err(quarantined(crashes, left))
     }
 
-    /// The gate says that it lost the answer of a try. If it knows that the back end
-    /// has crashed, it tells the other nodes itself; else the loss is remembered here
-    /// as well, since the gate may end before the next incarnation explains it. A
-    /// gate that ends with the call tells nothing of its back end: a machine that
-    /// loses power would put all that was under way under suspicion.
+    /// Records a response that the gate reports as lost. If the gate already knows of a crash,
+    /// the crash is reported to all nodes at once. Otherwise the loss is also kept here,
+    /// because the gate may stop before the backend's next incarnation shows the crash.
+    /// Nothing is recorded if the gate itself goes down with the call, since a power failure
+    /// would put all calls in progress under suspicion.
     pub(super) fn note_lost_answer(&self, call: &Call, choice: &Choice, refusal: &Refusal) {
         if refusal.crashed.is_some() {
             return self.note_crash(call, refusal);
@@ -67,15 +67,14 @@
             identity: self.identity(call),
             instance: instance.clone(),
             age: Duration::ZERO,
-            // The gate's own report says whether it was.
+            // The gate's own report carries this flag.
             on_trial: false,
             cleared: false,
         });
     }
 
-    /// A back end has answered the call whole, which began there at `begun`: what is
-    /// held against the request, or will be for an earlier crash, is held against an
-    /// innocent one; and the back end lives.
+    /// Clears the request of suspicion, since a backend completed a call with it that started
+    /// at `begun`. The same response shows that the backend is alive.
     pub(super) fn note_whole_answer(&self, call: &Call, choice: &Choice, begun: Moment) {
         self.control().note_answer(self.identity(call));
         let mut state = self.state();
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Looks whether other incarnations explain answers that were lost.
+    /// Checks whether new incarnations of backends explain lost responses.
     pub(super) fn notice_crashes(&self, now: Moment) {
         let explained = {
             let mut state = self.state();
@@ -101,8 +100,8 @@
         self.control().report_suspicions(&explained, false);
     }
 
-    /// The one back end at which a request on trial may run: all nodes agree on it,
-    /// so that copies that come at once end one back end, not several.
+    /// The only backend at which a request on trial may run. All nodes pick the same one, so
+    /// that concurrent copies crash at most one backend.
     pub(super) fn trial_endpoints(&self, call: &Call, endpoints: &[Endpoint]) -> Vec<Endpoint> {
         let key = self.identity(call).to_string();
         let chosen = endpoints
@@ -112,13 +111,13 @@
     }
 }
 
-/// The incarnation that was meant. A back end that only the configuration names has
-/// no incarnations: a crash of it is known to its gate alone.
+/// Incarnation that the call was sent to. A backend known only from the configuration has
+/// none; a crash of it is detected by its gate alone.
 fn incarnation(choice: &Choice) -> Option<InstanceId> {
     InstanceId::new(choice.target.backend.as_str()).ok()
 }
 
-/// A node that stops as planned leaves its back end running.
+/// Present incarnation at a member. A draining node leaves its backend running.
 fn present_back_end(record: &MemberRecord) -> Option<PresentBackEnd> {
     let endpoint = record.endpoint.as_ref()?;
     Some(PresentBackEnd {
--- a/crates/rampthread-node/src/calls/entry/tries.rs
+++ b/crates/rampthread-node/src/calls/entry/tries.rs
@@ -1,5 +1,5 @@
-//! The tries of one call, until one is answered or none is left: second tries
-//! after failures, and a second try beside one that is overdue.
+//! Runs the attempts of one call until one succeeds or none is left: retries after failures,
+//! and a hedged attempt beside one that takes too long.
 
 use super::progress::Progress;
 use super::{Call, Choice, Entry, no_backend};
@@ -23,42 +23,41 @@
 use rampthread_http::timeout;
 use std::sync::Arc;
 
-/// One try.
+/// One attempt.
 struct Try {
     choice: Choice,
-    /// 1 is the first.
+    /// Counts from 1.
     number: u32,
     begun: Moment,
 }
 
-/// A try that has come to its end.
+/// An attempt with its result.
 struct EndedTry {
     tried: Try,
     result: Result<Response<Body>, Refusal>,
 }
 
-/// When the only try under way is overdue.
+/// When the only attempt in progress is hedged.
 #[derive(Clone, Copy)]
 struct Overdue {
     begun: Moment,
     at: Moment,
-    /// It was given more time already, since its back end answers others.
+    /// The time was extended once, because the backend keeps answering other calls.
     extended: bool,
 }
 
-/// A try at a back end that answers others is given this many times longer
-/// before it is overdue: most likely it is a long call, and would be long
-/// elsewhere too.
+/// Factor by which the time before a hedge is extended while the backend answers other calls.
+/// Then the call itself is probably long, and would be long at another backend as well.
 const EXTENSION: u32 = 2;
 
-/// What happens next to a call.
+/// Next step of a call.
 enum Event {
     Ended(Box<EndedTry>),
-    /// The only try under way is overdue.
+    /// The only attempt in progress exceeded its expected time.
     Overdue,
 }
 
-/// The tries of one call.
+/// Drives the attempts of one call.
 pub(super) struct Tries<'call> {
     entry: &'call Arc<Entry>,
     call: &'call Call,
@@ -66,10 +65,10 @@
     attempts: Attempts,
     tried: Vec<NodeId>,
     under_way: FuturesUnordered<BoxFuture<'call, EndedTry>>,
-    /// When the try under way is overdue; none: never, or it is hedged already.
+    /// `None` if the attempt in progress is not to be hedged, or was hedged already.
     overdue: Option<Overdue>,
     last: Option<Refusal>,
-    /// Where the last try went, and whether by the plan by zones.
+    /// Zone of the last attempt, and whether the call was spilled there.
     last_zone: Option<(Zone, bool)>,
 }
 
@@ -94,7 +93,8 @@
         }
     }
 
-    /// Tries until there is an answer; `progress` follows the tries made.
+    /// Runs attempts until there is a response or a final error; `progress` is updated for the
+    /// log.
     pub(super) async fn run(mut self, progress: &mut Progress) -> Result<Response<Body>, Refusal> {
         let (entry, now) = (self.entry, self.entry.now());
         entry.with_budget(self.call, |budget| budget.call_made(now));
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Begins a try at the best back end that has not been tried.
+    /// Starts an attempt at the best backend that has not been tried.
     fn begin_next(&mut self) -> Result<(), Refusal> {
         let Some(choice) = self.entry.choose(self.call, &self.tried) else {
             let refusal = self.last.take().unwrap_or_else(|| no_backend(self.call));
@@ -167,7 +167,7 @@
         }));
     }
 
-    /// When the try that begins now is overdue.
+    /// When to hedge an attempt that starts now.
     fn overdue(&self) -> Option<Overdue> {
         if !self.attempts.may_hedge() {
             return None;
@@ -175,7 +175,7 @@
         let now = self.entry.now();
         let route = &self.call.route.name;
         let wait = self.entry.state().balancer.overdue_after(route)?;
-        // Another try needs its time too.
+        // A hedged attempt needs as much time again before the deadline.
         (wait * 2 < self.call.deadline.since(now)).then_some(Overdue {
             begun: now,
             at: now + wait,
@@ -183,7 +183,8 @@
         })
     }
 
-    /// Gives a try more time once, if its back end has answered others since.
+    /// Extends the time before the hedge once, if the backend has answered other calls since
+    /// the attempt started.
     fn extend(&mut self) -> bool {
         let (Some(overdue), Some(node)) = (self.overdue, self.tried.last()) else {
             return false;
@@ -205,11 +206,10 @@
         true
     }
 
-    /// Begins a second try beside the overdue one, if a back end seems free. The
-    /// first goes on: it may still be answered, and giving it up for a second
-    /// try that is refused would lose both.
+    /// Starts a hedged attempt if a backend appears to have a free slot. The first attempt is
+    /// not cancelled: if the hedge is rejected, the first may still succeed.
     ///
-    /// A request under which a back end has crashed gets no second one beside it.
+    /// A request suspected of crashing a backend is not hedged.
     fn hedge(&mut self) {
         if self.extend() {
             return;
@@ -235,13 +235,13 @@
             .call_log
             .hedged(&call.id, choice.node.as_str());
         self.begin(Choice {
-            // It runs now or not at all.
+            // The hedge must not queue.
             others_free: true,
             ..choice
         });
     }
 
-    /// Decides after a try without an answer; an error ends the call.
+    /// Decides what follows a failed attempt; an error ends the call.
     fn after_failure(&mut self, tried: &Try, refusal: Refusal) -> Result<(), Refusal> {
         self.log(tried, &refusal);
         let quarantined = matches!(self.entry.standing(self.call), Standing::Quarantined { .. });
@@ -258,13 +258,13 @@
                 self.last = Some(refusal);
                 Ok(())
             }
-            // It was let wait and found the queue too long; the others are
-            // no better, and asking them costs bytes between zones. A nested call
-            // asks on: its parent's work is worth more.
+            // The call was allowed to queue and the queue was too long. Other backends are no
+            // better, and asking them costs traffic between zones. A nested call still tries
+            // them, since failing it would waste the work of its parent.
             Next::TryElsewhere if full && !tried.choice.others_free && !self.call.is_nested() => {
                 Err(final_answer(refusal, self.attempts.outcome()))
             }
-            // Other requests were lost with one back end; this one with several.
+            // Retrying would risk another backend.
             Next::TryElsewhere if quarantined => {
                 Err(final_answer(refusal, self.attempts.outcome()))
             }
@@ -285,7 +285,7 @@
         metrics.retries_by_claim.get_or_create(&label).inc();
     }
 
-    /// What the request asks for, for the log of a lost answer.
+    /// Identity of the request if the error is a lost response, for the log.
     fn identity_if_lost(&self, refusal: &Refusal) -> Option<RequestIdentity> {
         let lost = refusal.cause.is_lost_answer();
         lost.then(|| self.entry.identity(self.call))
@@ -308,12 +308,12 @@
     }
 }
 
-/// `run` waits only while a try is under way.
+/// Unwraps the next finished attempt. The set is never empty while the call waits on it.
 fn ended(next: Option<EndedTry>) -> Event {
     Event::Ended(Box::new(next.expect("a try is under way")))
 }
 
-/// The newer refusal, with the shorter of the two waits.
+/// Returns the newer error with the smaller retry delay of the two.
 fn sooner(newer: Refusal, older: Option<Refusal>) -> Refusal {
     let waits = [
         newer.retry_after,
@@ -325,9 +325,9 @@
     }
 }
 
-/// The last try's answer, with the outcome of all tries together. An unknown outcome
-/// has the status of a gateway's failure: any other one says more than is known, that
-/// the request was answered, that it was not run, or that it is not to be sent again.
+/// Error returned to the caller: the last attempt's, with the combined outcome of all attempts.
+/// If the combined outcome is unknown, a status that implies more (a client error, or one that
+/// promises that the request did not run) is replaced by 502.
 fn final_answer(last: Refusal, outcome: Outcome) -> Refusal {
     let says_more = !last.status.is_server_error() || promises_not_run(last.status);
     let status = match outcome {
@@ -341,7 +341,7 @@
     }
 }
 
-/// Each try has an id of its own, so that fencing one does not stop the next.
+/// Every attempt has its own id, so that a fence on one does not stop the next.
 fn try_id(call_id: &str, number: u32) -> String {
     format!("{call_id}{TRY_SEPARATOR}{number}")
 }
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -1,5 +1,5 @@
-//! Which software version a call may go to, and what callers get from each version while
-//! one is being brought in.
+//! Selects the software versions that a call may go to, and collects results per version during
+//! a rollout.
 
 use super::{Call, Choice, Entry, EntryState};
 use crate::control::{ServiceEndpoints, VersionRules};
@@ -15,28 +15,29 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for which a version that differs from the others gets no call while no roll-out of
-/// it is known: the order may be on its way, or a peer's word to a node that has started.
+/// How long a version that differs from the others gets no calls while no rollout of it is
+/// known. The rollout order, or a peer's message to a node that has just started, may still be
+/// on its way.
 const UNKNOWN_VERSION_WAIT: Duration = Duration::from_secs(3);
 
-/// What an entry keeps of versions.
+/// Rollout state of an entry.
 #[derive(Default)]
 pub(super) struct Versions {
     meters: HashMap<ResourceName, ExposureMeter>,
     evidence: EvidenceBook,
-    /// When versions of services that have several were first seen.
+    /// When each version of a service with several versions was first seen.
     first_seen: HashMap<ResourceName, HashMap<SoftwareVersion, Moment>>,
-    /// When back ends came into service.
+    /// When each backend came into service.
     ready_since: HashMap<NodeId, Moment>,
 }
 
 impl Versions {
-    /// The back end beside `node` came into service: it is slow for a while.
+    /// Records when a backend came into service, since it is slow during its warm-up.
     pub(super) fn became_ready(&mut self, node: &NodeId, now: Moment) {
         self.ready_since.insert(node.clone(), now);
     }
 
-    /// Forgets back ends that are out of service.
+    /// Drops backends that are out of service.
     pub(super) fn keep_serving<T>(&mut self, serving: &HashMap<NodeId, T>) {
         self.ready_since
             .retain(|node, _| serving.contains_key(node));
@@ -46,8 +47,8 @@
 type Candidates<'a> = Cow<'a, Vec<Endpoint>>;
 
 impl Entry {
-    /// Of `candidates`, those of a version that the call may go to. Where the version
-    /// under judgement may get the call, and has not been tried, it gets it.
+    /// Restricts `candidates` to versions that the call may go to. The version being evaluated
+    /// gets the call if its share allows that and one of its backends is untried.
     pub(super) fn of_open_version<'a>(
         &self,
         call: &Call,
@@ -86,8 +87,8 @@
         }
     }
 
-    /// No roll-out is known. A version that differs from the others may be one that is
-    /// brought in: it waits until that would be known.
+    /// Holds back versions that differ from the presumed one while no rollout is known, until
+    /// a rollout would be known.
     fn of_known_version<'a>(
         &self,
         call: &Call,
@@ -133,7 +134,7 @@
         act(meter)
     }
 
-    /// Counts an answer for the roll-out of its service, if there is one under way.
+    /// Records a result for the rollout of the service, if one is in progress.
     pub(super) fn note_version_answer(&self, call: &Call, choice: &Choice, answer: VersionAnswer) {
         let Some(bounds) = self.parts.roll_outs else {
             return;
@@ -177,7 +178,7 @@
         since.is_some_and(|since| now.since(*since) < choice.target.cold)
     }
 
-    /// Tells the control side what callers got from versions under judgement.
+    /// Hands the results of versions being evaluated to the control plane client.
     pub fn report_versions(&self) {
         if self.parts.roll_outs.is_none() {
             return;
@@ -201,11 +202,11 @@
     }
 }
 
-/// What a back end's answer was.
+/// Result of a call at one version.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum VersionAnswer {
-    /// A failure of the back end, or none until the deadline.
+    /// The backend failed, or did not respond before the deadline.
     Failure,
-    /// An answer after this time.
+    /// Successful response after this time.
     Good(Duration),
 }
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -1,4 +1,4 @@
-//! Which zone the calls of this node go to, by what zones say of their room.
+//! Distributes the calls of this node over zones by the capacity that zones report.
 
 use super::{Call, Choice, Entry};
 use crate::metrics::SentAwayLabel;
@@ -13,27 +13,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Least change of a share that is logged.
+/// Smallest change of the remote share that is logged.
 const LOGGED_CHANGE: f64 = 0.05;
-/// Least time between two lines on one service.
+/// Minimum interval between log lines about one service.
 const LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How calls to one service are shared out now.
+/// Present distribution of the calls to one service.
 pub(super) struct ZonePlan {
     pub(super) shares: ZoneShares,
-    /// Chance that a call leaves, by route.
+    /// Probability that a call goes to another zone, by route.
     chances: HashMap<ResourceName, f64>,
 }
 
-/// What this entry knows of demand and zones.
+/// Demand and zone plans known to this entry.
 #[derive(Default)]
 pub(super) struct ZoneKnowledge {
     pub(super) demand: DemandMeter,
-    /// Services whose demand is worth telling.
+    /// Services whose demand is being published.
     pub(super) telling: HashMap<ResourceName, TellWhile>,
     trends: ZoneTrends,
     plans: HashMap<ResourceName, Arc<ZonePlan>>,
-    /// Share that was logged last, and when.
+    /// Remote share logged last, and when.
     logged: HashMap<ResourceName, (f64, Moment)>,
 }
 
@@ -42,7 +42,8 @@
         self.plans.get(service)
     }
 
-    /// A gate of `service` had no room for a call of this node.
+    /// Keeps publishing the demand for `service` after a gate rejected a call for lack of
+    /// capacity.
     pub(super) fn refused(&mut self, service: &ResourceName, now: Moment) {
         let telling = self.telling.entry(service.clone()).or_default();
         telling.note(now);
@@ -50,7 +51,7 @@
 }
 
 impl ZonePlan {
-    /// The zone that a call of `route` leaves for; none: it stays.
+    /// Draws the zone that a call of `route` is sent to; `None` keeps it local.
     pub(super) fn draw(&self, route: &ResourceName, rng: &mut impl Rng) -> Option<&Zone> {
         let chance = *self.chances.get(route)?;
         let leaves = rng.random_bool(chance.clamp(0.0, 1.0));
@@ -59,14 +60,14 @@
 }
 
 impl Entry {
-    /// A caller asks for a call.
+    /// Records the demand of one call.
     pub(super) fn note_demand(&self, call: &Call, bytes: usize) {
         let now = self.now();
         let demand = &mut self.state().zones.demand;
         demand.record_request(&call.service, &call.route.name, bytes, now);
     }
 
-    /// A call was answered after it had a slot for `work`.
+    /// Records a response whose call held a slot for `work`.
     pub(super) fn note_work(&self, call: &Call, choice: &Choice, work: Duration, bytes: usize) {
         let mut state = self.state();
         let demand = &mut state.zones.demand;
@@ -81,13 +82,12 @@
         }
     }
 
-    /// Mean time for which a call of each route to `service` holds a slot, at all its
-    /// back ends together.
+    /// Mean time for which a call of each route to `service` holds a slot, over all backends.
     pub fn usual_times(&self, service: &ResourceName) -> HashMap<ResourceName, Duration> {
         self.state().zones.demand.service_times(service)
     }
 
-    /// Shares calls out anew by what zones have told.
+    /// Recomputes the distribution over zones from the latest reports.
     pub(super) fn plan_zones(&self) {
         let now = self.now();
         let home = &self.parts.zone;
@@ -117,7 +117,7 @@
 }
 
 impl ZoneKnowledge {
-    /// Says why calls leave, when the share that leaves has changed.
+    /// Logs a change of the remote share and its causes.
     fn log(
         &mut self,
         service: &ResourceName,
--- a/crates/rampthread-node/src/calls/forward.rs
+++ b/crates/rampthread-node/src/calls/forward.rs
@@ -1,4 +1,5 @@
-//! Heads that travel on: hop-by-hop headers go, our own are set.
+//! Headers of forwarded messages: removes hop-by-hop headers, and reads and writes internal
+//! ones.
 
 use http::header::{
     CONNECTION, CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue, PROXY_AUTHENTICATE,
@@ -8,7 +9,8 @@
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Removes what concerns one connection only (RFC 9110, section 7.6.1).
+/// Removes hop-by-hop headers, including those that `Connection` lists (RFC 9110, section
+/// 7.6.1).
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -34,7 +36,7 @@
     }
 }
 
-/// Removes what only nodes may set, so that no caller can pretend.
+/// Removes internal headers, so that a caller cannot forge them.
 pub fn remove_own(headers: &mut HeaderMap) {
     let own: Vec<HeaderName> = headers
         .keys()
@@ -46,7 +48,7 @@
     }
 }
 
-/// The body is whole in memory: its length is known again.
+/// Sets `Content-Length` for a buffered body; omits it where the message had no body.
 pub fn set_length(headers: &mut HeaderMap, length: usize, had_body: bool) {
     headers.remove(CONTENT_LENGTH);
     if length > 0 || had_body {
@@ -54,31 +56,31 @@
     }
 }
 
-/// Sets one of our own headers.
+/// Sets an internal header. A value that is not allowed in a header is dropped.
 pub fn set_own(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
 }
 
-/// Sets one header that a dialect names.
+/// Sets a header named by the dialect. A value that is not allowed in a header is dropped.
 pub fn set_named(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name.clone(), value);
     }
 }
 
-/// One header as text.
+/// Value of a header as text; `None` if it is missing or not visible ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// One header as a number.
+/// Value of a header, parsed; `None` if it is missing or malformed.
 pub fn number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
     text(headers, name)?.parse().ok()
 }
 
-/// The host that a request names, without the port.
+/// Host name from the `Host` header, without the port.
 pub fn host(headers: &HeaderMap) -> Option<&str> {
     let text = headers.get(HOST)?.to_str().ok()?;
     match text.rsplit_once(':') {
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -1,7 +1,8 @@
-//! The gate: the only way to the back end beside this node.
+//! The gate: the node that forwards calls to its local backend. All calls to the
+//! backend pass through it.
 //!
-//! It knows the true number of calls in flight, refuses at once what it cannot
-//! run in time, and alone can say that a request was not run.
+//! Only the gate knows the exact number of calls in flight. It rejects a call immediately if
+//! the call cannot run in time, and it alone can assert that a request was not run.
 
 mod admit;
 mod exchange;
@@ -48,15 +49,15 @@
 use std::time::Duration;
 pub use trial::quarantined;
 
-/// Advice when the configuration here lags behind the call's, or the back end
-/// is going away.
+/// Retry delay advised when the configuration here is older than the call's, or the backend is
+/// draining.
 const CONFIG_RETRY: Duration = Duration::from_millis(500);
 
-/// Time after which bytes that the back end's machine does not acknowledge end a
-/// connection: one that was forgotten without a reset says nothing else, and its
-/// call would be held until its deadline. A back end that is only slow acknowledges.
+/// `TCP_USER_TIMEOUT` of connections to the backend. A connection that vanished without a
+/// reset would otherwise hold its call until the deadline. A slow backend still acknowledges
+/// bytes.
 const BACKEND_SILENCE: Duration = Duration::from_secs(1);
-/// Stands between a request's id and the number of the try.
+/// Separates the request id from the attempt number in a call id.
 pub const TRY_SEPARATOR: char = '~';
 
 struct GateState {
@@ -65,43 +66,43 @@
     work_times: ServiceTimes,
     dependencies: Dependencies,
     transfers: Transfers,
-    /// Bodies that wait for their turn.
+    /// Large bodies that are queued for a transfer permit.
     body_turns: HashMap<CallNumber, async_channel::Sender<()>>,
-    /// Grants by call, until the body begins to arrive.
+    /// Transfer permits by call id, until the body starts to arrive.
     granted: HashMap<String, Grant>,
-    /// Answers that the back end lost.
+    /// Responses that the backend lost, until it is known whether it crashed.
     crash_watch: CrashWatch,
-    /// Tells starts of a back end apart that does not name them.
+    /// Numbers the incarnations of a backend that does not report them itself.
     starts: UnnamedStarts,
-    /// The request on trial.
+    /// The request on trial, if any.
     trial: Option<RequestIdentity>,
-    /// The back end that the times are of.
+    /// The backend that the service times and speed were measured at.
     measured: Option<ResourceName>,
     load_watch: LoadWatch,
     pace: PaceMeter,
-    /// Time that calls of a route take at the back ends of their service, as the entry
-    /// of this node has seen it.
+    /// Mean service time per route over all backends of the service, as measured by this
+    /// node's entry.
     usual_times: HashMap<ResourceName, Duration>,
     waiting: HashMap<CallNumber, async_channel::Sender<Turn>>,
 }
 
-/// What a gate is made of.
+/// Constructor arguments of [`Gate`].
 pub struct GateParts {
-    /// The node's control side.
+    /// Control plane client of this node.
     pub control: Arc<Control>,
-    /// Names of headers towards the back end.
+    /// Header names used with the backend.
     pub dialect: Arc<CallDialect>,
-    /// Opens the secrets of routes; none where routes have none.
+    /// Decrypts the secrets of routes; `None` where no secrets are configured.
     pub secrets: Option<SecretKeeper>,
-    /// Wait for a connection to the back end.
+    /// Time limit for a connection to the backend.
     pub connect_wait: Duration,
-    /// Time between two reports of the back end.
+    /// Interval between two reports of the backend.
     pub heartbeat: Duration,
-    /// Limits that may change while the node runs.
+    /// Limits that can change while the node runs.
     pub live: LiveSettings,
 }
 
-/// The gate of one node.
+/// Admits calls to the local backend and proxies them.
 pub struct Gate {
     control: Arc<Control>,
     dialect: Arc<CallDialect>,
@@ -112,42 +113,42 @@
     live: LiveSettings,
 }
 
-/// A hop that has been checked: what the entry node asks for.
+/// A decoded and validated hop, as sent by the entry node.
 #[derive(Clone)]
 pub struct Hop {
-    /// The call.
+    /// Id of the attempt: the request id and the attempt number, separated by
+    /// [`TRY_SEPARATOR`].
     pub call_id: String,
-    /// The service that makes the call.
+    /// Name of the calling service.
     pub caller: String,
-    /// The route that the entry chose.
+    /// Route matched by the entry.
     pub route: ResourceName,
-    /// The back end that is meant.
+    /// Name of the backend that the hop is addressed to; rejected if another one is local.
     pub backend: ResourceName,
-    /// When the answer is worthless.
+    /// Time after which the caller no longer accepts a response.
     pub deadline: Moment,
-    /// The call may run twice.
+    /// The call may run more than once.
     pub repeatable: bool,
-    /// Services passed so far, this one included.
+    /// Number of services passed so far, including this one.
     pub hops: u32,
-    /// Whose call it is, by the key that came with it.
+    /// Tenant identified by the entry from the request's key.
     pub tenant: Option<ResourceName>,
-    /// Rank of the tenant, else of the route; 0 goes first.
+    /// Priority of the tenant, or else of the route; 0 is served first.
     pub rank: u32,
-    /// Precedence within the rank.
+    /// Order among calls of the same priority.
     pub precedence: Precedence,
-    /// Whether it may wait for a slot.
+    /// Whether and how long the call may be queued for a slot.
     pub waiting: Waiting,
 }
 
 impl Hop {
-    /// The id that the caller gave the request. Each try has an id of its own,
-    /// made of that and a number.
+    /// The id of the caller's request, without the attempt number.
     pub fn request_id(&self) -> &str {
         request_id_of(&self.call_id)
     }
 }
 
-/// The caller's id of the request that the try `call_id` belongs to.
+/// Strips the attempt number from a call id.
 fn request_id_of(call_id: &str) -> &str {
     call_id
         .rsplit_once(TRY_SEPARATOR)
@@ -155,7 +156,7 @@
 }
 
 impl Gate {
-    /// A gate in front of the back end beside this node.
+    /// Creates a gate without slots; the first checked hop sets its limits.
     pub fn new(parts: GateParts) -> Self {
         let limits = AdmissionLimits { slots: 0, queue: 0 };
         let now = parts.control.clock.now();
@@ -196,7 +197,8 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Calls at the back end and waiting for it, and large bodies on their way.
+    /// Calls running and queued at the backend, plus large bodies in transfer or queued for
+    /// it.
     pub fn load(&self) -> u32 {
         let state = self.state();
         state.admission.load() + state.transfers.load()
@@ -213,23 +215,24 @@
         }
     }
 
-    /// Calls at the back end.
+    /// Number of calls running at the backend.
     pub fn running(&self) -> u32 {
         self.state().admission.running()
     }
 
-    /// Forgets fences that are old enough; to be called often.
+    /// Drops expired fences; to be called periodically.
     pub fn forget_old_fences(&self) {
         let now = self.control.clock.now();
         self.state().fences.expire(now);
     }
 
-    /// Decisions that the fence table remembers.
+    /// Number of entries in the fence table.
     pub fn fence_entries(&self) -> usize {
         self.state().fences.len()
     }
 
-    /// An entry node has given up on `call_id`.
+    /// Fences `call_id`, which its entry node has given up: unless it has started, it cannot start
+    /// here any more.
     pub fn fence(&self, call_id: &str) -> FenceAnswer {
         let now = self.control.clock.now();
         let answer = self.state().fences.fence(&call_id.to_string(), now);
@@ -238,7 +241,7 @@
         answer
     }
 
-    /// Admits a hop, runs it at the back end, and passes the answer on.
+    /// Admits a hop, runs it at the backend, and returns the response.
     pub async fn handle(self: &Arc<Self>, hop: Hop, request: Request<Bytes>) -> Response<Body> {
         let refused = hop.clone();
         let content = KeptContent::of(&request);
@@ -257,7 +260,7 @@
         response
     }
 
-    /// Tells the entry that calls of `route` are a back end's; it cannot see that itself.
+    /// Tells the entry that `route` carries nested calls, which only the gate can see.
     fn tell_nested(&self, route: &ResourceName, response: &mut Response<Body>) {
         if self.state().dependencies.is_known(route) {
             let word = Precedence::Dependency.as_str();
@@ -283,13 +286,13 @@
         });
     }
 
-    /// Calls at the back end, and calls that wait for it.
+    /// Numbers of running and of queued calls.
     fn counts(&self) -> (u32, u32) {
         let state = self.state();
         (state.admission.running(), state.admission.queued())
     }
 
-    /// Shows the present counts in the metrics.
+    /// Updates the gauges of running and queued calls.
     pub fn show_counts(&self) {
         let (running, queued) = self.counts();
         let metrics = &self.control.metrics;
@@ -305,11 +308,11 @@
     ) -> Result<Response<Body>, Refusal> {
         self.check_backend(&hop)?;
         self.check_deadline(&hop)?;
-        // Calls may come before the report's handler has looked.
+        // A new incarnation may not have been processed yet.
         self.notice_incarnation();
         self.check_quarantine(content)?;
         let slot = self.admit(&hop).await?;
-        // The wait may have been long: the back end may be leaving by now.
+        // The backend may have started to drain while the call was queued.
         let backend = self.check_backend(&hop)?;
         let request = self.prepare(&hop, request, &backend)?;
         let trial = self.begin_trial(content, &backend)?;
@@ -324,8 +327,8 @@
             trial,
         };
         let exchange = self.clone().exchange(under_way, request);
-        // A caller that leaves ends a call that may run twice. Any other call
-        // goes on without its caller: nobody knows what half of it means.
+        // A disconnect of the caller cancels a repeatable call. Any other call runs to its end,
+        // since a partial execution could not be repeated.
         if repeatable {
             exchange.await
         } else {
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -1,5 +1,5 @@
-//! What a hop must pass before its call may start: the right back end, its
-//! deadline, a slot, and the fence.
+//! Checks that a call must pass before it starts: the addressed backend, the deadline,
+//! admission to a slot, and the fence.
 
 use super::slot::Slot;
 use super::{CONFIG_RETRY, Gate, GateState, Hop};
@@ -17,12 +17,13 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// A call that others overtake waits this much longer than its maximum wait; then
-/// its slot is worth more to a call that can still be answered in time.
+/// Longest queueing time of a call that others overtake, as a multiple of its useful queueing
+/// time. After that, the slot goes to a call that can still meet its target.
 pub(super) const OVERTAKEN_SHARE: f64 = 1.5;
 
 impl Gate {
-    /// The back end that is meant must stand beside this node, here and now.
+    /// Checks that the addressed backend is local and in service, and applies its present
+    /// limits.
     pub(super) fn check_backend(&self, hop: &Hop) -> Result<LocalBackend, Refusal> {
         let unavailable =
             |cause: Cause, reason: &str| Refusal::not_run(cause, reason).retry_after(CONFIG_RETRY);
@@ -60,7 +61,7 @@
         Ok(backend)
     }
 
-    /// A hop may have stood in a full link until nobody waits for it any more.
+    /// Rejects a hop whose deadline passed in transit.
     pub(super) fn check_deadline(&self, hop: &Hop) -> Result<(), Refusal> {
         if hop.deadline <= self.control.clock.now() {
             let reason = "the deadline passed before the call started";
@@ -98,7 +99,7 @@
         Ok(Slot::new(self, waited))
     }
 
-    /// Counts a call that begins although its answer is expected after its target.
+    /// Counts a call that starts although its response is expected after the latency target.
     fn count_late(&self, hop: &Hop, waited: Duration) {
         let Waiting::ForTarget(target) = hop.waiting else {
             return;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The call of `hop` as it stands at the door.
+    /// The admission request for `hop`.
     pub(super) fn arrival(
         &self,
         state: &GateState,
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Who takes turns with others in the queue.
+    /// Key for fair queueing among callers: the tenant, or else the calling service; empty if
+    /// callers are not distinguishable.
     fn queueing_caller(&self, hop: &Hop) -> String {
         if let Some(tenant) = &hop.tenant {
             return tenant.to_string();
@@ -148,7 +150,7 @@
         hop.caller.clone()
     }
 
-    /// The last point at which a fence stops the call.
+    /// Records the start in the fence table. After this point a fence no longer stops the call.
     pub(super) fn start(&self, hop: &Hop) -> Result<(), Refusal> {
         let now = self.control.clock.now();
         self.check_deadline(hop)?;
@@ -175,7 +177,8 @@
     Refusal::not_run(Cause::Full, reason).retry_after(retry_after)
 }
 
-/// The gate sees who calls a route, which an entry cannot.
+/// Effective precedence. Calls of other backends rank as dependencies; only the gate sees who
+/// calls a route.
 fn precedence(dependencies: &mut Dependencies, hop: &Hop) -> Precedence {
     if dependencies.is_dependency(&hop.route, &hop.caller) {
         return Precedence::Dependency;
@@ -183,8 +186,7 @@
     hop.precedence
 }
 
-/// As [`precedence`], for a node that only asks whether there is room: the question is not
-/// counted among the route's callers.
+/// Like [`precedence`], without counting the hop among the route's callers. For reservations.
 pub(super) fn known_precedence(dependencies: &Dependencies, hop: &Hop) -> Precedence {
     match dependencies.is_known(&hop.route) {
         true => Precedence::Dependency,
--- a/crates/rampthread-node/src/calls/gate/exchange.rs
+++ b/crates/rampthread-node/src/calls/gate/exchange.rs
@@ -1,5 +1,4 @@
-//! The exchange with the back end: the call goes out, and what comes back is
-//! judged and read.
+//! Sends an admitted call to the backend, and validates and reads the response.
 
 use super::lost::WatchedBody;
 use super::slot::Slot;
@@ -19,22 +18,23 @@
 use rampthread_http::{Body, Freshness, PooledBody, SendError, boxed, full, read_limited};
 use std::sync::Arc;
 
-/// Largest answer that is read whole before it goes to the entry, in bytes: a gate
-/// with 100 of them under way holds 6 MB.
+/// Largest response that is buffered before it is returned to the entry, in bytes. 100
+/// concurrent calls hold at most 6 MB.
 const HELD_ANSWER_BYTES: usize = 64 * 1024;
 
-/// A call that has a slot, on its way to the back end.
+/// An admitted call with everything that is needed to send it.
 pub(super) struct UnderWay {
     pub(super) hop: Hop,
     pub(super) content: KeptContent,
     pub(super) backend: LocalBackend,
     pub(super) slot: Slot,
-    /// Kept until the answer has come, or was lost.
+    /// Held until the response has arrived or was lost.
     pub(super) trial: Option<Trial>,
 }
 
 impl Gate {
-    /// Sends the call to the back end and judges the answer.
+    /// Sends the call to the backend, validates the response, and reports a crash if the
+    /// response was lost.
     pub(super) async fn exchange(
         self: Arc<Self>,
         call: UnderWay,
@@ -160,8 +160,8 @@
         Ok(Response::from_parts(parts, body))
     }
 
-    /// The body of an answer. One of moderate size is read whole at once: the back
-    /// end is done with it, and its slot must not wait for a narrow link.
+    /// Reads the body of a response. A body of moderate size is buffered, so that a slow link
+    /// to the entry does not hold the slot.
     async fn read_body(
         &self,
         hop: &Hop,
@@ -178,7 +178,7 @@
     }
 }
 
-/// The body of an answer.
+/// Body of a response, buffered or still to be streamed.
 enum Received {
     Whole(Bytes),
     Begun(PooledBody),
--- a/crates/rampthread-node/src/calls/gate/load.rs
+++ b/crates/rampthread-node/src/calls/gate/load.rs
@@ -1,12 +1,12 @@
-//! The load of the back end beside this node, as its zone is told it.
+//! Load of the local backend, as reported to its zone.
 
 use super::Gate;
 use rampthread_core::call::zone_choice::{is_at_work, to_milli};
 use rampthread_core::fleet::ServiceLoad;
 
 impl Gate {
-    /// The back end's part of its service's load; none while it and its zone are at rest,
-    /// or where no other zone has back ends of the service.
+    /// The local backend's part of the load of its service. `None` while the backend and the
+    /// zone are idle, or if no other zone has backends of the service.
     pub fn service_load(&self) -> Option<ServiceLoad> {
         let backend = self.control.local_backend()?;
         let endpoints = self.control.endpoints();
--- a/crates/rampthread-node/src/calls/gate/lost.rs
+++ b/crates/rampthread-node/src/calls/gate/lost.rs
@@ -1,5 +1,5 @@
-//! An answer was lost: did the connection end, or the back end? What crashed is
-//! reported to all nodes, with the requests that were under way.
+//! Investigates lost responses: decides whether the connection broke or the backend crashed,
+//! and reports crashes with the requests in progress to all nodes.
 
 use super::Gate;
 use crate::calls::answer::Refusal;
@@ -18,16 +18,16 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Wait for the back end's machine, which is this one, to refuse a connection.
+/// Time limit for a local connection attempt to be refused.
 const REFUSAL_WAIT: Duration = Duration::from_millis(50);
-/// Time between two looks at the port after a lost answer. A port that refused only because
-/// its backlog was full takes connections again by then; one of a process that is ending may
-/// close only then.
+/// Interval between checks of the backend's port after a lost response. A port that refused
+/// connections only because its backlog was full accepts them again by then; that of a
+/// terminating process may close only then.
 const STAYS_CLOSED: Duration = Duration::from_millis(200);
 
 impl Gate {
-    /// Asks the back end's port whether anybody listens there. A back end that
-    /// takes its leave ends with calls under way at times; that is no crash.
+    /// Checks whether the backend's port still accepts connections. A draining backend may
+    /// end with calls in progress; that does not count as a crash.
     pub(super) async fn explain_loss(
         self: &Arc<Self>,
         backend: &LocalBackend,
@@ -72,9 +72,9 @@
         }
     }
 
-    /// For a back end whose reports name no start, the next start cannot be told from the
-    /// crashed one by its reports, so its port is watched: closed a moment after the loss, it
-    /// was a crash; closed at two looks, that start has ended.
+    /// Polls the port of a backend whose reports carry no incarnation, since a restart cannot
+    /// be seen in its reports. A port that is closed shortly after the loss means a crash;
+    /// closed at two checks in a row, the incarnation has ended.
     async fn look_again(
         self: Arc<Self>,
         backend: LocalBackend,
@@ -110,7 +110,8 @@
         self.control.report_suspicions(&explained, false);
     }
 
-    /// The back end has answered a call that began at `begun`: it lives.
+    /// Records a response to a call that started at `begun`, which shows that the backend is
+    /// alive.
     pub(super) fn back_end_answered(&self, backend: &LocalBackend, begun: Moment) {
         let mut state = self.state();
         if state.crash_watch.is_empty() {
@@ -120,7 +121,7 @@
         let instance = state.starts.present(&name);
         let withdrawn = state.crash_watch.answered(&instance, begun);
         if backend.instance.is_none() && !withdrawn.is_empty() {
-            // It does not name its incarnations: this is most likely the next one.
+            // It does not report its incarnation; this is most likely the next one.
             state.starts.note_end(&name);
             return;
         }
@@ -128,7 +129,7 @@
         self.control.report_suspicions(&withdrawn, true);
     }
 
-    /// Looks whether another incarnation explains answers that were lost.
+    /// Checks whether a new incarnation of the backend explains lost responses.
     pub fn notice_incarnation(&self) {
         if self.state().crash_watch.is_empty() {
             return;
@@ -163,7 +164,7 @@
     }
 }
 
-/// What the back end calls itself, or the configuration calls it.
+/// The incarnation reported by the backend, or else its name in the configuration.
 fn name_of(backend: &LocalBackend) -> InstanceId {
     let named = backend.instance.clone();
     named.unwrap_or_else(|| {
@@ -171,14 +172,14 @@
     })
 }
 
-/// The body of an answer that is passed on as it comes; one that breaks off is
-/// looked into like any lost answer.
+/// A response body that is streamed; if it is truncated, the loss is investigated like that of
+/// a whole response.
 pub(super) struct WatchedBody<B> {
     inner: B,
     loss: Option<Loss>,
 }
 
-/// What it takes to look into a loss.
+/// Arguments for investigating a loss.
 struct Loss {
     gate: Arc<Gate>,
     backend: LocalBackend,
--- a/crates/rampthread-node/src/calls/gate/pace.rs
+++ b/crates/rampthread-node/src/calls/gate/pace.rs
@@ -1,4 +1,4 @@
-//! The pace of the back end beside this node: read, measured and told.
+//! Speed of the local backend: reported load, measured speed, and what is published of them.
 
 use super::Gate;
 use crate::calls::forward;
@@ -11,13 +11,14 @@
 use std::time::Duration;
 
 impl Gate {
-    /// Takes what the entry of this node has seen of the times of calls.
+    /// Sets the mean service times per route that this node's entry has measured over all
+    /// backends of the service.
     pub fn note_usual_times(&self, times: HashMap<ResourceName, Duration>) {
         self.state().usual_times = times;
     }
 
-    /// Announces the standing speed of a back end that names itself. Each change of it is
-    /// news to all nodes, so it moves in coarse steps.
+    /// Publishes the long-term speed of a backend that has an instance id. Every change is
+    /// propagated to all nodes, so the value is coarse.
     pub fn announce_speed(&self) {
         let instance = self
             .control
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Reads what the back end says of its own load, where it says it.
+    /// Records the load that the backend reports in its response, if the dialect has a header
+    /// for it.
     pub(super) fn note_backend_load(&self, answer: &HeaderMap) {
         let named = self.dialect.backend_load.as_ref();
         let Some(header) = named.filter(|header| answer.contains_key(*header)) else {
@@ -55,7 +57,7 @@
         }
     }
 
-    /// The back end held a slot for `taken` with a call of `route`.
+    /// Records that a call of `route` held a slot for `taken`.
     pub(super) fn note_work(&self, route: &ResourceName, taken: Duration) {
         let now = self.control.clock.now();
         let mut state = self.state();
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Tells the entry how fast the back end works, unless that is as usual.
+    /// Adds the backend's speed to the response, unless it is the default.
     pub(super) fn tell_pace(&self, answer: &mut HeaderMap) {
         let pace = self.state().pace.pace(self.control.clock.now());
         if pace != BackendPace::default() {
--- a/crates/rampthread-node/src/calls/gate/request.rs
+++ b/crates/rampthread-node/src/calls/gate/request.rs
@@ -1,5 +1,4 @@
-//! The request that a back end gets: what the system itself says of the call,
-//! and the secret of its route.
+//! Builds the request for the backend: system headers and the secret of the route.
 
 use super::{CONFIG_RETRY, Gate, Hop};
 use crate::calls::answer::Refusal;
@@ -16,7 +15,8 @@
 use secrecy::ExposeSecret;
 
 impl Gate {
-    /// Makes the request for the back end, with the route's secret.
+    /// Builds the request for the backend. Fails if the configuration here lacks the route or
+    /// its secret.
     pub(super) fn prepare(
         &self,
         hop: &Hop,
@@ -39,20 +39,19 @@
         Ok(Request::from_parts(parts, full(body)))
     }
 
-    /// Sets what the system itself says of the call, whatever the caller sent.
+    /// Sets the system headers, overwriting those of the caller.
     fn name_the_call(&self, hop: &Hop, backend: &LocalBackend, to: &mut http::HeaderMap) {
         let remaining = hop.deadline.since(self.control.clock.now()).as_millis();
         let remaining = remaining.to_string();
         forward::set_named(to, &self.dialect.deadline_ms, &remaining);
         forward::set_named(to, &self.dialect.caller, &hop.caller);
-        // Whoever the caller says it is, only its key tells.
+        // The tenant follows from the request's key alone, not from the caller's header.
         to.remove(&self.dialect.tenant);
         if let Some(tenant) = &hop.tenant {
             forward::set_named(to, &self.dialect.tenant, tenant.as_str());
         }
         if let (Some(header), Some(instance)) = (&self.dialect.target_instance, &backend.instance) {
-            // Any start under this id takes the call: it is sent once at most, so
-            // that only one of them runs it.
+            // Any incarnation with this id may take the call, which is sent at most once.
             let incarnation = BackendIncarnation::named(instance);
             forward::set_named(to, header, incarnation.id().as_str());
         }
@@ -108,7 +107,7 @@
     }
 }
 
-/// Path and query only, as back ends expect.
+/// Reduces the URI to path and query (RFC 9112, section 3.2.1).
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_else(|_| Uri::from_static("/"))
--- a/crates/rampthread-node/src/calls/gate/reserve.rs
+++ b/crates/rampthread-node/src/calls/gate/reserve.rs
@@ -1,5 +1,5 @@
-//! The gate is asked before a body is sent to it: a large one waits for its turn
-//! on the link, and none is sent to a gate that would refuse its call.
+//! Reservations ahead of a request body. Large bodies are queued for a transfer permit, so that
+//! they share the link; bodies of calls that the gate would reject are not sent.
 
 use super::admit::{OVERTAKEN_SHARE, full, known_precedence};
 use super::{Gate, Hop};
@@ -16,18 +16,18 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Time for a granted body to begin to arrive: the grant's way to the entry, and
-/// the way of the body's head, in the worst region, with a lost packet.
+/// Time within which a permitted body must start to arrive, in which the permit reaches the
+/// entry and the request head returns. Covers the slowest region with one lost packet.
 const ARRIVAL_WAIT: Duration = Duration::from_millis(500);
 
-/// Body from which on it waits for its turn before it is sent, in bytes: it takes
-/// 13 ms on a link of 10 Mbit/s, more than the question and its answer.
+/// Body size from which a transfer permit is needed, in bytes. Such a body takes 13 ms on a 10
+/// Mbit/s link, longer than the reservation itself.
 pub const LARGE_BODY: usize = 16 * 1024;
 
-/// Stands for a call that is only asked about; the gate's own numbers are lower.
+/// Number used when only checking admission; real call numbers are lower.
 const NO_CALL: CallNumber = CallNumber::MAX;
 
-/// The leave to send one body; given back when it has arrived, or with the drop.
+/// Permit to send one large body. Released when the body has arrived or the permit is dropped.
 pub struct Grant {
     gate: Arc<Gate>,
     number: CallNumber,
@@ -35,7 +35,7 @@
 }
 
 impl Grant {
-    /// The body is here, whole.
+    /// Releases the permit after the whole body has arrived.
     pub fn arrived(mut self) {
         self.arrived = true;
     }
@@ -48,14 +48,14 @@
         let granted = state.transfers.ended(self.number, self.arrived, now);
         for number in granted {
             if let Some(sender) = state.body_turns.remove(&number) {
-                // A receiver that is gone withdraws, or gives its grant back.
+                // If the receiver is gone, it withdraws or releases its permit.
                 let _ = sender.try_send(());
             }
         }
     }
 }
 
-/// A place among the bodies that wait; dropped early, it is given up.
+/// A place in the queue for transfer permits; withdrawn on drop.
 struct BodyPlace {
     gate: Arc<Gate>,
     number: CallNumber,
@@ -74,7 +74,7 @@
             state.transfers.withdraw(self.number)
         };
         if !withdrawn {
-            // Its turn came in this very moment.
+            // The permit was issued concurrently with the withdrawal.
             drop(self.gate.grant(self.number));
         }
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Answers whether the body of `hop`, of so many bytes, may be sent.
+    /// Decides whether the body of `hop`, of `bytes` bytes, may be sent.
     pub async fn reserve(self: &Arc<Self>, hop: Hop, bytes: u64) -> Response<Body> {
         let mut response = match self.decide(&hop, bytes).await {
             Ok(grant) => {
@@ -115,11 +115,11 @@
         response
     }
 
-    /// Holds the grant until the body begins to arrive, for a moment at most.
+    /// Stores the permit until the body starts to arrive, for [`ARRIVAL_WAIT`] at most.
     fn keep_grant(self: &Arc<Self>, call_id: &str, grant: Grant) {
         let call_id = call_id.to_string();
-        // A caller may use an id twice. The grant that is replaced locks the
-        // state when it is dropped, so that must be free by then.
+        // Call ids can repeat. Dropping the replaced permit locks the state, so it must happen
+        // after the lock is released.
         let replaced = self.state().granted.insert(call_id.clone(), grant);
         drop(replaced);
         let gate = self.clone();
@@ -132,12 +132,12 @@
         });
     }
 
-    /// The body of `call_id` begins to arrive; none where it was not granted.
+    /// Takes the permit of `call_id` when its body starts to arrive; `None` if there is none.
     pub fn take_grant(&self, call_id: &str) -> Option<Grant> {
         self.state().granted.remove(call_id)
     }
 
-    /// A small body needs no turn: it may come if its call would be let in now.
+    /// A small body needs no permit; it may be sent if its call would be admitted at present.
     async fn decide(self: &Arc<Self>, hop: &Hop, bytes: u64) -> Result<Option<Grant>, Refusal> {
         if bytes >= LARGE_BODY as u64 {
             return self.wait_for_grant(hop, bytes).await.map(Some);
@@ -199,8 +199,8 @@
 }
 
 impl super::GateState {
-    /// How long a body may wait for its turn: what the target leaves beside its
-    /// own way and the work.
+    /// Longest useful queueing time of a body: the latency target minus its transfer time and
+    /// the expected service time.
     fn body_patience(&self, hop: &Hop, bytes: u64, left: Duration) -> Duration {
         match hop.waiting {
             Waiting::Never => Duration::ZERO,
--- a/crates/rampthread-node/src/calls/gate/slot.rs
+++ b/crates/rampthread-node/src/calls/gate/slot.rs
@@ -1,4 +1,4 @@
-//! A slot of the back end and a place in the queue for one.
+//! Slots of the backend, and the queue for them.
 
 use super::Gate;
 use crate::calls::answer::Refusal;
@@ -10,29 +10,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a waiting call is told.
+/// Notification to a queued call.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Turn {
-    /// A slot is its own now.
+    /// The call holds a slot.
     Run,
-    /// Its deadline passed; it holds no slot.
+    /// The deadline passed; the call holds no slot.
     Expired,
 }
 
-/// A slot of the back end, given back when the answer has ended.
+/// A slot of the backend, released when the response has ended.
 pub(super) struct Slot {
     gate: Arc<Gate>,
     begun: Moment,
-    /// Time that the call waited for it.
+    /// Queueing time of the call.
     pub(super) waited: Duration,
-    /// What the back end answered.
+    /// Set once the backend has responded.
     answered: Option<Answered>,
 }
 
-/// An answer of the back end.
+/// A response of the backend.
 struct Answered {
     route: ResourceName,
-    /// It did its work: the time says how fast it is. How soon one fails says nothing.
+    /// False for a server error, whose duration says nothing about the backend's speed.
     worked: bool,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The back end has answered a call of `route`.
+    /// Records the backend's response to a call of `route`.
     pub(super) fn answered(&mut self, route: &ResourceName, status: StatusCode) {
         self.answered = Some(Answered {
             route: route.clone(),
@@ -99,14 +99,14 @@
             }
         }
         if let Some(sender) = released.run.and_then(|next| state.waiting.remove(&next)) {
-            // The receiver lives as long as its entry in `waiting`: see `Place`.
+            // The receiver lives as long as its entry in `waiting`; see `Place`.
             let _ = sender.try_send(Turn::Run);
         }
     }
 }
 
-/// A place in the queue. Dropped before its turn came, it withdraws the call;
-/// dropped with a turn that nobody took, it passes the slot on.
+/// A place in the queue. Dropping it withdraws the call; if the call was given a slot that it
+/// never saw, the slot is released.
 struct Place {
     gate: Arc<Gate>,
     number: CallNumber,
--- a/crates/rampthread-node/src/calls/gate/trial.rs
+++ b/crates/rampthread-node/src/calls/gate/trial.rs
@@ -1,5 +1,5 @@
-//! The last look at a request before it runs: one in quarantine does not, and of
-//! those on trial one at a time does, so that a crash leaves no doubt whose it is.
+//! Quarantine at the gate: rejects quarantined requests, and runs requests on trial one at a
+//! time, so that a crash is attributed to the right one.
 
 use super::Gate;
 use crate::calls::answer::Refusal;
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Advice while no trial can begin: about the time of a run, and a part of the seconds
-/// in which a back end that has ended is back.
+/// Retry delay advised while no trial can start: about one service time, and a fraction of the
+/// time that a backend takes to restart.
 const TRIAL_RETRY: Duration = Duration::from_millis(500);
 
-/// A trial under way; it ends with the drop.
+/// A trial in progress; ends on drop.
 pub(super) struct Trial {
     gate: Arc<Gate>,
 }
@@ -27,7 +27,7 @@
 }
 
 impl Gate {
-    /// Refuses a request in quarantine.
+    /// Rejects a quarantined request before it is queued.
     pub(super) fn check_quarantine(&self, content: &KeptContent) -> Result<(), Refusal> {
         let identity = || content.identity(&self.control.identity_key);
         match self.control.standing(identity) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Begins the trial of a request that needs one.
+    /// Starts the trial of a request that needs one; rejects a quarantined request.
     pub(super) fn begin_trial(
         self: &Arc<Self>,
         content: &KeptContent,
@@ -50,10 +50,9 @@
         }
     }
 
-    /// A back end that has lost answers and given none since may have ended: a trial
-    /// there would be lost whatever the request does, and count against it once the
-    /// crash is known (soak behind proxies: in 3 of 50 runs a popular request was
-    /// refused for ten minutes so).
+    /// Starts the trial, unless the backend may already be down: it has lost responses and
+    /// sent none since. A trial there would fail whatever the request does, and count against
+    /// the request.
     fn take_trial(
         self: &Arc<Self>,
         identity: RequestIdentity,
@@ -76,7 +75,7 @@
     }
 }
 
-/// The answer to a request in quarantine: at once, and true, since it has not run.
+/// Error for a quarantined request, which was not run; `left` is the remaining quarantine.
 pub fn quarantined(crashes: usize, left: Duration) -> Refusal {
     let reason = format!("{crashes} back ends have crashed under this request");
     Refusal::not_run(Cause::Quarantined, reason).retry_after(left)
--- a/crates/rampthread-node/src/calls/guarded.rs
+++ b/crates/rampthread-node/src/calls/guarded.rs
@@ -1,18 +1,18 @@
-//! A body that holds something until it has ended or is dropped.
+//! A body that keeps a guard alive until it has ended or is dropped.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Passes `inner` on and keeps `guard` alive as long.
+/// Forwards `inner` and drops `guard` at its end.
 pub struct GuardedBody<B, G> {
     inner: B,
     guard: Option<G>,
 }
 
 impl<B, G> GuardedBody<B, G> {
-    /// Guards `inner`.
+    /// Attaches `guard` to `inner`.
     pub fn new(inner: B, guard: G) -> Self {
         Self {
             inner,
--- a/crates/rampthread-node/src/calls/holders.rs
+++ b/crates/rampthread-node/src/calls/holders.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: held for others, and asked of others.
+//! Claims of idempotency keys: the claims that this node holds, and requests to other holders.
 
 use super::peers::{CLAIM_ACTION, CLAIM_ANSWER, CLAIM_PATH, PeerClient};
 use crate::control::Control;
@@ -12,23 +12,23 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Wait for one holder.
+/// Time limit of a request to one holder.
 const HOLDER_WAIT: Duration = Duration::from_millis(500);
 const RETRY_AFTER_MS: &str = "rampthread-retry-after-ms";
 
-/// What an entry node asks of a holder.
+/// Action requested of a holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// May this call run?
+    /// Claim the key for a call.
     Claim,
-    /// It ran.
+    /// The call ran; the key stays taken.
     Done,
-    /// It did not run.
+    /// The call did not run; the key becomes free.
     Release,
 }
 
 impl ClaimAction {
-    /// The word in the request.
+    /// Value of the action header.
     pub fn as_str(self) -> &'static str {
         match self {
             ClaimAction::Claim => "claim",
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Reads the word of a request.
+    /// Parses the value of the action header.
     pub fn parse(word: &str) -> Option<Self> {
         [Self::Claim, Self::Done, Self::Release]
             .into_iter()
@@ -45,7 +45,7 @@
     }
 }
 
-/// The claims that this node holds, and its questions to other holders.
+/// The claims that this node holds, and the client for other holders.
 pub struct Claims {
     control: Arc<Control>,
     peers: Arc<PeerClient>,
@@ -53,7 +53,7 @@
 }
 
 impl Claims {
-    /// A table of a node that has just started.
+    /// Creates an empty table; `life` is how long a claim lasts.
     pub fn new(control: Arc<Control>, peers: Arc<PeerClient>, life: Duration) -> Self {
         let started = control.clock.now();
         Self {
@@ -69,7 +69,7 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Acts as a holder.
+    /// Applies a claim action as a holder.
     pub fn hold(&self, action: ClaimAction, key: &str, call_id: &str) -> ClaimAnswer {
         let now = self.control.clock.now();
         let call = call_id.to_string();
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Asks all holders of `key` whether `call_id` may run.
+    /// Claims `key` for `call_id` at all holders and returns the result of the vote. If the call
+    /// may not run, its claims are released.
     pub async fn claim(&self, key: &str, call_id: &str) -> Verdict {
         let holders = self.holders(key);
         let mut vote = ClaimVote::new(holders.len());
@@ -105,7 +106,7 @@
         verdict
     }
 
-    /// Tells all holders what became of the call.
+    /// Sends the outcome of a call to all holders.
     pub async fn tell(&self, action: ClaimAction, key: &str, call_id: &str) {
         let holders = self.holders(key);
         join_all(
@@ -142,7 +143,7 @@
     }
 }
 
-/// Writes a holder's answer as headers.
+/// Encodes a claim result as headers.
 pub fn answer_headers(answer: ClaimAnswer) -> Vec<(&'static str, String)> {
     let word = match answer {
         ClaimAnswer::Granted => "granted",
--- a/crates/rampthread-node/src/calls/hop_head.rs
+++ b/crates/rampthread-node/src/calls/hop_head.rs
@@ -1,7 +1,7 @@
-//! The head of a hop: what the entry tells the gate beside the chosen back end.
+//! Header encoding of a hop, from the entry to the gate of the chosen backend.
 //!
-//! Bytes between zones are dear, and a hop's head is a good part of a small
-//! call: what the gate can work out by itself is not sent.
+//! Traffic between zones is expensive, and the head is a large part of a small call, so values
+//! that the gate can derive are omitted.
 
 use super::forward;
 use super::gate::{Hop, TRY_SEPARATOR};
@@ -14,19 +14,19 @@
 use rampthread_core::ids::ResourceName;
 use rampthread_core::time::Moment;
 
-/// Number of the try, where the caller's own id of the request travels along.
+/// Attempt number; sent where the caller's request id is forwarded in its own header.
 const TRY: &str = "rampthread-try";
-/// Whether the call may run twice; it may not where this is missing.
+/// Whether the call may run more than once; absent means that it may not.
 const REPEATABLE: &str = "rampthread-repeatable";
 
-/// Writes `hop`, which is sent at `now` in this `life` of the process, into the
-/// head of a request.
+/// Writes `hop` into the headers of a request sent at `now`. `life` identifies the sender's
+/// process start.
 pub fn write(hop: &Hop, dialect: &CallDialect, life: u32, now: Moment, to: &mut HeaderMap) {
     let since_start = now.since(Moment::default());
     let sent = SentAt { life, since_start };
     forward::set_own(to, headers::SENT_AT, &sent.to_string());
     write_id(hop, dialect, to);
-    // The caller's own wish is replaced by what is left.
+    // The caller's own deadline is replaced by the remaining time.
     to.remove(&dialect.deadline_ms);
     let remaining = hop.deadline.since(now).as_millis();
     forward::set_own(to, headers::DEADLINE_MS, &remaining.to_string());
@@ -62,7 +62,7 @@
     }
 }
 
-/// Names the try that a request belongs to; none where it is no hop.
+/// Call id of the attempt that a request belongs to; `None` if the request is not a hop.
 pub fn call_id(from: &HeaderMap, dialect: &CallDialect) -> Option<String> {
     if let Some(id) = forward::text(from, headers::CALL_ID) {
         return Some(id.to_string());
@@ -72,13 +72,13 @@
     Some(format!("{id}{TRY_SEPARATOR}{number}"))
 }
 
-/// When the hop was sent; none from an older node, which does not say it.
+/// When the hop was sent, by the sender's clock; `None` from older nodes.
 pub fn sent_at(from: &HeaderMap) -> Option<SentAt> {
     SentAt::parse(forward::text(from, headers::SENT_AT)?)
 }
 
-/// Reads the head of the hop `call_id`, which was sent at `sent` by the clock of
-/// this process, or tells what is wrong with it.
+/// Decodes the hop `call_id`, sent at `sent` by the clock of this process. Returns the reason
+/// if a header is missing or malformed.
 pub fn read(call_id: String, from: &HeaderMap, sent: Moment) -> Result<Hop, String> {
     let name = |header: &str| {
         let text = forward::text(from, header).ok_or_else(|| format!("{header} is missing"))?;
--- a/crates/rampthread-node/src/calls/load_report.rs
+++ b/crates/rampthread-node/src/calls/load_report.rs
@@ -1,12 +1,11 @@
-//! What this node tells the speaker of its zone: the load of its back end, and what its
-//! callers ask for.
+//! This node's load report to its zone: load of the backend and demand of the callers.
 
 use super::entry::Entry;
 use super::gate::Gate;
 use rampthread_core::fleet::LoadReport;
 use std::time::Duration;
 
-/// The report of this node over `period`, up to now; none while it has nothing to tell.
+/// Report of this node for the past `period`; `None` while there is nothing to report.
 pub fn load_report(entry: &Entry, gate: &Gate, period: Duration) -> Option<LoadReport> {
     let mut services = entry.service_demand();
     services.extend(gate.service_load());
--- a/crates/rampthread-node/src/calls/mod.rs
+++ b/crates/rampthread-node/src/calls/mod.rs
@@ -1,7 +1,7 @@
-//! The path of a call.
+//! The request path.
 //!
-//! [`entry`] takes a caller's request at any node; [`gate`] guards the back
-//! end beside this node; [`peers`] takes what other nodes ask in between.
+//! [`entry`] accepts calls at any node, [`gate`] runs them at the local backend, and [`peers`]
+//! carries requests between nodes.
 
 pub mod answer;
 mod content;
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -1,4 +1,4 @@
-//! What nodes ask each other while a call is on its way, and the listener for it.
+//! Requests between nodes: the client, and the service of the listener for peers.
 
 use super::answer::{Refusal, set};
 use super::forward;
@@ -23,41 +23,41 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Path that fences a call.
+/// Path of fence requests.
 pub const FENCE_PATH: &str = "/rampthread/fence";
-/// Path that asks whether a large body may be sent.
+/// Path of reservations ahead of a request body.
 pub const RESERVE_PATH: &str = "/rampthread/reserve";
-/// Path that claims an idempotency key.
+/// Path of claim requests for idempotency keys.
 pub const CLAIM_PATH: &str = "/rampthread/claim";
-/// What is asked of a holder.
+/// Action of a claim request: a word of [`ClaimAction`].
 pub const CLAIM_ACTION: &str = "rampthread-claim-action";
-/// What a holder answers.
+/// Result of a claim request.
 pub const CLAIM_ANSWER: &str = "rampthread-claim-answer";
 /// Whether a fenced call may have started: one of [`Fenced`].
 const FENCED: &str = "rampthread-fenced";
-/// The node that answers a fence.
+/// Node that responds to a fence request.
 const FENCED_BY: &str = "rampthread-fenced-by";
-/// How far back the gate that answers a fence remembers, in milliseconds.
+/// How far back the fence table of the responding gate reaches, in milliseconds.
 const FENCE_MEMORY_MS: &str = "rampthread-fence-memory-ms";
-/// Wait for a peer's connection; peers are one zone or region away.
+/// Time limit for a connection to a peer, which may be in another region.
 const PEER_CONNECT_WAIT: Duration = Duration::from_millis(300);
 
-/// Time after which bytes that a peer does not acknowledge end the hop: a
-/// machine without power or behind a cut says nothing.
+/// `TCP_USER_TIMEOUT` of connections to peers, which detects hosts that are powered off or
+/// partitioned.
 const PEER_SILENCE: Duration = Duration::from_millis(800);
 
-/// Sends hops and questions to other nodes.
+/// Client for hops and queries to other nodes.
 pub struct PeerClient {
     control: Arc<Control>,
-    /// None where nodes trust their network.
+    /// `None` where requests between nodes are not authenticated.
     keys: Option<HopKeys>,
     pool: Pool,
-    /// Tells lives of this process apart: hops carry the time since its start.
+    /// Random number of this process start. Hops carry the time since the start.
     life: u32,
 }
 
 impl PeerClient {
-    /// Signs with `keys`, if there are any.
+    /// Creates a client that authenticates its requests with `keys`, if given.
     pub fn new(control: Arc<Control>, keys: Option<HopKeys>) -> Self {
         Self {
             control,
@@ -71,17 +71,17 @@
         }
     }
 
-    /// Names this life of the process.
+    /// Random number that identifies this process start.
     pub fn life(&self) -> u32 {
         self.life
     }
 
-    /// The pool of connections to peers.
+    /// Connection pool shared by hops and queries.
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
-    /// The token that shows `receiver` that a fleet member sent the call.
+    /// Token that proves to `receiver` that a fleet member sent the call; `None` without keys.
     pub fn token(&self, receiver: &NodeId, call_id: &str) -> Option<String> {
         let keys = self.keys.as_ref()?;
         Some(keys.token(receiver, call_id))
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Asks a question that consists of headers; none when there was no answer.
+    /// Sends a header-only query to `node`. Returns the headers of the response; `None` if
+    /// there is none or its status is not 200.
     pub async fn ask(
         &self,
         node: &NodeId,
@@ -107,7 +108,7 @@
         self.ask_at(address, node, path, call_id, question).await
     }
 
-    /// The same where the node was reached at `address` before.
+    /// Like [`Self::ask`], at an address where the node was reached before.
     async fn ask_at(
         &self,
         address: SocketAddr,
@@ -139,8 +140,8 @@
         (parts.status == StatusCode::OK).then_some(parts.headers)
     }
 
-    /// Asks the gate at `address` whether it lets a large body come. The question
-    /// has the head of the hop. None: it does; else the gate's refusal.
+    /// Asks the gate at `address` whether to send a body of `bytes` bytes; `head` is that of
+    /// the hop. Returns `None` if the body may be sent, or else the gate's error response.
     pub async fn reserve(
         &self,
         address: SocketAddr,
@@ -171,9 +172,9 @@
         }
     }
 
-    /// Fences `call_id` at `address`, where `node` was sent the hop: by now the node may
-    /// be known at another address, and another node may stand at this one. None when
-    /// nobody answers in time.
+    /// Fences `call_id` at `address`, where the hop to `node` was sent. Meanwhile the node may
+    /// have moved, and another node may use the address. `None` if there is no response within
+    /// `wait`.
     pub async fn fence(
         &self,
         address: SocketAddr,
@@ -184,7 +185,7 @@
         let asking = self.ask_at(address, node, FENCE_PATH, call_id, &[]);
         let reply = rampthread_http::timeout(wait, asking).await.ok()??;
         let by = forward::text(&reply, FENCED_BY);
-        // An older node does not say how far back it remembers: not at all, then.
+        // Older nodes do not report it; zero claims no memory.
         let memory_ms = forward::number(&reply, FENCE_MEMORY_MS).unwrap_or(0);
         Some(FenceReply {
             by: by.and_then(|name| NodeId::new(name).ok()),
@@ -196,7 +197,7 @@
     }
 }
 
-/// Handles requests of other nodes.
+/// Handles requests from other nodes.
 pub struct PeerService {
     control: Arc<Control>,
     peers: Arc<PeerClient>,
@@ -208,7 +209,7 @@
 }
 
 impl PeerService {
-    /// Passes hops to `gate` and claims to `claims`.
+    /// Dispatches hops to `gate` and claims to `claims`; `body_limit` is in bytes.
     pub fn new(
         control: Arc<Control>,
         peers: Arc<PeerClient>,
@@ -228,8 +229,8 @@
         }
     }
 
-    /// When a hop that arrives now was sent, by the clock of this process: what it
-    /// stood in full links counts against its call's time.
+    /// When an arriving hop was sent, by the clock of this process, so that its transit time
+    /// counts against the deadline.
     fn sent_at(&self, head: &HeaderMap, peer: SocketAddr) -> Moment {
         let now = self.control.clock.now();
         let Some(sent) = hop_head::sent_at(head) else {
@@ -243,7 +244,7 @@
         Moment(now.0.saturating_sub(delay.as_micros() as u64))
     }
 
-    /// Handles one request.
+    /// Authenticates one request and dispatches it by its path.
     pub async fn handle(
         self: Arc<Self>,
         request: Request<RequestBody>,
@@ -358,9 +359,9 @@
     }
 }
 
-/// The path of a question or message between nodes; none for a hop, whose path is its
-/// caller's. A hop has a route in its head; so has the announcement of its body, which
-/// alone names the body's length. Callers can set neither.
+/// Path of a control message or query between nodes; `None` for a hop, which has the path of
+/// its caller's request. Hops and reservations have a route header, and only a reservation has
+/// the body size. Callers can set neither header.
 fn question<B>(request: &Request<B>) -> Option<&'static str> {
     let head = request.headers();
     let of_a_call = head.contains_key(headers::ROUTE);
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -1,4 +1,5 @@
-//! The limits of tenants at this node: what the fleet tells goes in, decisions come out.
+//! Rate limits of tenants at this node: applies limits and demand published by the fleet, and
+//! decides on requests.
 
 use super::answer::Refusal;
 use crate::control::Control;
@@ -16,27 +17,27 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Tenants that have metrics of their own, those that were refused and ask most; the
-/// others are told together.
+/// Number of tenants with metrics of their own: those with rejections first, then those with the
+/// most demand. The others are aggregated.
 const SHOWN_TENANTS: usize = 20;
-/// Time between two looks for the metrics.
+/// Interval between updates of the metrics.
 const SHOW_INTERVAL: Duration = Duration::from_secs(1);
-/// Name of the others in metrics.
+/// Label value of the aggregated tenants.
 const OTHER_TENANTS: &str = "other";
-/// Members that ended without a word count for this long: they may be cut off.
+/// How long a member that disappeared without leaving still counts: it may be partitioned.
 const MISSING_COUNTS: Duration = Duration::from_secs(600);
 
-/// Limits of all tenants, as this node keeps them.
+/// Rate limits of all tenants at this node.
 pub struct TenantLimits {
     control: Arc<Control>,
     zone: Zone,
     quotas: Mutex<Quotas>,
-    /// When the metrics are due again, as a [`Moment`].
+    /// Next update of the metrics, as a [`Moment`].
     show_due: AtomicU64,
 }
 
 impl TenantLimits {
-    /// Nothing is known of any tenant yet; `zone` is that of this node.
+    /// Creates limits without any knowledge of demand; `zone` is that of this node.
     pub fn new(control: Arc<Control>, zone: Zone, terms: QuotaTerms) -> Self {
         let quotas = Mutex::new(Quotas::new(terms, control.clock.now()));
         Self {
@@ -53,8 +54,8 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Takes a token for a request of `tenant`. What comes back names the tenant to give
-    /// the token back to; none where it has no limit.
+    /// Takes a token for a request of `tenant`. Returns the tenant whose token was taken;
+    /// `None` where the tenant has no limit.
     pub fn take(&self, tenant: &Tenant) -> Result<Option<TenantTag>, Refusal> {
         let now = self.control.clock.now();
         if tenant.limit().is_none() {
@@ -69,13 +70,13 @@
         }
     }
 
-    /// A request that took a token was proved not to have run.
+    /// Returns the token of a request that provably did not run.
     pub fn give_back(&self, tenant: TenantTag) {
         let now = self.control.clock.now();
         self.quotas().give_back(tenant, now);
     }
 
-    /// Takes over what the fleet tells, and the limits in force; to be called often.
+    /// Applies the limits in force and the fleet's published demand; to be called periodically.
     pub fn learn(&self) {
         let active = self.control.active();
         let now = self.control.clock.now();
@@ -112,9 +113,8 @@
         })
     }
 
-    /// What this node has to tell of its tenants; none where there are no limits. Where
-    /// there are, it tells that it has nothing, too: nodes that are not heard count as cut
-    /// off.
+    /// Demand of tenants at this node; `None` if no tenant has a limit. Otherwise an empty list
+    /// is reported as well, because silent nodes count as partitioned.
     pub fn loads(&self) -> Option<Vec<TenantLoad>> {
         if !self.control.active().tenants.has_limits() {
             return None;
@@ -123,8 +123,7 @@
         Some(self.quotas().loads(now))
     }
 
-    /// The tenants with a limit and what is known of them; those that are refused and
-    /// that ask most come first.
+    /// Tenants with a limit and their state, ordered by rejections, then demand, both descending.
     pub fn views(&self) -> Vec<(ResourceName, QuotaView)> {
         let active = self.control.active();
         let now = self.control.clock.now();
@@ -144,7 +143,7 @@
         views
     }
 
-    /// Shows the largest tenants in the metrics, and the others together.
+    /// Updates the metrics of the largest tenants and of the rest together.
     fn show(&self) {
         let metrics = &self.control.metrics;
         let views = self.views();
@@ -167,7 +166,7 @@
     }
 }
 
-/// Says whom a limit refuses, and what the decision was worked out from.
+/// Describes a rejection and the data that it was based on.
 fn reason(tenant: &ResourceName, refused: &QuotaRefusal) -> String {
     let (asked, rate) = (refused.asked, refused.limit.rate);
     let basis = match refused.basis {
