--- a/crates/rampthread-node/src/calls/entry/claim.rs
+++ b/crates/rampthread-node/src/calls/entry/claim.rs
@@ -1,8 +1,8 @@
-//! Claims the idempotency key of a call before it runs, and settles the claim afterwards.
+//! IdempotencyClaims the idempotency key of a call before it runs, and settles the claim afterwards.
 
 use super::{Call, Entry, NO_BACKEND_RETRY, outcome_of};
 use crate::calls::answer::CallError;
-use crate::calls::holders::ClaimAction;
+use crate::calls::idempotency_claims::ClaimAction;
 use http::Response;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::claims::Verdict;
@@ -10,7 +10,7 @@
 use rampthread_http::Body;
 
 impl Entry {
-    /// Claims the idempotency key, if the request has one.
+    /// IdempotencyClaims the idempotency key, if the request has one.
     pub(super) async fn claim(&self, call: &Call) -> Result<(), CallError> {
         let (Some(key), Some(claims)) = (&call.key, &self.parts.claims) else {
             return Ok(());
@@ -53,7 +53,7 @@
         };
         let call_id = call.id.clone();
         async_std::task::spawn(async move {
-            claims.tell(action, &key, &call_id).await;
+            claims.notify_holders(action, &key, &call_id).await;
         });
     }
 }
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -24,7 +24,7 @@
 use crate::calls::content::KeptContent;
 use crate::calls::forward;
 use crate::calls::gate::Gate;
-use crate::calls::holders::Claims;
+use crate::calls::idempotency_claims::IdempotencyClaims;
 use crate::calls::peers::PeerClient;
 use crate::calls::tenant_limits::TenantLimits;
 use crate::control::{ActiveConfig, Control, Target};
@@ -96,8 +96,8 @@
     pub peers: Arc<PeerClient>,
     /// Gate of this node, called directly rather than over the network.
     pub gate: Arc<Gate>,
-    /// Claims of idempotency keys; `None` where callers send no keys.
-    pub claims: Option<Arc<Claims>>,
+    /// IdempotencyClaims of idempotency keys; `None` where callers send no keys.
+    pub claims: Option<Arc<IdempotencyClaims>>,
     /// Rate limits of tenants.
     pub limits: Arc<TenantLimits>,
     /// Zone of this node.
--- a/crates/rampthread-node/src/calls/holders.rs
+++ b/crates/rampthread-node/src/calls/idempotency_claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: the claims that this node holds, and requests to other holders.
+//! IdempotencyClaims of idempotency keys: the claims that this node holds, and requests to other holders.
 
 use super::peers::{CLAIM_ACTION, CLAIM_ANSWER, CLAIM_PATH, PeerClient};
 use crate::control::Control;
@@ -46,13 +46,13 @@
 }
 
 /// The claims that this node holds, and the client for other holders.
-pub struct Claims {
+pub struct IdempotencyClaims {
     control: Arc<Control>,
     peers: Arc<PeerClient>,
     table: Mutex<ClaimTable>,
 }
 
-impl Claims {
+impl IdempotencyClaims {
     /// Creates an empty table; `life` is how long a claim lasts.
     pub fn new(control: Arc<Control>, peers: Arc<PeerClient>, life: Duration) -> Self {
         let started = control.clock.now();
@@ -70,7 +70,7 @@
     }
 
     /// Applies a claim action as a holder.
-    pub fn hold(&self, action: ClaimAction, key: &str, call_id: &str) -> ClaimAnswer {
+    pub fn handle_request(&self, action: ClaimAction, key: &str, call_id: &str) -> ClaimAnswer {
         let now = self.control.clock.now();
         let call = call_id.to_string();
         match action {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Claims `key` for `call_id` at all holders and returns the result of the vote. If the call
+    /// IdempotencyClaims `key` for `call_id` at all holders and returns the result of the vote. If the call
     /// may not run, its claims are released.
     pub async fn claim(&self, key: &str, call_id: &str) -> Verdict {
         let holders = self.holders(key);
@@ -101,13 +101,14 @@
         }
         let verdict = vote.verdict();
         if verdict != Verdict::Run {
-            self.tell(ClaimAction::Release, key, call_id).await;
+            self.notify_holders(ClaimAction::Release, key, call_id)
+                .await;
         }
         verdict
     }
 
     /// Sends the outcome of a call to all holders.
-    pub async fn tell(&self, action: ClaimAction, key: &str, call_id: &str) {
+    pub async fn notify_holders(&self, action: ClaimAction, key: &str, call_id: &str) {
         let holders = self.holders(key);
         join_all(
             holders
@@ -131,7 +132,7 @@
         call_id: &str,
     ) -> Option<ClaimAnswer> {
         if *holder == self.control.id {
-            return Some(self.hold(action, key, call_id));
+            return Some(self.handle_request(action, key, call_id));
         }
         let request = [
             (headers::IDEMPOTENCY_KEY, key),
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -3,8 +3,8 @@
 use super::answer::{CallError, set};
 use super::forward;
 use super::gate::Gate;
-use super::holders::{ClaimAction, Claims, answer_headers};
 use super::hop_head;
+use super::idempotency_claims::{ClaimAction, IdempotencyClaims, answer_headers};
 use crate::control::{CONTROL_PATH, Control};
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use rampthread_core::call::cause::Cause;
@@ -202,7 +202,7 @@
     control: Arc<Control>,
     peers: Arc<PeerClient>,
     gate: Arc<Gate>,
-    claims: Option<Arc<Claims>>,
+    claims: Option<Arc<IdempotencyClaims>>,
     dialect: Arc<CallDialect>,
     body_limit: usize,
     delays: Mutex<PathDelays>,
@@ -214,7 +214,7 @@
         control: Arc<Control>,
         peers: Arc<PeerClient>,
         gate: Arc<Gate>,
-        claims: Option<Arc<Claims>>,
+        claims: Option<Arc<IdempotencyClaims>>,
         dialect: Arc<CallDialect>,
         body_limit: usize,
     ) -> Self {
@@ -306,7 +306,7 @@
             return CallError::not_run(Cause::BadRequest, reason).into_hop_response();
         };
         let mut response = Response::new(empty());
-        for (name, value) in answer_headers(claims.hold(action, key, call_id)) {
+        for (name, value) in answer_headers(claims.handle_request(action, key, call_id)) {
             set(&mut response, name, &value);
         }
         response
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -3,7 +3,7 @@
 use crate::api::api;
 use crate::calls::entry::{CallerService, Entry, EntryMode, EntryParts};
 use crate::calls::gate::{Gate, GateParts};
-use crate::calls::holders::Claims;
+use crate::calls::idempotency_claims::IdempotencyClaims;
 use crate::calls::load_report::load_report;
 use crate::calls::peers::{PeerClient, PeerService};
 use crate::calls::tenant_limits::TenantLimits;
@@ -390,7 +390,11 @@
         let peer_client = Arc::new(PeerClient::new(control.clone(), hop_keys));
         let claims = adapter.is_none().then(|| {
             let life = settings.fleet.claim_life;
-            Arc::new(Claims::new(control.clone(), peer_client.clone(), life))
+            Arc::new(IdempotencyClaims::new(
+                control.clone(),
+                peer_client.clone(),
+                life,
+            ))
         });
         let terms = settings.quota.to_terms();
         let zone = settings.node.zone.clone();
