--- a/crates/rampthread-node/src/api/changes.rs
+++ b/crates/rampthread-node/src/api/changes.rs
@@ -2,7 +2,7 @@
 
 use super::ApiState;
 use super::views::ChangeView;
-use crate::calls::answer::whole_seconds;
+use crate::calls::response::retry_after_seconds;
 use crate::settings::{ResourceFile, read_resource_json};
 use rampthread_core::config::{
     ChangeSet, MAX_ENTRY_BYTES, Operation, Resource, ResourceKey, ResourceKind, Secret,
@@ -273,7 +273,7 @@
 }
 
 fn not_run(mut view: ChangeView, retry_after: Duration) -> Response {
-    let seconds = whole_seconds(retry_after);
+    let seconds = retry_after_seconds(retry_after);
     view.retry_after_seconds = Some(seconds);
     let mut response = json(StatusCode::ServiceUnavailable, &view);
     response.insert_header("retry-after", seconds.to_string());
--- a/crates/rampthread-node/src/call_log.rs
+++ b/crates/rampthread-node/src/call_log.rs
@@ -1,7 +1,7 @@
 //! The lines about calls, and the counts that go with them. The names of the
 //! fields are stable; `docs/OPERATIONS.md` lists them.
 
-use crate::calls::answer::CallError;
+use crate::calls::response::CallError;
 use crate::clock::Clock;
 use crate::metrics::{CallLabel, CauseLabel, FenceLabel, Metrics};
 use rampthread_core::call::backend_load::BackendLoadError;
--- a/crates/rampthread-node/src/calls/entry/admission.rs
+++ b/crates/rampthread-node/src/calls/entry/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of calls: identifies the tenant and applies its rate limit.
 
 use super::Entry;
-use crate::calls::answer::CallError;
+use crate::calls::response::CallError;
 use crate::control::ActiveConfig;
 use http::header::AUTHORIZATION;
 use http::{HeaderMap, HeaderName};
--- a/crates/rampthread-node/src/calls/entry/caller_service.rs
+++ b/crates/rampthread-node/src/calls/entry/caller_service.rs
@@ -1,7 +1,7 @@
 //! HTTP service of the listener for callers.
 
 use super::Entry;
-use crate::calls::answer::CallError;
+use crate::calls::response::CallError;
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 use http::request::Parts;
--- a/crates/rampthread-node/src/calls/entry/claim.rs
+++ b/crates/rampthread-node/src/calls/entry/claim.rs
@@ -1,8 +1,8 @@
 //! IdempotencyClaims the idempotency key of a call before it runs, and settles the claim afterwards.
 
 use super::{Call, Entry, NO_BACKEND_RETRY, outcome_of};
-use crate::calls::answer::CallError;
 use crate::calls::idempotency_claims::ClaimAction;
+use crate::calls::response::CallError;
 use http::Response;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::claims::Verdict;
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -20,12 +20,12 @@
 
 pub use caller_service::CallerService;
 
-use crate::calls::answer::CallError;
-use crate::calls::content::KeptContent;
-use crate::calls::forward;
 use crate::calls::gate::Gate;
+use crate::calls::header_filter;
 use crate::calls::idempotency_claims::IdempotencyClaims;
 use crate::calls::peers::PeerClient;
+use crate::calls::request_content::CallContent;
+use crate::calls::response::CallError;
 use crate::calls::tenant_limits::TenantLimits;
 use crate::control::{ActiveConfig, Control, Target};
 use crate::settings::LiveSettings;
@@ -155,7 +155,7 @@
     config: Arc<ActiveConfig>,
     key: Option<String>,
     /// Content that identifies the request; set once the body is read.
-    content: KeptContent,
+    content: CallContent,
 }
 
 /// The backend chosen for one attempt.
@@ -271,8 +271,8 @@
 
     fn name_answer(&self, call_id: &str, answer: &mut http::HeaderMap) {
         match &self.parts.dialect.request_id {
-            Some(header) => forward::set_named(answer, header, call_id),
-            None => forward::set_own(answer, headers::CALL_ID, call_id),
+            Some(header) => header_filter::set_header(answer, header, call_id),
+            None => header_filter::set_internal(answer, headers::CALL_ID, call_id),
         }
     }
 
@@ -316,13 +316,13 @@
         let (mut parts, body) = request.into_parts();
         let body = self.read_body(&call, &parts.headers, body).await?;
         let had_body = parts.headers.contains_key(http::header::CONTENT_LENGTH);
-        forward::remove_own(&mut parts.headers);
-        forward::remove_hop_by_hop(&mut parts.headers);
+        header_filter::remove_internal(&mut parts.headers);
+        header_filter::remove_hop_by_hop(&mut parts.headers);
         let tenant = &self.parts.dialect.tenant;
         admission::remove_identity(&call.config, tenant, &mut parts.headers);
-        forward::set_length(&mut parts.headers, body.len(), had_body);
+        header_filter::set_length(&mut parts.headers, body.len(), had_body);
         let template = Request::from_parts(parts, body);
-        call.content = KeptContent::of(&template);
+        call.content = CallContent::of(&template);
         self.check_quarantine(&call, progress)?;
         self.claim(&call).await?;
         let tries = Tries::new(self, &call, &template);
@@ -450,7 +450,7 @@
 /// Outcome named by a response. A response without the header comes from a process that does
 /// not report outcomes, so the request may have run.
 fn outcome_of<B>(response: &Response<B>) -> Outcome {
-    forward::text(response.headers(), headers::OUTCOME)
+    header_filter::header_str(response.headers(), headers::OUTCOME)
         .and_then(Outcome::parse)
         .unwrap_or(Outcome::Unknown)
 }
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -1,7 +1,7 @@
 //! Nested calls: those that the local backend makes while it handles a call itself.
 
 use super::{Call, Entry};
-use crate::calls::forward;
+use crate::calls::header_filter;
 use http::HeaderMap;
 use rampthread_core::call::attempts::RetryClaim;
 use rampthread_core::call::headers;
@@ -25,7 +25,7 @@
     /// Records whether the route carries nested calls. Only the gate can tell, and reports it
     /// with the response.
     pub(super) fn note_nested(&self, call: &Call, answer: &HeaderMap) {
-        let word = forward::text(answer, headers::PRECEDENCE);
+        let word = header_filter::header_str(answer, headers::PRECEDENCE);
         if word == Some(Precedence::Dependency.as_str()) {
             let now = self.now();
             self.state().nested.told(&call.route.name, now);
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -3,11 +3,11 @@
 use super::versions::VersionAnswer;
 use super::{Call, Choice, Entry, NO_BACKEND_RETRY, outcome_of};
 use crate::call_log::FencedHopLine;
-use crate::calls::answer::{CallError, whole_answer};
-use crate::calls::forward;
 use crate::calls::gate::{Hop, LARGE_BODY};
-use crate::calls::guarded::GuardedBody;
-use crate::calls::hop_head;
+use crate::calls::guarded_body::GuardedBody;
+use crate::calls::header_filter;
+use crate::calls::hop_headers;
+use crate::calls::response::{CallError, read_response_body};
 use bytes::Bytes;
 use http::response::Parts;
 use http::{HeaderMap, Request, Response};
@@ -211,9 +211,9 @@
         let mut request = copy_of(template).map(full);
         let to = request.headers_mut();
         let life = self.parts.peers.life();
-        hop_head::write(hop, &self.parts.dialect, life, self.now(), to);
+        hop_headers::write(hop, &self.parts.dialect, life, self.now(), to);
         if let Some(token) = self.parts.peers.token(&choice.node, &hop.call_id) {
-            forward::set_own(to, headers::HOP_TOKEN, &token);
+            header_filter::set_internal(to, headers::HOP_TOKEN, &token);
         }
         request
     }
@@ -227,7 +227,7 @@
         begun: Moment,
     ) -> Result<Response<Body>, CallError> {
         let node = &choice.node;
-        if let Some(load) = forward::number(response.headers(), headers::LOAD) {
+        if let Some(load) = header_filter::parse_header(response.headers(), headers::LOAD) {
             let now = self.now();
             self.state().balancer.reported(node, load, now);
         }
@@ -246,8 +246,8 @@
         }
         self.note_room(call, choice, false);
         let (mut parts, body) = response.into_parts();
-        let declared: Option<u64> = forward::number(&parts.headers, "content-length");
-        let waited = forward::number(&parts.headers, headers::WAITED_MS).unwrap_or(0);
+        let declared: Option<u64> = header_filter::parse_header(&parts.headers, "content-length");
+        let waited = header_filter::parse_header(&parts.headers, headers::WAITED_MS).unwrap_or(0);
         let body = if declared.unwrap_or(0) > WHOLE_ANSWER_BYTES {
             body
         } else {
@@ -279,7 +279,7 @@
     /// Records the backend's speed as reported by the gate. A response without the header means
     /// normal speed.
     fn note_pace(&self, node: &NodeId, outcome: Outcome, from: &HeaderMap) {
-        let told = forward::text(from, headers::PACE).and_then(BackendPace::parse);
+        let told = header_filter::header_str(from, headers::PACE).and_then(BackendPace::parse);
         let as_usual = (outcome == Outcome::Completed).then(BackendPace::default);
         if let Some(pace) = told.or(as_usual) {
             let now = self.now();
@@ -292,18 +292,18 @@
     async fn whole_body(&self, call: &Call, body: Body) -> Result<Body, CallError> {
         let remaining = call.deadline.since(self.now()) + HOP_SLACK;
         let reading = read_whole(body, MAX_UNDECLARED_BYTES);
-        whole_answer(reading, remaining).await.map(full)
+        read_response_body(reading, remaining).await.map(full)
     }
 
     /// Replaces internal headers by those meant for callers.
     fn dress_answer(&self, call: &Call, choice: &Choice, parts: &mut Parts, outcome: Outcome) {
-        forward::remove_hop_by_hop(&mut parts.headers);
-        forward::remove_own(&mut parts.headers);
-        forward::set_own(&mut parts.headers, headers::OUTCOME, outcome.as_str());
+        header_filter::remove_hop_by_hop(&mut parts.headers);
+        header_filter::remove_internal(&mut parts.headers);
+        header_filter::set_internal(&mut parts.headers, headers::OUTCOME, outcome.as_str());
         let version = call.config.state.version();
-        forward::set_own(&mut parts.headers, headers::VERSION, &version.to_string());
+        header_filter::set_internal(&mut parts.headers, headers::VERSION, &version.to_string());
         let backend = choice.target.backend.as_str();
-        forward::set_own(&mut parts.headers, headers::BACKEND, backend);
+        header_filter::set_internal(&mut parts.headers, headers::BACKEND, backend);
     }
 }
 
@@ -347,23 +347,24 @@
 /// Decodes the error that a gate returned instead of a response of the backend.
 fn error_from_response<B>(response: &Response<B>, outcome: Outcome) -> CallError {
     let from = response.headers();
-    let wait = forward::number(from, headers::RETRY_AFTER_MS).map(Duration::from_millis);
+    let wait =
+        header_filter::parse_header(from, headers::RETRY_AFTER_MS).map(Duration::from_millis);
     let reach = match outcome {
-        Outcome::NotRun => Reach::parse(forward::text(from, headers::REACH)),
+        Outcome::NotRun => Reach::parse(header_filter::header_str(from, headers::REACH)),
         _ => Reach::BackEnd,
     };
     CallError {
         status: response.status(),
         outcome,
         reach,
-        cause: forward::text(from, headers::CAUSE)
+        cause: header_filter::header_str(from, headers::CAUSE)
             .and_then(Cause::parse)
             .unwrap_or(Cause::ConnectionLost),
-        reason: forward::text(from, headers::REASON)
+        reason: header_filter::header_str(from, headers::REASON)
             .unwrap_or("the node beside the back end gave no reason")
             .to_string(),
         retry_after: wait.or(Some(NO_BACKEND_RETRY)),
-        crashed: forward::text(from, headers::CRASHED)
+        crashed: header_filter::header_str(from, headers::CRASHED)
             .and_then(|instance| InstanceId::new(instance).ok()),
     }
 }
--- a/crates/rampthread-node/src/calls/entry/plan.rs
+++ b/crates/rampthread-node/src/calls/entry/plan.rs
@@ -1,9 +1,9 @@
 //! Resolves what all attempts of a call share: id, route, service, deadline and body.
 
 use super::{Call, Entry, admission};
-use crate::calls::answer::CallError;
-use crate::calls::content::KeptContent;
-use crate::calls::forward;
+use crate::calls::header_filter;
+use crate::calls::request_content::CallContent;
+use crate::calls::response::CallError;
 use bytes::Bytes;
 use http::request::Parts;
 use http::{HeaderMap, Method, Request, Uri};
@@ -29,7 +29,7 @@
         let sent = dialect
             .request_id
             .as_ref()
-            .and_then(|header| forward::text(request.headers(), header.as_str()))
+            .and_then(|header| header_filter::header_str(request.headers(), header.as_str()))
             .filter(|id| (1..=MAX_REQUEST_ID).contains(&id.len()));
         match sent {
             Some(id) => id.to_string(),
@@ -47,8 +47,9 @@
         let bad =
             |error: headers::HeaderError| CallError::not_run(Cause::BadRequest, error.to_string());
         let from = request.headers();
-        let hops = headers::next_hop(forward::text(from, headers::HOPS)).map_err(bad)?;
-        let wish = forward::text(from, self.parts.dialect.deadline_ms.as_str());
+        let hops =
+            headers::next_hop(header_filter::header_str(from, headers::HOPS)).map_err(bad)?;
+        let wish = header_filter::header_str(from, self.parts.dialect.deadline_ms.as_str());
         let wish = headers::parse_deadline(wish).map_err(bad)?;
         let config = self.control().active();
         let head = call_head(from, request.uri(), request.method());
@@ -78,7 +79,7 @@
             repeatable: is_repeatable(&route, request.method()),
             tenant: tenant.as_ref().map(|tenant| tenant.name.clone()),
             key: self.claim_key(&route, tenant.as_deref(), from),
-            content: KeptContent::default(),
+            content: CallContent::default(),
             route,
             service,
             config,
@@ -135,7 +136,7 @@
         if let Some(caller) = &self.parts.caller {
             return caller.to_string();
         }
-        let caller = forward::text(from, headers::CALLER).unwrap_or("external");
+        let caller = header_filter::header_str(from, headers::CALLER).unwrap_or("external");
         caller.chars().take(MAX_CALLER).collect()
     }
 
@@ -146,7 +147,7 @@
         from: &HeaderMap,
     ) -> Option<String> {
         self.parts.claims.as_ref()?;
-        let key = forward::text(from, headers::IDEMPOTENCY_KEY)?;
+        let key = header_filter::header_str(from, headers::IDEMPOTENCY_KEY)?;
         // Keys are scoped by route and tenant. No resource name starts with `@`.
         let of_route = format!("{}/{key}", route.name);
         Some(match tenant {
@@ -166,7 +167,7 @@
             || self.parts.live.get().body_limit,
             |limits| limits.body_bytes,
         );
-        let declared: usize = forward::number(from, "content-length").unwrap_or(0);
+        let declared: usize = header_filter::parse_header(from, "content-length").unwrap_or(0);
         if declared > limit {
             let reason = format!("the body is larger than {limit} bytes");
             return Err(CallError::not_run(Cause::BodyTooLarge, reason));
@@ -189,7 +190,7 @@
 
 fn call_head<'a>(headers: &'a HeaderMap, uri: &'a Uri, method: &'a Method) -> CallHead<'a> {
     CallHead {
-        host: forward::host(headers),
+        host: header_filter::host_without_port(headers),
         path: uri.path(),
         method,
         headers,
--- a/crates/rampthread-node/src/calls/entry/returns.rs
+++ b/crates/rampthread-node/src/calls/entry/returns.rs
@@ -1,7 +1,7 @@
 //! Remaining latency target of a call, and the retry delay advised to its caller.
 
 use super::{Call, Entry};
-use crate::calls::answer::CallError;
+use crate::calls::response::CallError;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::Outcome;
 use rampthread_core::call::return_advice;
--- a/crates/rampthread-node/src/calls/entry/suspicion.rs
+++ b/crates/rampthread-node/src/calls/entry/suspicion.rs
@@ -3,8 +3,8 @@
 
 use super::progress::Progress;
 use super::{Call, Choice, Entry};
-use crate::calls::answer::CallError;
 use crate::calls::gate::quarantined;
+use crate::calls::response::CallError;
 use rampthread_core::call::balance::Endpoint;
 use rampthread_core::call::crash_watch::Suspicion;
 use rampthread_core::call::identity::RequestIdentity;
--- a/crates/rampthread-node/src/calls/entry/tries.rs
+++ b/crates/rampthread-node/src/calls/entry/tries.rs
@@ -4,8 +4,8 @@
 use super::progress::Progress;
 use super::{Call, Choice, Entry, no_backend};
 use crate::call_log::FailedTryLine;
-use crate::calls::answer::CallError;
 use crate::calls::gate::TRY_SEPARATOR;
+use crate::calls::response::CallError;
 use crate::metrics::RetryLabel;
 use bytes::Bytes;
 use futures_util::StreamExt;
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -14,8 +14,8 @@
 mod slot;
 mod trial;
 
-use super::answer::{CallError, set};
-use super::content::KeptContent;
+use super::request_content::CallContent;
+use super::response::{CallError, set_response_header};
 use crate::call_log::RefusedHop;
 use crate::control::{Control, LocalBackend};
 use crate::settings::LiveSettings;
@@ -244,14 +244,14 @@
     /// Admits a hop, runs it at the backend, and returns the response.
     pub async fn handle(self: &Arc<Self>, hop: Hop, request: Request<Bytes>) -> Response<Body> {
         let refused = hop.clone();
-        let content = KeptContent::of(&request);
+        let content = CallContent::of(&request);
         let mut response = match self.run(hop, &content, request).await {
             Ok(response) => response,
             Err(call_error) => {
                 self.log_refused(&refused, &content, &call_error);
                 let mut response = call_error.into_hop_response();
                 let load = self.reported_load().to_string();
-                set(&mut response, headers::LOAD, &load);
+                set_response_header(&mut response, headers::LOAD, &load);
                 self.tell_pace(response.headers_mut());
                 response
             }
@@ -264,11 +264,11 @@
     fn tell_nested(&self, route: &ResourceName, response: &mut Response<Body>) {
         if self.state().dependencies.is_known(route) {
             let word = Precedence::Dependency.as_str();
-            set(response, headers::PRECEDENCE, word);
+            set_response_header(response, headers::PRECEDENCE, word);
         }
     }
 
-    fn log_refused(&self, hop: &Hop, content: &KeptContent, call_error: &CallError) {
+    fn log_refused(&self, hop: &Hop, content: &CallContent, call_error: &CallError) {
         let (running, queued) = self.counts();
         let lost = call_error.cause.is_lost_answer();
         let identity = lost.then(|| content.identity(&self.control.identity_key));
@@ -303,7 +303,7 @@
     async fn run(
         self: &Arc<Self>,
         hop: Hop,
-        content: &KeptContent,
+        content: &CallContent,
         request: Request<Bytes>,
     ) -> Result<Response<Body>, CallError> {
         self.check_backend(&hop)?;
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -3,7 +3,7 @@
 
 use super::slot::Slot;
 use super::{CONFIG_RETRY, Gate, GateState, Hop};
-use crate::calls::answer::CallError;
+use crate::calls::response::CallError;
 use crate::control::LocalBackend;
 use rampthread_core::call::admission::{AdmissionDecision, AdmissionLimits, Arrival, CallNumber};
 use rampthread_core::call::cause::Cause;
--- a/crates/rampthread-node/src/calls/gate/exchange.rs
+++ b/crates/rampthread-node/src/calls/gate/exchange.rs
@@ -4,10 +4,10 @@
 use super::slot::Slot;
 use super::trial::Trial;
 use super::{CONFIG_RETRY, Gate, Hop};
-use crate::calls::answer::{CallError, whole_answer};
-use crate::calls::content::KeptContent;
-use crate::calls::forward;
-use crate::calls::guarded::GuardedBody;
+use crate::calls::guarded_body::GuardedBody;
+use crate::calls::header_filter;
+use crate::calls::request_content::CallContent;
+use crate::calls::response::{CallError, read_response_body};
 use crate::control::LocalBackend;
 use bytes::Bytes;
 use http::response::Parts;
@@ -25,7 +25,7 @@
 /// An admitted call with everything that is needed to send it.
 pub(super) struct UnderWay {
     pub(super) hop: Hop,
-    pub(super) content: KeptContent,
+    pub(super) content: CallContent,
     pub(super) backend: LocalBackend,
     pub(super) slot: Slot,
     /// Held until the response has arrived or was lost.
@@ -143,19 +143,19 @@
         let status = parts.status.as_u16();
         let log = &self.control.call_log;
         log.hop_answered(hop.request_id(), backend.name.as_str(), status, slot.waited);
-        forward::remove_hop_by_hop(&mut parts.headers);
-        forward::remove_own(&mut parts.headers);
+        header_filter::remove_hop_by_hop(&mut parts.headers);
+        header_filter::remove_internal(&mut parts.headers);
         let answer = &mut parts.headers;
-        forward::set_own(answer, headers::OUTCOME, Outcome::Completed.as_str());
+        header_filter::set_internal(answer, headers::OUTCOME, Outcome::Completed.as_str());
         let waited = slot.waited.as_millis();
         if waited > 0 {
-            forward::set_own(answer, headers::WAITED_MS, &waited.to_string());
+            header_filter::set_internal(answer, headers::WAITED_MS, &waited.to_string());
         }
         let body = match self.read_body(hop, &parts, body).await? {
             Received::Whole(bytes) => full(bytes),
             Received::Begun(body) => watched(GuardedBody::new(body, slot)),
         };
-        forward::set_own(&mut parts.headers, headers::LOAD, &self.load().to_string());
+        header_filter::set_internal(&mut parts.headers, headers::LOAD, &self.load().to_string());
         self.tell_pace(&mut parts.headers);
         Ok(Response::from_parts(parts, body))
     }
@@ -168,13 +168,15 @@
         parts: &Parts,
         body: PooledBody,
     ) -> Result<Received, CallError> {
-        let declared: Option<usize> = forward::number(&parts.headers, "content-length");
+        let declared: Option<usize> = header_filter::parse_header(&parts.headers, "content-length");
         if declared.is_none_or(|length| length > HELD_ANSWER_BYTES) {
             return Ok(Received::Begun(body));
         }
         let remaining = hop.deadline.since(self.control.clock.now());
         let reading = read_limited(body, HELD_ANSWER_BYTES);
-        whole_answer(reading, remaining).await.map(Received::Whole)
+        read_response_body(reading, remaining)
+            .await
+            .map(Received::Whole)
     }
 }
 
--- a/crates/rampthread-node/src/calls/gate/lost.rs
+++ b/crates/rampthread-node/src/calls/gate/lost.rs
@@ -2,8 +2,8 @@
 //! and reports crashes with the requests in progress to all nodes.
 
 use super::Gate;
-use crate::calls::answer::CallError;
-use crate::calls::content::KeptContent;
+use crate::calls::request_content::CallContent;
+use crate::calls::response::CallError;
 use crate::control::LocalBackend;
 use bytes::Bytes;
 use hyper::body::{Frame, SizeHint};
@@ -31,7 +31,7 @@
     pub(super) async fn explain_loss(
         self: &Arc<Self>,
         backend: &LocalBackend,
-        content: &KeptContent,
+        content: &CallContent,
         on_trial: bool,
         lost: CallError,
     ) -> CallError {
@@ -183,7 +183,7 @@
 struct Loss {
     gate: Arc<Gate>,
     backend: LocalBackend,
-    content: KeptContent,
+    content: CallContent,
     on_trial: bool,
 }
 
@@ -192,7 +192,7 @@
         inner: B,
         gate: Arc<Gate>,
         backend: LocalBackend,
-        content: KeptContent,
+        content: CallContent,
         on_trial: bool,
     ) -> Self {
         let loss = Some(Loss {
--- a/crates/rampthread-node/src/calls/gate/pace.rs
+++ b/crates/rampthread-node/src/calls/gate/pace.rs
@@ -1,7 +1,7 @@
 //! Speed of the local backend: reported load, measured speed, and what is published of them.
 
 use super::Gate;
-use crate::calls::forward;
+use crate::calls::header_filter;
 use http::HeaderMap;
 use rampthread_core::call::backend_load::BackendLoad;
 use rampthread_core::call::headers;
@@ -45,7 +45,7 @@
         let Some(header) = named.filter(|header| answer.contains_key(*header)) else {
             return;
         };
-        let text = forward::text(answer, header.as_str()).unwrap_or_default();
+        let text = header_filter::header_str(answer, header.as_str()).unwrap_or_default();
         match BackendLoad::parse(text) {
             Ok(load) => {
                 let now = self.control.clock.now();
@@ -70,7 +70,7 @@
     pub(super) fn tell_pace(&self, answer: &mut HeaderMap) {
         let pace = self.state().pace.pace(self.control.clock.now());
         if pace != BackendPace::default() {
-            forward::set_own(answer, headers::PACE, &pace.to_string());
+            header_filter::set_internal(answer, headers::PACE, &pace.to_string());
         }
     }
 }
--- a/crates/rampthread-node/src/calls/gate/request.rs
+++ b/crates/rampthread-node/src/calls/gate/request.rs
@@ -1,8 +1,8 @@
 //! Builds the request for the backend: system headers and the secret of the route.
 
 use super::{CONFIG_RETRY, Gate, Hop};
-use crate::calls::answer::CallError;
-use crate::calls::forward;
+use crate::calls::header_filter;
+use crate::calls::response::CallError;
 use crate::control::LocalBackend;
 use bytes::Bytes;
 use http::{HeaderValue, Request, Uri};
@@ -24,10 +24,10 @@
         backend: &LocalBackend,
     ) -> Result<Request<Body>, CallError> {
         let (mut parts, body) = request.into_parts();
-        forward::remove_own(&mut parts.headers);
-        forward::remove_hop_by_hop(&mut parts.headers);
+        header_filter::remove_internal(&mut parts.headers);
+        header_filter::remove_hop_by_hop(&mut parts.headers);
         let had_body = parts.headers.contains_key(http::header::CONTENT_LENGTH);
-        forward::set_length(&mut parts.headers, body.len(), had_body);
+        header_filter::set_length(&mut parts.headers, body.len(), had_body);
         self.name_the_call(hop, backend, &mut parts.headers);
         self.add_secret(hop, &mut parts.headers)?;
         if !parts.headers.contains_key(http::header::HOST)
@@ -43,23 +43,23 @@
     fn name_the_call(&self, hop: &Hop, backend: &LocalBackend, to: &mut http::HeaderMap) {
         let remaining = hop.deadline.since(self.control.clock.now()).as_millis();
         let remaining = remaining.to_string();
-        forward::set_named(to, &self.dialect.deadline_ms, &remaining);
-        forward::set_named(to, &self.dialect.caller, &hop.caller);
+        header_filter::set_header(to, &self.dialect.deadline_ms, &remaining);
+        header_filter::set_header(to, &self.dialect.caller, &hop.caller);
         // The tenant follows from the request's key alone, not from the caller's header.
         to.remove(&self.dialect.tenant);
         if let Some(tenant) = &hop.tenant {
-            forward::set_named(to, &self.dialect.tenant, tenant.as_str());
+            header_filter::set_header(to, &self.dialect.tenant, tenant.as_str());
         }
         if let (Some(header), Some(instance)) = (&self.dialect.target_instance, &backend.instance) {
             // Any incarnation with this id may take the call, which is sent at most once.
             let incarnation = BackendIncarnation::named(instance);
-            forward::set_named(to, header, incarnation.id().as_str());
+            header_filter::set_header(to, header, incarnation.id().as_str());
         }
         if let Some(header) = &self.dialect.request_id {
-            forward::set_named(to, header, hop.request_id());
+            header_filter::set_header(to, header, hop.request_id());
         } else {
-            forward::set_own(to, headers::CALL_ID, &hop.call_id);
-            forward::set_own(to, headers::HOPS, &hop.hops.to_string());
+            header_filter::set_internal(to, headers::CALL_ID, &hop.call_id);
+            header_filter::set_internal(to, headers::HOPS, &hop.hops.to_string());
         }
     }
 
--- a/crates/rampthread-node/src/calls/gate/reserve.rs
+++ b/crates/rampthread-node/src/calls/gate/reserve.rs
@@ -3,8 +3,8 @@
 
 use super::admit::{OVERTAKEN_SHARE, full, known_precedence};
 use super::{Gate, Hop};
-use crate::calls::answer::{CallError, set};
-use crate::calls::content::KeptContent;
+use crate::calls::request_content::CallContent;
+use crate::calls::response::{CallError, set_response_header};
 use http::Response;
 use rampthread_core::call::admission::{AdmissionDecision, CallNumber};
 use rampthread_core::call::cause::Cause;
@@ -97,17 +97,17 @@
                     self.keep_grant(&hop.call_id, grant);
                 }
                 let mut response = Response::new(empty());
-                set(&mut response, headers::GRANTED, "true");
+                set_response_header(&mut response, headers::GRANTED, "true");
                 response
             }
             Err(call_error) => {
-                self.log_refused(&hop, &KeptContent::default(), &call_error);
+                self.log_refused(&hop, &CallContent::default(), &call_error);
                 call_error.into_hop_response()
             }
         };
         self.tell_pace(response.headers_mut());
         self.tell_nested(&hop.route, &mut response);
-        set(
+        set_response_header(
             &mut response,
             headers::LOAD,
             &self.reported_load().to_string(),
--- a/crates/rampthread-node/src/calls/gate/slot.rs
+++ b/crates/rampthread-node/src/calls/gate/slot.rs
@@ -1,7 +1,7 @@
 //! Slots of the backend, and the queue for them.
 
 use super::Gate;
-use crate::calls::answer::CallError;
+use crate::calls::response::CallError;
 use http::StatusCode;
 use rampthread_core::call::admission::CallNumber;
 use rampthread_core::call::cause::Cause;
--- a/crates/rampthread-node/src/calls/gate/trial.rs
+++ b/crates/rampthread-node/src/calls/gate/trial.rs
@@ -2,8 +2,8 @@
 //! time, so that a crash is attributed to the right one.
 
 use super::Gate;
-use crate::calls::answer::CallError;
-use crate::calls::content::KeptContent;
+use crate::calls::request_content::CallContent;
+use crate::calls::response::CallError;
 use crate::control::LocalBackend;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::identity::RequestIdentity;
@@ -28,7 +28,7 @@
 
 impl Gate {
     /// Rejects a quarantined request before it is queued.
-    pub(super) fn check_quarantine(&self, content: &KeptContent) -> Result<(), CallError> {
+    pub(super) fn check_quarantine(&self, content: &CallContent) -> Result<(), CallError> {
         let identity = || content.identity(&self.control.identity_key);
         match self.control.standing(identity) {
             Standing::Quarantined { crashes, left } => Err(quarantined(crashes, left)),
@@ -39,7 +39,7 @@
     /// Starts the trial of a request that needs one; rejects a quarantined request.
     pub(super) fn begin_trial(
         self: &Arc<Self>,
-        content: &KeptContent,
+        content: &CallContent,
         backend: &LocalBackend,
     ) -> Result<Option<Trial>, CallError> {
         let identity = || content.identity(&self.control.identity_key);
--- a/crates/rampthread-node/src/calls/forward.rs
+++ b/crates/rampthread-node/src/calls/header_filter.rs
@@ -37,7 +37,7 @@
 }
 
 /// Removes internal headers, so that a caller cannot forge them.
-pub fn remove_own(headers: &mut HeaderMap) {
+pub fn remove_internal(headers: &mut HeaderMap) {
     let own: Vec<HeaderName> = headers
         .keys()
         .filter(|name| name.as_str().starts_with(PREFIX))
@@ -57,31 +57,31 @@
 }
 
 /// Sets an internal header. A value that is not allowed in a header is dropped.
-pub fn set_own(headers: &mut HeaderMap, name: &'static str, value: &str) {
+pub fn set_internal(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
 }
 
 /// Sets a header named by the dialect. A value that is not allowed in a header is dropped.
-pub fn set_named(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
+pub fn set_header(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name.clone(), value);
     }
 }
 
 /// Value of a header as text; `None` if it is missing or not visible ASCII.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn header_str<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 /// Value of a header, parsed; `None` if it is missing or malformed.
-pub fn number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
-    text(headers, name)?.parse().ok()
+pub fn parse_header<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
+    header_str(headers, name)?.parse().ok()
 }
 
 /// Host name from the `Host` header, without the port.
-pub fn host(headers: &HeaderMap) -> Option<&str> {
+pub fn host_without_port(headers: &HeaderMap) -> Option<&str> {
     let text = headers.get(HOST)?.to_str().ok()?;
     match text.rsplit_once(':') {
         Some((host, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => Some(host),
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -1,10 +1,10 @@
 //! Requests between nodes: the client, and the service of the listener for peers.
 
-use super::answer::{CallError, set};
-use super::forward;
 use super::gate::Gate;
-use super::hop_head;
+use super::header_filter;
+use super::hop_headers;
 use super::idempotency_claims::{ClaimAction, IdempotencyClaims, answer_headers};
+use super::response::{CallError, set_response_header};
 use crate::control::{CONTROL_PATH, Control};
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use rampthread_core::call::cause::Cause;
@@ -153,7 +153,7 @@
         *request.uri_mut() = http::Uri::from_static(RESERVE_PATH);
         *request.headers_mut() = head.clone();
         request.headers_mut().remove(http::header::CONTENT_LENGTH);
-        forward::set_own(
+        header_filter::set_internal(
             request.headers_mut(),
             headers::BODY_BYTES,
             &bytes.to_string(),
@@ -184,13 +184,13 @@
     ) -> Option<FenceReply> {
         let asking = self.ask_at(address, node, FENCE_PATH, call_id, &[]);
         let reply = rampthread_http::timeout(wait, asking).await.ok()??;
-        let by = forward::text(&reply, FENCED_BY);
+        let by = header_filter::header_str(&reply, FENCED_BY);
         // Older nodes do not report it; zero claims no memory.
-        let memory_ms = forward::number(&reply, FENCE_MEMORY_MS).unwrap_or(0);
+        let memory_ms = header_filter::parse_header(&reply, FENCE_MEMORY_MS).unwrap_or(0);
         Some(FenceReply {
             by: by.and_then(|name| NodeId::new(name).ok()),
             answer: FenceAnswer {
-                fenced: Fenced::parse(forward::text(&reply, FENCED)?),
+                fenced: Fenced::parse(header_filter::header_str(&reply, FENCED)?),
                 memory: Duration::from_millis(memory_ms),
             },
         })
@@ -233,7 +233,7 @@
     /// counts against the deadline.
     fn sent_at(&self, head: &HeaderMap, peer: SocketAddr) -> Moment {
         let now = self.control.clock.now();
-        let Some(sent) = hop_head::sent_at(head) else {
+        let Some(sent) = hop_headers::sent_at(head) else {
             return now;
         };
         let mut delays = self
@@ -254,8 +254,8 @@
         if question == Some(CONTROL_PATH) {
             return self.take_control(request).await;
         }
-        let call_id = hop_head::call_id(request.headers(), &self.dialect);
-        let token = forward::text(request.headers(), headers::HOP_TOKEN);
+        let call_id = hop_headers::call_id(request.headers(), &self.dialect);
+        let token = header_filter::header_str(request.headers(), headers::HOP_TOKEN);
         let Some(call_id) = call_id else {
             return forbidden(peer);
         };
@@ -292,22 +292,22 @@
         let answer = self.gate.fence(call_id);
         let memory_ms = answer.memory.as_millis().to_string();
         let mut response = Response::new(empty());
-        set(&mut response, FENCED_BY, self.control.id.as_str());
-        set(&mut response, FENCED, answer.fenced.as_str());
-        set(&mut response, FENCE_MEMORY_MS, &memory_ms);
+        set_response_header(&mut response, FENCED_BY, self.control.id.as_str());
+        set_response_header(&mut response, FENCED, answer.fenced.as_str());
+        set_response_header(&mut response, FENCE_MEMORY_MS, &memory_ms);
         response
     }
 
     fn take_claim(&self, call_id: &str, question: &HeaderMap) -> Response<Body> {
-        let key = forward::text(question, headers::IDEMPOTENCY_KEY);
-        let action = forward::text(question, CLAIM_ACTION).and_then(ClaimAction::parse);
+        let key = header_filter::header_str(question, headers::IDEMPOTENCY_KEY);
+        let action = header_filter::header_str(question, CLAIM_ACTION).and_then(ClaimAction::parse);
         let (Some(key), Some(action), Some(claims)) = (key, action, &self.claims) else {
             let reason = "a claim needs a key and an action";
             return CallError::not_run(Cause::BadRequest, reason).into_hop_response();
         };
         let mut response = Response::new(empty());
         for (name, value) in answer_headers(claims.handle_request(action, key, call_id)) {
-            set(&mut response, name, &value);
+            set_response_header(&mut response, name, &value);
         }
         response
     }
@@ -318,8 +318,8 @@
         question: &HeaderMap,
         sent: Moment,
     ) -> Response<Body> {
-        let bytes = forward::number(question, headers::BODY_BYTES);
-        match (hop_head::read(call_id, question, sent), bytes) {
+        let bytes = header_filter::parse_header(question, headers::BODY_BYTES);
+        match (hop_headers::read(call_id, question, sent), bytes) {
             (Ok(hop), Some(bytes)) => self.gate.reserve(hop, bytes).await,
             (Err(reason), _) => CallError::not_run(Cause::BadRequest, reason).into_hop_response(),
             (Ok(_), None) => {
@@ -335,7 +335,7 @@
         request: Request<RequestBody>,
         sent: Moment,
     ) -> Response<Body> {
-        let hop = match hop_head::read(call_id, request.headers(), sent) {
+        let hop = match hop_headers::read(call_id, request.headers(), sent) {
             Ok(hop) => hop,
             Err(reason) => {
                 return CallError::not_run(Cause::BadRequest, reason).into_hop_response();
--- a/crates/rampthread-node/src/calls/content.rs
+++ b/crates/rampthread-node/src/calls/request_content.rs
@@ -9,7 +9,7 @@
 
 /// The parts of a request that its identity is derived from; cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub(super) struct KeptContent(Arc<Parts>);
+pub(super) struct CallContent(Arc<Parts>);
 
 #[derive(Debug, Default)]
 struct Parts {
@@ -20,7 +20,7 @@
     identity: OnceLock<RequestIdentity>,
 }
 
-impl KeptContent {
+impl CallContent {
     pub(super) fn of(request: &Request<Bytes>) -> Self {
         Self(Arc::new(Parts {
             method: request.method().clone(),
--- a/crates/rampthread-node/src/calls/answer.rs
+++ b/crates/rampthread-node/src/calls/response.rs
@@ -70,11 +70,11 @@
         let mut response = self.base_response();
         if response.status() == StatusCode::UNAUTHORIZED {
             // RFC 9110, section 15.5.2.
-            set(&mut response, header::WWW_AUTHENTICATE.as_str(), "Bearer");
+            set_response_header(&mut response, header::WWW_AUTHENTICATE.as_str(), "Bearer");
         }
         if let Some(wait) = wait {
             let text = retry_after_text(wait, dialect.fractional_retry_after);
-            set(&mut response, header::RETRY_AFTER.as_str(), &text);
+            set_response_header(&mut response, header::RETRY_AFTER.as_str(), &text);
         }
         response
     }
@@ -85,15 +85,15 @@
         let cause = self.cause;
         let crashed = self.crashed.clone();
         let mut response = self.base_response();
-        set(&mut response, headers::CAUSE, cause.as_str());
-        set(&mut response, headers::REASON, &reason);
-        set(&mut response, headers::REACH, reach.as_str());
+        set_response_header(&mut response, headers::CAUSE, cause.as_str());
+        set_response_header(&mut response, headers::REASON, &reason);
+        set_response_header(&mut response, headers::REACH, reach.as_str());
         if let Some(wait) = wait {
             let text = wait.as_millis().to_string();
-            set(&mut response, headers::RETRY_AFTER_MS, &text);
+            set_response_header(&mut response, headers::RETRY_AFTER_MS, &text);
         }
         if let Some(crashed) = crashed {
-            set(&mut response, headers::CRASHED, crashed.as_str());
+            set_response_header(&mut response, headers::CRASHED, crashed.as_str());
         }
         response
     }
@@ -101,14 +101,14 @@
     fn base_response(self) -> Response<Body> {
         let mut response = Response::new(full(format!("{}\n", self.reason)));
         *response.status_mut() = self.status;
-        set(&mut response, headers::OUTCOME, self.outcome.as_str());
-        set(&mut response, "content-type", "text/plain; charset=utf-8");
+        set_response_header(&mut response, headers::OUTCOME, self.outcome.as_str());
+        set_response_header(&mut response, "content-type", "text/plain; charset=utf-8");
         response
     }
 }
 
 /// Sets a header. A value that is not allowed in a header is dropped.
-pub fn set(response: &mut Response<Body>, name: &'static str, value: &str) {
+pub fn set_response_header(response: &mut Response<Body>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response
             .headers_mut()
@@ -122,17 +122,17 @@
     if fractional {
         return format!("{:.3}", wait.as_secs_f64());
     }
-    whole_seconds(wait).to_string()
+    retry_after_seconds(wait).to_string()
 }
 
 /// Rounds a delay up to whole seconds, at least one.
-pub fn whole_seconds(wait: Duration) -> u64 {
+pub fn retry_after_seconds(wait: Duration) -> u64 {
     wait.as_millis().div_ceil(1_000).max(1) as u64
 }
 
 /// Reads a response body through `reading` within `wait`; a truncated or late body becomes an
 /// error with unknown outcome.
-pub async fn whole_answer(
+pub async fn read_response_body(
     reading: impl Future<Output = Result<Bytes, BodyError>>,
     wait: Duration,
 ) -> Result<Bytes, CallError> {
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -1,7 +1,7 @@
 //! Rate limits of tenants at this node: applies limits and demand published by the fleet, and
 //! decides on requests.
 
-use super::answer::CallError;
+use super::response::CallError;
 use crate::control::Control;
 use crate::metrics::TenantLabel;
 use rampthread_core::call::cause::Cause;
