--- a/crates/rampthread-lab/src/experiments/calls.rs
+++ b/crates/rampthread-lab/src/experiments/calls.rs
@@ -29,7 +29,7 @@
 /// No limits, no budget, in turn.
 const PLAIN: EntryMode = EntryMode {
     balance: BalanceMode::RoundRobin,
-    budget: false,
+    limit_retries: false,
 };
 const PLAIN_SETTINGS: &str = "[limits]\nqueue_percent = 1000000";
 
--- a/crates/rampthread-node/src/calls/entry/caller_service.rs
+++ b/crates/rampthread-node/src/calls/entry/caller_service.rs
@@ -35,6 +35,6 @@
         };
         let call_error = CallError::not_run(cause, rejection.to_string());
         self.0.control().call_log.rejected(peer, &call_error);
-        call_error.into_caller_response(&self.0.parts.dialect)
+        call_error.into_caller_response(&self.0.options.dialect)
     }
 }
--- a/crates/rampthread-node/src/calls/entry/claim.rs
+++ b/crates/rampthread-node/src/calls/entry/claim.rs
@@ -12,7 +12,7 @@
 impl Entry {
     /// IdempotencyClaims the idempotency key, if the request has one.
     pub(super) async fn claim(&self, call: &Call) -> Result<(), CallError> {
-        let (Some(key), Some(claims)) = (&call.key, &self.parts.claims) else {
+        let (Some(key), Some(claims)) = (&call.key, &self.options.claims) else {
             return Ok(());
         };
         match claims.claim(key, &call.id).await {
@@ -38,7 +38,7 @@
     }
 
     pub(super) fn settle_claim(&self, call: &Call, result: &Result<Response<Body>, CallError>) {
-        let (Some(key), Some(claims)) = (call.key.clone(), self.parts.claims.clone()) else {
+        let (Some(key), Some(claims)) = (call.key.clone(), self.options.claims.clone()) else {
             return;
         };
         let outcome = match result {
--- a/crates/rampthread-node/src/calls/entry/demand.rs
+++ b/crates/rampthread-node/src/calls/entry/demand.rs
@@ -10,7 +10,7 @@
     /// here, or if no other zone has backends of them.
     pub fn service_demand(&self) -> Vec<ServiceLoad> {
         let now = self.now();
-        let home = &self.parts.zone;
+        let home = &self.options.zone;
         let endpoints = self.control().endpoints();
         let news = self.control().zone_loads().at(now);
         let mut state = self.state();
@@ -38,6 +38,6 @@
 
     /// Demand of tenants at this node; `None` where no tenant has a limit.
     pub fn tenant_loads(&self) -> Option<Vec<TenantLoad>> {
-        self.parts.limits.loads()
+        self.options.limits.loads()
     }
 }
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -74,20 +74,20 @@
     /// How a backend is selected.
     pub balance: BalanceMode,
     /// Whether retries are limited by the retry budget.
-    pub budget: bool,
+    pub limit_retries: bool,
 }
 
 impl Default for EntryMode {
     fn default() -> Self {
         Self {
             balance: BalanceMode::LeastCost,
-            budget: true,
+            limit_retries: true,
         }
     }
 }
 
 /// Constructor arguments of [`Entry`].
-pub struct EntryParts {
+pub struct EntryOptions {
     /// Control plane client of this node.
     pub control: Arc<Control>,
     /// Header names used with callers.
@@ -129,7 +129,7 @@
 
 /// Accepts the calls that arrive at one node and routes them.
 pub struct Entry {
-    parts: EntryParts,
+    options: EntryOptions,
     state: Mutex<EntryState>,
 }
 
@@ -180,11 +180,11 @@
 
 impl Entry {
     /// Creates an entry without any load information.
-    pub fn new(parts: EntryParts) -> Self {
-        let balancer = Balancer::new(parts.mode.balance, parts.control.clock.now());
-        let losses = PeerCrashWatch::with_heartbeat(parts.heartbeat);
+    pub fn new(options: EntryOptions) -> Self {
+        let balancer = Balancer::new(options.mode.balance, options.control.clock.now());
+        let losses = PeerCrashWatch::with_heartbeat(options.heartbeat);
         Self {
-            parts,
+            options,
             state: Mutex::new(EntryState {
                 balancer,
                 budgets: HashMap::new(),
@@ -206,16 +206,16 @@
     }
 
     fn control(&self) -> &Arc<Control> {
-        &self.parts.control
+        &self.options.control
     }
 
     fn now(&self) -> Moment {
-        self.parts.control.clock.now()
+        self.options.control.clock.now()
     }
 
     /// Takes over the present endpoints, starts the warm-up of new ones, and updates crash
     /// detection and the zone plan.
-    pub fn notice_changes(&self) {
+    pub fn refresh_endpoints(&self) {
         let serving = self.control().endpoints().serving();
         let now = self.now();
         let mut state = self.state();
@@ -227,7 +227,7 @@
             .collect();
         for node in new.iter().filter(|_| known_before) {
             state.balancer.became_ready(node, now);
-            if self.parts.roll_outs.is_some() {
+            if self.options.roll_outs.is_some() {
                 state.versions.became_ready(node, now);
             }
         }
@@ -254,7 +254,7 @@
             Err(call_error) => {
                 log.refused(&ended, &call_error);
                 self.note_failure(&call_id, &call_error);
-                call_error.into_caller_response(&self.parts.dialect)
+                call_error.into_caller_response(&self.options.dialect)
             }
         };
         self.name_answer(&call_id, response.headers_mut());
@@ -270,7 +270,7 @@
     }
 
     fn name_answer(&self, call_id: &str, answer: &mut http::HeaderMap) {
-        match &self.parts.dialect.request_id {
+        match &self.options.dialect.request_id {
             Some(header) => header_filter::set_header(answer, header, call_id),
             None => header_filter::set_internal(answer, headers::CALL_ID, call_id),
         }
@@ -318,7 +318,7 @@
         let had_body = parts.headers.contains_key(http::header::CONTENT_LENGTH);
         header_filter::remove_internal(&mut parts.headers);
         header_filter::remove_hop_by_hop(&mut parts.headers);
-        let tenant = &self.parts.dialect.tenant;
+        let tenant = &self.options.dialect.tenant;
         admission::remove_identity(&call.config, tenant, &mut parts.headers);
         header_filter::set_length(&mut parts.headers, body.len(), had_body);
         let template = Request::from_parts(parts, body);
@@ -333,7 +333,7 @@
 
     fn with_budget<T>(&self, call: &Call, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let share = self.retry_share(call);
-        let bounded = self.parts.mode.budget;
+        let bounded = self.options.mode.limit_retries;
         let mut state = self.state();
         let budget = state
             .budgets
@@ -352,7 +352,7 @@
     /// This node's share of the fleet-wide retry limit. The ratio applies to the node's own
     /// calls; the slack is divided by the number of live nodes.
     fn retry_share(&self, call: &Call) -> RetryShare {
-        let Some(fleet) = self.parts.live.get().retry_share else {
+        let Some(fleet) = self.options.live.get().retry_share else {
             let service = call.config.state.service(&call.service);
             let percent = service.map_or(0, |service| service.retry_percent);
             return RetryShare::percent(percent);
@@ -375,7 +375,7 @@
         };
         let candidates = self.of_open_version(call, service, candidates, tried);
         let now = self.now();
-        let zone = &self.parts.zone;
+        let zone = &self.options.zone;
         let room = self.room(call);
         let may_ask = |zone: &Zone| match call.is_nested() {
             true => room.should_ask_nested(zone, now),
@@ -427,7 +427,7 @@
     fn room(&self, call: &Call) -> AcceptanceEstimator {
         let state = self.state();
         let known = state.rooms.get(&call.service).cloned();
-        known.unwrap_or_else(|| AcceptanceEstimator::new(self.parts.zone.clone()))
+        known.unwrap_or_else(|| AcceptanceEstimator::new(self.options.zone.clone()))
     }
 
     /// Records whether a gate of the call's service admitted the call or rejected it for lack of
@@ -435,7 +435,7 @@
     fn note_room(&self, call: &Call, choice: &Choice, refused: bool) {
         let now = self.now();
         let mut state = self.state();
-        let unknown = || AcceptanceEstimator::new(self.parts.zone.clone());
+        let unknown = || AcceptanceEstimator::new(self.options.zone.clone());
         let room = state
             .rooms
             .entry(call.service.clone())
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -73,7 +73,7 @@
     ) -> Result<Response<Body>, FailedHop> {
         let hop = self.hop(call, id, choice);
         if choice.node == self.control().id {
-            return Ok(self.parts.gate.handle(hop, copy_of(template)).await);
+            return Ok(self.options.gate.handle(hop, copy_of(template)).await);
         }
         let request = self.hop_request(&hop, choice, template);
         let freshness = if call.repeatable {
@@ -81,7 +81,7 @@
         } else {
             Freshness::Recent
         };
-        let peers = &self.parts.peers;
+        let peers = &self.options.peers;
         let address = choice.target.address;
         let bytes = template.body().len();
         let begun = self.now();
@@ -168,7 +168,7 @@
     ) -> CallError {
         let wait = FENCE_WAIT.min(call.deadline.since(self.now()));
         let (node, address) = (&choice.node, choice.target.address);
-        let reply = self.parts.peers.fence(address, node, id, wait).await;
+        let reply = self.options.peers.fence(address, node, id, wait).await;
         let age = self.now().since(begun);
         let finding = FenceFinding::new(LostHop { node, age }, reply.as_ref());
         self.control().call_log.hop_fenced(&FencedHopLine {
@@ -210,9 +210,9 @@
     fn hop_request(&self, hop: &Hop, choice: &Choice, template: &Request<Bytes>) -> Request<Body> {
         let mut request = copy_of(template).map(full);
         let to = request.headers_mut();
-        let life = self.parts.peers.life();
-        hop_headers::write(hop, &self.parts.dialect, life, self.now(), to);
-        if let Some(token) = self.parts.peers.token(&choice.node, &hop.call_id) {
+        let life = self.options.peers.life();
+        hop_headers::write(hop, &self.options.dialect, life, self.now(), to);
+        if let Some(token) = self.options.peers.token(&choice.node, &hop.call_id) {
             header_filter::set_internal(to, headers::HOP_TOKEN, &token);
         }
         request
--- a/crates/rampthread-node/src/calls/entry/plan.rs
+++ b/crates/rampthread-node/src/calls/entry/plan.rs
@@ -25,7 +25,7 @@
     /// Returns the caller's request id where the dialect names a header for it, or else a new
     /// id.
     pub(super) fn call_id(&self, request: &Request<RequestBody>) -> String {
-        let dialect = &self.parts.dialect;
+        let dialect = &self.options.dialect;
         let sent = dialect
             .request_id
             .as_ref()
@@ -49,7 +49,7 @@
         let from = request.headers();
         let hops =
             headers::next_hop(header_filter::header_str(from, headers::HOPS)).map_err(bad)?;
-        let wish = header_filter::header_str(from, self.parts.dialect.deadline_ms.as_str());
+        let wish = header_filter::header_str(from, self.options.dialect.deadline_ms.as_str());
         let wish = headers::parse_deadline(wish).map_err(bad)?;
         let config = self.control().active();
         let head = call_head(from, request.uri(), request.method());
@@ -102,7 +102,7 @@
     fn patience(&self, route: &Route, wish: Option<Duration>) -> Duration {
         let timeout = Duration::from_millis(route.timeout_ms);
         match wish {
-            Some(wish) if self.parts.dialect.request_id.is_some() => wish.min(timeout),
+            Some(wish) if self.options.dialect.request_id.is_some() => wish.min(timeout),
             Some(wish) => wish,
             None => timeout,
         }
@@ -133,7 +133,7 @@
     }
 
     fn caller_of(&self, from: &HeaderMap) -> String {
-        if let Some(caller) = &self.parts.caller {
+        if let Some(caller) = &self.options.caller {
             return caller.to_string();
         }
         let caller = header_filter::header_str(from, headers::CALLER).unwrap_or("external");
@@ -146,7 +146,7 @@
         tenant: Option<&Tenant>,
         from: &HeaderMap,
     ) -> Option<String> {
-        self.parts.claims.as_ref()?;
+        self.options.claims.as_ref()?;
         let key = header_filter::header_str(from, headers::IDEMPOTENCY_KEY)?;
         // Keys are scoped by route and tenant. No resource name starts with `@`.
         let of_route = format!("{}/{key}", route.name);
@@ -164,7 +164,7 @@
     ) -> Result<Bytes, CallError> {
         let limits = call.config.state.caller_limits();
         let limit = limits.map_or_else(
-            || self.parts.live.get().body_limit,
+            || self.options.live.get().body_limit,
             |limits| limits.body_bytes,
         );
         let declared: usize = header_filter::parse_header(from, "content-length").unwrap_or(0);
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -56,7 +56,7 @@
         candidates: Candidates<'a>,
         tried: &[NodeId],
     ) -> Candidates<'a> {
-        let Some(bounds) = self.parts.roll_outs else {
+        let Some(bounds) = self.options.roll_outs else {
             return candidates;
         };
         let rules = self.control().version_rules();
@@ -136,7 +136,7 @@
 
     /// Records a result for the rollout of the service, if one is in progress.
     pub(super) fn note_version_answer(&self, call: &Call, choice: &Choice, answer: VersionAnswer) {
-        let Some(bounds) = self.parts.roll_outs else {
+        let Some(bounds) = self.options.roll_outs else {
             return;
         };
         let rules = self.control().version_rules();
@@ -179,8 +179,8 @@
     }
 
     /// Hands the results of versions being evaluated to the control plane client.
-    pub fn report_versions(&self) {
-        if self.parts.roll_outs.is_none() {
+    pub fn publish_version_evidence(&self) {
+        if self.options.roll_outs.is_none() {
             return;
         }
         let rules = self.control().version_rules();
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -73,7 +73,7 @@
         let demand = &mut state.zones.demand;
         demand.record_response(&call.service, &call.route.name, work, bytes);
         drop(state);
-        if choice.zone != self.parts.zone {
+        if choice.zone != self.options.zone {
             let label = SentAwayLabel {
                 service: call.service.to_string(),
                 zone: choice.zone.to_string(),
@@ -83,14 +83,14 @@
     }
 
     /// Mean time for which a call of each route to `service` holds a slot, over all backends.
-    pub fn usual_times(&self, service: &ResourceName) -> HashMap<ResourceName, Duration> {
+    pub fn mean_service_times(&self, service: &ResourceName) -> HashMap<ResourceName, Duration> {
         self.state().zones.demand.service_times(service)
     }
 
     /// Recomputes the distribution over zones from the latest reports.
     pub(super) fn plan_zones(&self) {
         let now = self.now();
-        let home = &self.parts.zone;
+        let home = &self.options.zone;
         let endpoints = self.control().endpoints();
         let news = self.control().zone_loads().at(now);
         let mut state = self.state();
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -82,12 +82,12 @@
     pace: PaceMeter,
     /// Mean service time per route over all backends of the service, as measured by this
     /// node's entry.
-    usual_times: HashMap<ResourceName, Duration>,
+    reference_times: HashMap<ResourceName, Duration>,
     waiting: HashMap<CallNumber, async_channel::Sender<Turn>>,
 }
 
 /// Constructor arguments of [`Gate`].
-pub struct GateParts {
+pub struct GateOptions {
     /// Control plane client of this node.
     pub control: Arc<Control>,
     /// Header names used with the backend.
@@ -157,15 +157,15 @@
 
 impl Gate {
     /// Creates a gate without slots; the first checked hop sets its limits.
-    pub fn new(parts: GateParts) -> Self {
+    pub fn new(options: GateOptions) -> Self {
         let limits = AdmissionLimits { slots: 0, queue: 0 };
-        let now = parts.control.clock.now();
+        let now = options.control.clock.now();
         Self {
-            control: parts.control,
-            dialect: parts.dialect,
-            secrets: parts.secrets,
+            control: options.control,
+            dialect: options.dialect,
+            secrets: options.secrets,
             pool: Pool::new(PoolSettings {
-                connect_wait: parts.connect_wait,
+                connect_wait: options.connect_wait,
                 unacknowledged: Some(BACKEND_SILENCE),
                 ..PoolSettings::default()
             }),
@@ -177,17 +177,17 @@
                 transfers: Transfers::default(),
                 body_turns: HashMap::new(),
                 granted: HashMap::new(),
-                crash_watch: CrashWatch::with_heartbeat(parts.heartbeat),
+                crash_watch: CrashWatch::with_heartbeat(options.heartbeat),
                 starts: UnnamedStarts::default(),
                 trial: None,
                 measured: None,
                 load_watch: LoadWatch::default(),
                 pace: PaceMeter::default(),
-                usual_times: HashMap::new(),
+                reference_times: HashMap::new(),
                 waiting: HashMap::new(),
             }),
             next_call: AtomicU64::new(0),
-            live: parts.live,
+            live: options.live,
         }
     }
 
@@ -221,13 +221,13 @@
     }
 
     /// Drops expired fences; to be called periodically.
-    pub fn forget_old_fences(&self) {
+    pub fn expire_fences(&self) {
         let now = self.control.clock.now();
         self.state().fences.expire(now);
     }
 
     /// Number of entries in the fence table.
-    pub fn fence_entries(&self) -> usize {
+    pub fn fence_table_len(&self) -> usize {
         self.state().fences.len()
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// Updates the gauges of running and queued calls.
-    pub fn show_counts(&self) {
+    pub fn update_metrics(&self) {
         let (running, queued) = self.counts();
         let metrics = &self.control.metrics;
         metrics.gate_running.set(i64::from(running));
@@ -309,7 +309,7 @@
         self.check_backend(&hop)?;
         self.check_deadline(&hop)?;
         // A new incarnation may not have been processed yet.
-        self.notice_incarnation();
+        self.check_incarnation();
         self.check_quarantine(content)?;
         let slot = self.admit(&hop).await?;
         // The backend may have started to drain while the call was queued.
--- a/crates/rampthread-node/src/calls/gate/lost.rs
+++ b/crates/rampthread-node/src/calls/gate/lost.rs
@@ -130,7 +130,7 @@
     }
 
     /// Checks whether a new incarnation of the backend explains lost responses.
-    pub fn notice_incarnation(&self) {
+    pub fn check_incarnation(&self) {
         if self.state().crash_watch.is_empty() {
             return;
         }
--- a/crates/rampthread-node/src/calls/gate/pace.rs
+++ b/crates/rampthread-node/src/calls/gate/pace.rs
@@ -13,13 +13,13 @@
 impl Gate {
     /// Sets the mean service times per route that this node's entry has measured over all
     /// backends of the service.
-    pub fn note_usual_times(&self, times: HashMap<ResourceName, Duration>) {
-        self.state().usual_times = times;
+    pub fn set_reference_times(&self, times: HashMap<ResourceName, Duration>) {
+        self.state().reference_times = times;
     }
 
     /// Publishes the long-term speed of a backend that has an instance id. Every change is
     /// propagated to all nodes, so the value is coarse.
-    pub fn announce_speed(&self) {
+    pub fn publish_speed(&self) {
         let instance = self
             .control
             .local_backend()
@@ -61,7 +61,7 @@
     pub(super) fn note_work(&self, route: &ResourceName, taken: Duration) {
         let now = self.control.clock.now();
         let mut state = self.state();
-        if let Some(usual) = state.usual_times.get(route).copied() {
+        if let Some(usual) = state.reference_times.get(route).copied() {
             state.pace.answered(usual, taken, now);
         }
     }
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -1,8 +1,8 @@
 //! Puts a node together, runs it, and stops it without cutting a call.
 
 use crate::api::api;
-use crate::calls::entry::{CallerService, Entry, EntryMode, EntryParts};
-use crate::calls::gate::{Gate, GateParts};
+use crate::calls::entry::{CallerService, Entry, EntryMode, EntryOptions};
+use crate::calls::gate::{Gate, GateOptions};
 use crate::calls::idempotency_claims::IdempotencyClaims;
 use crate::calls::load_report::load_report;
 use crate::calls::peers::{PeerClient, PeerService};
@@ -295,7 +295,7 @@
     request: Request<RequestBody>,
 ) -> Response<Body> {
     let response = service.handle(request).await;
-    gate.notice_incarnation();
+    gate.check_incarnation();
     response
 }
 
@@ -306,16 +306,16 @@
     limits: Arc<TenantLimits>,
 ) {
     loop {
-        entry.notice_changes();
+        entry.refresh_endpoints();
         limits.learn();
-        entry.report_versions();
-        gate.show_counts();
+        entry.publish_version_evidence();
+        gate.update_metrics();
         if let Some(backend) = control.local_backend() {
-            gate.note_usual_times(entry.usual_times(&backend.service));
-            gate.announce_speed();
+            gate.set_reference_times(entry.mean_service_times(&backend.service));
+            gate.publish_speed();
         }
-        gate.forget_old_fences();
-        gate.notice_incarnation();
+        gate.expire_fences();
+        gate.check_incarnation();
         if let Some(report) = load_report(&entry, &gate, CHANGE_INTERVAL) {
             control.note_load(report);
         }
@@ -378,7 +378,7 @@
         let keyring = keyring(settings)?;
         let dialect = adapter.map_or_else(Arc::default, |adapter| adapter.dialect.clone());
         let body_limit = settings.limits.body_size.as_u64() as usize;
-        let gate = Arc::new(Gate::new(GateParts {
+        let gate = Arc::new(Gate::new(GateOptions {
             control: control.clone(),
             dialect: dialect.clone(),
             secrets: keyring.as_ref().map(SecretKeeper::new),
@@ -399,7 +399,7 @@
         let terms = settings.quota.to_terms();
         let zone = settings.node.zone.clone();
         let limits = Arc::new(TenantLimits::new(control.clone(), zone, terms));
-        let entry = Arc::new(Entry::new(EntryParts {
+        let entry = Arc::new(Entry::new(EntryOptions {
             limits: limits.clone(),
             control: control.clone(),
             dialect: dialect.clone(),
