--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -7,7 +7,7 @@
 use crate::call::identity::RequestIdentity;
 use crate::config::ConfigState;
 use crate::ids::{InstanceId, NodeId, ResourceName, SoftwareVersion, Version};
-use crate::rollout::{DeciderCall, Phase};
+use crate::rollout::{DeciderRequest, Phase};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -307,7 +307,7 @@
     /// Delete the records of these crashes from the store.
     ForgetCrashes(Vec<CrashReport>),
     /// Send a rollout request to the store.
-    AskDeciderStore(DeciderCall),
+    AskDeciderStore(DeciderRequest),
     /// The routing limits of rollouts changed.
     RolloutsChanged,
     /// A peer reported this store era. Verify it with the store.
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -11,10 +11,10 @@
 use crate::fleet::message::{Message, ProcessEpoch};
 use crate::ids::{NodeId, ResourceName, SoftwareVersion};
 use crate::rendezvous;
-use crate::rollout::decider::{DeciderStep, Surroundings};
+use crate::rollout::decider::{DeciderOutput, Surroundings};
 use crate::rollout::table::Learnt;
 use crate::rollout::{
-    Decider, DeciderAnswer, RolloutBounds, RolloutOrder, RolloutState, RolloutTable,
+    Decider, DeciderResponse, RolloutBounds, RolloutOrder, RolloutState, RolloutTable,
     VersionEvidence, VersionRule,
 };
 use crate::time::Moment;
@@ -149,11 +149,11 @@
     }
 
     /// Takes the store's answer to a call for a decision.
-    pub fn on_decider_answer(&mut self, answer: DeciderAnswer, now: Moment) -> Vec<Action> {
+    pub fn on_decider_answer(&mut self, answer: DeciderResponse, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         if let Some(roll_outs) = &mut self.roll_outs {
             let table = &mut roll_outs.table;
-            let step = roll_outs.decider.on_answer(answer, table, now);
+            let step = roll_outs.decider.on_response(answer, table, now);
             self.carry_out(step, now, &mut outbox);
         }
         self.tick_roll_outs(now, &mut outbox);
@@ -285,18 +285,18 @@
             .count() as u32
     }
 
-    fn carry_out(&mut self, step: DeciderStep, now: Moment, outbox: &mut Outbox) {
-        for made in &step.made {
+    fn carry_out(&mut self, step: DeciderOutput, now: Moment, outbox: &mut Outbox) {
+        for made in &step.decisions {
             outbox.explain(decision(&made.state, &made.reason));
         }
-        if let Some(call) = step.call {
+        if let Some(call) = step.request {
             outbox.actions.push(Action::AskDeciderStore(call));
         }
         let changed = |told: &RolloutState| {
-            let made = step.made.iter();
+            let made = step.decisions.iter();
             made.clone().any(|made| made.state.service == told.service)
         };
-        let (changes, beats): (Vec<_>, Vec<_>) = step.told.into_iter().partition(changed);
+        let (changes, beats): (Vec<_>, Vec<_>) = step.updates.into_iter().partition(changed);
         self.tell_widely(changes, now, outbox);
         self.pass_on_later(&beats, 1, now);
     }
--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -58,7 +58,7 @@
 
 /// A call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum DeciderCall {
+pub enum DeciderRequest {
     /// Read who decides, and every state.
     Read,
     /// Become the decider, if there is none.
@@ -91,7 +91,7 @@
 
 /// What the store answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum DeciderAnswer {
+pub enum DeciderResponse {
     /// What it holds.
     Records {
         /// Last change of the record of the lease; none: nobody decides.
@@ -123,7 +123,7 @@
 
 /// What a roll-out's decision rests on, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DecisionMade {
+pub struct RolloutDecision {
     /// The state from now on.
     pub state: RolloutState,
     /// The inputs.
@@ -132,13 +132,13 @@
 
 /// What a step of the decider leads to.
 #[derive(Debug, Default, PartialEq)]
-pub struct DeciderStep {
+pub struct DeciderOutput {
     /// The store is to be called.
-    pub call: Option<DeciderCall>,
+    pub request: Option<DeciderRequest>,
     /// These states are new and are to be told.
-    pub told: Vec<RolloutState>,
+    pub updates: Vec<RolloutState>,
     /// Decisions, for the log.
-    pub made: Vec<DecisionMade>,
+    pub decisions: Vec<RolloutDecision>,
 }
 
 #[derive(Debug)]
@@ -201,7 +201,7 @@
     bounds: RolloutBounds,
     role: Role,
     /// The call under way, and when it began.
-    calling: Option<(DeciderCall, Moment)>,
+    calling: Option<(DeciderRequest, Moment)>,
     next_try: Moment,
     next_round: Moment,
     last_round: Moment,
@@ -284,8 +284,8 @@
         table: &mut RolloutTable,
         around: &Surroundings<'_>,
         now: Moment,
-    ) -> DeciderStep {
-        let mut step = DeciderStep::default();
+    ) -> DeciderOutput {
+        let mut step = DeciderOutput::default();
         if matches!(self.role, Role::Decides(_)) && !self.decides(now) {
             self.step_down(now);
         }
@@ -293,8 +293,8 @@
             self.decide(table, around, now, &mut step);
         }
         if self.calling.is_none() {
-            step.call = self.next_call(table, around, now);
-            if let Some(call) = &step.call {
+            step.request = self.next_call(table, around, now);
+            if let Some(call) = &step.request {
                 self.calling = Some((call.clone(), now));
             }
         }
@@ -314,29 +314,29 @@
         table: &RolloutTable,
         around: &Surroundings<'_>,
         now: Moment,
-    ) -> Option<DeciderCall> {
+    ) -> Option<DeciderRequest> {
         match &self.role {
             Role::Decides(lease) if now >= lease.renew_at => {
-                Some(DeciderCall::Renew { lease: lease.id })
+                Some(DeciderRequest::Renew { lease: lease.id })
             }
             Role::Decides(_) if now < self.next_try => None,
-            Role::Decides(_) if self.doubts_records => Some(DeciderCall::Read),
+            Role::Decides(_) if self.doubts_records => Some(DeciderRequest::Read),
             Role::Decides(lease) => match self.unrecorded(table, now) {
-                Some((state, expected)) => Some(DeciderCall::Write {
+                Some((state, expected)) => Some(DeciderRequest::Write {
                     state,
                     expected,
                     fence: lease.fence,
                 }),
                 None if table.has_open() => None,
-                None => Some(DeciderCall::Release { lease: lease.id }),
+                None => Some(DeciderRequest::Release { lease: lease.id }),
             },
-            Role::Candidate { term } => Some(DeciderCall::Claim {
+            Role::Candidate { term } => Some(DeciderRequest::Claim {
                 term: *term,
                 life: LEASE_LIFE,
             }),
             Role::Idle => self
                 .should_try(table, around, now)
-                .then_some(DeciderCall::Read),
+                .then_some(DeciderRequest::Read),
         }
     }
 
@@ -418,13 +418,13 @@
     // ---- answers of the store ----
 
     /// Takes the answer to the call under way.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
-        answer: DeciderAnswer,
+        answer: DeciderResponse,
         table: &mut RolloutTable,
         now: Moment,
-    ) -> DeciderStep {
-        let mut step = DeciderStep::default();
+    ) -> DeciderOutput {
+        let mut step = DeciderOutput::default();
         let Some((call, begun)) = self.calling.take() else {
             return step;
         };
@@ -434,14 +434,14 @@
         }
         match (call, answer) {
             (
-                DeciderCall::Read,
-                DeciderAnswer::Records {
+                DeciderRequest::Read,
+                DeciderResponse::Records {
                     fence,
                     term,
                     states,
                 },
             ) => self.on_records(fence, term, states, table, now, &mut step),
-            (DeciderCall::Claim { term, .. }, DeciderAnswer::Claimed { lease, fence }) => {
+            (DeciderRequest::Claim { term, .. }, DeciderResponse::Claimed { lease, fence }) => {
                 self.claimed_term = self.claimed_term.max(term);
                 self.next_round = now;
                 self.last_round = now;
@@ -454,21 +454,21 @@
                     renew_at: begun + RENEWAL,
                 });
             }
-            (DeciderCall::Renew { .. }, DeciderAnswer::Kept) => {
+            (DeciderRequest::Renew { .. }, DeciderResponse::Kept) => {
                 if let Role::Decides(lease) = &mut self.role {
                     lease.holds_until = begun + LEASE_LIFE;
                     lease.renew_at = begun + RENEWAL;
                 }
             }
-            (DeciderCall::Renew { .. }, DeciderAnswer::Failed) => {
+            (DeciderRequest::Renew { .. }, DeciderResponse::Failed) => {
                 if let Role::Decides(lease) = &mut self.role {
                     lease.renew_at = now + RETRY;
                 }
             }
-            (DeciderCall::Write { state, .. }, DeciderAnswer::Written { revision }) => {
+            (DeciderRequest::Write { state, .. }, DeciderResponse::Written { revision }) => {
                 self.on_written(state, revision, table, now, &mut step);
             }
-            (DeciderCall::Write { .. } | DeciderCall::Read, _) if self.decides(now) => {
+            (DeciderRequest::Write { .. } | DeciderRequest::Read, _) if self.decides(now) => {
                 self.doubts_records = true;
                 self.next_try = now + RETRY;
             }
@@ -484,11 +484,11 @@
         states: Vec<StoredRollout>,
         table: &mut RolloutTable,
         now: Moment,
-        step: &mut DeciderStep,
+        step: &mut DeciderOutput,
     ) {
         for stored in &states {
             if table.take(stored.state.clone(), now) {
-                step.told.push(stored.state.clone());
+                step.updates.push(stored.state.clone());
             }
         }
         let by_service = states
@@ -535,13 +535,13 @@
         revision: u64,
         table: &mut RolloutTable,
         now: Moment,
-        step: &mut DeciderStep,
+        step: &mut DeciderOutput,
     ) {
         if state.phase.is_ended() && table.take(state.clone(), now) {
-            step.told.push(state.clone());
+            step.updates.push(state.clone());
         }
         let reason = "on record".to_string();
-        step.made.push(DecisionMade {
+        step.decisions.push(RolloutDecision {
             state: state.clone(),
             reason,
         });
@@ -562,7 +562,7 @@
         table: &mut RolloutTable,
         around: &Surroundings<'_>,
         now: Moment,
-        step: &mut DeciderStep,
+        step: &mut DeciderOutput,
     ) {
         let Role::Decides(lease) = &self.role else {
             return;
@@ -594,10 +594,10 @@
             };
             if !next.says_the_same(&state) {
                 let state = next.clone();
-                step.made.push(DecisionMade { state, reason });
+                step.decisions.push(RolloutDecision { state, reason });
             }
             if table.take(next.clone(), now) {
-                step.told.push(next);
+                step.updates.push(next);
             }
         }
     }
--- a/crates/rampthread-core/src/rollout/mod.rs
+++ b/crates/rampthread-core/src/rollout/mod.rs
@@ -21,7 +21,7 @@
 pub mod table;
 pub mod verdict;
 
-pub use decider::{Decider, DeciderAnswer, DeciderCall, StoredRollout};
+pub use decider::{Decider, DeciderRequest, DeciderResponse, StoredRollout};
 pub use evidence::{EvidenceBook, VersionEvidence};
 pub use exposure::{ExposureMeter, VersionRule, VersionShare};
 pub use state::{OrderId, Phase, RolloutOrder, RolloutState};
--- a/crates/rampthread-core/tests/rollout_evidence.rs
+++ b/crates/rampthread-core/tests/rollout_evidence.rs
@@ -5,7 +5,7 @@
 use rampthread_core::rollout::evidence::{Counts, TIME_STEPS};
 use rampthread_core::rollout::table::Learnt;
 use rampthread_core::rollout::{
-    Decider, DeciderAnswer, DeciderCall, Phase, RolloutBounds, RolloutOrder, RolloutTable,
+    Decider, DeciderRequest, DeciderResponse, Phase, RolloutBounds, RolloutOrder, RolloutTable,
     VersionEvidence,
 };
 use rampthread_core::time::Moment;
@@ -50,12 +50,12 @@
     let mut now = START;
     while now < START + DURATION {
         let step = decider.tick(&mut table, &around, now);
-        let mut made = step.made.iter();
+        let mut made = step.decisions.iter();
         if let Some(made) = made.find(|made| made.state.phase == Phase::Moving) {
             return made.reason.clone();
         }
-        if let Some(call) = step.call {
-            decider.on_answer(answer(&call), &mut table, now);
+        if let Some(call) = step.request {
+            decider.on_response(answer(&call), &mut table, now);
         }
         // By then the decider has taken up the order.
         if now > START + Duration::from_secs(1)
@@ -68,16 +68,16 @@
     panic!("the traffic did not move");
 }
 
-fn answer(call: &DeciderCall) -> DeciderAnswer {
+fn answer(call: &DeciderRequest) -> DeciderResponse {
     match call {
-        DeciderCall::Read => DeciderAnswer::Records {
+        DeciderRequest::Read => DeciderResponse::Records {
             fence: None,
             term: 0,
             states: Vec::new(),
         },
-        DeciderCall::Claim { .. } => DeciderAnswer::Claimed { lease: 7, fence: 9 },
-        DeciderCall::Renew { .. } | DeciderCall::Release { .. } => DeciderAnswer::Kept,
-        DeciderCall::Write { .. } => DeciderAnswer::Written { revision: 10 },
+        DeciderRequest::Claim { .. } => DeciderResponse::Claimed { lease: 7, fence: 9 },
+        DeciderRequest::Renew { .. } | DeciderRequest::Release { .. } => DeciderResponse::Kept,
+        DeciderRequest::Write { .. } => DeciderResponse::Written { revision: 10 },
     }
 }
 
--- a/crates/rampthread-core/tests/rollout_restored.rs
+++ b/crates/rampthread-core/tests/rollout_restored.rs
@@ -1,10 +1,10 @@
 //! The decider of roll-outs where the store comes back from an older copy.
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
-use rampthread_core::rollout::decider::{DeciderStep, Surroundings};
+use rampthread_core::rollout::decider::{DeciderOutput, Surroundings};
 use rampthread_core::rollout::table::Learnt;
 use rampthread_core::rollout::{
-    Decider, DeciderAnswer, DeciderCall, Phase, RolloutBounds, RolloutOrder, RolloutState,
+    Decider, DeciderRequest, DeciderResponse, Phase, RolloutBounds, RolloutOrder, RolloutState,
     RolloutTable, StoredRollout,
 };
 use rampthread_core::time::Moment;
@@ -44,7 +44,7 @@
         assert!(self.table.take_order(&order, Learnt::Written, self.now));
     }
 
-    fn tick(&mut self) -> DeciderStep {
+    fn tick(&mut self) -> DeciderOutput {
         let around = Surroundings {
             eligible: true,
             rank: self.rank,
@@ -55,10 +55,10 @@
     }
 
     /// The next call to the store within [`LONG`].
-    fn call(&mut self) -> Option<DeciderCall> {
+    fn call(&mut self) -> Option<DeciderRequest> {
         let until = self.now + LONG;
         while self.now < until {
-            if let Some(call) = self.tick().call {
+            if let Some(call) = self.tick().request {
                 return Some(call);
             }
             self.now = self.now + STEP;
@@ -66,8 +66,8 @@
         None
     }
 
-    fn answer(&mut self, answer: DeciderAnswer) {
-        self.decider.on_answer(answer, &mut self.table, self.now);
+    fn answer(&mut self, answer: DeciderResponse) {
+        self.decider.on_response(answer, &mut self.table, self.now);
     }
 
     fn restore(&mut self) {
@@ -76,19 +76,19 @@
 
     /// Becomes the decider, under this lease.
     fn decide(&mut self, lease: u64) -> u64 {
-        assert_eq!(self.call(), Some(DeciderCall::Read));
+        assert_eq!(self.call(), Some(DeciderRequest::Read));
         self.answer(empty());
-        let Some(DeciderCall::Claim { term, .. }) = self.call() else {
+        let Some(DeciderRequest::Claim { term, .. }) = self.call() else {
             panic!("no claim");
         };
-        self.answer(DeciderAnswer::Claimed { lease, fence: 9 });
+        self.answer(DeciderResponse::Claimed { lease, fence: 9 });
         assert!(self.decider.decides(self.now));
         term
     }
 }
 
-fn empty() -> DeciderAnswer {
-    DeciderAnswer::Records {
+fn empty() -> DeciderResponse {
+    DeciderResponse::Records {
         fence: None,
         term: 0,
         states: Vec::new(),
@@ -101,8 +101,8 @@
     let mut node = Node::new();
     node.order();
     let term = node.decide(7);
-    assert!(matches!(node.call(), Some(DeciderCall::Write { .. })));
-    node.answer(DeciderAnswer::Written { revision: 10 });
+    assert!(matches!(node.call(), Some(DeciderRequest::Write { .. })));
+    node.answer(DeciderResponse::Written { revision: 10 });
     node.tick();
     node.restore();
     assert!(!node.decider.decides(node.now));
@@ -113,13 +113,13 @@
 fn an_answer_to_a_call_of_before_is_no_answer() {
     let mut node = Node::new();
     node.order();
-    assert_eq!(node.call(), Some(DeciderCall::Read));
+    assert_eq!(node.call(), Some(DeciderRequest::Read));
     node.answer(empty());
-    assert!(matches!(node.call(), Some(DeciderCall::Claim { .. })));
+    assert!(matches!(node.call(), Some(DeciderRequest::Claim { .. })));
     node.restore();
-    node.answer(DeciderAnswer::Claimed { lease: 7, fence: 9 });
+    node.answer(DeciderResponse::Claimed { lease: 7, fence: 9 });
     assert!(!node.decider.decides(node.now));
-    assert_eq!(node.call(), Some(DeciderCall::Read));
+    assert_eq!(node.call(), Some(DeciderRequest::Read));
 }
 
 /// The copy lacks the end of a roll-out, which operators read there.
@@ -135,7 +135,7 @@
     assert_eq!(node.call(), None);
     node.restore();
     node.decide(1);
-    let Some(DeciderCall::Write { state, .. }) = node.call() else {
+    let Some(DeciderRequest::Write { state, .. }) = node.call() else {
         panic!("nothing is written");
     };
     assert_eq!((state.phase, state.order), (Phase::Succeeded, 4));
@@ -152,14 +152,14 @@
     };
     assert!(node.table.take(ended, node.now));
     node.restore();
-    assert_eq!(node.call(), Some(DeciderCall::Read));
-    node.answer(DeciderAnswer::Records {
+    assert_eq!(node.call(), Some(DeciderRequest::Read));
+    node.answer(DeciderResponse::Records {
         fence: Some(2),
         term: 1,
         states: Vec::new(),
     });
     assert_eq!(node.call(), None);
-    assert_eq!(node.call(), Some(DeciderCall::Read));
+    assert_eq!(node.call(), Some(DeciderRequest::Read));
 }
 
 #[test]
@@ -199,25 +199,25 @@
     let mut node = Node::new();
     assert!(node.table.take(rolled_back(), node.now));
     node.decider.recheck(node.now);
-    assert_eq!(node.call(), Some(DeciderCall::Read));
-    node.answer(DeciderAnswer::Failed);
-    assert_eq!(node.call(), Some(DeciderCall::Read));
+    assert_eq!(node.call(), Some(DeciderRequest::Read));
+    node.answer(DeciderResponse::Failed);
+    assert_eq!(node.call(), Some(DeciderRequest::Read));
     node.answer(empty());
-    assert!(matches!(node.call(), Some(DeciderCall::Claim { .. })));
-    node.answer(DeciderAnswer::Conflict);
+    assert!(matches!(node.call(), Some(DeciderRequest::Claim { .. })));
+    node.answer(DeciderResponse::Conflict);
     node.decide(7);
-    assert!(matches!(node.call(), Some(DeciderCall::Write { .. })));
-    node.answer(DeciderAnswer::Conflict);
-    assert_eq!(node.call(), Some(DeciderCall::Read));
-    node.answer(DeciderAnswer::Records {
+    assert!(matches!(node.call(), Some(DeciderRequest::Write { .. })));
+    node.answer(DeciderResponse::Conflict);
+    assert_eq!(node.call(), Some(DeciderRequest::Read));
+    node.answer(DeciderResponse::Records {
         fence: Some(9),
         term: 1,
         states: Vec::new(),
     });
-    assert!(matches!(node.call(), Some(DeciderCall::Write { .. })));
-    node.answer(DeciderAnswer::Written { revision: 12 });
-    assert_eq!(node.call(), Some(DeciderCall::Release { lease: 7 }));
-    node.answer(DeciderAnswer::Kept);
+    assert!(matches!(node.call(), Some(DeciderRequest::Write { .. })));
+    node.answer(DeciderResponse::Written { revision: 12 });
+    assert_eq!(node.call(), Some(DeciderRequest::Release { lease: 7 }));
+    node.answer(DeciderResponse::Kept);
     assert_eq!(node.call(), None);
     node.now = node.now + LONG + LONG;
     assert_eq!(node.call(), None);
@@ -228,8 +228,8 @@
     let mut node = Node::new();
     assert!(node.table.take(rolled_back(), node.now));
     node.decider.recheck(node.now);
-    assert_eq!(node.call(), Some(DeciderCall::Read));
-    node.answer(DeciderAnswer::Records {
+    assert_eq!(node.call(), Some(DeciderRequest::Read));
+    node.answer(DeciderResponse::Records {
         fence: None,
         term: 3,
         states: vec![StoredRollout {
--- a/crates/rampthread-node/src/control/rollouts.rs
+++ b/crates/rampthread-node/src/control/rollouts.rs
@@ -7,7 +7,7 @@
 use rampthread_core::ids::ResourceName;
 use rampthread_core::rollout::table::Learnt;
 use rampthread_core::rollout::{
-    DeciderAnswer, DeciderCall, RolloutOrder, RolloutState, VersionEvidence, VersionRule,
+    DeciderRequest, DeciderResponse, RolloutOrder, RolloutState, VersionEvidence, VersionRule,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -55,7 +55,7 @@
     }
 
     /// Asks the store for the decider; its answer leads to further decisions.
-    pub(super) fn ask_decider_store(self: &Arc<Self>, call: DeciderCall) {
+    pub(super) fn ask_decider_store(self: &Arc<Self>, call: DeciderRequest) {
         let Some(store) = self.roll_out_store.clone() else {
             return;
         };
@@ -69,7 +69,7 @@
             };
             let answer = result.map(with_time_since).unwrap_or_else(|error| {
                 tracing::warn!(%error, "a call to the store for a roll-out failed");
-                DeciderAnswer::Failed
+                DeciderResponse::Failed
             });
             let now = control.clock.now();
             let actions = control.agent().on_decider_answer(answer, now);
@@ -85,8 +85,8 @@
 
 /// Adds the time since states were put on record, by the wall clocks of two nodes. One
 /// that was set back makes a roll-out younger, at most by that.
-fn with_time_since(answer: DeciderAnswer) -> DeciderAnswer {
-    let DeciderAnswer::Records {
+fn with_time_since(answer: DeciderResponse) -> DeciderResponse {
+    let DeciderResponse::Records {
         fence,
         term,
         mut states,
@@ -99,7 +99,7 @@
         let since = now.saturating_sub(stored.written_ms);
         stored.state.elapsed += Duration::from_millis(since);
     }
-    DeciderAnswer::Records {
+    DeciderResponse::Records {
         fence,
         term,
         states,
--- a/crates/rampthread-platform/src/adapter.rs
+++ b/crates/rampthread-platform/src/adapter.rs
@@ -17,7 +17,7 @@
     BackendReport, EndpointRecord, LeaseId, LeaveId, Machine, ZoneSnapshot, ZoneWrite,
 };
 use rampthread_core::ids::{InstanceId, NodeId, Zone};
-use rampthread_core::rollout::{DeciderAnswer, DeciderCall, RolloutOrder};
+use rampthread_core::rollout::{DeciderRequest, DeciderResponse, RolloutOrder};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -211,9 +211,9 @@
     /// Carries out one call; records keep `wall_clock_ms`, milliseconds since 1970.
     async fn execute(
         &self,
-        call: &DeciderCall,
+        call: &DeciderRequest,
         wall_clock_ms: u64,
-    ) -> Result<DeciderAnswer, PlatformError>;
+    ) -> Result<DeciderResponse, PlatformError>;
 }
 
 /// Why a request is not a report.
--- a/crates/rampthread-wire/tests/fleet/rollouts.rs
+++ b/crates/rampthread-wire/tests/fleet/rollouts.rs
@@ -2,7 +2,7 @@
 
 use rampthread_core::fleet::LeaseId;
 use rampthread_core::ids::ResourceName;
-use rampthread_core::rollout::{DeciderAnswer, DeciderCall, Phase, StoredRollout};
+use rampthread_core::rollout::{DeciderRequest, DeciderResponse, Phase, StoredRollout};
 use rampthread_core::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -37,27 +37,27 @@
     pub fn call(
         &mut self,
         node: usize,
-        call: &DeciderCall,
+        call: &DeciderRequest,
         lost: bool,
         now: Moment,
-    ) -> DeciderAnswer {
+    ) -> DeciderResponse {
         self.calls += 1;
         if self.refused.contains(&node) {
-            return DeciderAnswer::Failed;
+            return DeciderResponse::Failed;
         }
         if self.holder.is_some_and(|holder| holder.until <= now) {
             self.holder = None;
         }
         let answer = self.done(call, now);
         match lost {
-            true => DeciderAnswer::Failed,
+            true => DeciderResponse::Failed,
             false => answer,
         }
     }
 
-    fn done(&mut self, call: &DeciderCall, now: Moment) -> DeciderAnswer {
+    fn done(&mut self, call: &DeciderRequest, now: Moment) -> DeciderResponse {
         match call {
-            DeciderCall::Read => DeciderAnswer::Records {
+            DeciderRequest::Read => DeciderResponse::Records {
                 fence: self.holder.map(|holder| holder.fence),
                 term: self.holder.map_or(0, |holder| holder.term),
                 states: self
@@ -66,9 +66,9 @@
                     .map(|stored| aged(stored, now))
                     .collect(),
             },
-            DeciderCall::Claim { term, life } => {
+            DeciderRequest::Claim { term, life } => {
                 if self.holder.is_some() {
-                    return DeciderAnswer::Conflict;
+                    return DeciderResponse::Conflict;
                 }
                 self.revision += 1;
                 let lease = self.revision;
@@ -79,26 +79,26 @@
                     term: *term,
                     until: now + *life,
                 });
-                DeciderAnswer::Claimed {
+                DeciderResponse::Claimed {
                     lease,
                     fence: self.revision,
                 }
             }
-            DeciderCall::Renew { lease } => match &mut self.holder {
+            DeciderRequest::Renew { lease } => match &mut self.holder {
                 Some(holder) if holder.lease == *lease => {
                     let (life, _) = self.granted[lease];
                     holder.until = Moment(now.0 + life as u64);
-                    DeciderAnswer::Kept
+                    DeciderResponse::Kept
                 }
-                _ => DeciderAnswer::Conflict,
+                _ => DeciderResponse::Conflict,
             },
-            DeciderCall::Release { lease } => {
+            DeciderRequest::Release { lease } => {
                 if self.holder.is_some_and(|holder| holder.lease == *lease) {
                     self.holder = None;
                 }
-                DeciderAnswer::Kept
+                DeciderResponse::Kept
             }
-            DeciderCall::Write {
+            DeciderRequest::Write {
                 state,
                 expected,
                 fence,
@@ -107,7 +107,7 @@
                 let found = found.map_or(0, |stored| stored.revision);
                 let holds = self.holder.is_some_and(|holder| holder.fence == *fence);
                 if !holds || found != *expected {
-                    return DeciderAnswer::Conflict;
+                    return DeciderResponse::Conflict;
                 }
                 self.revision += 1;
                 let stored = StoredRollout {
@@ -117,7 +117,7 @@
                 };
                 self.written.push((state.order, state.phase, now));
                 self.states.insert(state.service.clone(), stored);
-                DeciderAnswer::Written {
+                DeciderResponse::Written {
                     revision: self.revision,
                 }
             }
