--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -11,7 +11,7 @@
 use crate::fleet::message::{Message, ProcessEpoch};
 use crate::ids::{NodeId, ResourceName, SoftwareVersion};
 use crate::rendezvous;
-use crate::rollout::decider::{DeciderOutput, Surroundings};
+use crate::rollout::decider::{DeciderContext, DeciderOutput};
 use crate::rollout::table::Learnt;
 use crate::rollout::{
     Decider, DeciderResponse, RolloutBounds, RolloutOrder, RolloutState, RolloutTable,
@@ -177,7 +177,7 @@
     /// True while this node decides.
     pub fn decides_roll_outs(&self, now: Moment) -> bool {
         let roll_outs = self.roll_outs.as_ref();
-        roll_outs.is_some_and(|roll_outs| roll_outs.decider.decides(now))
+        roll_outs.is_some_and(|roll_outs| roll_outs.decider.holds_lease(now))
     }
 
     pub(super) fn tick_roll_outs(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -209,13 +209,14 @@
             }
             slots
         };
-        let around = Surroundings {
+        let context = DeciderContext {
             eligible,
             rank,
             slots: &slots,
-            hearing_time: WHOLE_REPORT_INTERVAL + report_interval(membership.records().count()),
+            evidence_collection_time: WHOLE_REPORT_INTERVAL
+                + report_interval(membership.records().count()),
         };
-        let step = roll_outs.decider.tick(&mut roll_outs.table, &around, now);
+        let step = roll_outs.decider.tick(&mut roll_outs.table, &context, now);
         self.carry_out(step, now, outbox);
         self.pass_on_states(now, outbox);
         self.ask_peers(now, outbox);
--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -23,14 +23,14 @@
 
 /// Life of the lease. Meanwhile nobody takes over from a decider that has ended; shares
 /// that are not confirmed end sooner.
-pub const LEASE_LIFE: Duration = Duration::from_secs(3);
+pub const LEASE_TTL: Duration = Duration::from_secs(3);
 /// Time from the start of a renewal that succeeded to the next one; one that fails is
 /// repeated after [`RETRY`], so that several tries fit into the lease.
 const RENEWAL: Duration = Duration::from_millis(800);
 /// Time between two rounds of the decider.
-pub const ROUND: Duration = Duration::from_millis(400);
+pub const EVALUATION_INTERVAL: Duration = Duration::from_millis(400);
 /// The same near the end of a roll-out, where it must be in time.
-const HURRIED_ROUND: Duration = Duration::from_millis(100);
+const HURRIED_EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
 /// Silence of the decider after which the first in the order tries to take over.
 const SILENCE: Duration = Duration::from_millis(1_200);
 /// Time that each node leaves to those before it in the order.
@@ -183,7 +183,7 @@
 
 /// What the decider knows besides states and evidence.
 #[derive(Clone, Copy)]
-pub struct Surroundings<'a> {
+pub struct DeciderContext<'a> {
     /// The store answers this node, so that it may decide.
     pub eligible: bool,
     /// Eligible nodes before this one in the order.
@@ -191,7 +191,7 @@
     /// Slots of a service's back ends: those of the given version, and the others.
     pub slots: &'a dyn Fn(&ResourceName, &SoftwareVersion) -> (u32, u32),
     /// Time within which a new decider hears all that the fleet has seen.
-    pub hearing_time: Duration,
+    pub evidence_collection_time: Duration,
 }
 
 /// One node's part in deciding.
@@ -243,7 +243,7 @@
     }
 
     /// True while this node decides.
-    pub fn decides(&self, now: Moment) -> bool {
+    pub fn holds_lease(&self, now: Moment) -> bool {
         matches!(&self.role, Role::Decides(lease) if now < lease.holds_until)
     }
 
@@ -282,18 +282,18 @@
     pub fn tick(
         &mut self,
         table: &mut RolloutTable,
-        around: &Surroundings<'_>,
+        context: &DeciderContext<'_>,
         now: Moment,
     ) -> DeciderOutput {
         let mut step = DeciderOutput::default();
-        if matches!(self.role, Role::Decides(_)) && !self.decides(now) {
+        if matches!(self.role, Role::Decides(_)) && !self.holds_lease(now) {
             self.step_down(now);
         }
-        if self.decides(now) {
-            self.decide(table, around, now, &mut step);
+        if self.holds_lease(now) {
+            self.decide(table, context, now, &mut step);
         }
         if self.calling.is_none() {
-            step.request = self.next_call(table, around, now);
+            step.request = self.next_call(table, context, now);
             if let Some(call) = &step.request {
                 self.calling = Some((call.clone(), now));
             }
@@ -312,7 +312,7 @@
     fn next_call(
         &mut self,
         table: &RolloutTable,
-        around: &Surroundings<'_>,
+        context: &DeciderContext<'_>,
         now: Moment,
     ) -> Option<DeciderRequest> {
         match &self.role {
@@ -332,21 +332,26 @@
             },
             Role::Candidate { term } => Some(DeciderRequest::Claim {
                 term: *term,
-                life: LEASE_LIFE,
+                life: LEASE_TTL,
             }),
             Role::Idle => self
-                .should_try(table, around, now)
+                .should_try(table, context, now)
                 .then_some(DeciderRequest::Read),
         }
     }
 
     /// True when nobody seems to decide, and it is this node's turn.
-    fn should_try(&mut self, table: &RolloutTable, around: &Surroundings<'_>, now: Moment) -> bool {
-        let turn = TURN * around.rank;
-        if !around.eligible || now < self.next_try {
+    fn should_try(
+        &mut self,
+        table: &RolloutTable,
+        context: &DeciderContext<'_>,
+        now: Moment,
+    ) -> bool {
+        let turn = TURN * context.rank;
+        if !context.eligible || now < self.next_try {
             return false;
         }
-        if self.restored && around.rank >= RECHECKERS {
+        if self.restored && context.rank >= RECHECKERS {
             self.restored = false;
             self.recheck_from = None;
         }
@@ -450,13 +455,13 @@
                     id: lease,
                     fence,
                     term,
-                    holds_until: begun + LEASE_LIFE,
+                    holds_until: begun + LEASE_TTL,
                     renew_at: begun + RENEWAL,
                 });
             }
             (DeciderRequest::Renew { .. }, DeciderResponse::Kept) => {
                 if let Role::Decides(lease) = &mut self.role {
-                    lease.holds_until = begun + LEASE_LIFE;
+                    lease.holds_until = begun + LEASE_TTL;
                     lease.renew_at = begun + RENEWAL;
                 }
             }
@@ -468,7 +473,7 @@
             (DeciderRequest::Write { state, .. }, DeciderResponse::Written { revision }) => {
                 self.on_written(state, revision, table, now, &mut step);
             }
-            (DeciderRequest::Write { .. } | DeciderRequest::Read, _) if self.decides(now) => {
+            (DeciderRequest::Write { .. } | DeciderRequest::Read, _) if self.holds_lease(now) => {
                 self.doubts_records = true;
                 self.next_try = now + RETRY;
             }
@@ -508,7 +513,7 @@
         let unrecorded = self.unrecorded(table, now).is_some();
         if fence.is_some() && self.recheck_from.is_some() {
             // Who decides may put it on record, or be gone.
-            self.recheck_from = Some(now + LEASE_LIFE);
+            self.recheck_from = Some(now + LEASE_TTL);
         }
         let needed = table.has_open() || unrecorded;
         if fence.is_some() || !needed {
@@ -560,7 +565,7 @@
     fn decide(
         &mut self,
         table: &mut RolloutTable,
-        around: &Surroundings<'_>,
+        context: &DeciderContext<'_>,
         now: Moment,
         step: &mut DeciderOutput,
     ) {
@@ -574,7 +579,12 @@
         let passed = now.since(self.last_round);
         self.last_round = now;
         let hurry = table.states(now).iter().any(schedule::is_near_end);
-        self.next_round = now + if hurry { HURRIED_ROUND } else { ROUND };
+        self.next_round = now
+            + if hurry {
+                HURRIED_EVALUATION_INTERVAL
+            } else {
+                EVALUATION_INTERVAL
+            };
         for state in table.states(now) {
             // What is not on record yet gets no calls: nobody could end it.
             let recorded = self.on_record.get(&state.service);
@@ -585,7 +595,7 @@
                 self.cases.remove(&state.service);
                 continue;
             }
-            let (decided, reason) = self.judge(&state, around, passed, now);
+            let (decided, reason) = self.judge(&state, context, passed, now);
             let next = RolloutState {
                 term,
                 step: state.step.saturating_add(1),
@@ -606,7 +616,7 @@
     fn judge(
         &mut self,
         state: &RolloutState,
-        around: &Surroundings<'_>,
+        context: &DeciderContext<'_>,
         passed: Duration,
         now: Moment,
     ) -> (RolloutState, String) {
@@ -628,7 +638,7 @@
             case.moving_since.get_or_insert((now, target_answers));
         }
         let answers_at_move = case.moving_since.map_or(0, |(_, answers)| answers);
-        let (target_slots, other_slots) = (around.slots)(&state.service, &state.target);
+        let (target_slots, other_slots) = (context.slots)(&state.service, &state.target);
         let progress = Progress {
             answers,
             target_answers,
@@ -638,8 +648,8 @@
             moving_for: case.moving_since.map(|(since, _)| now.since(since)),
             answers_since_move: target_answers.saturating_sub(answers_at_move),
             reporters: case.heard.len(),
-            hearing_for: now.since(case.since),
-            hearing_time: around.hearing_time,
+            evidence_collected_for: now.since(case.since),
+            evidence_collection_time: context.evidence_collection_time,
         };
         let mut reason = format!(
             "{target_answers} of {answers} answers, {:.0} a second, {target_slots} slots beside {other_slots}, {} ms of {} ms",
--- a/crates/rampthread-core/src/rollout/schedule.rs
+++ b/crates/rampthread-core/src/rollout/schedule.rs
@@ -58,9 +58,9 @@
     /// Lives of nodes that have told evidence: each began with no call earned.
     pub reporters: usize,
     /// Time for which this decider has been told evidence.
-    pub hearing_for: Duration,
+    pub evidence_collected_for: Duration,
     /// Time within which it hears all that the fleet has seen.
-    pub hearing_time: Duration,
+    pub evidence_collection_time: Duration,
 }
 
 /// What a version lacks to go on.
@@ -102,7 +102,10 @@
         let moving = state.phase == Phase::Moving;
         let lacks = [
             (!moving && !self.has_enough_slots(), Lack::Slots),
-            (self.hearing_for < self.hearing_time, Lack::Hearing),
+            (
+                self.evidence_collected_for < self.evidence_collection_time,
+                Lack::Hearing,
+            ),
             (self.answers == 0, Lack::Traffic),
             (
                 !moving && self.target_answers == 0 && !self.is_thin(state, bounds),
@@ -180,7 +183,7 @@
 /// True when what lacks was waited for long enough. Slots are known without evidence; for
 /// the rest a decider that took over late waits as long as any other.
 fn is_given_up(lack: Lack, state: &RolloutState, progress: &Progress) -> bool {
-    let heard = progress.hearing_for >= progress.hearing_time + LAST_WAIT;
+    let heard = progress.evidence_collected_for >= progress.evidence_collection_time + LAST_WAIT;
     state.elapsed >= state.duration + LAST_WAIT && (heard || lack == Lack::Slots)
 }
 
--- a/crates/rampthread-core/tests/rollout_evidence.rs
+++ b/crates/rampthread-core/tests/rollout_evidence.rs
@@ -1,7 +1,7 @@
 //! What a decider makes of reports that come late, twice or from a node that has restarted.
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
-use rampthread_core::rollout::decider::Surroundings;
+use rampthread_core::rollout::decider::DeciderContext;
 use rampthread_core::rollout::evidence::{Counts, TIME_STEPS};
 use rampthread_core::rollout::table::Learnt;
 use rampthread_core::rollout::{
@@ -40,16 +40,16 @@
     let mut table = RolloutTable::default();
     assert!(table.take_order(&order(), Learnt::Written, START));
     let from = NodeId::new("node-2").unwrap();
-    let around = Surroundings {
+    let context = DeciderContext {
         eligible: true,
         rank: 0,
         slots: &|_, _| (1, 1),
-        hearing_time: Duration::from_secs(1),
+        evidence_collection_time: Duration::from_secs(1),
     };
     let mut reports = reports.iter();
     let mut now = START;
     while now < START + DURATION {
-        let step = decider.tick(&mut table, &around, now);
+        let step = decider.tick(&mut table, &context, now);
         let mut made = step.decisions.iter();
         if let Some(made) = made.find(|made| made.state.phase == Phase::Moving) {
             return made.reason.clone();
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -260,8 +260,8 @@
         moving_for: None,
         answers_since_move: 0,
         reporters: 10,
-        hearing_for: Duration::from_secs(9),
-        hearing_time: Duration::from_secs(2),
+        evidence_collected_for: Duration::from_secs(9),
+        evidence_collection_time: Duration::from_secs(2),
     }
 }
 
@@ -281,8 +281,8 @@
 
 #[rstest]
 #[case::heard(heard(), 11_500, Next::Move)]
-#[case::took_over_late(Progress { hearing_for: Duration::from_secs(1), ..heard() }, 11_500, JUDGE)]
-#[case::took_over_long_after(Progress { hearing_for: Duration::ZERO, ..heard() }, 60_000, JUDGE)]
+#[case::took_over_late(Progress { evidence_collected_for: Duration::from_secs(1), ..heard() }, 11_500, JUDGE)]
+#[case::took_over_long_after(Progress { evidence_collected_for: Duration::ZERO, ..heard() }, 60_000, JUDGE)]
 #[case::no_answer_of_it(Progress { target_answers: 0, ..heard() }, 11_500, JUDGE)]
 #[case::none_at_last(
     Progress { target_answers: 0, ..heard() }, 17_500, Next::GiveUp(Lack::TargetAnswers)
@@ -318,7 +318,7 @@
     let progress = Progress {
         moving_for: Some(Duration::from_millis(500)),
         answers_since_move,
-        hearing_for: Duration::from_millis(hearing_ms),
+        evidence_collected_for: Duration::from_millis(hearing_ms),
         ..heard()
     };
     assert_eq!(progress_of(Phase::Moving, elapsed_ms, progress), expected);
--- a/crates/rampthread-core/tests/rollout_restored.rs
+++ b/crates/rampthread-core/tests/rollout_restored.rs
@@ -1,7 +1,7 @@
 //! The decider of roll-outs where the store comes back from an older copy.
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
-use rampthread_core::rollout::decider::{DeciderOutput, Surroundings};
+use rampthread_core::rollout::decider::{DeciderContext, DeciderOutput};
 use rampthread_core::rollout::table::Learnt;
 use rampthread_core::rollout::{
     Decider, DeciderRequest, DeciderResponse, Phase, RolloutBounds, RolloutOrder, RolloutState,
@@ -45,13 +45,13 @@
     }
 
     fn tick(&mut self) -> DeciderOutput {
-        let around = Surroundings {
+        let context = DeciderContext {
             eligible: true,
             rank: self.rank,
             slots: &|_, _| (1, 1),
-            hearing_time: Duration::from_secs(1),
+            evidence_collection_time: Duration::from_secs(1),
         };
-        self.decider.tick(&mut self.table, &around, self.now)
+        self.decider.tick(&mut self.table, &context, self.now)
     }
 
     /// The next call to the store within [`LONG`].
@@ -82,7 +82,7 @@
             panic!("no claim");
         };
         self.answer(DeciderResponse::Claimed { lease, fence: 9 });
-        assert!(self.decider.decides(self.now));
+        assert!(self.decider.holds_lease(self.now));
         term
     }
 }
@@ -105,7 +105,7 @@
     node.answer(DeciderResponse::Written { revision: 10 });
     node.tick();
     node.restore();
-    assert!(!node.decider.decides(node.now));
+    assert!(!node.decider.holds_lease(node.now));
     assert!(node.decide(7) > term);
 }
 
@@ -118,7 +118,7 @@
     assert!(matches!(node.call(), Some(DeciderRequest::Claim { .. })));
     node.restore();
     node.answer(DeciderResponse::Claimed { lease: 7, fence: 9 });
-    assert!(!node.decider.decides(node.now));
+    assert!(!node.decider.holds_lease(node.now));
     assert_eq!(node.call(), Some(DeciderRequest::Read));
 }
 
