--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -12,7 +12,7 @@
 use crate::ids::{NodeId, ResourceName, SoftwareVersion};
 use crate::rendezvous;
 use crate::rollout::decider::{DeciderContext, DeciderOutput};
-use crate::rollout::table::Learnt;
+use crate::rollout::table::OrderSource;
 use crate::rollout::{
     Decider, DeciderResponse, RolloutBounds, RolloutOrder, RolloutState, RolloutTable,
     VersionEvidence, VersionRule,
@@ -100,7 +100,7 @@
     pub fn on_orders(
         &mut self,
         orders: &[RolloutOrder],
-        learnt: Learnt,
+        source: OrderSource,
         now: Moment,
     ) -> Vec<Action> {
         let mut outbox = Outbox::default();
@@ -109,9 +109,9 @@
         };
         let mut new = Vec::new();
         for order in orders {
-            if roll_outs.table.take_order(order, learnt, now) {
+            if roll_outs.table.take_order(order, source, now) {
                 new.extend(roll_outs.table.state(&order.service, now));
-            } else if learnt == Learnt::Written {
+            } else if source == OrderSource::NewWrite {
                 // Written again: the store may have lost what was on record.
                 roll_outs.decider.recheck(now);
             }
@@ -119,10 +119,10 @@
         for state in &new {
             outbox.explain(decision(state, "the order was read"));
         }
-        match learnt {
-            Learnt::Written => self.tell_widely(new, now, &mut outbox),
+        match source {
+            OrderSource::NewWrite => self.tell_widely(new, now, &mut outbox),
             // Most likely others know more of it: a node that starts finds old orders.
-            Learnt::Found => {
+            OrderSource::Existing => {
                 self.pass_on_later(&new, 1, now);
                 outbox.actions.push(Action::RolloutsChanged);
             }
--- a/crates/rampthread-core/src/rollout/table.rs
+++ b/crates/rampthread-core/src/rollout/table.rs
@@ -17,11 +17,11 @@
 
 /// How an order came to be known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Learnt {
+pub enum OrderSource {
     /// It was written just now.
-    Written,
+    NewWrite,
     /// It was found: the store may have come back from an older copy.
-    Found,
+    Existing,
 }
 
 #[derive(Debug, Clone)]
@@ -65,12 +65,12 @@
 
     /// Takes an order; true when it is a new one. The same target again is the order that
     /// is held: the store may have been restored, and the order written again.
-    pub fn take_order(&mut self, order: &RolloutOrder, learnt: Learnt, now: Moment) -> bool {
+    pub fn take_order(&mut self, order: &RolloutOrder, source: OrderSource, now: Moment) -> bool {
         let mut order = order.clone();
         if let Some(held) = self.held.get(&order.service) {
             let older = order.order <= held.state.order;
             let repeated = order.target == held.state.target;
-            if repeated || (older && learnt == Learnt::Found) {
+            if repeated || (older && source == OrderSource::Existing) {
                 return false;
             }
             order.order = order.order.max(held.state.order.saturating_add(1));
--- a/crates/rampthread-core/tests/rollout_evidence.rs
+++ b/crates/rampthread-core/tests/rollout_evidence.rs
@@ -3,7 +3,7 @@
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::decider::DeciderContext;
 use rampthread_core::rollout::evidence::{Counts, TIME_STEPS};
-use rampthread_core::rollout::table::Learnt;
+use rampthread_core::rollout::table::OrderSource;
 use rampthread_core::rollout::{
     Decider, DeciderRequest, DeciderResponse, Phase, RolloutBounds, RolloutOrder, RolloutTable,
     VersionEvidence,
@@ -38,7 +38,7 @@
 fn reason_of_the_move(reports: &[(u64, u32)]) -> String {
     let mut decider = Decider::new(NodeId::new("node-1").unwrap(), BOUNDS);
     let mut table = RolloutTable::default();
-    assert!(table.take_order(&order(), Learnt::Written, START));
+    assert!(table.take_order(&order(), OrderSource::NewWrite, START));
     let from = NodeId::new("node-2").unwrap();
     let context = DeciderContext {
         eligible: true,
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -5,7 +5,7 @@
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion, Zone};
 use rampthread_core::rollout::exposure::{presumed_version, split_by_version};
 use rampthread_core::rollout::schedule::{Lack, Next, Progress, judged_permille, next};
-use rampthread_core::rollout::table::Learnt;
+use rampthread_core::rollout::table::OrderSource;
 use rampthread_core::rollout::{
     ExposureMeter, Phase, RolloutBounds, RolloutOrder, RolloutState, RolloutTable, VersionShare,
 };
@@ -188,15 +188,19 @@
 }
 
 #[rstest]
-#[case::another_target(order(9, "v3"), Learnt::Written, true)]
-#[case::the_same_again(order(9, "v2"), Learnt::Written, false)]
-#[case::an_older_one_found(order(3, "v1"), Learnt::Found, false)]
-#[case::written_after_a_restore(order(3, "v3"), Learnt::Written, true)]
-fn orders_that_count(#[case] second: RolloutOrder, #[case] learnt: Learnt, #[case] counts: bool) {
+#[case::another_target(order(9, "v3"), OrderSource::NewWrite, true)]
+#[case::the_same_again(order(9, "v2"), OrderSource::NewWrite, false)]
+#[case::an_older_one_found(order(3, "v1"), OrderSource::Existing, false)]
+#[case::written_after_a_restore(order(3, "v3"), OrderSource::NewWrite, true)]
+fn orders_that_count(
+    #[case] second: RolloutOrder,
+    #[case] source: OrderSource,
+    #[case] counts: bool,
+) {
     let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
     table.take(state(5, Phase::Succeeded, 1, 9), now);
-    assert_eq!(table.take_order(&second, learnt, now), counts);
+    assert_eq!(table.take_order(&second, source, now), counts);
     let held = table.state(&name("shop"), now).unwrap();
     assert_eq!(held.phase == Phase::Running, counts);
 }
--- a/crates/rampthread-core/tests/rollout_restored.rs
+++ b/crates/rampthread-core/tests/rollout_restored.rs
@@ -2,7 +2,7 @@
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::decider::{DeciderContext, DeciderOutput};
-use rampthread_core::rollout::table::Learnt;
+use rampthread_core::rollout::table::OrderSource;
 use rampthread_core::rollout::{
     Decider, DeciderRequest, DeciderResponse, Phase, RolloutBounds, RolloutOrder, RolloutState,
     RolloutTable, StoredRollout,
@@ -41,7 +41,10 @@
 
     fn order(&mut self) {
         let order = order();
-        assert!(self.table.take_order(&order, Learnt::Written, self.now));
+        assert!(
+            self.table
+                .take_order(&order, OrderSource::NewWrite, self.now)
+        );
     }
 
     fn tick(&mut self) -> DeciderOutput {
--- a/crates/rampthread-node/src/control/document_watch.rs
+++ b/crates/rampthread-node/src/control/document_watch.rs
@@ -10,7 +10,7 @@
 use super::backoff::Backoff;
 use rampthread_core::fleet::{Agent, Decision};
 use rampthread_core::ids::Version;
-use rampthread_core::rollout::table::Learnt;
+use rampthread_core::rollout::table::OrderSource;
 use rampthread_http::{BootInstant, sleep, timeout};
 use rampthread_platform::{
     Document, DocumentNews, DocumentRead, DocumentSource, EraRise, OrdersRead, PlatformError,
@@ -132,7 +132,7 @@
             match unless(self.helped_to_first(), reading).await? {
                 Ok(read) => {
                     self.answered();
-                    self.take_orders(read.orders, Learnt::Found);
+                    self.take_orders(read.orders, OrderSource::Existing);
                     if let Some(document) = read.document {
                         self.take(document);
                         return Some(read.at);
@@ -252,7 +252,7 @@
             match unless(self.helped(), reading).await? {
                 Ok(read) => {
                     self.answered();
-                    self.take_orders(read.orders, Learnt::Found);
+                    self.take_orders(read.orders, OrderSource::Existing);
                     if let Some(document) = read.document {
                         self.take(document);
                     }
@@ -322,13 +322,13 @@
             }) => {
                 self.control.document_took(transfer);
                 self.answered();
-                self.take_orders(orders, Learnt::Written);
+                self.take_orders(orders, OrderSource::NewWrite);
                 self.take(document);
                 Some(at)
             }
             Ok(DocumentNews::Unchanged { orders, at }) => {
                 self.answered();
-                self.take_orders(orders, Learnt::Written);
+                self.take_orders(orders, OrderSource::NewWrite);
                 Some(at)
             }
             Ok(DocumentNews::HistoryGone) => {
@@ -352,13 +352,13 @@
         }
     }
 
-    fn take_orders(&self, read: OrdersRead, learnt: Learnt) {
+    fn take_orders(&self, read: OrdersRead, source: OrderSource) {
         if !read.unusable.is_empty() {
             let findings = read.unusable.first(SHOWN_FINDINGS).replace('\n', "; ");
             tracing::warn!(%findings, "orders to roll out cannot be carried out");
         }
         if !read.orders.is_empty() {
-            self.control.on_orders(&read.orders, learnt);
+            self.control.on_orders(&read.orders, source);
         }
     }
 
--- a/crates/rampthread-node/src/control/rollouts.rs
+++ b/crates/rampthread-node/src/control/rollouts.rs
@@ -5,7 +5,7 @@
 use super::store_era::within_era;
 use crate::clock::wall_clock_micros;
 use rampthread_core::ids::ResourceName;
-use rampthread_core::rollout::table::Learnt;
+use rampthread_core::rollout::table::OrderSource;
 use rampthread_core::rollout::{
     DeciderRequest, DeciderResponse, RolloutOrder, RolloutState, VersionEvidence, VersionRule,
 };
@@ -18,9 +18,9 @@
 
 impl Control {
     /// Takes orders to roll out that stand in the store.
-    pub(super) fn on_orders(self: &Arc<Self>, orders: &[RolloutOrder], learnt: Learnt) {
+    pub(super) fn on_orders(self: &Arc<Self>, orders: &[RolloutOrder], source: OrderSource) {
         let now = self.clock.now();
-        let actions = self.agent().on_orders(orders, learnt, now);
+        let actions = self.agent().on_orders(orders, source, now);
         self.perform(actions);
     }
 
--- a/crates/rampthread-wire/tests/fleet/mod.rs
+++ b/crates/rampthread-wire/tests/fleet/mod.rs
@@ -22,7 +22,7 @@
 use rampthread_core::ids::{
     InstanceId, NodeId, Region, ResourceName, SoftwareVersion, Version, Zone,
 };
-use rampthread_core::rollout::table::Learnt;
+use rampthread_core::rollout::table::OrderSource;
 use rampthread_core::rollout::{RolloutBounds, RolloutOrder, VersionEvidence};
 use rampthread_core::time::Moment;
 use rampthread_wire::encode;
@@ -322,14 +322,14 @@
         self.orders.push(order.clone());
         for index in self.watchers() {
             if !self.frozen.contains(&index) && !self.refused.contains(&index) {
-                self.tell_orders(index, std::slice::from_ref(&order), Learnt::Written);
+                self.tell_orders(index, std::slice::from_ref(&order), OrderSource::NewWrite);
             }
         }
     }
 
-    fn tell_orders(&mut self, index: usize, orders: &[RolloutOrder], learnt: Learnt) {
+    fn tell_orders(&mut self, index: usize, orders: &[RolloutOrder], source: OrderSource) {
         let now = self.now;
-        let actions = self.agent_mut(index).on_orders(orders, learnt, now);
+        let actions = self.agent_mut(index).on_orders(orders, source, now);
         self.deliver(index, actions);
     }
 
@@ -538,7 +538,7 @@
         self.deliver(index, actions);
         if answers && !self.orders.is_empty() {
             let orders = self.orders.clone();
-            self.tell_orders(index, &orders, Learnt::Found);
+            self.tell_orders(index, &orders, OrderSource::Existing);
         }
     }
 
