--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -109,7 +109,7 @@
         };
         let mut new = Vec::new();
         for order in orders {
-            if roll_outs.table.take_order(order, source, now) {
+            if roll_outs.table.accept_order(order, source, now) {
                 new.extend(roll_outs.table.state(&order.service, now));
             } else if source == OrderSource::NewWrite {
                 // Written again: the store may have lost what was on record.
@@ -233,7 +233,7 @@
         if now < roll_outs.next_question {
             return;
         }
-        let silence = roll_outs.table.silence(now);
+        let silence = roll_outs.table.longest_silence(now);
         let stands_still = silence.is_some_and(|silence| silence >= STANDSTILL);
         let known = roll_outs.table.states(now);
         let lacks_some = self.has_unknown_versions(now);
@@ -375,8 +375,8 @@
                 return;
             };
             let known = roll_outs.table.state(&state.service, now);
-            if roll_outs.table.take(state.clone(), now) {
-                let changed = known.is_none_or(|known| !state.says_the_same(&known));
+            if roll_outs.table.merge(state.clone(), now) {
+                let changed = known.is_none_or(|known| !state.has_same_decision(&known));
                 let rounds = if changed { ROUNDS_OF_CHANGES } else { 1 };
                 if changed {
                     outbox.actions.push(Action::RolloutsChanged);
--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -12,7 +12,7 @@
 use super::RolloutBounds;
 use super::evidence::{Counts, VersionEvidence};
 use super::schedule::{self, Next, Progress};
-use super::state::{OrderId, Phase, RolloutState, WHOLE_PERMILLE};
+use super::state::{ALL_CALLS_PERMILLE, OrderId, Phase, RolloutState};
 use super::table::RolloutTable;
 use super::verdict::VersionJudge;
 use crate::fleet::{LeaseId, ProcessEpoch};
@@ -358,7 +358,7 @@
         if self.recheck_from.is_some_and(|from| now >= from + turn) {
             return true;
         }
-        let Some(silence) = table.silence(now) else {
+        let Some(silence) = table.longest_silence(now) else {
             return false;
         };
         let untouched = table.states(now).iter().all(|state| state.term == 0);
@@ -405,7 +405,7 @@
             phase => phase,
         };
         let share_permille = match phase {
-            Phase::Succeeded => WHOLE_PERMILLE,
+            Phase::Succeeded => ALL_CALLS_PERMILLE,
             _ => 0,
         };
         let term = match &self.role {
@@ -492,7 +492,7 @@
         step: &mut DeciderOutput,
     ) {
         for stored in &states {
-            if table.take(stored.state.clone(), now) {
+            if table.merge(stored.state.clone(), now) {
                 step.updates.push(stored.state.clone());
             }
         }
@@ -542,7 +542,7 @@
         now: Moment,
         step: &mut DeciderOutput,
     ) {
-        if state.phase.is_ended() && table.take(state.clone(), now) {
+        if state.phase.is_ended() && table.merge(state.clone(), now) {
             step.updates.push(state.clone());
         }
         let reason = "on record".to_string();
@@ -602,11 +602,11 @@
                 decider: Some(self.me.clone()),
                 ..decided
             };
-            if !next.says_the_same(&state) {
+            if !next.has_same_decision(&state) {
                 let state = next.clone();
                 step.decisions.push(RolloutDecision { state, reason });
             }
-            if table.take(next.clone(), now) {
+            if table.merge(next.clone(), now) {
                 step.updates.push(next);
             }
         }
@@ -659,10 +659,10 @@
         );
         let next = match schedule::next(state, &progress, &self.bounds) {
             Next::Judge { permille } => with(Phase::Running, permille),
-            Next::Move => with(Phase::Moving, WHOLE_PERMILLE),
+            Next::Move => with(Phase::Moving, ALL_CALLS_PERMILLE),
             Next::Succeed => {
                 case.succeeds = true;
-                with(Phase::Moving, WHOLE_PERMILLE)
+                with(Phase::Moving, ALL_CALLS_PERMILLE)
             }
             Next::GiveUp(lack) => {
                 reason = format!("{}: {reason}", lack.as_str());
--- a/crates/rampthread-core/src/rollout/exposure.rs
+++ b/crates/rampthread-core/src/rollout/exposure.rs
@@ -4,7 +4,7 @@
 //! to the version spends it. So the share holds over all entries whatever they know of
 //! each other, in a burst as with thin traffic, and refused calls earn nothing.
 
-use super::state::{OrderId, WHOLE_PERMILLE};
+use super::state::{ALL_CALLS_PERMILLE, OrderId};
 use crate::call::balance::Endpoint;
 use crate::ids::{NodeId, SoftwareVersion};
 use crate::rendezvous;
@@ -88,7 +88,7 @@
 
     /// A call of the service was answered by a back end of any version.
     pub fn answered(&mut self, permille: u16) {
-        let share = f64::from(permille) / f64::from(WHOLE_PERMILLE);
+        let share = f64::from(permille) / f64::from(ALL_CALLS_PERMILLE);
         self.credit = (self.credit + share).min(MAX_CREDIT);
     }
 
--- a/crates/rampthread-core/src/rollout/schedule.rs
+++ b/crates/rampthread-core/src/rollout/schedule.rs
@@ -5,7 +5,7 @@
 //! fits into the bound; at the latest in time to leave the old back ends.
 
 use super::RolloutBounds;
-use super::state::{Phase, RolloutState, WHOLE_PERMILLE};
+use super::state::{ALL_CALLS_PERMILLE, Phase, RolloutState};
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
@@ -124,7 +124,7 @@
     /// and the calls after the latest move fit into the bound: the move tries it.
     fn is_thin(&self, state: &RolloutState, bounds: &RolloutBounds) -> bool {
         let permille = f64::from(judged_permille(state.duration, bounds));
-        let earned = self.answers as f64 * permille / f64::from(WHOLE_PERMILLE);
+        let earned = self.answers as f64 * permille / f64::from(ALL_CALLS_PERMILLE);
         let rest = self.rate * LATEST_MOVE.as_secs_f64();
         let share = bounds.exposure_share * USED_PART * (self.answers as f64 + rest);
         earned < self.reporters as f64 && rest <= share + bounds.exposure_slack * SLACK_OF_MOVE
@@ -155,7 +155,7 @@
     let share = (allowed - LATEST_MOVE.as_secs_f64()) / judged.max(f64::EPSILON);
     let (least, most) = (JUDGED_PART.start(), JUDGED_PART.end());
     let share = share.clamp(bounds.exposure_share * least, bounds.exposure_share * most);
-    (share * f64::from(WHOLE_PERMILLE)) as u16
+    (share * f64::from(ALL_CALLS_PERMILLE)) as u16
 }
 
 /// What comes next in `state`.
--- a/crates/rampthread-core/src/rollout/state.rs
+++ b/crates/rampthread-core/src/rollout/state.rs
@@ -8,7 +8,7 @@
 pub type OrderId = u64;
 
 /// All of a service's calls, in thousandths.
-pub const WHOLE_PERMILLE: u16 = 1_000;
+pub const ALL_CALLS_PERMILLE: u16 = 1_000;
 
 /// An operator's order to move a service's traffic to another version.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -85,7 +85,7 @@
 
 impl RolloutState {
     /// An order that nobody has taken up.
-    pub fn begin(order: &RolloutOrder, elapsed: Duration) -> Self {
+    pub fn from_order(order: &RolloutOrder, elapsed: Duration) -> Self {
         Self {
             service: order.service.clone(),
             order: order.order,
@@ -111,7 +111,7 @@
     }
 
     /// True when both say the same but for who tells it and when.
-    pub fn says_the_same(&self, other: &Self) -> bool {
+    pub fn has_same_decision(&self, other: &Self) -> bool {
         self.order == other.order
             && self.phase == other.phase
             && self.share_permille == other.share_permille
--- a/crates/rampthread-core/src/rollout/table.rs
+++ b/crates/rampthread-core/src/rollout/table.rs
@@ -45,7 +45,7 @@
 
 impl RolloutTable {
     /// Takes what somebody tells; true when it is later than what is held.
-    pub fn take(&mut self, state: RolloutState, now: Moment) -> bool {
+    pub fn merge(&mut self, state: RolloutState, now: Moment) -> bool {
         let mut state = state;
         if let Some(held) = self.held.get_mut(&state.service) {
             if held.state.order == state.order {
@@ -65,7 +65,7 @@
 
     /// Takes an order; true when it is a new one. The same target again is the order that
     /// is held: the store may have been restored, and the order written again.
-    pub fn take_order(&mut self, order: &RolloutOrder, source: OrderSource, now: Moment) -> bool {
+    pub fn accept_order(&mut self, order: &RolloutOrder, source: OrderSource, now: Moment) -> bool {
         let mut order = order.clone();
         if let Some(held) = self.held.get(&order.service) {
             let older = order.order <= held.state.order;
@@ -75,7 +75,7 @@
             }
             order.order = order.order.max(held.state.order.saturating_add(1));
         }
-        self.take(RolloutState::begin(&order, Duration::ZERO), now)
+        self.merge(RolloutState::from_order(&order, Duration::ZERO), now)
     }
 
     /// The state of `service`, as of now.
@@ -107,7 +107,7 @@
     }
 
     /// Time since an open roll-out was last confirmed, the longest of all.
-    pub fn silence(&self, now: Moment) -> Option<Duration> {
+    pub fn longest_silence(&self, now: Moment) -> Option<Duration> {
         let open = self.held.values();
         open.filter(|held| !held.state.phase.is_ended())
             .map(|held| now.since(held.at))
--- a/crates/rampthread-core/tests/rollout_evidence.rs
+++ b/crates/rampthread-core/tests/rollout_evidence.rs
@@ -38,7 +38,7 @@
 fn reason_of_the_move(reports: &[(u64, u32)]) -> String {
     let mut decider = Decider::new(NodeId::new("node-1").unwrap(), BOUNDS);
     let mut table = RolloutTable::default();
-    assert!(table.take_order(&order(), OrderSource::NewWrite, START));
+    assert!(table.accept_order(&order(), OrderSource::NewWrite, START));
     let from = NodeId::new("node-2").unwrap();
     let context = DeciderContext {
         eligible: true,
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -43,7 +43,7 @@
         term,
         step,
         share_permille: 40,
-        ..RolloutState::begin(&self::order(order, "v2"), Duration::ZERO)
+        ..RolloutState::from_order(&self::order(order, "v2"), Duration::ZERO)
     }
 }
 
@@ -109,7 +109,7 @@
             let mut table = RolloutTable::default();
             let mut known: Option<(u64, Phase)> = None;
             for (order, phase, term, step) in told {
-                table.take(state(*order, *phase, *term, *step), now);
+                table.merge(state(*order, *phase, *term, *step), now);
                 let held = table.state(&name("shop"), now).unwrap();
                 let held = (held.order, held.phase);
                 assert!(known.is_none_or(|known| held >= known));
@@ -166,7 +166,7 @@
 fn a_share_that_is_not_confirmed_ends() {
     let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
-    table.take(state(1, Phase::Running, 1, 1), now);
+    table.merge(state(1, Phase::Running, 1, 1), now);
     let share = |at: Moment| table.rules(&BOUNDS, at)[&name("shop")].share;
     assert!(matches!(share(now), VersionShare::UpTo { .. }));
     let later = now + Duration::from_millis(1_600);
@@ -178,12 +178,12 @@
 fn a_move_that_is_not_confirmed_leaves_the_others_their_calls() {
     let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
-    table.take(state(1, Phase::Moving, 1, 1), now);
+    table.merge(state(1, Phase::Moving, 1, 1), now);
     let share = |table: &RolloutTable, at: Moment| table.rules(&BOUNDS, at)[&name("shop")].share;
     assert_eq!(share(&table, now), VersionShare::Preferred);
     let later = now + Duration::from_millis(1_600);
     assert_eq!(share(&table, later), VersionShare::OnlyAlone);
-    table.take(state(1, Phase::Moving, 1, 2), later);
+    table.merge(state(1, Phase::Moving, 1, 2), later);
     assert_eq!(share(&table, later), VersionShare::Preferred);
 }
 
@@ -199,8 +199,8 @@
 ) {
     let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
-    table.take(state(5, Phase::Succeeded, 1, 9), now);
-    assert_eq!(table.take_order(&second, source, now), counts);
+    table.merge(state(5, Phase::Succeeded, 1, 9), now);
+    assert_eq!(table.accept_order(&second, source, now), counts);
     let held = table.state(&name("shop"), now).unwrap();
     assert_eq!(held.phase == Phase::Running, counts);
 }
--- a/crates/rampthread-core/tests/rollout_restored.rs
+++ b/crates/rampthread-core/tests/rollout_restored.rs
@@ -43,7 +43,7 @@
         let order = order();
         assert!(
             self.table
-                .take_order(&order, OrderSource::NewWrite, self.now)
+                .accept_order(&order, OrderSource::NewWrite, self.now)
         );
     }
 
@@ -134,7 +134,7 @@
         term: 3,
         ..begun()
     };
-    assert!(node.table.take(ended, node.now));
+    assert!(node.table.merge(ended, node.now));
     assert_eq!(node.call(), None);
     node.restore();
     node.decide(1);
@@ -153,7 +153,7 @@
         term: 3,
         ..begun()
     };
-    assert!(node.table.take(ended, node.now));
+    assert!(node.table.merge(ended, node.now));
     node.restore();
     assert_eq!(node.call(), Some(DeciderRequest::Read));
     node.answer(DeciderResponse::Records {
@@ -174,7 +174,7 @@
         phase: Phase::Succeeded,
         ..begun()
     };
-    assert!(node.table.take(ended, node.now));
+    assert!(node.table.merge(ended, node.now));
     node.rank = 40;
     node.restore();
     for _ in 0..20 {
@@ -192,7 +192,7 @@
 }
 
 fn begun() -> RolloutState {
-    RolloutState::begin(&order(), Duration::ZERO)
+    RolloutState::from_order(&order(), Duration::ZERO)
 }
 
 /// The order was written again. Calls fail and claims are refused, and what the store has
@@ -200,7 +200,7 @@
 #[test]
 fn a_recheck_is_owed_until_the_records_hold_what_is_known() {
     let mut node = Node::new();
-    assert!(node.table.take(rolled_back(), node.now));
+    assert!(node.table.merge(rolled_back(), node.now));
     node.decider.recheck(node.now);
     assert_eq!(node.call(), Some(DeciderRequest::Read));
     node.answer(DeciderResponse::Failed);
@@ -229,7 +229,7 @@
 #[test]
 fn a_recheck_that_finds_all_on_record_is_done() {
     let mut node = Node::new();
-    assert!(node.table.take(rolled_back(), node.now));
+    assert!(node.table.merge(rolled_back(), node.now));
     node.decider.recheck(node.now);
     assert_eq!(node.call(), Some(DeciderRequest::Read));
     node.answer(DeciderResponse::Records {
