--- a/crates/rampthread-core/src/call/pace.rs
+++ b/crates/rampthread-core/src/call/backend_speed.rs
@@ -9,7 +9,7 @@
 
 /// The pace of one back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BackendPace {
+pub struct BackendSpeed {
     /// Its standing speed in percent of its service's: 200 does the same work in half
     /// the time.
     pub speed_percent: u16,
@@ -20,7 +20,7 @@
     pub cold_left: Duration,
 }
 
-impl Default for BackendPace {
+impl Default for BackendSpeed {
     fn default() -> Self {
         Self {
             speed_percent: USUAL_PERCENT,
@@ -30,7 +30,7 @@
     }
 }
 
-impl BackendPace {
+impl BackendSpeed {
     /// Reads `speed_percent,work_percent,cold_left`, the last in milliseconds; none where it
     /// is no pace.
     pub fn parse(text: &str) -> Option<Self> {
@@ -47,7 +47,7 @@
     }
 }
 
-impl fmt::Display for BackendPace {
+impl fmt::Display for BackendSpeed {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let cold_ms = self.cold_left.as_millis();
         write!(
--- a/crates/rampthread-core/src/call/balance.rs
+++ b/crates/rampthread-core/src/call/balance.rs
@@ -3,7 +3,7 @@
 //! another zone. A cold back end gets a growing share; ejection always spares
 //! half of a service.
 
-use super::pace::{BackendPace, USUAL_PERCENT};
+use super::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use crate::ids::{NodeId, ResourceName, Zone};
 use crate::time::Moment;
 use rand::Rng;
@@ -107,7 +107,7 @@
     /// When it last answered a call.
     answered_at: Moment,
     /// What the gate beside it told of its pace.
-    pace: Option<BackendPace>,
+    pace: Option<BackendSpeed>,
     paced_at: Moment,
 }
 
@@ -390,7 +390,7 @@
     }
 
     /// The gate beside the back end told its pace.
-    pub fn paced(&mut self, node: &NodeId, pace: BackendPace, now: Moment) {
+    pub fn paced(&mut self, node: &NodeId, pace: BackendSpeed, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.pace = Some(pace);
         stats.paced_at = now;
--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -37,7 +37,7 @@
 /// The tenant whose call it is, by its key; a call without one has none.
 pub const TENANT: &str = "rampthread-tenant";
 /// How fast a back end works, on answers between nodes: a
-/// [`BackendPace`](super::pace::BackendPace).
+/// [`BackendSpeed`](super::backend_speed::BackendSpeed).
 pub const PACE: &str = "rampthread-pace";
 /// Time that the call waited for a slot, in milliseconds, on answers between nodes;
 /// missing where it did not wait.
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -18,8 +18,8 @@
 //! | [`rank_queue`] | which of the waiting calls of one rank goes next |
 //! | [`arrival`] | what a gate knows of a call that wants a slot |
 //! | [`fair_queue`] | whose turn it is among tenants or calling services |
-//! | [`pace`] | how fast a back end works, as the gate beside it has measured it |
-//! | [`pace_meter`] | how that is measured |
+//! | [`backend_speed`] | how fast a back end works, as the gate beside it has measured it |
+//! | [`speed_meter`] | how that is measured |
 //! | [`backend_load`] | what a back end says of its own load |
 //! | [`path_delay`] | how long a hop stood in full links |
 //! | [`service_times`] | how long a call may wait for a slot |
@@ -49,6 +49,7 @@
 pub mod attempt_age;
 pub mod attempts;
 pub mod backend_load;
+pub mod backend_speed;
 pub mod balance;
 pub mod body_transfers;
 pub mod cause;
@@ -66,8 +67,6 @@
 pub mod load_watch;
 pub mod log_budget;
 pub mod nested_routes;
-pub mod pace;
-pub mod pace_meter;
 pub mod path_delay;
 pub mod peer_crash_watch;
 pub mod precedence;
@@ -79,6 +78,7 @@
 pub mod return_advice;
 pub mod route_table;
 pub mod service_times;
+pub mod speed_meter;
 pub mod tenant_table;
 pub mod unnamed_starts;
 pub mod verdict;
--- a/crates/rampthread-core/src/call/pace_meter.rs
+++ b/crates/rampthread-core/src/call/speed_meter.rs
@@ -5,7 +5,7 @@
 //! took: a ratio of sums, so that mixed routes and a few long calls do little. What the
 //! back end says of its pace at present is taken out of it, and told beside it.
 
-use super::pace::{BackendPace, USUAL_PERCENT};
+use super::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use crate::time::Moment;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 
 /// Measures one back end.
 #[derive(Debug, Clone)]
-pub struct PaceMeter {
+pub struct SpeedMeter {
     calls: f64,
     /// Seconds that the calls would usually take, and took.
     usual: f64,
@@ -40,7 +40,7 @@
     present: Option<(u16, Moment)>,
 }
 
-impl Default for PaceMeter {
+impl Default for SpeedMeter {
     fn default() -> Self {
         Self {
             calls: 0.0,
@@ -54,7 +54,7 @@
     }
 }
 
-impl PaceMeter {
+impl SpeedMeter {
     /// Of a back end that stays slow for `cold` after its start, which is now.
     pub fn starting(cold: Duration, now: Moment) -> Self {
         Self {
@@ -116,8 +116,8 @@
     }
 
     /// The pace that is told.
-    pub fn pace(&self, now: Moment) -> BackendPace {
-        BackendPace {
+    pub fn pace(&self, now: Moment) -> BackendSpeed {
+        BackendSpeed {
             speed_percent: self.speed_percent(),
             work_percent: self.work_percent(now),
             cold_left: self.cold_until.since(now),
--- a/crates/rampthread-core/tests/pace_properties.rs
+++ b/crates/rampthread-core/tests/backend_speed_properties.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use rampthread_core::call::backend_load::{BackendLoad, BackendLoadError};
-use rampthread_core::call::pace::{BackendPace, USUAL_PERCENT};
-use rampthread_core::call::pace_meter::PaceMeter;
+use rampthread_core::call::backend_speed::{BackendSpeed, USUAL_PERCENT};
+use rampthread_core::call::speed_meter::SpeedMeter;
 use rampthread_core::time::Moment;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -47,18 +47,18 @@
     fn a_pace_travels_whole(
         speed_percent in 1_u16.., work_percent in 1_u16.., cold_ms in 0_u64..1_000_000,
     ) {
-        let pace = BackendPace {
+        let pace = BackendSpeed {
             speed_percent,
             work_percent,
             cold_left: Duration::from_millis(cold_ms),
         };
-        prop_assert_eq!(BackendPace::parse(&pace.to_string()), Some(pace));
+        prop_assert_eq!(BackendSpeed::parse(&pace.to_string()), Some(pace));
     }
 }
 
 /// Calls of two routes in turn at a back end of `speed`, each with a spread of a half.
-fn measured(speed: f64, calls: u32, present: impl Fn(u32) -> u16) -> (PaceMeter, Moment) {
-    let mut meter = PaceMeter::default();
+fn measured(speed: f64, calls: u32, present: impl Fn(u32) -> u16) -> (SpeedMeter, Moment) {
+    let mut meter = SpeedMeter::default();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut now = START;
     for number in 0..calls {
@@ -95,13 +95,13 @@
 #[test]
 fn few_calls_say_nothing() {
     let (meter, now) = measured(0.5, 20, |_| USUAL_PERCENT);
-    assert_eq!(meter.pace(now), BackendPace::default());
+    assert_eq!(meter.pace(now), BackendSpeed::default());
 }
 
 /// Chance alone changes what is told seldom: each change is news to every node.
 #[test]
 fn what_is_told_of_the_speed_is_steady() {
-    let mut meter = PaceMeter::default();
+    let mut meter = SpeedMeter::default();
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let mut now = START;
     let mut changes = 0;
@@ -132,7 +132,7 @@
 #[test]
 fn a_cold_back_end_is_not_taken_for_a_slow_one() {
     let cold = Duration::from_secs(3);
-    let mut meter = PaceMeter::starting(cold, START);
+    let mut meter = SpeedMeter::starting(cold, START);
     let usual = Duration::from_millis(100);
     let mut now = START;
     for _ in 0..100 {
@@ -145,7 +145,7 @@
 
 #[test]
 fn the_present_pace_is_told_while_it_is_fresh() {
-    let mut meter = PaceMeter::default();
+    let mut meter = SpeedMeter::default();
     meter.said(250, START);
     assert_eq!(meter.pace(START).work_percent, 250);
     let later = START + Duration::from_secs(1);
--- a/crates/rampthread-core/tests/choice_under_load.rs
+++ b/crates/rampthread-core/tests/choice_under_load.rs
@@ -1,8 +1,8 @@
 //! The choice of back ends on generated load: many entries decide at once, each knows what
 //! its own answers told it, and back ends of one service differ in speed.
 
+use rampthread_core::call::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
-use rampthread_core::call::pace::{BackendPace, USUAL_PERCENT};
 use rampthread_core::ids::{NodeId, ResourceName, Zone};
 use rampthread_core::time::Moment;
 use rand::{Rng, SeedableRng};
@@ -253,10 +253,10 @@
         if !self.load.told {
             return;
         }
-        let pace = BackendPace {
+        let pace = BackendSpeed {
             speed_percent: told_speed(at, self.load),
             work_percent: (self.present(at, now) * 100.0) as u16,
-            ..BackendPace::default()
+            ..BackendSpeed::default()
         };
         let node = &self.endpoints[at].node;
         self.balancers[entry].paced(node, pace, moment(now));
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -11,10 +11,10 @@
 use bytes::Bytes;
 use http::response::Parts;
 use http::{HeaderMap, Request, Response};
+use rampthread_core::call::backend_speed::BackendSpeed;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::fence_finding::{FenceFinding, LostHop};
 use rampthread_core::call::headers::{self, Outcome, Reach, Waiting};
-use rampthread_core::call::pace::BackendPace;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::ids::{InstanceId, NodeId};
 use rampthread_core::time::Moment;
@@ -279,8 +279,8 @@
     /// Records the backend's speed as reported by the gate. A response without the header means
     /// normal speed.
     fn note_pace(&self, node: &NodeId, outcome: Outcome, from: &HeaderMap) {
-        let told = header_filter::header_str(from, headers::PACE).and_then(BackendPace::parse);
-        let as_usual = (outcome == Outcome::Completed).then(BackendPace::default);
+        let told = header_filter::header_str(from, headers::PACE).and_then(BackendSpeed::parse);
+        let as_usual = (outcome == Outcome::Completed).then(BackendSpeed::default);
         if let Some(pace) = told.or(as_usual) {
             let now = self.now();
             self.state().balancer.paced(node, pace, now);
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -32,9 +32,9 @@
 use rampthread_core::call::headers::{self, Waiting};
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::load_watch::LoadWatch;
-use rampthread_core::call::pace_meter::PaceMeter;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::service_times::ServiceTimes;
+use rampthread_core::call::speed_meter::SpeedMeter;
 use rampthread_core::call::unnamed_starts::UnnamedStarts;
 use rampthread_core::ids::ResourceName;
 use rampthread_core::time::Moment;
@@ -79,7 +79,7 @@
     /// The backend that the service times and speed were measured at.
     measured: Option<ResourceName>,
     load_watch: LoadWatch,
-    pace: PaceMeter,
+    pace: SpeedMeter,
     /// Mean service time per route over all backends of the service, as measured by this
     /// node's entry.
     reference_times: HashMap<ResourceName, Duration>,
@@ -182,7 +182,7 @@
                 trial: None,
                 measured: None,
                 load_watch: LoadWatch::default(),
-                pace: PaceMeter::default(),
+                pace: SpeedMeter::default(),
                 reference_times: HashMap::new(),
                 waiting: HashMap::new(),
             }),
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -10,8 +10,8 @@
 use rampthread_core::call::dependency::Dependencies;
 use rampthread_core::call::fence::StartRefused;
 use rampthread_core::call::headers::{Outcome, Waiting};
-use rampthread_core::call::pace_meter::PaceMeter;
 use rampthread_core::call::precedence::Precedence;
+use rampthread_core::call::speed_meter::SpeedMeter;
 use rampthread_core::time::Moment;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -49,7 +49,7 @@
             state.measured = Some(backend.name.clone());
             state.work_times.clear();
             state.dependencies.clear();
-            state.pace = PaceMeter::starting(backend.cold, self.control.clock.now());
+            state.pace = SpeedMeter::starting(backend.cold, self.control.clock.now());
         }
         state.admission.set_draining(draining);
         if draining {
--- a/crates/rampthread-node/src/calls/gate/pace.rs
+++ b/crates/rampthread-node/src/calls/gate/pace.rs
@@ -4,8 +4,8 @@
 use crate::calls::header_filter;
 use http::HeaderMap;
 use rampthread_core::call::backend_load::BackendLoad;
+use rampthread_core::call::backend_speed::BackendSpeed;
 use rampthread_core::call::headers;
-use rampthread_core::call::pace::BackendPace;
 use rampthread_core::ids::ResourceName;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -69,7 +69,7 @@
     /// Adds the backend's speed to the response, unless it is the default.
     pub(super) fn tell_pace(&self, answer: &mut HeaderMap) {
         let pace = self.state().pace.pace(self.control.clock.now());
-        if pace != BackendPace::default() {
+        if pace != BackendSpeed::default() {
             header_filter::set_internal(answer, headers::PACE, &pace.to_string());
         }
     }
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -16,8 +16,8 @@
 use crate::task_group::TaskGroup;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use async_std::net::UdpSocket;
+use rampthread_core::call::backend_speed::USUAL_PERCENT;
 use rampthread_core::call::identity::IdentityKey;
-use rampthread_core::call::pace::USUAL_PERCENT;
 use rampthread_core::call::recent_answers::RecentAnswers;
 use rampthread_core::config::ConfigState;
 use rampthread_core::fleet::{
--- a/crates/rampthread-node/src/control/endpoints.rs
+++ b/crates/rampthread-node/src/control/endpoints.rs
@@ -2,8 +2,8 @@
 //! own reports name, less what the membership knows to be dead, draining or
 //! not ready.
 
+use rampthread_core::call::backend_speed::USUAL_PERCENT;
 use rampthread_core::call::balance::Endpoint;
-use rampthread_core::call::pace::USUAL_PERCENT;
 use rampthread_core::config::{ConfigState, default_connections};
 use rampthread_core::fleet::{Agent, EndpointRecord, MemberRecord};
 use rampthread_core::ids::{InstanceId, NodeId, ResourceName, SoftwareVersion, Version, Zone};
