--- a/crates/rampthread-core/src/call/backend_load.rs
+++ b/crates/rampthread-core/src/call/backend_load.rs
@@ -17,7 +17,7 @@
     /// Calls that may run at once.
     pub slots: u32,
     /// How long work takes at present, in percent of its usual time; none: not told.
-    pub work_percent: Option<u16>,
+    pub service_time_percent: Option<u16>,
 }
 
 /// Why a header tells no load.
@@ -52,7 +52,7 @@
             running: calls(0)?,
             waiting: calls(1)?,
             slots: calls(2)?,
-            work_percent: figures.get(3).map(percent).transpose()?,
+            service_time_percent: figures.get(3).map(percent).transpose()?,
         })
     }
 }
--- a/crates/rampthread-core/src/call/backend_speed.rs
+++ b/crates/rampthread-core/src/call/backend_speed.rs
@@ -15,45 +15,45 @@
     pub speed_percent: u16,
     /// How long work takes at present in percent of its usual time: 200 takes twice as
     /// long. It changes several times a second where others share the machine.
-    pub work_percent: u16,
+    pub service_time_percent: u16,
     /// Time for which it stays slow after its start.
-    pub cold_left: Duration,
+    pub warm_up_left: Duration,
 }
 
 impl Default for BackendSpeed {
     fn default() -> Self {
         Self {
             speed_percent: USUAL_PERCENT,
-            work_percent: USUAL_PERCENT,
-            cold_left: Duration::ZERO,
+            service_time_percent: USUAL_PERCENT,
+            warm_up_left: Duration::ZERO,
         }
     }
 }
 
 impl BackendSpeed {
-    /// Reads `speed_percent,work_percent,cold_left`, the last in milliseconds; none where it
+    /// Reads `speed_percent,service_time_percent,warm_up_left`, the last in milliseconds; none where it
     /// is no pace.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split(',');
         let speed_percent = parts.next()?.parse().ok()?;
-        let work_percent = parts.next()?.parse().ok()?;
-        let cold_left = Duration::from_millis(parts.next()?.parse().ok()?);
-        let sound = parts.next().is_none() && speed_percent > 0 && work_percent > 0;
+        let service_time_percent = parts.next()?.parse().ok()?;
+        let warm_up_left = Duration::from_millis(parts.next()?.parse().ok()?);
+        let sound = parts.next().is_none() && speed_percent > 0 && service_time_percent > 0;
         sound.then_some(Self {
             speed_percent,
-            work_percent,
-            cold_left,
+            service_time_percent,
+            warm_up_left,
         })
     }
 }
 
 impl fmt::Display for BackendSpeed {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let cold_ms = self.cold_left.as_millis();
+        let cold_ms = self.warm_up_left.as_millis();
         write!(
             formatter,
             "{},{},{cold_ms}",
-            self.speed_percent, self.work_percent
+            self.speed_percent, self.service_time_percent
         )
     }
 }
--- a/crates/rampthread-core/src/call/balance.rs
+++ b/crates/rampthread-core/src/call/balance.rs
@@ -133,7 +133,7 @@
             true => standing_slowness(pace.speed_percent),
             false => standing_slowness(speed_percent),
         };
-        let present = f64::from(pace.work_percent) / f64::from(USUAL_PERCENT);
+        let present = f64::from(pace.service_time_percent) / f64::from(USUAL_PERCENT);
         let age = age.as_secs_f64() / PRESENT_PACE_LIFE.as_secs_f64();
         standing * (1.0 + (present - 1.0) * (-age).exp())
     }
--- a/crates/rampthread-core/src/call/speed_meter.rs
+++ b/crates/rampthread-core/src/call/speed_meter.rs
@@ -65,14 +65,14 @@
 
     /// The back end says how long work takes there at present, in percent of its usual
     /// time.
-    pub fn said(&mut self, work_percent: u16, now: Moment) {
-        self.present = Some((work_percent, now));
+    pub fn said(&mut self, service_time_percent: u16, now: Moment) {
+        self.present = Some((service_time_percent, now));
     }
 
     /// The back end worked `taken` on a call that takes `usual` in the fleet's mean.
     pub fn answered(&mut self, usual: Duration, taken: Duration, now: Moment) {
         let usual = usual.as_secs_f64();
-        let present = f64::from(self.work_percent(now)) / f64::from(USUAL_PERCENT);
+        let present = f64::from(self.service_time_percent(now)) / f64::from(USUAL_PERCENT);
         let taken = taken.as_secs_f64() / present;
         if usual <= 0.0 || now < self.cold_until {
             return;
@@ -98,7 +98,7 @@
         }
     }
 
-    fn work_percent(&self, now: Moment) -> u16 {
+    fn service_time_percent(&self, now: Moment) -> u16 {
         let fresh = |(_, at): &(u16, Moment)| now.since(*at) < PRESENT_LIFE;
         let present = self.present.filter(fresh);
         present.map_or(USUAL_PERCENT, |(percent, _)| percent)
@@ -119,8 +119,8 @@
     pub fn pace(&self, now: Moment) -> BackendSpeed {
         BackendSpeed {
             speed_percent: self.speed_percent(),
-            work_percent: self.work_percent(now),
-            cold_left: self.cold_until.since(now),
+            service_time_percent: self.service_time_percent(now),
+            warm_up_left: self.cold_until.since(now),
         }
     }
 }
--- a/crates/rampthread-core/tests/backend_speed_properties.rs
+++ b/crates/rampthread-core/tests/backend_speed_properties.rs
@@ -16,9 +16,9 @@
 fn a_load_of_three_or_four_figures_is_read() {
     let load = BackendLoad::parse("3,0,8").unwrap();
     assert_eq!((load.running, load.waiting, load.slots), (3, 0, 8));
-    assert_eq!(load.work_percent, None);
+    assert_eq!(load.service_time_percent, None);
     let load = BackendLoad::parse(" 6, 2,6 ,250").unwrap();
-    assert_eq!(load.work_percent, Some(250));
+    assert_eq!(load.service_time_percent, Some(250));
 }
 
 #[rstest]
@@ -39,18 +39,18 @@
     #[test]
     fn no_text_is_read_as_what_cannot_be(text in "[0-9,. \\-a-z]{0,24}") {
         if let Ok(load) = BackendLoad::parse(&text) {
-            prop_assert!(load.work_percent.is_none_or(|percent| percent > 0));
+            prop_assert!(load.service_time_percent.is_none_or(|percent| percent > 0));
         }
     }
 
     #[test]
     fn a_pace_travels_whole(
-        speed_percent in 1_u16.., work_percent in 1_u16.., cold_ms in 0_u64..1_000_000,
+        speed_percent in 1_u16.., service_time_percent in 1_u16.., cold_ms in 0_u64..1_000_000,
     ) {
         let pace = BackendSpeed {
             speed_percent,
-            work_percent,
-            cold_left: Duration::from_millis(cold_ms),
+            service_time_percent,
+            warm_up_left: Duration::from_millis(cold_ms),
         };
         prop_assert_eq!(BackendSpeed::parse(&pace.to_string()), Some(pace));
     }
@@ -140,14 +140,14 @@
         meter.answered(usual, usual * 2, now);
     }
     assert_eq!(meter.speed_percent(), USUAL_PERCENT);
-    assert_eq!(meter.pace(now).cold_left, Duration::from_secs(1));
+    assert_eq!(meter.pace(now).warm_up_left, Duration::from_secs(1));
 }
 
 #[test]
 fn the_present_pace_is_told_while_it_is_fresh() {
     let mut meter = SpeedMeter::default();
     meter.said(250, START);
-    assert_eq!(meter.pace(START).work_percent, 250);
+    assert_eq!(meter.pace(START).service_time_percent, 250);
     let later = START + Duration::from_secs(1);
-    assert_eq!(meter.pace(later).work_percent, USUAL_PERCENT);
+    assert_eq!(meter.pace(later).service_time_percent, USUAL_PERCENT);
 }
--- a/crates/rampthread-core/tests/choice_under_load.rs
+++ b/crates/rampthread-core/tests/choice_under_load.rs
@@ -255,7 +255,7 @@
         }
         let pace = BackendSpeed {
             speed_percent: told_speed(at, self.load),
-            work_percent: (self.present(at, now) * 100.0) as u16,
+            service_time_percent: (self.present(at, now) * 100.0) as u16,
             ..BackendSpeed::default()
         };
         let node = &self.endpoints[at].node;
--- a/crates/rampthread-node/src/calls/gate/pace.rs
+++ b/crates/rampthread-node/src/calls/gate/pace.rs
@@ -49,7 +49,7 @@
         match BackendLoad::parse(text) {
             Ok(load) => {
                 let now = self.control.clock.now();
-                if let Some(percent) = load.work_percent {
+                if let Some(percent) = load.service_time_percent {
                     self.state().pace.said(percent, now);
                 }
             }
