--- a/crates/rampthread-core/src/call/balance.rs
+++ b/crates/rampthread-core/src/call/balance.rs
@@ -63,7 +63,7 @@
 
 /// Load that a gate reports while it takes no work: others are chosen until
 /// the membership tells why.
-pub const NO_WORK_LOAD: u32 = u32::MAX;
+pub const UNAVAILABLE_LOAD: u32 = u32::MAX;
 
 /// How endpoints are chosen; the baselines are for experiments only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -362,24 +362,24 @@
     }
 
     /// True when `endpoint` is expected to have a slot for one more call.
-    pub fn has_room(&self, endpoint: &Endpoint, now: Moment) -> bool {
+    pub fn has_free_slot(&self, endpoint: &Endpoint, now: Moment) -> bool {
         self.load(endpoint, now) <= 1.0 && !self.is_ejected(&endpoint.node, now)
     }
 
     /// A call was sent to `node`.
-    pub fn sent(&mut self, node: &NodeId) {
+    pub fn record_sent(&mut self, node: &NodeId) {
         self.endpoints.entry(node.clone()).or_default().in_flight += 1;
     }
 
     /// A call to `node` ended.
-    pub fn ended(&mut self, node: &NodeId) {
+    pub fn record_end(&mut self, node: &NodeId) {
         if let Some(stats) = self.endpoints.get_mut(node) {
             stats.in_flight = stats.in_flight.saturating_sub(1);
         }
     }
 
     /// The node beside the back end reported its load on an answer.
-    pub fn reported(&mut self, node: &NodeId, load: u32, now: Moment) {
+    pub fn record_load(&mut self, node: &NodeId, load: u32, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.reported = load;
         // The call that brought the report still counts as in flight.
@@ -390,14 +390,20 @@
     }
 
     /// The gate beside the back end told its pace.
-    pub fn paced(&mut self, node: &NodeId, pace: BackendSpeed, now: Moment) {
+    pub fn record_speed(&mut self, node: &NodeId, pace: BackendSpeed, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.pace = Some(pace);
         stats.paced_at = now;
     }
 
     /// A back end answered a call of `route` after `time`.
-    pub fn answered(&mut self, node: &NodeId, route: &ResourceName, time: Duration, now: Moment) {
+    pub fn record_response(
+        &mut self,
+        node: &NodeId,
+        route: &ResourceName,
+        time: Duration,
+        now: Moment,
+    ) {
         let seconds = time.as_secs_f64();
         let mean = self.route_means.entry(route.clone()).or_insert(seconds);
         let ratio = (seconds / mean.max(f64::EPSILON)).min(MAX_SLOWNESS);
@@ -422,7 +428,7 @@
 
     /// Time after which an answer of `route` is overdue: others would most
     /// likely have answered. None while too little is known of the route.
-    pub fn overdue_after(&self, route: &ResourceName) -> Option<Duration> {
+    pub fn hedge_delay(&self, route: &ResourceName) -> Option<Duration> {
         let mean = self.route_means.get(route)?;
         let overdue = Duration::from_secs_f64(mean * OVERDUE_MEANS);
         Some(overdue.max(LEAST_OVERDUE))
@@ -436,7 +442,7 @@
     }
 
     /// A call to `node` had no answer.
-    pub fn failed(&mut self, node: &NodeId, now: Moment) {
+    pub fn record_failure(&mut self, node: &NodeId, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.failures += 1;
         if stats.failures >= EJECT_AFTER {
@@ -447,7 +453,7 @@
     }
 
     /// `node` itself cannot be reached: each try costs its caller time.
-    pub fn unreachable(&mut self, node: &NodeId, now: Moment) {
+    pub fn record_unreachable(&mut self, node: &NodeId, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         let doublings = stats.unreachable.min(MAX_UNREACHABLE);
         stats.unreachable = doublings + 1;
--- a/crates/rampthread-core/tests/acceptance_properties.rs
+++ b/crates/rampthread-core/tests/acceptance_properties.rs
@@ -108,7 +108,7 @@
         endpoints.extend((near..near + far).map(|index| endpoint(index, "far")));
         let mut balancer = Balancer::new(BalanceMode::LeastCost, START);
         for endpoint in &endpoints[..near] {
-            balancer.reported(&endpoint.node, 40, START);
+            balancer.record_load(&endpoint.node, 40, START);
         }
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let near_zone = zone("near");
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -7,7 +7,7 @@
 use rampthread_core::call::attempts::{
     Attempts, MAX_TRIES, Next, RetryBudget, RetryClaim, RetryShare,
 };
-use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint, NO_WORK_LOAD};
+use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint, UNAVAILABLE_LOAD};
 use rampthread_core::call::claims::{ClaimAnswer, ClaimTable, ClaimVote, Verdict};
 use rampthread_core::call::fence::{FENCE_MEMORY, FenceTable, Fenced};
 use rampthread_core::call::headers::{self, Outcome, Reach};
@@ -266,7 +266,7 @@
         let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
         for (endpoint, fails) in endpoints.iter().zip(&failing) {
             for _ in 0..5 * usize::from(*fails) {
-                balancer.failed(&endpoint.node, now);
+                balancer.record_failure(&endpoint.node, now);
             }
         }
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -286,7 +286,7 @@
         let endpoints = endpoints(count, &zone);
         let now = Moment(5_000_000);
         let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
-        balancer.reported(&endpoints[0].node, NO_WORK_LOAD, now);
+        balancer.record_load(&endpoints[0].node, UNAVAILABLE_LOAD, now);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for _ in 0..50 {
             let chosen = balancer.choose(&endpoints, &[], &zone, |_| true, now, &mut rng).unwrap();
--- a/crates/rampthread-core/tests/choice_under_load.rs
+++ b/crates/rampthread-core/tests/choice_under_load.rs
@@ -205,8 +205,8 @@
             Event::Refused { call, at, load } => {
                 let entry = self.calls[call].entry;
                 let node = self.endpoints[at].node.clone();
-                self.balancers[entry].reported(&node, load, moment(now));
-                self.balancers[entry].ended(&node);
+                self.balancers[entry].record_load(&node, load, moment(now));
+                self.balancers[entry].record_end(&node);
                 self.tell_pace(entry, at, now);
                 self.send(call, now);
             }
@@ -237,11 +237,11 @@
                 let Call { entry, began, .. } = self.calls[call];
                 let node = self.endpoints[at].node.clone();
                 let balancer = &mut self.balancers[entry];
-                balancer.reported(&node, load, moment(now));
+                balancer.record_load(&node, load, moment(now));
                 let route = ResourceName::new("r").unwrap();
                 let took = Duration::from_secs_f64(took);
-                balancer.answered(&node, &route, took, moment(now));
-                balancer.ended(&node);
+                balancer.record_response(&node, &route, took, moment(now));
+                balancer.record_end(&node);
                 self.tell_pace(entry, at, now);
                 self.seen.time += now - began;
                 self.seen.late += u32::from(now - began > TARGET);
@@ -259,7 +259,7 @@
             ..BackendSpeed::default()
         };
         let node = &self.endpoints[at].node;
-        self.balancers[entry].paced(node, pace, moment(now));
+        self.balancers[entry].record_speed(node, pace, moment(now));
     }
 
     fn send(&mut self, call: usize, now: f64) {
@@ -279,7 +279,7 @@
             return;
         };
         tried.push(chosen.node.clone());
-        balancer.sent(&chosen.node);
+        balancer.record_sent(&chosen.node);
         let at = self
             .endpoints
             .iter()
@@ -301,7 +301,7 @@
             // Refused for good.
             self.seen.late += 1;
             let node = self.endpoints[at].node.clone();
-            self.balancers[self.calls[call].entry].ended(&node);
+            self.balancers[self.calls[call].entry].record_end(&node);
         } else {
             self.seen.refused_tries += 1;
             self.at(now + WAY, Event::Refused { call, at, load });
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -338,14 +338,14 @@
     let near = &endpoints[0].node;
     let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
     assert_eq!(chosen(&mut balancer, &endpoints, now)["a"], 200);
-    balancer.reported(near, 12, now);
+    balancer.record_load(near, 12, now);
     assert!(!chosen(&mut balancer, &endpoints, now).contains_key("a"));
-    balancer.reported(near, 0, now);
+    balancer.record_load(near, 0, now);
     for _ in 0..50 {
         for endpoint in &endpoints[1..] {
-            balancer.answered(&endpoint.node, &name("r"), Duration::from_millis(100), now);
+            balancer.record_response(&endpoint.node, &name("r"), Duration::from_millis(100), now);
         }
-        balancer.answered(near, &name("r"), Duration::from_millis(900), now);
+        balancer.record_response(near, &name("r"), Duration::from_millis(900), now);
     }
     assert!(!chosen(&mut balancer, &endpoints, now).contains_key("a"));
     // What was learnt fades: it is tried again.
@@ -360,7 +360,7 @@
     let endpoints = [endpoint("a", "near"), endpoint("b", "far")];
     let now = Moment(5_000_000);
     let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
-    balancer.reported(&endpoints[0].node, endpoints[0].slots, now);
+    balancer.record_load(&endpoints[0].node, endpoints[0].slots, now);
     assert_eq!(chosen(&mut balancer, &endpoints, now)["a"], 200);
 }
 
@@ -371,7 +371,7 @@
     let begun = Moment(1_000_000);
     let later = begun + Duration::from_millis(100);
     assert!(!balancer.answered_since(&node, begun));
-    balancer.answered(
+    balancer.record_response(
         &node,
         &name("r"),
         Duration::from_millis(50),
@@ -386,7 +386,7 @@
     let endpoints = [endpoint("a", "near"), endpoint("b", "far")];
     let now = Moment(5_000_000);
     let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
-    balancer.unreachable(&endpoints[0].node, now);
+    balancer.record_unreachable(&endpoints[0].node, now);
     assert_eq!(chosen(&mut balancer, &endpoints, now)["b"], 200);
     let later = now + Duration::from_secs(2);
     assert_eq!(chosen(&mut balancer, &endpoints, later)["a"], 200);
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -406,12 +406,12 @@
                 && !tried.contains(&other.node)
                 && may_go_to(&other.zone)
                 && room.is_acceptance_likely(&other.zone, now)
-                && state.balancer.has_room(other, now)
+                && state.balancer.has_free_slot(other, now)
         });
         Some(Choice {
             sent_away: placed.is_some(),
             zone: chosen.zone.clone(),
-            free: state.balancer.has_room(chosen, now),
+            free: state.balancer.has_free_slot(chosen, now),
             node: chosen.node.clone(),
             target: service.targets.get(&chosen.node)?.clone(),
             others_free,
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -55,7 +55,9 @@
             }
             Ok(Err(failure)) => Err(self.lost(call, id, choice, failure).await),
             Err(_) => {
-                self.state().balancer.failed(&choice.node, self.now());
+                self.state()
+                    .balancer
+                    .record_failure(&choice.node, self.now());
                 self.note_version_answer(call, choice, VersionAnswer::Failure);
                 let reason = format!("no answer of {} before the deadline", choice.node);
                 Err(CallError::unknown(Cause::Deadline, reason))
@@ -140,14 +142,14 @@
                 unreachable,
             } => {
                 if unreachable {
-                    self.state().balancer.unreachable(&choice.node, now);
+                    self.state().balancer.record_unreachable(&choice.node, now);
                 } else {
-                    self.state().balancer.failed(&choice.node, now);
+                    self.state().balancer.record_failure(&choice.node, now);
                 }
                 CallError::not_run(Cause::Unreachable, reason).retry_after(NO_BACKEND_RETRY)
             }
             SendError::Lost { reason } => {
-                self.state().balancer.failed(&choice.node, now);
+                self.state().balancer.record_failure(&choice.node, now);
                 if call.repeatable {
                     return CallError::unknown(Cause::ConnectionLost, reason);
                 }
@@ -229,7 +231,7 @@
         let node = &choice.node;
         if let Some(load) = header_filter::parse_header(response.headers(), headers::LOAD) {
             let now = self.now();
-            self.state().balancer.reported(node, load, now);
+            self.state().balancer.record_load(node, load, now);
         }
         let outcome = outcome_of(&response);
         self.note_pace(node, outcome, response.headers());
@@ -261,7 +263,9 @@
         let failed = parts.status.is_server_error();
         // The time to a failure says nothing about the speed of the backend.
         if !failed {
-            self.state().balancer.answered(node, route, took, now);
+            self.state()
+                .balancer
+                .record_response(node, route, took, now);
             let work = took.saturating_sub(Duration::from_millis(waited));
             let bytes = call.content.body_bytes() + declared.unwrap_or(0) as usize;
             self.note_work(call, choice, work, bytes);
@@ -283,7 +287,7 @@
         let as_usual = (outcome == Outcome::Completed).then(BackendSpeed::default);
         if let Some(pace) = told.or(as_usual) {
             let now = self.now();
-            self.state().balancer.paced(node, pace, now);
+            self.state().balancer.record_speed(node, pace, now);
         }
     }
 
@@ -322,7 +326,7 @@
 
 impl InFlight {
     fn new(entry: &Arc<Entry>, node: &NodeId) -> Self {
-        entry.state().balancer.sent(node);
+        entry.state().balancer.record_sent(node);
         Self {
             entry: entry.clone(),
             node: node.clone(),
@@ -332,7 +336,7 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.entry.state().balancer.ended(&self.node);
+        self.entry.state().balancer.record_end(&self.node);
     }
 }
 
--- a/crates/rampthread-node/src/calls/entry/tries.rs
+++ b/crates/rampthread-node/src/calls/entry/tries.rs
@@ -181,7 +181,7 @@
         }
         let now = self.entry.now();
         let route = &self.call.route.name;
-        let wait = self.entry.state().balancer.overdue_after(route)?;
+        let wait = self.entry.state().balancer.hedge_delay(route)?;
         // A hedged attempt needs as much time again before the deadline.
         (wait * 2 < self.call.deadline.since(now)).then_some(Overdue {
             begun: now,
@@ -227,7 +227,7 @@
         }
         let (entry, call, now) = (self.entry, self.call, self.entry.now());
         if let Some(overdue) = self.tried.last() {
-            entry.state().balancer.failed(overdue, now);
+            entry.state().balancer.record_failure(overdue, now);
         }
         let Some(choice) = entry.choose(call, &self.tried).filter(|choice| choice.free) else {
             return;
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -23,7 +23,7 @@
 use exchange::UnderWay;
 use http::{Request, Response};
 use rampthread_core::call::admission::{AdmissionController, AdmissionLimits, CallNumber};
-use rampthread_core::call::balance::NO_WORK_LOAD;
+use rampthread_core::call::balance::UNAVAILABLE_LOAD;
 use rampthread_core::call::body_transfers::BodyTransfers;
 use rampthread_core::call::crash_watch::CrashWatch;
 use rampthread_core::call::dependency::Dependencies;
@@ -211,7 +211,7 @@
     fn reported_load(&self) -> u32 {
         match self.control.local_backend() {
             Some(backend) if self.control.is_ready() && !self.is_draining(&backend) => self.load(),
-            _ => NO_WORK_LOAD,
+            _ => UNAVAILABLE_LOAD,
         }
     }
 
