--- a/crates/rampthread-core/src/call/demand_trend.rs
+++ b/crates/rampthread-core/src/call/demand_trend.rs
@@ -6,7 +6,7 @@
 //! linear smoothing; C. C. Holt, 1957, reprinted in Int. J. Forecasting 20, 2004).
 
 use super::demand::DEMAND_WINDOW;
-use super::zone_choice::ZoneStanding;
+use super::zone_spill::ZoneDemand;
 use crate::ids::{ResourceName, Zone};
 use crate::time::Moment;
 use std::collections::HashMap;
@@ -82,12 +82,12 @@
     pub fn forecast(
         &mut self,
         service: &ResourceName,
-        standings: &mut [ZoneStanding],
+        zone_demands: &mut [ZoneDemand],
         now: Moment,
     ) {
         let zones = self.trends.entry(service.clone()).or_default();
-        for standing in standings {
-            let Some(age) = standing.told else {
+        for standing in zone_demands {
+            let Some(age) = standing.report_age else {
                 zones.remove(&standing.zone);
                 continue;
             };
--- a/crates/rampthread-core/src/call/load_watch.rs
+++ b/crates/rampthread-core/src/call/load_watch.rs
@@ -1,6 +1,6 @@
 //! Whether a load is worth telling, and the mean that is told.
 
-use super::zone_choice::{RESTING_LOAD, TELLING_TAIL};
+use super::zone_spill::{QUIET_UTILIZATION, REPORTING_TAIL};
 use crate::time::Moment;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     /// True while there is something to tell.
     pub fn tells(&self, now: Moment) -> bool {
         self.called_for
-            .is_some_and(|at| now.since(at) < TELLING_TAIL)
+            .is_some_and(|at| now.since(at) < REPORTING_TAIL)
     }
 }
 
@@ -45,7 +45,7 @@
         self.busy += (f64::from(running) - self.busy) * weight;
         self.waiting += (f64::from(waiting) - self.waiting) * weight;
         self.seen = Some(now);
-        if self.busy + self.waiting > slots * RESTING_LOAD {
+        if self.busy + self.waiting > slots * QUIET_UTILIZATION {
             self.telling.note(now);
         }
     }
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -9,7 +9,7 @@
 //! | [`quota`] | whether its tenant may send more |
 //! | [`claims`] | whether a repeated request may run at all |
 //! | [`balance`] | which back end gets it |
-//! | [`zone_choice`] | which zone a call goes to, by what zones say of their load |
+//! | [`zone_spill`] | which zone a call goes to, by what zones say of their load |
 //! | [`demand`] | what callers ask for, and which routes' calls are cheap to send away |
 //! | [`demand_trend`] | where demand stands now, from words that are old |
 //! | [`load_watch`] | whether a load is worth telling |
@@ -82,4 +82,4 @@
 pub mod tenant_table;
 pub mod unnamed_starts;
 pub mod verdict;
-pub mod zone_choice;
+pub mod zone_spill;
--- a/crates/rampthread-core/src/call/zone_choice.rs
+++ b/crates/rampthread-core/src/call/zone_spill.rs
@@ -16,10 +16,10 @@
 
 /// Part of its slots from which a back end or a zone tells its load. A zone that is
 /// silent is taken to be this busy.
-pub const RESTING_LOAD: f64 = 0.6;
-/// Time for which a load is still reported after it has fallen below [`RESTING_LOAD`]:
+pub const QUIET_UTILIZATION: f64 = 0.6;
+/// Time for which a load is still reported after it has fallen below [`QUIET_UTILIZATION`]:
 /// the last report of a zone that then falls silent shows it at rest.
-pub const TELLING_TAIL: Duration = Duration::from_secs(5);
+pub const REPORTING_TAIL: Duration = Duration::from_secs(5);
 /// Age from which a report of a zone is not used. Until then another node can take over
 /// as the zone's speaker: that takes four intervals of the exchange.
 const NEWS_LIFE: Duration = Duration::from_secs(2);
@@ -35,7 +35,7 @@
 
 /// One service in one zone, in slots.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ZoneStanding {
+pub struct ZoneDemand {
     /// The zone.
     pub zone: Zone,
     /// Slots of its back ends.
@@ -43,10 +43,10 @@
     /// Slots that its own callers ask for, wherever their calls are sent.
     pub demand: f64,
     /// Age of the zone's own word; none: the zone is silent.
-    pub told: Option<Duration>,
+    pub report_age: Option<Duration>,
 }
 
-impl ZoneStanding {
+impl ZoneDemand {
     /// Slots up to which work stays or is taken in while other zones have room.
     fn comfortable(&self) -> f64 {
         (self.capacity - SPARE_ROOTS * self.capacity.sqrt()).max(0.0)
@@ -55,43 +55,45 @@
 
 /// How the calls of one zone to one service are shared out.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct ZoneShares {
+pub struct SpillPlan {
     /// Part of the zone's demand that leaves it, from 0 to 1.
-    pub away: f64,
+    pub spill_fraction: f64,
     /// Other zones with room, in slots.
-    pub rooms: Vec<(Zone, f64)>,
+    pub spare_slots: Vec<(Zone, f64)>,
 }
 
-impl ZoneShares {
+impl SpillPlan {
     /// True where `zone` has said that it has room.
-    pub fn has_room(&self, zone: &Zone) -> bool {
-        self.rooms.iter().any(|(with_room, _)| with_room == zone)
+    pub fn has_spare_slots(&self, zone: &Zone) -> bool {
+        self.spare_slots
+            .iter()
+            .any(|(with_room, _)| with_room == zone)
     }
 
     /// The zone that a call leaves for: one with room, in proportion to its room. None:
     /// nobody has any.
-    pub fn draw(&self, rng: &mut impl Rng) -> Option<&Zone> {
-        let all: f64 = self.rooms.iter().map(|(_, room)| room).sum();
+    pub fn pick_zone(&self, rng: &mut impl Rng) -> Option<&Zone> {
+        let all: f64 = self.spare_slots.iter().map(|(_, room)| room).sum();
         let mut left = rng.random_range(0.0..all.max(f64::MIN_POSITIVE));
-        for (zone, room) in &self.rooms {
+        for (zone, room) in &self.spare_slots {
             left -= room;
             if left < 0.0 {
                 return Some(zone);
             }
         }
-        self.rooms.last().map(|(zone, _)| zone)
+        self.spare_slots.last().map(|(zone, _)| zone)
     }
 }
 
 /// What is known of `service` in each zone, from the `slots` that the member table shows
 /// and the `news` of zones. None while the own zone, `home`, says nothing of it: it is at
 /// rest then, or nobody knows.
-pub fn standings(
+pub fn zone_demands(
     service: &ResourceName,
     home: &Zone,
     slots: &[(Zone, f64)],
     news: &[ZoneLoad],
-) -> Option<Vec<ZoneStanding>> {
+) -> Option<Vec<ZoneDemand>> {
     let word_on = |zone: &Zone| news.iter().find(|word| word.zone == *zone);
     let own = word_on(home).filter(|word| word.age < NEWS_LIFE)?;
     load_of(service, own)?;
@@ -108,13 +110,13 @@
 }
 
 /// True while the zone itself says that `service` is at work there.
-pub fn is_at_work(service: &ResourceName, home: &Zone, news: &[ZoneLoad]) -> bool {
+pub fn is_loaded(service: &ResourceName, home: &Zone, news: &[ZoneLoad]) -> bool {
     let fresh = |word: &&ZoneLoad| word.zone == *home && word.age < NEWS_LIFE;
     let own = news.iter().find(fresh);
     own.and_then(|word| load_of(service, word))
         .is_some_and(|load| {
             let asked = load.demand.max(load.busy.saturating_add(load.waiting));
-            of_milli(asked) > of_milli(load.capacity) * RESTING_LOAD
+            of_milli(asked) > of_milli(load.capacity) * QUIET_UTILIZATION
         })
 }
 
@@ -124,12 +126,12 @@
     zone: &Zone,
     slots: f64,
     word: Option<&ZoneLoad>,
-) -> Option<ZoneStanding> {
-    let resting = ZoneStanding {
+) -> Option<ZoneDemand> {
+    let resting = ZoneDemand {
         zone: zone.clone(),
         capacity: slots,
-        demand: slots * RESTING_LOAD,
-        told: None,
+        demand: slots * QUIET_UTILIZATION,
+        report_age: None,
     };
     let Some((word, load)) = word.and_then(|word| Some((word, load_of(service, word)?))) else {
         return Some(resting);
@@ -140,14 +142,14 @@
             true => slots - capacity,
             false => 0.0,
         };
-        return Some(ZoneStanding {
+        return Some(ZoneDemand {
             zone: zone.clone(),
             capacity: capacity + silent,
-            demand: demand + silent * RESTING_LOAD,
-            told: Some(word.age),
+            demand: demand + silent * QUIET_UTILIZATION,
+            report_age: Some(word.age),
         });
     }
-    let was_at_work = demand > capacity * RESTING_LOAD;
+    let was_at_work = demand > capacity * QUIET_UTILIZATION;
     (!was_at_work || word.age >= LONG_SILENCE).then_some(resting)
 }
 
@@ -161,7 +163,7 @@
 }
 
 /// Slots in the unit in which loads travel.
-pub fn to_milli(slots: f64) -> MilliSlots {
+pub fn to_milli_slots(slots: f64) -> MilliSlots {
     (slots * MILLI_SLOTS).round() as MilliSlots
 }
 
@@ -170,19 +172,19 @@
 /// Up to its comfortable load each zone serves its own callers. The nearer the demand of
 /// all is to the capacity of all, the nearer each goes to its last slot. Where all are
 /// full nobody sends away.
-pub fn share_out(home: &Zone, zones: &[ZoneStanding]) -> ZoneShares {
-    let sum = |part: fn(&ZoneStanding) -> f64| zones.iter().map(part).sum::<f64>();
+pub fn plan_spill(home: &Zone, zones: &[ZoneDemand]) -> SpillPlan {
+    let sum = |part: fn(&ZoneDemand) -> f64| zones.iter().map(part).sum::<f64>();
     let demand = sum(|zone| zone.demand);
     let capacity = sum(|zone| zone.capacity);
-    let comfortable = sum(ZoneStanding::comfortable);
+    let comfortable = sum(ZoneDemand::comfortable);
     let pressed = match demand > comfortable {
         true => ((demand - comfortable) / (capacity - comfortable)).clamp(0.0, 1.0),
         false => 0.0,
     };
     let limit =
-        |zone: &ZoneStanding| zone.comfortable() + pressed * (zone.capacity - zone.comfortable());
-    let surplus = |zone: &ZoneStanding| (zone.demand - limit(zone)).max(0.0);
-    let room = |zone: &ZoneStanding| (limit(zone) - zone.demand).max(0.0);
+        |zone: &ZoneDemand| zone.comfortable() + pressed * (zone.capacity - zone.comfortable());
+    let surplus = |zone: &ZoneDemand| (zone.demand - limit(zone)).max(0.0);
+    let room = |zone: &ZoneDemand| (limit(zone) - zone.demand).max(0.0);
     let all_room: f64 = zones.iter().map(room).sum();
     let all_surplus: f64 = zones.iter().map(surplus).sum();
     let rooms = zones
@@ -195,5 +197,8 @@
         let taken = (all_room / all_surplus.max(f64::MIN_POSITIVE)).min(1.0);
         surplus(own) * taken / own.demand
     });
-    ZoneShares { away, rooms }
+    SpillPlan {
+        spill_fraction: away,
+        spare_slots: rooms,
+    }
 }
--- a/crates/rampthread-core/tests/zone_choice.rs
+++ b/crates/rampthread-core/tests/zone_spill.rs
@@ -5,9 +5,9 @@
 use rampthread_core::call::demand::DemandMeter;
 use rampthread_core::call::demand_trend::DemandTrend;
 use rampthread_core::call::load_watch::{LoadWatch, TellWhile};
-use rampthread_core::call::zone_choice::{
-    RESTING_LOAD, TELLING_TAIL, ZoneShares, ZoneStanding, is_at_work, share_out, standings,
-    to_milli,
+use rampthread_core::call::zone_spill::{
+    QUIET_UTILIZATION, REPORTING_TAIL, SpillPlan, ZoneDemand, is_loaded, plan_spill,
+    to_milli_slots, zone_demands,
 };
 use rampthread_core::fleet::{ServiceLoad, ZoneLoad};
 use rampthread_core::ids::{ResourceName, Zone};
@@ -26,25 +26,25 @@
     ResourceName::new(text).unwrap()
 }
 
-fn standing(index: usize, capacity: f64, demand: f64) -> ZoneStanding {
-    ZoneStanding {
+fn standing(index: usize, capacity: f64, demand: f64) -> ZoneDemand {
+    ZoneDemand {
         zone: zone(index),
         capacity,
         demand,
-        told: None,
+        report_age: None,
     }
 }
 
 /// What each zone serves when all share out by `known`, and demand is `demand`.
-fn served(known: &[ZoneStanding], demand: &[f64]) -> Vec<f64> {
+fn served(known: &[ZoneDemand], demand: &[f64]) -> Vec<f64> {
     let mut arriving = vec![0.0; demand.len()];
     for (index, asked) in demand.iter().enumerate() {
-        let shares = share_out(&zone(index), known);
-        arriving[index] += asked * (1.0 - shares.away);
-        let all: f64 = shares.rooms.iter().map(|(_, room)| room).sum();
-        for (other, room) in &shares.rooms {
+        let shares = plan_spill(&zone(index), known);
+        arriving[index] += asked * (1.0 - shares.spill_fraction);
+        let all: f64 = shares.spare_slots.iter().map(|(_, room)| room).sum();
+        for (other, room) in &shares.spare_slots {
             let other = known.iter().position(|known| known.zone == *other).unwrap();
-            arriving[other] += asked * shares.away * room / all;
+            arriving[other] += asked * shares.spill_fraction * room / all;
         }
     }
     arriving
@@ -57,21 +57,21 @@
     let arriving = served(&known, &demand);
     assert!(arriving.iter().all(|load| *load <= 100.0), "{arriving:?}");
     assert!((arriving.iter().sum::<f64>() - 190.0).abs() < 1e-6);
-    assert_eq!(share_out(&zone(1), &known).away, 0.0);
+    assert_eq!(plan_spill(&zone(1), &known).spill_fraction, 0.0);
 }
 
 #[test]
 fn nothing_leaves_a_zone_that_bears_its_load() {
     let known = [standing(0, 100.0, 85.0), standing(1, 100.0, 10.0)];
-    assert_eq!(share_out(&zone(0), &known).away, 0.0);
+    assert_eq!(plan_spill(&zone(0), &known).spill_fraction, 0.0);
 }
 
 #[test]
 fn where_all_zones_are_full_nobody_sends_away() {
     let known = [standing(0, 100.0, 160.0), standing(1, 80.0, 90.0)];
     for index in 0..2 {
-        let shares = share_out(&zone(index), &known);
-        assert_eq!(shares, ZoneShares::default());
+        let shares = plan_spill(&zone(index), &known);
+        assert_eq!(shares, SpillPlan::default());
     }
 }
 
@@ -82,7 +82,7 @@
     fn room_is_given_away_once(
         zones in prop::collection::vec((0.0_f64..500.0, 0.0_f64..800.0), 1..6),
     ) {
-        let known: Vec<ZoneStanding> = zones
+        let known: Vec<ZoneDemand> = zones
             .iter()
             .enumerate()
             .map(|(index, (capacity, demand))| standing(index, *capacity, *demand))
@@ -95,8 +95,8 @@
         for (index, known) in known.iter().enumerate() {
             let most = known.capacity.max(known.demand) + 1e-6;
             prop_assert!(arriving[index] <= most, "{arriving:?}");
-            let shares = share_out(&zone(index), std::slice::from_ref(known));
-            prop_assert_eq!(shares.away, 0.0, "one zone keeps its calls");
+            let shares = plan_spill(&zone(index), std::slice::from_ref(known));
+            prop_assert_eq!(shares.spill_fraction, 0.0, "one zone keeps its calls");
             borne += arriving[index].min(known.capacity);
         }
         prop_assert!(borne >= capacity.min(asked) - 1e-6, "{borne} of {capacity} and {asked}");
@@ -147,7 +147,7 @@
         for (index, trend) in trends.iter_mut().enumerate() {
             trend.update(demand(index, told), moment(told));
         }
-        let known: Vec<ZoneStanding> = (0..2)
+        let known: Vec<ZoneDemand> = (0..2)
             .map(|index| standing(index, CAPACITY, trends[index].forecast(moment(at))))
             .collect();
         let now = [demand(0, at), demand(1, at)];
@@ -156,7 +156,7 @@
         let over = |load: f64| (load - CAPACITY).max(0.0) * part;
         sums.unserved += arriving.iter().map(|load| over(*load)).sum::<f64>();
         sums.unavoidable += (now[0] + now[1] - 2.0 * CAPACITY).max(0.0) * part;
-        let away = [0, 1].map(|index| share_out(&zone(index), &known).away * now[index]);
+        let away = [0, 1].map(|index| plan_spill(&zone(index), &known).spill_fraction * now[index]);
         sums.crossing += (away[0] + away[1]) * part;
         sums.needed += now.iter().map(|load| over(*load)).sum::<f64>();
         sums.both_ways += away[0].min(away[1]) * part;
@@ -200,17 +200,17 @@
         age: Duration::from_millis(age_ms),
         nodes: 1,
         services: vec![ServiceLoad {
-            capacity: to_milli(capacity),
-            demand: to_milli(demand),
+            capacity: to_milli_slots(capacity),
+            demand: to_milli_slots(demand),
             ..ServiceLoad::none(name("s"))
         }],
         tenants: Vec::new(),
     }
 }
 
-fn known(news: &[ZoneLoad]) -> Option<Vec<ZoneStanding>> {
+fn known(news: &[ZoneLoad]) -> Option<Vec<ZoneDemand>> {
     let slots = [(zone(0), 100.0), (zone(1), 100.0)];
-    standings(&name("s"), &zone(0), &slots, news)
+    zone_demands(&name("s"), &zone(0), &slots, news)
 }
 
 #[test]
@@ -225,10 +225,10 @@
 }
 
 #[rstest]
-#[case::never_heard_of(None, Some(RESTING_LOAD * 100.0))]
-#[case::fell_silent_at_rest(Some((4_000, 20.0)), Some(RESTING_LOAD * 100.0))]
+#[case::never_heard_of(None, Some(QUIET_UTILIZATION * 100.0))]
+#[case::fell_silent_at_rest(Some((4_000, 20.0)), Some(QUIET_UTILIZATION * 100.0))]
 #[case::cut_off_at_work(Some((4_000, 90.0)), None)]
-#[case::silent_for_long(Some((11_000, 90.0)), Some(RESTING_LOAD * 100.0))]
+#[case::silent_for_long(Some((11_000, 90.0)), Some(QUIET_UTILIZATION * 100.0))]
 #[case::heard(Some((900, 20.0)), Some(20.0))]
 fn what_silence_of_another_zone_means(
     #[case] heard: Option<(u64, f64)>,
@@ -239,8 +239,8 @@
     let known = known(&news).unwrap();
     let other = known.iter().find(|known| known.zone == zone(1));
     assert_eq!(other.map(|other| other.demand), demand);
-    let shares = share_out(&zone(0), &known);
-    assert_eq!(shares.has_room(&zone(1)), demand.is_some());
+    let shares = plan_spill(&zone(0), &known);
+    assert_eq!(shares.has_spare_slots(&zone(1)), demand.is_some());
 }
 
 #[test]
@@ -248,27 +248,27 @@
     let news = [word(0, 0, 20.0, 30.0)];
     let own = &known(&news).unwrap()[0];
     assert_eq!(own.capacity, 100.0);
-    assert_eq!(own.demand, 30.0 + 80.0 * RESTING_LOAD);
+    assert_eq!(own.demand, 30.0 + 80.0 * QUIET_UTILIZATION);
 }
 
 #[test]
 fn a_zone_without_back_ends_shares_all_its_calls_out() {
     let slots = [(zone(1), 100.0), (zone(2), 300.0)];
     let news = [word(0, 0, 0.0, 50.0)];
-    let known = standings(&name("s"), &zone(0), &slots, &news).unwrap();
-    assert_eq!(share_out(&zone(0), &known).away, 1.0);
+    let known = zone_demands(&name("s"), &zone(0), &slots, &news).unwrap();
+    assert_eq!(plan_spill(&zone(0), &known).spill_fraction, 1.0);
 }
 
 #[test]
 fn calls_go_to_zones_in_proportion_to_their_room() {
-    let shares = ZoneShares {
-        away: 0.5,
-        rooms: vec![(zone(1), 30.0), (zone(2), 10.0)],
+    let shares = SpillPlan {
+        spill_fraction: 0.5,
+        spare_slots: vec![(zone(1), 30.0), (zone(2), 10.0)],
     };
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let first = (0..4_000).filter(|_| shares.draw(&mut rng) == Some(&zone(1)));
+    let first = (0..4_000).filter(|_| shares.pick_zone(&mut rng) == Some(&zone(1)));
     assert!((2_850..3_150).contains(&first.count()));
-    assert_eq!(ZoneShares::default().draw(&mut rng), None);
+    assert_eq!(SpillPlan::default().pick_zone(&mut rng), None);
 }
 
 /// A back end at work tells its load, and for a while after it has fallen, so that its
@@ -289,7 +289,7 @@
         watch.note(0, 0, 6.0, now);
     }
     assert!(watch.tells(now) && watch.busy < 0.1);
-    now = now + TELLING_TAIL;
+    now = now + REPORTING_TAIL;
     watch.note(0, 0, 6.0, now);
     assert!(!watch.tells(now));
     assert!(!TellWhile::default().tells(now));
@@ -297,7 +297,7 @@
 
 #[test]
 fn a_zone_is_at_work_by_its_own_fresh_word() {
-    let at_work = |word| is_at_work(&name("s"), &zone(0), &[word]);
+    let at_work = |word| is_loaded(&name("s"), &zone(0), &[word]);
     assert!(at_work(word(0, 100, 100.0, 70.0)));
     assert!(!at_work(word(0, 100, 100.0, 40.0)));
     assert!(!at_work(word(0, 3_000, 100.0, 70.0)));
--- a/crates/rampthread-node/src/calls/entry/demand.rs
+++ b/crates/rampthread-node/src/calls/entry/demand.rs
@@ -1,7 +1,7 @@
 //! Demand of this node's callers, as reported to its zone.
 
 use super::Entry;
-use rampthread_core::call::zone_choice::{is_at_work, to_milli};
+use rampthread_core::call::zone_spill::{is_loaded, to_milli_slots};
 use rampthread_core::fleet::{ServiceLoad, TenantLoad};
 use rampthread_core::ids::ResourceName;
 
@@ -23,12 +23,12 @@
         let mut loads = Vec::new();
         for service in services {
             let telling = zones.telling.entry(service.clone()).or_default();
-            if is_at_work(&service, home, &news) {
+            if is_loaded(&service, home, &news) {
                 telling.note(now);
             }
             if telling.tells(now) {
                 loads.push(ServiceLoad {
-                    demand: to_milli(zones.demand.slots(&service, now)),
+                    demand: to_milli_slots(zones.demand.slots(&service, now)),
                     ..ServiceLoad::none(service)
                 });
             }
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -387,7 +387,7 @@
         // Where zones publish their capacity, only zones with free capacity are tried.
         let has_told_room = |to: &Zone| {
             let shares = plan.as_ref().map(|plan| &plan.shares);
-            to == zone || shares.is_none_or(|shares| shares.has_room(to))
+            to == zone || shares.is_none_or(|shares| shares.has_spare_slots(to))
         };
         let may_go_to = |to: &Zone| may_ask(to) && has_told_room(to);
         let away = (plan.as_ref())
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -5,7 +5,7 @@
 use rampthread_core::call::demand::DemandMeter;
 use rampthread_core::call::demand_trend::ZoneTrends;
 use rampthread_core::call::load_watch::TellWhile;
-use rampthread_core::call::zone_choice::{ZoneShares, ZoneStanding, share_out, standings};
+use rampthread_core::call::zone_spill::{SpillPlan, ZoneDemand, plan_spill, zone_demands};
 use rampthread_core::ids::{ResourceName, Zone};
 use rampthread_core::time::Moment;
 use rand::Rng;
@@ -20,7 +20,7 @@
 
 /// Present distribution of the calls to one service.
 pub(super) struct ZonePlan {
-    pub(super) shares: ZoneShares,
+    pub(super) shares: SpillPlan,
     /// Probability that a call goes to another zone, by route.
     chances: HashMap<ResourceName, f64>,
 }
@@ -55,7 +55,7 @@
     pub(super) fn draw(&self, route: &ResourceName, rng: &mut impl Rng) -> Option<&Zone> {
         let chance = *self.chances.get(route)?;
         let leaves = rng.random_bool(chance.clamp(0.0, 1.0));
-        leaves.then(|| self.shares.draw(rng)).flatten()
+        leaves.then(|| self.shares.pick_zone(rng)).flatten()
     }
 }
 
@@ -102,14 +102,16 @@
         for service in services {
             let known = endpoints.service(&service);
             let slots = known.map(|known| known.slots_by_zone()).unwrap_or_default();
-            let Some(mut standings) = standings(&service, home, &slots, &news) else {
+            let Some(mut zone_demands) = zone_demands(&service, home, &slots, &news) else {
                 zones.plans.remove(&service);
                 continue;
             };
-            zones.trends.forecast(&service, &mut standings, now);
-            let shares = share_out(home, &standings);
-            zones.log(&service, home, &shares, &standings, now);
-            let chances = zones.demand.spill_probabilities(&service, shares.away, now);
+            zones.trends.forecast(&service, &mut zone_demands, now);
+            let shares = plan_spill(home, &zone_demands);
+            zones.log(&service, home, &shares, &zone_demands, now);
+            let chances = zones
+                .demand
+                .spill_probabilities(&service, shares.spill_fraction, now);
             let plan = Arc::new(ZonePlan { shares, chances });
             zones.plans.insert(service, plan);
         }
@@ -122,23 +124,24 @@
         &mut self,
         service: &ResourceName,
         home: &Zone,
-        shares: &ZoneShares,
-        standings: &[ZoneStanding],
+        shares: &SpillPlan,
+        zone_demands: &[ZoneDemand],
         now: Moment,
     ) {
         let (share, at) = self.logged.get(service).copied().unwrap_or_default();
-        let changed = (shares.away - share).abs() >= LOGGED_CHANGE;
+        let changed = (shares.spill_fraction - share).abs() >= LOGGED_CHANGE;
         if !changed || now.since(at) < LOG_INTERVAL {
             return;
         }
-        self.logged.insert(service.clone(), (shares.away, now));
-        let own = standings.iter().find(|standing| standing.zone == *home);
+        self.logged
+            .insert(service.clone(), (shares.spill_fraction, now));
+        let own = zone_demands.iter().find(|standing| standing.zone == *home);
         tracing::info!(
             %service,
-            away_percent = (shares.away * 100.0).round(),
+            away_percent = (shares.spill_fraction * 100.0).round(),
             demand = own.map(|own| own.demand.round()),
             capacity = own.map(|own| own.capacity.round()),
-            rooms = ?shares.rooms,
+            rooms = ?shares.spare_slots,
             "calls to other zones"
         );
     }
--- a/crates/rampthread-node/src/calls/gate/load.rs
+++ b/crates/rampthread-node/src/calls/gate/load.rs
@@ -1,7 +1,7 @@
 //! Load of the local backend, as reported to its zone.
 
 use super::Gate;
-use rampthread_core::call::zone_choice::{is_at_work, to_milli};
+use rampthread_core::call::zone_spill::{is_loaded, to_milli_slots};
 use rampthread_core::fleet::ServiceLoad;
 
 impl Gate {
@@ -21,7 +21,7 @@
         let now = self.control.clock.now();
         let slots = f64::from(backend.slots.min(backend.connections));
         let loads = self.control.zone_loads();
-        let zone_at_work = is_at_work(&backend.service, &own.zone, &loads.at(now));
+        let zone_at_work = is_loaded(&backend.service, &own.zone, &loads.at(now));
         let mut state = self.state();
         let (running, queued) = (state.admission.running(), state.admission.queued());
         let watch = &mut state.load_watch;
@@ -30,9 +30,9 @@
             watch.zone_at_work(now);
         }
         watch.tells(now).then(|| ServiceLoad {
-            capacity: to_milli(slots),
-            busy: to_milli(watch.busy),
-            waiting: to_milli(watch.waiting),
+            capacity: to_milli_slots(slots),
+            busy: to_milli_slots(watch.busy),
+            waiting: to_milli_slots(watch.waiting),
             ..ServiceLoad::none(backend.service.clone())
         })
     }
