--- a/crates/rampthread-core/src/call/load_watch.rs
+++ b/crates/rampthread-core/src/call/load_average.rs
@@ -9,18 +9,18 @@
 
 /// Goes on telling for a while after the last time that something called for it.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct TellWhile {
+pub struct ReportingHold {
     called_for: Option<Moment>,
 }
 
-impl TellWhile {
+impl ReportingHold {
     /// Something calls for telling now.
-    pub fn note(&mut self, now: Moment) {
+    pub fn extend(&mut self, now: Moment) {
         self.called_for = Some(now);
     }
 
     /// True while there is something to tell.
-    pub fn tells(&self, now: Moment) -> bool {
+    pub fn is_reporting(&self, now: Moment) -> bool {
         self.called_for
             .is_some_and(|at| now.since(at) < REPORTING_TAIL)
     }
@@ -28,35 +28,35 @@
 
 /// The mean load of one back end.
 #[derive(Debug, Clone, Default)]
-pub struct LoadWatch {
+pub struct LoadAverage {
     /// Slots in use.
     pub busy: f64,
     /// Calls that wait.
     pub waiting: f64,
     seen: Option<Moment>,
-    telling: TellWhile,
+    telling: ReportingHold,
 }
 
-impl LoadWatch {
+impl LoadAverage {
     /// So many calls run and wait now, at a back end of `slots`.
-    pub fn note(&mut self, running: u32, waiting: u32, slots: f64, now: Moment) {
+    pub fn record(&mut self, running: u32, waiting: u32, slots: f64, now: Moment) {
         let age = self.seen.map_or(AVERAGED, |seen| now.since(seen));
         let weight = 1.0 - (-age.as_secs_f64() / AVERAGED.as_secs_f64()).exp();
         self.busy += (f64::from(running) - self.busy) * weight;
         self.waiting += (f64::from(waiting) - self.waiting) * weight;
         self.seen = Some(now);
         if self.busy + self.waiting > slots * QUIET_UTILIZATION {
-            self.telling.note(now);
+            self.telling.extend(now);
         }
     }
 
     /// The zone of the back end is at work, so that each of its members tells its part.
-    pub fn zone_at_work(&mut self, now: Moment) {
-        self.telling.note(now);
+    pub fn zone_is_loaded(&mut self, now: Moment) {
+        self.telling.extend(now);
     }
 
     /// True while the load is worth telling.
-    pub fn tells(&self, now: Moment) -> bool {
-        self.telling.tells(now)
+    pub fn is_reporting(&self, now: Moment) -> bool {
+        self.telling.is_reporting(now)
     }
 }
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -12,7 +12,7 @@
 //! | [`zone_spill`] | which zone a call goes to, by what zones say of their load |
 //! | [`demand`] | what callers ask for, and which routes' calls are cheap to send away |
 //! | [`demand_trend`] | where demand stands now, from words that are old |
-//! | [`load_watch`] | whether a load is worth telling |
+//! | [`load_average`] | whether a load is worth telling |
 //! | [`acceptance`] | whether another gate is worth asking |
 //! | [`admission`] | whether the node beside the back end lets it in |
 //! | [`rank_queue`] | which of the waiting calls of one rank goes next |
@@ -64,7 +64,7 @@
 pub mod fence_finding;
 pub mod headers;
 pub mod identity;
-pub mod load_watch;
+pub mod load_average;
 pub mod log_budget;
 pub mod nested_routes;
 pub mod path_delay;
--- a/crates/rampthread-core/tests/zone_spill.rs
+++ b/crates/rampthread-core/tests/zone_spill.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use rampthread_core::call::demand::DemandMeter;
 use rampthread_core::call::demand_trend::DemandTrend;
-use rampthread_core::call::load_watch::{LoadWatch, TellWhile};
+use rampthread_core::call::load_average::{LoadAverage, ReportingHold};
 use rampthread_core::call::zone_spill::{
     QUIET_UTILIZATION, REPORTING_TAIL, SpillPlan, ZoneDemand, is_loaded, plan_spill,
     to_milli_slots, zone_demands,
@@ -275,24 +275,24 @@
 /// last word says that it is at rest.
 #[test]
 fn load_is_told_while_it_is_high_and_a_while_after() {
-    let mut watch = LoadWatch::default();
+    let mut watch = LoadAverage::default();
     let mut now = Moment(1_000_000);
-    watch.note(1, 0, 6.0, now);
-    assert!(!watch.tells(now), "at rest");
+    watch.record(1, 0, 6.0, now);
+    assert!(!watch.is_reporting(now), "at rest");
     for _ in 0..20 {
         now = now + Duration::from_millis(100);
-        watch.note(6, 2, 6.0, now);
+        watch.record(6, 2, 6.0, now);
     }
-    assert!(watch.tells(now) && watch.busy > 5.0);
+    assert!(watch.is_reporting(now) && watch.busy > 5.0);
     for _ in 0..30 {
         now = now + Duration::from_millis(100);
-        watch.note(0, 0, 6.0, now);
+        watch.record(0, 0, 6.0, now);
     }
-    assert!(watch.tells(now) && watch.busy < 0.1);
+    assert!(watch.is_reporting(now) && watch.busy < 0.1);
     now = now + REPORTING_TAIL;
-    watch.note(0, 0, 6.0, now);
-    assert!(!watch.tells(now));
-    assert!(!TellWhile::default().tells(now));
+    watch.record(0, 0, 6.0, now);
+    assert!(!watch.is_reporting(now));
+    assert!(!ReportingHold::default().is_reporting(now));
 }
 
 #[test]
--- a/crates/rampthread-node/src/calls/entry/demand.rs
+++ b/crates/rampthread-node/src/calls/entry/demand.rs
@@ -24,9 +24,9 @@
         for service in services {
             let telling = zones.telling.entry(service.clone()).or_default();
             if is_loaded(&service, home, &news) {
-                telling.note(now);
+                telling.extend(now);
             }
-            if telling.tells(now) {
+            if telling.is_reporting(now) {
                 loads.push(ServiceLoad {
                     demand: to_milli_slots(zones.demand.slots(&service, now)),
                     ..ServiceLoad::none(service)
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -4,7 +4,7 @@
 use crate::metrics::SentAwayLabel;
 use rampthread_core::call::demand::DemandMeter;
 use rampthread_core::call::demand_trend::ZoneTrends;
-use rampthread_core::call::load_watch::TellWhile;
+use rampthread_core::call::load_average::ReportingHold;
 use rampthread_core::call::zone_spill::{SpillPlan, ZoneDemand, plan_spill, zone_demands};
 use rampthread_core::ids::{ResourceName, Zone};
 use rampthread_core::time::Moment;
@@ -30,7 +30,7 @@
 pub(super) struct ZoneKnowledge {
     pub(super) demand: DemandMeter,
     /// Services whose demand is being published.
-    pub(super) telling: HashMap<ResourceName, TellWhile>,
+    pub(super) telling: HashMap<ResourceName, ReportingHold>,
     trends: ZoneTrends,
     plans: HashMap<ResourceName, Arc<ZonePlan>>,
     /// Remote share logged last, and when.
@@ -46,7 +46,7 @@
     /// capacity.
     pub(super) fn refused(&mut self, service: &ResourceName, now: Moment) {
         let telling = self.telling.entry(service.clone()).or_default();
-        telling.note(now);
+        telling.extend(now);
     }
 }
 
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -31,7 +31,7 @@
 use rampthread_core::call::fence::{FenceAnswer, FenceTable};
 use rampthread_core::call::headers::{self, Waiting};
 use rampthread_core::call::identity::RequestIdentity;
-use rampthread_core::call::load_watch::LoadWatch;
+use rampthread_core::call::load_average::LoadAverage;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::call::speed_meter::SpeedMeter;
@@ -78,7 +78,7 @@
     trial: Option<RequestIdentity>,
     /// The backend that the service times and speed were measured at.
     measured: Option<ResourceName>,
-    load_watch: LoadWatch,
+    load_watch: LoadAverage,
     pace: SpeedMeter,
     /// Mean service time per route over all backends of the service, as measured by this
     /// node's entry.
@@ -181,7 +181,7 @@
                 starts: UnnamedStarts::default(),
                 trial: None,
                 measured: None,
-                load_watch: LoadWatch::default(),
+                load_watch: LoadAverage::default(),
                 pace: SpeedMeter::default(),
                 reference_times: HashMap::new(),
                 waiting: HashMap::new(),
--- a/crates/rampthread-node/src/calls/gate/load.rs
+++ b/crates/rampthread-node/src/calls/gate/load.rs
@@ -25,11 +25,11 @@
         let mut state = self.state();
         let (running, queued) = (state.admission.running(), state.admission.queued());
         let watch = &mut state.load_watch;
-        watch.note(running, queued, slots, now);
+        watch.record(running, queued, slots, now);
         if zone_at_work {
-            watch.zone_at_work(now);
+            watch.zone_is_loaded(now);
         }
-        watch.tells(now).then(|| ServiceLoad {
+        watch.is_reporting(now).then(|| ServiceLoad {
             capacity: to_milli_slots(slots),
             busy: to_milli_slots(watch.busy),
             waiting: to_milli_slots(watch.waiting),
