--- a/crates/rampthread-core/src/call/zone_spill.rs
+++ b/crates/rampthread-core/src/call/zone_spill.rs
@@ -187,18 +187,18 @@
     let room = |zone: &ZoneDemand| (limit(zone) - zone.demand).max(0.0);
     let all_room: f64 = zones.iter().map(room).sum();
     let all_surplus: f64 = zones.iter().map(surplus).sum();
-    let rooms = zones
+    let spare_slots = zones
         .iter()
         .filter(|zone| zone.zone != *home && room(zone) > 0.0)
         .map(|zone| (zone.zone.clone(), room(zone)))
         .collect();
     let own = zones.iter().find(|zone| zone.zone == *home);
-    let away = own.filter(|own| own.demand > 0.0).map_or(0.0, |own| {
+    let spill_fraction = own.filter(|own| own.demand > 0.0).map_or(0.0, |own| {
         let taken = (all_room / all_surplus.max(f64::MIN_POSITIVE)).min(1.0);
         surplus(own) * taken / own.demand
     });
     SpillPlan {
-        spill_fraction: away,
-        spare_slots: rooms,
+        spill_fraction,
+        spare_slots,
     }
 }
