--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -3,7 +3,7 @@
 use super::crash_table::CrashReport;
 use super::learnt_from::LearntFrom;
 use super::member::EndpointRecord;
-use super::message::{Envelope, Message, ProposalAnswer, SharedBytes, Spread};
+use super::message::{Envelope, Message, PropagationStatus, ProposalAnswer, SharedBytes};
 use crate::call::identity::RequestIdentity;
 use crate::config::ConfigState;
 use crate::ids::{InstanceId, NodeId, ResourceName, SoftwareVersion, Version};
@@ -326,11 +326,11 @@
         answer: ProposalAnswer,
     },
     /// Answer an operator's query for the propagation of the newest version.
-    AnswerSpread {
+    AnswerPropagation {
         /// Ticket of the query.
         ticket: Ticket,
         /// View of a reader, or `None` if no reader answered in time.
-        spread: Option<Spread>,
+        status: Option<PropagationStatus>,
     },
     /// Stop accepting new work for the backend.
     StartDrain,
--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -177,13 +177,13 @@
             } => self
                 .proposals
                 .on_answer(&from, process_epoch, submission, answer, outbox),
-            Message::SpreadQuestion { nonce } => {
+            Message::PropagationQuery { nonce } => {
                 if self.reader.holds_lease(now) {
-                    let spread = self.spread();
-                    outbox.send(&from, Message::SpreadAnswer { nonce, spread });
+                    let status = self.spread();
+                    outbox.send(&from, Message::PropagationReply { nonce, status });
                 }
             }
-            Message::SpreadAnswer { nonce, spread } => self.on_spread(nonce, spread, outbox),
+            Message::PropagationReply { nonce, status } => self.on_spread(nonce, status, outbox),
             Message::CrashReports { reports, all } => {
                 self.on_crash_reports(&from, &reports, all, now, outbox);
             }
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -370,12 +370,14 @@
     }
 
     /// Takes an operator's question how far the newest version has got.
-    pub fn ask_spread(&mut self, ticket: Ticket, now: Moment) -> Vec<Action> {
+    pub fn query_propagation(&mut self, ticket: Ticket, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         let knows = self.settings.source == ConfigSource::Document;
         if knows || self.reader.holds_lease(now) {
-            let spread = Some(self.spread());
-            outbox.actions.push(Action::AnswerSpread { ticket, spread });
+            let status = Some(self.spread());
+            outbox
+                .actions
+                .push(Action::AnswerPropagation { ticket, status });
             return self.finish(outbox);
         }
         let reader = self
@@ -384,8 +386,10 @@
             .next()
             .map(|reader| reader.id.clone());
         let Some(reader) = reader else {
-            let spread = None;
-            outbox.actions.push(Action::AnswerSpread { ticket, spread });
+            let status = None;
+            outbox
+                .actions
+                .push(Action::AnswerPropagation { ticket, status });
             return self.finish(outbox);
         };
         let nonce = self.rng.random();
@@ -395,7 +399,7 @@
             nonce,
             sent,
         });
-        outbox.send(&reader, Message::SpreadQuestion { nonce });
+        outbox.send(&reader, Message::PropagationQuery { nonce });
         self.finish(outbox)
     }
 
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -3,7 +3,9 @@
 use super::{Agent, AwaitedHold, MAX_REFUSED};
 use crate::config::{LogEntry, Outcome};
 use crate::fleet::action::{Action, Outbox};
-use crate::fleet::message::{Message, ProcessEpoch, ProposalAnswer, SharedBytes, Spread};
+use crate::fleet::message::{
+    Message, ProcessEpoch, PropagationStatus, ProposalAnswer, SharedBytes,
+};
 use crate::fleet::writer::Asker;
 use crate::ids::{OperationId, Version};
 use crate::time::Moment;
@@ -154,23 +156,25 @@
         }
     }
 
-    pub(super) fn spread(&self) -> Spread {
-        self.holders.spread(
+    pub(super) fn spread(&self) -> PropagationStatus {
+        self.holders.propagation_status(
             self.replica.version(),
             self.adoption.version(),
             &self.membership,
         )
     }
 
-    pub(super) fn on_spread(&mut self, nonce: u64, spread: Spread, outbox: &mut Outbox) {
+    pub(super) fn on_spread(&mut self, nonce: u64, status: PropagationStatus, outbox: &mut Outbox) {
         let index = self
             .spread_requests
             .iter()
             .position(|request| request.nonce == nonce);
         let Some(index) = index else { return };
         let ticket = self.spread_requests.swap_remove(index).ticket;
-        let spread = Some(spread);
-        outbox.actions.push(Action::AnswerSpread { ticket, spread });
+        let status = Some(status);
+        outbox
+            .actions
+            .push(Action::AnswerPropagation { ticket, status });
     }
 
     pub(super) fn expire_spread_requests(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -178,8 +182,10 @@
         self.spread_requests.retain(|request| {
             let open = now.since(request.sent) < wait;
             if !open {
-                let (ticket, spread) = (request.ticket, None);
-                outbox.actions.push(Action::AnswerSpread { ticket, spread });
+                let (ticket, status) = (request.ticket, None);
+                outbox
+                    .actions
+                    .push(Action::AnswerPropagation { ticket, status });
             }
             open
         });
--- a/crates/rampthread-core/src/fleet/holders.rs
+++ b/crates/rampthread-core/src/fleet/holders.rs
@@ -2,14 +2,14 @@
 
 use super::action::Outbox;
 use super::membership::Membership;
-use super::message::{Laggard, Message, Spread};
+use super::message::{LaggingNode, Message, PropagationStatus};
 use super::settings::FleetSettings;
 use crate::ids::{NodeId, Version};
 use crate::time::Moment;
 use std::collections::BTreeMap;
 
 /// Maximum number of lagging nodes listed in a reply.
-const MAX_LAGGARDS: usize = 8;
+const MAX_LAGGING: usize = 8;
 
 /// Versions reported by other nodes, kept by a reader.
 #[derive(Debug, Default)]
@@ -24,26 +24,31 @@
     }
 
     /// Counts the reachable members that hold `version`.
-    pub fn spread(&self, version: Version, own: Version, membership: &Membership) -> Spread {
-        let mut spread = Spread {
+    pub fn propagation_status(
+        &self,
+        version: Version,
+        own: Version,
+        membership: &Membership,
+    ) -> PropagationStatus {
+        let mut status = PropagationStatus {
             version,
-            ..Spread::default()
+            ..PropagationStatus::default()
         };
         let me = &membership.me().id;
         for record in membership.records().filter(|record| record.reachable()) {
             let reported = self.held.get(&record.id).copied().unwrap_or_default();
             let held = if record.id == *me { own } else { reported };
-            spread.nodes += 1;
+            status.nodes += 1;
             if held >= version {
-                spread.held_by += 1;
-            } else if spread.laggards.len() < MAX_LAGGARDS {
-                spread.laggards.push(Laggard {
+                status.held_by += 1;
+            } else if status.lagging.len() < MAX_LAGGING {
+                status.lagging.push(LaggingNode {
                     id: record.id.clone(),
                     held,
                 });
             }
         }
-        spread
+        status
     }
 
     /// Counts the nodes other than this reader that hold `version`, in total and in other
--- a/crates/rampthread-core/src/fleet/message.rs
+++ b/crates/rampthread-core/src/fleet/message.rs
@@ -79,7 +79,7 @@
 
 /// A node that does not hold the newest version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Laggard {
+pub struct LaggingNode {
     /// Id of the node.
     pub id: NodeId,
     /// Version that the node last reported.
@@ -88,7 +88,7 @@
 
 /// Propagation of the newest version, as seen by a reader.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Spread {
+pub struct PropagationStatus {
     /// Newest version known to the reader.
     pub version: Version,
     /// Number of reachable nodes that hold it.
@@ -96,7 +96,7 @@
     /// Number of reachable nodes.
     pub nodes: u32,
     /// Reachable nodes that do not hold it. The list is capped.
-    pub laggards: Vec<Laggard>,
+    pub lagging: Vec<LaggingNode>,
 }
 
 /// Message from one agent to another.
@@ -228,16 +228,16 @@
         answer: ProposalAnswer,
     },
     /// Asks a reader for the propagation of the newest version.
-    SpreadQuestion {
+    PropagationQuery {
         /// Correlates the reply with the query.
         nonce: u64,
     },
-    /// Reply to [`Message::SpreadQuestion`].
-    SpreadAnswer {
+    /// Reply to [`Message::PropagationQuery`].
+    PropagationReply {
         /// Nonce of the query.
         nonce: u64,
         /// View of the reader.
-        spread: Spread,
+        status: PropagationStatus,
     },
     /// Reports of backends that crashed while running requests.
     CrashReports {
@@ -291,8 +291,8 @@
             Message::FloorAnswer { .. } => "floor-answer",
             Message::Propose { .. } => "propose",
             Message::ProposeAnswer { .. } => "propose-answer",
-            Message::SpreadQuestion { .. } => "spread-question",
-            Message::SpreadAnswer { .. } => "spread-answer",
+            Message::PropagationQuery { .. } => "spread-question",
+            Message::PropagationReply { .. } => "spread-answer",
             Message::CrashReports { .. } => "crash-reports",
             Message::LoadReport(_) => "load-report",
             Message::ZoneLoads(_) => "zone-loads",
--- a/crates/rampthread-core/src/fleet/mod.rs
+++ b/crates/rampthread-core/src/fleet/mod.rs
@@ -50,8 +50,8 @@
 pub use load_exchange::{MAX_TENANTS, load_interval};
 pub use member::{Conditions, EndpointRecord, Incarnation, Machine, MemberRecord, Status};
 pub use message::{
-    Envelope, Laggard, Message, ProbeBody, ProcessEpoch, ProposalAnswer, SharedBytes, Spread,
-    WitnessRecord,
+    Envelope, LaggingNode, Message, ProbeBody, ProcessEpoch, PropagationStatus, ProposalAnswer,
+    SharedBytes, WitnessRecord,
 };
 pub use reported_backend::{BackendReport, Reported, ReportedBackend, SUCCESSION_TIME};
 pub use settings::{ConfigSource, DistributionMode, FleetSettings};
--- a/crates/rampthread-core/tests/document_properties.rs
+++ b/crates/rampthread-core/tests/document_properties.rs
@@ -181,9 +181,9 @@
     assert_eq!(store.mesh.sent("held"), 0, "nodes report to each other");
     for index in 0..20 {
         let now = store.mesh.now;
-        let actions = store.mesh.agents[index].ask_spread(1, now);
+        let actions = store.mesh.agents[index].query_propagation(1, now);
         let spread = actions.iter().find_map(|action| match action {
-            Action::AnswerSpread { spread, .. } => spread.clone(),
+            Action::AnswerPropagation { status, .. } => status.clone(),
             _ => None,
         });
         let spread = spread.expect("an answer at once");
--- a/crates/rampthread-node/src/api/views.rs
+++ b/crates/rampthread-node/src/api/views.rs
@@ -4,7 +4,7 @@
 use rampthread_core::call::quota::{QuotaBasis, QuotaView};
 use rampthread_core::config::{Outcome, Resource, Stored};
 use rampthread_core::findings::Findings;
-use rampthread_core::fleet::{CrashReport, MemberRecord, Spread};
+use rampthread_core::fleet::{CrashReport, MemberRecord, PropagationStatus};
 use rampthread_core::ids::{
     InstanceId, NodeId, OperationId, ResourceName, SoftwareVersion, Version,
 };
@@ -121,15 +121,15 @@
     pub laggards: Vec<LaggardView>,
 }
 
-impl From<&Spread> for SpreadView {
-    fn from(spread: &Spread) -> Self {
+impl From<&PropagationStatus> for SpreadView {
+    fn from(spread: &PropagationStatus) -> Self {
         Self {
             version: spread.version,
             held_by: spread.held_by,
             nodes: spread.nodes,
             in_force_everywhere: spread.held_by == spread.nodes,
             laggards: spread
-                .laggards
+                .lagging
                 .iter()
                 .map(|laggard| LaggardView {
                     id: laggard.id.clone(),
--- a/crates/rampthread-node/src/control/actions.rs
+++ b/crates/rampthread-node/src/control/actions.rs
@@ -55,8 +55,8 @@
                 Action::AnswerProposal { ticket, answer } => {
                     self.waiting.answer_proposal(ticket, answer);
                 }
-                Action::AnswerSpread { ticket, spread } => {
-                    self.waiting.answer_spread(ticket, spread);
+                Action::AnswerPropagation { ticket, status } => {
+                    self.waiting.answer_spread(ticket, status);
                 }
                 Action::StartDrain => self.draining.store(true, Ordering::Release),
                 Action::AskDeciderStore(call) => self.ask_decider_store(call),
--- a/crates/rampthread-node/src/control/operators.rs
+++ b/crates/rampthread-node/src/control/operators.rs
@@ -3,7 +3,7 @@
 use super::Control;
 use super::requests::ChangeResult;
 use rampthread_core::config::{ChangeSet, LogEntry};
-use rampthread_core::fleet::{ProposalAnswer, Spread};
+use rampthread_core::fleet::{PropagationStatus, ProposalAnswer};
 use std::sync::Arc;
 
 impl Control {
@@ -25,10 +25,10 @@
     }
 
     /// Asks how far the newest version has got.
-    pub async fn spread(self: &Arc<Self>) -> Option<Spread> {
+    pub async fn spread(self: &Arc<Self>) -> Option<PropagationStatus> {
         let (ticket, answer) = self.waiting.spread();
         let now = self.clock.now();
-        let actions = self.agent().ask_spread(ticket, now);
+        let actions = self.agent().query_propagation(ticket, now);
         self.perform(actions);
         answer.recv().await.ok().flatten()
     }
--- a/crates/rampthread-node/src/control/requests.rs
+++ b/crates/rampthread-node/src/control/requests.rs
@@ -1,6 +1,6 @@
 //! Operators' requests that wait for the agent.
 
-use rampthread_core::fleet::{ProposalAnswer, Spread, Ticket};
+use rampthread_core::fleet::{PropagationStatus, ProposalAnswer, Ticket};
 use rampthread_core::ids::OperationId;
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -20,7 +20,7 @@
 pub struct Waiting {
     next: AtomicU64,
     proposals: Mutex<HashMap<Ticket, async_channel::Sender<ProposalAnswer>>>,
-    spreads: Mutex<HashMap<Ticket, async_channel::Sender<Option<Spread>>>>,
+    spreads: Mutex<HashMap<Ticket, async_channel::Sender<Option<PropagationStatus>>>>,
 }
 
 fn register<T>(
@@ -52,7 +52,7 @@
     }
 
     /// Registers a question for the spread.
-    pub fn spread(&self) -> (Ticket, async_channel::Receiver<Option<Spread>>) {
+    pub fn spread(&self) -> (Ticket, async_channel::Receiver<Option<PropagationStatus>>) {
         let ticket = self.ticket();
         (ticket, register(&self.spreads, ticket))
     }
@@ -63,7 +63,7 @@
     }
 
     /// The agent answered a question for the spread.
-    pub fn answer_spread(&self, ticket: Ticket, spread: Option<Spread>) {
+    pub fn answer_spread(&self, ticket: Ticket, spread: Option<PropagationStatus>) {
         resolve(&self.spreads, ticket, spread);
     }
 }
--- a/crates/rampthread-wire/src/decode.rs
+++ b/crates/rampthread-wire/src/decode.rs
@@ -7,8 +7,8 @@
 use rampthread_core::call::identity::{InvalidIdentity, RequestIdentity};
 use rampthread_core::config::Outcome;
 use rampthread_core::fleet::{
-    Conditions, CrashReport, EndpointRecord, Envelope, Laggard, MemberRecord, Message, ProbeBody,
-    ProposalAnswer, SharedBytes, Spread, Status, WitnessRecord,
+    Conditions, CrashReport, EndpointRecord, Envelope, LaggingNode, MemberRecord, Message,
+    ProbeBody, PropagationStatus, ProposalAnswer, SharedBytes, Status, WitnessRecord,
 };
 use rampthread_core::ids::{
     InstanceId, InvalidName, NodeId, OperationId, Region, ResourceName, SoftwareVersion, Version,
@@ -183,12 +183,12 @@
             operation_id: OperationId::new(from.get_operation_id()?.to_str()?)?,
             answer: read_answer(from.get_answer().which()?)?,
         },
-        Which::SpreadQuestion(from) => Message::SpreadQuestion {
+        Which::SpreadQuestion(from) => Message::PropagationQuery {
             nonce: from.get_nonce(),
         },
-        Which::SpreadAnswer(from) => Message::SpreadAnswer {
+        Which::SpreadAnswer(from) => Message::PropagationReply {
             nonce: from.get_nonce(),
-            spread: read_spread(from.get_spread()?)?,
+            status: read_spread(from.get_spread()?)?,
         },
         Which::CrashReports(from) => Message::CrashReports {
             reports: read_crash_reports(from.get_reports()?)?,
@@ -349,22 +349,22 @@
     })
 }
 
-fn read_spread(from: schema::spread::Reader<'_>) -> Result<Spread, DecodeError> {
+fn read_spread(from: schema::spread::Reader<'_>) -> Result<PropagationStatus, DecodeError> {
     let list = from.get_laggards()?;
     check_length(list.len())?;
-    let laggards = list
+    let lagging = list
         .iter()
         .map(|laggard| {
-            Ok(Laggard {
+            Ok(LaggingNode {
                 id: read_node(laggard.get_id())?,
                 held: Version(laggard.get_held()),
             })
         })
         .collect::<Result<_, DecodeError>>()?;
-    Ok(Spread {
+    Ok(PropagationStatus {
         version: Version(from.get_version()),
         held_by: from.get_held_by(),
         nodes: from.get_nodes(),
-        laggards,
+        lagging,
     })
 }
--- a/crates/rampthread-wire/src/encode.rs
+++ b/crates/rampthread-wire/src/encode.rs
@@ -3,8 +3,8 @@
 use crate::control_capnp as schema;
 use crate::{load_message, rollout_message};
 use rampthread_core::fleet::{
-    CrashReport, EndpointRecord, Envelope, MemberRecord, Message, ProbeBody, ProposalAnswer,
-    Spread, Status,
+    CrashReport, EndpointRecord, Envelope, MemberRecord, Message, ProbeBody, PropagationStatus,
+    ProposalAnswer, Status,
 };
 use std::net::{IpAddr, SocketAddr};
 
@@ -129,11 +129,11 @@
             to.set_operation_id(operation_id.as_str());
             write_answer(to.init_answer(), answer);
         }
-        Message::SpreadQuestion { nonce } => to.init_spread_question().set_nonce(*nonce),
-        Message::SpreadAnswer { nonce, spread } => {
+        Message::PropagationQuery { nonce } => to.init_spread_question().set_nonce(*nonce),
+        Message::PropagationReply { nonce, status } => {
             let mut to = to.init_spread_answer();
             to.set_nonce(*nonce);
-            write_spread(to.init_spread(), spread);
+            write_spread(to.init_spread(), status);
         }
         Message::CrashReports { reports, all } => {
             let mut to = to.init_crash_reports();
@@ -264,12 +264,12 @@
     to.set_port(address.port());
 }
 
-fn write_spread(mut to: schema::spread::Builder<'_>, spread: &Spread) {
+fn write_spread(mut to: schema::spread::Builder<'_>, spread: &PropagationStatus) {
     to.set_version(spread.version.0);
     to.set_held_by(spread.held_by);
     to.set_nodes(spread.nodes);
-    let mut list = to.init_laggards(spread.laggards.len() as u32);
-    for (index, laggard) in spread.laggards.iter().enumerate() {
+    let mut list = to.init_laggards(spread.lagging.len() as u32);
+    for (index, laggard) in spread.lagging.iter().enumerate() {
         let mut to = list.reborrow().get(index as u32);
         to.set_id(laggard.id.as_str());
         to.set_held(laggard.held.0);
--- a/crates/rampthread-wire/tests/wire_properties.rs
+++ b/crates/rampthread-wire/tests/wire_properties.rs
@@ -5,9 +5,9 @@
 use rampthread_core::config::Outcome;
 use rampthread_core::findings::Findings;
 use rampthread_core::fleet::{
-    Conditions, CrashReport, EndpointRecord, Envelope, Laggard, LoadReport, MemberRecord, Message,
-    ProbeBody, ProposalAnswer, ServiceLoad, Spread, Status, TenantLoad, TenantTag, WitnessRecord,
-    ZoneLoad,
+    Conditions, CrashReport, EndpointRecord, Envelope, LaggingNode, LoadReport, MemberRecord,
+    Message, ProbeBody, PropagationStatus, ProposalAnswer, ServiceLoad, Status, TenantLoad,
+    TenantTag, WitnessRecord, ZoneLoad,
 };
 use rampthread_core::ids::{
     InstanceId, NodeId, OperationId, Region, ResourceName, SoftwareVersion, Version, Zone,
@@ -334,21 +334,21 @@
             operation_id: OperationId::new("operation").unwrap(),
             answer,
         }),
-        any::<u64>().prop_map(|nonce| Message::SpreadQuestion { nonce }),
+        any::<u64>().prop_map(|nonce| Message::PropagationQuery { nonce }),
         (
             any::<u64>(),
             version(),
             prop::collection::vec((node(), version()), 0..4)
         )
-            .prop_map(|(nonce, version, laggards)| Message::SpreadAnswer {
+            .prop_map(|(nonce, version, lagging)| Message::PropagationReply {
                 nonce,
-                spread: Spread {
+                status: PropagationStatus {
                     version,
                     held_by: 1,
                     nodes: 2,
-                    laggards: laggards
+                    lagging: lagging
                         .into_iter()
-                        .map(|(id, held)| Laggard { id, held })
+                        .map(|(id, held)| LaggingNode { id, held })
                         .collect(),
                 },
             }),
