--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -3,7 +3,7 @@
 use super::crash_table::CrashReport;
 use super::learnt_from::LearntFrom;
 use super::member::EndpointRecord;
-use super::message::{Envelope, Message, PropagationStatus, ProposalAnswer, SharedBytes};
+use super::message::{Envelope, Message, PropagationStatus, ProposalReply, SharedBytes};
 use crate::call::identity::RequestIdentity;
 use crate::config::ConfigState;
 use crate::ids::{InstanceId, NodeId, ResourceName, SoftwareVersion, Version};
@@ -323,7 +323,7 @@
         /// Ticket of the submission.
         ticket: Ticket,
         /// Outcome of the proposal.
-        answer: ProposalAnswer,
+        answer: ProposalReply,
     },
     /// Answer an operator's query for the propagation of the newest version.
     AnswerPropagation {
--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -103,23 +103,23 @@
                 self.hear(&from, version, now, outbox);
             }
             Message::HeldAck { version } => self.reports.on_ack(&from, version),
-            Message::HeadQuestion { .. } if self.settings.source == ConfigSource::Document => {
+            Message::HeadQuery { .. } if self.settings.source == ConfigSource::Document => {
                 self.on_document_question(now);
             }
-            Message::HeadQuestion { nonce } => {
+            Message::HeadQuery { nonce } => {
                 if self.reader.holds_lease(now) {
                     self.reader.ask_head(from, nonce);
                     self.tick_reader(now, outbox);
                 }
             }
-            Message::HeadAnswer { nonce, head } => self.on_head(nonce, head, now, outbox),
+            Message::HeadReply { nonce, head } => self.on_head(nonce, head, now, outbox),
             Message::Record {
                 record,
                 witness_epoch,
             } => {
                 self.hear(&from, record.version, now, outbox);
                 let version = if witness_epoch == self.identity.process_epoch {
-                    self.witness_book.note(&from, record)
+                    self.witness_records.record_version(&from, record)
                 } else {
                     Version::ZERO
                 };
@@ -140,25 +140,26 @@
                     self.adoption.on_ack(&from, process_epoch, version, outbox);
                 }
             }
-            Message::FloorQuestion { nonce } => {
-                let record = self.witness_book.record(&from);
-                let heard = self.replica.version();
+            Message::FloorQuery { nonce } => {
+                let record = self.witness_records.record(&from);
+                let newest_known = self.replica.version();
                 outbox.send(
                     &from,
-                    Message::FloorAnswer {
+                    Message::FloorReply {
                         nonce,
                         record,
-                        heard,
+                        newest_known,
                     },
                 );
             }
-            Message::FloorAnswer {
+            Message::FloorReply {
                 nonce,
                 record,
-                heard,
+                newest_known,
             } => {
-                self.hear(&from, heard, now, outbox);
-                self.floor_question.on_answer(&from, nonce, record, heard);
+                self.hear(&from, newest_known, now, outbox);
+                self.floor_query
+                    .on_answer(&from, nonce, record, newest_known);
                 self.judge_witnesses(now, outbox);
             }
             Message::Propose {
@@ -172,7 +173,7 @@
                 };
                 self.on_propose(asker, reader_epoch, entry, now, outbox);
             }
-            Message::ProposeAnswer {
+            Message::ProposeReply {
                 submission, answer, ..
             } => self
                 .proposals
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -201,7 +201,7 @@
             .lost(now, &self.membership, &mut self.watch_rng);
         let nonce = self.watch_rng.random();
         for peer in asked {
-            outbox.send(&peer, Message::HeadQuestion { nonce });
+            outbox.send(&peer, Message::HeadQuery { nonce });
         }
     }
 
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -7,24 +7,24 @@
 use super::{Agent, Defect};
 use crate::fleet::action::{Decision, FloorSource, Outbox};
 use crate::fleet::message::Message;
-use crate::fleet::witness::FloorVerdict;
+use crate::fleet::witness::FloorStatus;
 use crate::ids::Version;
 use crate::time::Moment;
 use rand::Rng;
 
 impl Agent {
     pub(super) fn seek_floor(&mut self, now: Moment, outbox: &mut Outbox) {
-        if self.floor.is_some() || now < self.next_floor_question {
+        if self.floor.is_some() || now < self.next_floor_query {
             return;
         }
-        self.next_floor_question = now + self.settings.question_interval;
+        self.next_floor_query = now + self.settings.question_interval;
         if self.defect == Some(Defect::SkipFloor) && self.replica.version() > Version::ZERO {
             self.confirm_floor(Version::ZERO, FloorSource::Witnesses, now, outbox);
             return;
         }
         self.ask_for_head(outbox);
         let nonce = self.rng.random();
-        self.floor_question.ask(
+        self.floor_query.ask(
             &self.identity.id,
             &self.identity.region,
             self.replica.staged(),
@@ -42,7 +42,7 @@
         }
         let readers = self.membership.readers().filter(|reader| reader.id != *me);
         for reader in readers {
-            outbox.send(&reader.id, Message::HeadQuestion { nonce });
+            outbox.send(&reader.id, Message::HeadQuery { nonce });
         }
     }
 
@@ -73,11 +73,11 @@
         if self.floor.is_some() {
             return;
         }
-        match self.floor_question.verdict(self.replica.version()) {
-            FloorVerdict::Open => {}
-            FloorVerdict::CatchUp(version) => self.replica.hear(version),
-            FloorVerdict::Confirmed(floor) => {
-                self.adoption.start_from(self.floor_question.set().clone());
+        match self.floor_query.status(self.replica.version()) {
+            FloorStatus::Undecided => {}
+            FloorStatus::CatchUp(version) => self.replica.hear(version),
+            FloorStatus::Confirmed(floor) => {
+                self.adoption.start_from(self.floor_query.set().clone());
                 self.confirm_floor(floor, FloorSource::Witnesses, now, outbox);
             }
         }
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -55,7 +55,7 @@
         }
         if self.floor.is_none() {
             // A newer state may name other witnesses: ask them soon.
-            self.next_floor_question = now;
+            self.next_floor_query = now;
             return;
         }
         for state in states {
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -45,7 +45,7 @@
 use crate::fleet::reported_backend::ReportedBackend;
 use crate::fleet::settings::{ConfigSource, FleetSettings};
 use crate::fleet::store_watch::StoreWatch;
-use crate::fleet::witness::{Adoption, FloorQuestion, WitnessBook};
+use crate::fleet::witness::{Adoption, FloorQuery, WitnessRecords};
 use crate::fleet::writer::{Asker, Writer};
 use crate::ids::{NodeId, OperationId, Region, Version, Zone};
 use crate::time::Moment;
@@ -132,13 +132,13 @@
     /// Time that the document takes at that rate.
     read_took: Duration,
     adoption: Adoption,
-    witness_book: WitnessBook,
-    floor_question: FloorQuestion,
+    witness_records: WitnessRecords,
+    floor_query: FloorQuery,
     floor: Option<Version>,
     /// A head that was read after this process asked, not yet caught up with.
     known_head: Option<Version>,
     head_nonce: u64,
-    next_floor_question: Moment,
+    next_floor_query: Moment,
     ready: bool,
     reader: Reader,
     writer: Writer,
@@ -203,13 +203,13 @@
             link_rate: 0.0,
             read_took: Duration::ZERO,
             adoption: Adoption::new(identity.id.clone(), identity.region.clone()),
-            witness_book: WitnessBook::default(),
-            floor_question: FloorQuestion::default(),
+            witness_records: WitnessRecords::default(),
+            floor_query: FloorQuery::default(),
             // The store has decided order and validity of a document: nothing to ask.
             floor: (settings.source == ConfigSource::Document).then_some(Version::ZERO),
             known_head: None,
             head_nonce: rng.random(),
-            next_floor_question: now,
+            next_floor_query: now,
             ready: false,
             reader: Reader::new(0),
             writer: Writer::default(),
@@ -274,7 +274,7 @@
 
     /// Ids that this node is a witness of.
     pub fn witnessed_ids(&self) -> usize {
-        self.witness_book.len()
+        self.witness_records.len()
     }
 
     /// True while this node takes no new work for its back end.
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -3,9 +3,7 @@
 use super::{Agent, AwaitedHold, MAX_REFUSED};
 use crate::config::{LogEntry, Outcome};
 use crate::fleet::action::{Action, Outbox};
-use crate::fleet::message::{
-    Message, ProcessEpoch, PropagationStatus, ProposalAnswer, SharedBytes,
-};
+use crate::fleet::message::{Message, ProcessEpoch, PropagationStatus, ProposalReply, SharedBytes};
 use crate::fleet::writer::Asker;
 use crate::ids::{OperationId, Version};
 use crate::time::Moment;
@@ -44,13 +42,13 @@
         };
         let operation_id = decoded.change.operation_id.clone();
         if reader_epoch != self.identity.process_epoch {
-            let answer = ProposalAnswer::EpochMismatch;
+            let answer = ProposalReply::EpochMismatch;
             self.answer_asker(asker, operation_id, answer, outbox);
             return;
         }
         if self.refused.contains(&asker) {
             let retry_after = self.reader.retry_after(now);
-            let answer = ProposalAnswer::NotRun { retry_after };
+            let answer = ProposalReply::NotRun { retry_after };
             self.answer_asker(asker, operation_id, answer, outbox);
             return;
         }
@@ -67,7 +65,7 @@
         let taken = can_write && self.writer.propose(entry, &decoded, asker.clone(), now);
         if !taken {
             let retry_after = self.reader.retry_after(now);
-            let answer = ProposalAnswer::NotRun { retry_after };
+            let answer = ProposalReply::NotRun { retry_after };
             self.answer_asker(asker, operation_id, answer, outbox);
             return;
         }
@@ -78,10 +76,10 @@
         &mut self,
         asker: Asker,
         operation_id: OperationId,
-        answer: ProposalAnswer,
+        answer: ProposalReply,
         outbox: &mut Outbox,
     ) {
-        if matches!(answer, ProposalAnswer::NotRun { .. }) && !self.refused.contains(&asker) {
+        if matches!(answer, ProposalReply::NotRun { .. }) && !self.refused.contains(&asker) {
             self.refused.push_back(asker.clone());
             if self.refused.len() > MAX_REFUSED {
                 self.refused.pop_front();
@@ -94,7 +92,7 @@
                 .on_answer(&asker.node, process_epoch, submission, answer, outbox);
             return;
         }
-        let message = Message::ProposeAnswer {
+        let message = Message::ProposeReply {
             submission,
             operation_id,
             answer,
@@ -146,7 +144,7 @@
                 continue;
             }
             for asker in hold.askers {
-                let answer = ProposalAnswer::Decided {
+                let answer = ProposalReply::Decided {
                     version: hold.version,
                     outcome: hold.outcome.clone(),
                     held_by: others.count as u32 + 1,
--- a/crates/rampthread-core/src/fleet/agent/store.rs
+++ b/crates/rampthread-core/src/fleet/agent/store.rs
@@ -2,7 +2,7 @@
 
 use super::{Agent, Defect, ENTRIES_BEHIND_SNAPSHOT};
 use crate::fleet::action::{Action, Decision, Outbox, StoreAnswer, StoreFailure, StoreRequest};
-use crate::fleet::message::{Message, ProposalAnswer};
+use crate::fleet::message::{Message, ProposalReply};
 use crate::fleet::reader::ReaderNews;
 use crate::ids::Version;
 use crate::time::Moment;
@@ -34,7 +34,7 @@
         let retry_after = self.reader.retry_after(now);
         for untried in self.writer.take_untried() {
             for asker in untried.askers {
-                let answer = ProposalAnswer::NotRun { retry_after };
+                let answer = ProposalReply::NotRun { retry_after };
                 self.answer_asker(asker, untried.operation_id.clone(), answer, outbox);
             }
         }
@@ -99,7 +99,7 @@
                     if asker == self.identity.id {
                         self.on_head(nonce, head, now, outbox);
                     } else {
-                        outbox.send(&asker, Message::HeadAnswer { nonce, head });
+                        outbox.send(&asker, Message::HeadReply { nonce, head });
                     }
                 }
             }
--- a/crates/rampthread-core/src/fleet/message.rs
+++ b/crates/rampthread-core/src/fleet/message.rs
@@ -56,7 +56,7 @@
 
 /// Outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ProposalAnswer {
+pub enum ProposalReply {
     /// The log contains the decision.
     Decided {
         /// Log slot that decided the proposal.
@@ -169,12 +169,12 @@
     /// Asks a reader for the head of the log, read after this query. If the configuration is a
     /// document, a node that gets no answers from the store sends this to ask for the document
     /// it holds now.
-    HeadQuestion {
+    HeadQuery {
         /// Correlates the reply with the query.
         nonce: u64,
     },
-    /// Reply to [`Message::HeadQuestion`].
-    HeadAnswer {
+    /// Reply to [`Message::HeadQuery`].
+    HeadReply {
         /// Nonce of the query.
         nonce: u64,
         /// Head of the log.
@@ -196,18 +196,18 @@
         asker_epoch: ProcessEpoch,
     },
     /// Asks a witness which version the sender held before its restart.
-    FloorQuestion {
+    FloorQuery {
         /// Correlates the reply with the query.
         nonce: u64,
     },
-    /// Reply to [`Message::FloorQuestion`].
-    FloorAnswer {
+    /// Reply to [`Message::FloorQuery`].
+    FloorReply {
         /// Nonce of the query.
         nonce: u64,
         /// Record of the requesting node. Absent if the witness has none.
         record: Option<WitnessRecord>,
         /// Highest version known to the witness.
-        heard: Version,
+        newest_known: Version,
     },
     /// Asks a reader to append an entry to the log.
     Propose {
@@ -219,13 +219,13 @@
         entry: SharedBytes,
     },
     /// Reply to [`Message::Propose`].
-    ProposeAnswer {
+    ProposeReply {
         /// Number of the submission.
         submission: u64,
         /// Operation that was proposed.
         operation_id: OperationId,
         /// Outcome.
-        answer: ProposalAnswer,
+        answer: ProposalReply,
     },
     /// Asks a reader for the propagation of the newest version.
     PropagationQuery {
@@ -283,14 +283,14 @@
             Message::PullRefused { .. } => "pull-refused",
             Message::Held { .. } => "held",
             Message::HeldAck { .. } => "held-ack",
-            Message::HeadQuestion { .. } => "head-question",
-            Message::HeadAnswer { .. } => "head-answer",
+            Message::HeadQuery { .. } => "head-question",
+            Message::HeadReply { .. } => "head-answer",
             Message::Record { .. } => "record",
             Message::RecordAck { .. } => "record-ack",
-            Message::FloorQuestion { .. } => "floor-question",
-            Message::FloorAnswer { .. } => "floor-answer",
+            Message::FloorQuery { .. } => "floor-question",
+            Message::FloorReply { .. } => "floor-answer",
             Message::Propose { .. } => "propose",
-            Message::ProposeAnswer { .. } => "propose-answer",
+            Message::ProposeReply { .. } => "propose-answer",
             Message::PropagationQuery { .. } => "spread-question",
             Message::PropagationReply { .. } => "spread-answer",
             Message::CrashReports { .. } => "crash-reports",
--- a/crates/rampthread-core/src/fleet/mod.rs
+++ b/crates/rampthread-core/src/fleet/mod.rs
@@ -50,7 +50,7 @@
 pub use load_exchange::{MAX_TENANTS, load_interval};
 pub use member::{Conditions, EndpointRecord, Incarnation, Machine, MemberRecord, Status};
 pub use message::{
-    Envelope, LaggingNode, Message, ProbeBody, ProcessEpoch, PropagationStatus, ProposalAnswer,
+    Envelope, LaggingNode, Message, ProbeBody, ProcessEpoch, PropagationStatus, ProposalReply,
     SharedBytes, WitnessRecord,
 };
 pub use reported_backend::{BackendReport, Reported, ReportedBackend, SUCCESSION_TIME};
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -5,7 +5,7 @@
 
 use super::action::{Action, Outbox, Ticket};
 use super::membership::Membership;
-use super::message::{Message, ProcessEpoch, ProposalAnswer, SharedBytes};
+use super::message::{Message, ProcessEpoch, ProposalReply, SharedBytes};
 use super::settings::FleetSettings;
 use crate::ids::NodeId;
 use crate::time::Moment;
@@ -130,7 +130,7 @@
         from: &NodeId,
         process_epoch: ProcessEpoch,
         submission: u64,
-        answer: ProposalAnswer,
+        answer: ProposalReply,
         outbox: &mut Outbox,
     ) {
         let found = self
@@ -139,11 +139,11 @@
             .find(|open| open.submission == submission);
         let Some(open) = found else { return };
         let answer = match answer {
-            ProposalAnswer::Decided { .. } => answer,
-            ProposalAnswer::NotRun { .. } if open.is_sure_of(from, process_epoch) => answer,
-            ProposalAnswer::NotRun { .. } => return,
-            ProposalAnswer::Unknown => ProposalAnswer::Unknown,
-            ProposalAnswer::EpochMismatch => {
+            ProposalReply::Decided { .. } => answer,
+            ProposalReply::NotRun { .. } if open.is_sure_of(from, process_epoch) => answer,
+            ProposalReply::NotRun { .. } => return,
+            ProposalReply::Unknown => ProposalReply::Unknown,
+            ProposalReply::EpochMismatch => {
                 open.sent = Moment::default();
                 return;
             }
@@ -152,7 +152,7 @@
         self.end(ticket, answer, outbox);
     }
 
-    fn end(&mut self, ticket: Ticket, answer: ProposalAnswer, outbox: &mut Outbox) {
+    fn end(&mut self, ticket: Ticket, answer: ProposalReply, outbox: &mut Outbox) {
         self.open.retain(|open| open.ticket != ticket);
         outbox
             .actions
@@ -179,15 +179,15 @@
     }
 }
 
-fn impatient(open: &OpenProposal, now: Moment, settings: &FleetSettings) -> Option<ProposalAnswer> {
+fn impatient(open: &OpenProposal, now: Moment, settings: &FleetSettings) -> Option<ProposalReply> {
     let waited = now.since(open.begun);
     let never_sent = open.target.is_none();
     if never_sent && waited >= READER_WAIT {
-        return Some(ProposalAnswer::NotRun {
+        return Some(ProposalReply::NotRun {
             retry_after: NO_READER_RETRY,
         });
     }
-    (waited >= settings.proposal_patience).then_some(ProposalAnswer::Unknown)
+    (waited >= settings.proposal_patience).then_some(ProposalReply::Unknown)
 }
 
 /// Returns the previously chosen reader if it still is one, otherwise any, preferably of the
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -82,9 +82,9 @@
 
 /// Result of querying the witnesses after a restart.
 #[derive(Debug, PartialEq, Eq)]
-pub enum FloorVerdict {
+pub enum FloorStatus {
     /// Not enough usable replies yet.
-    Open,
+    Undecided,
     /// The node has held this version before. It must catch up and query again.
     CatchUp(Version),
     /// The queried state is not below the floor.
@@ -280,19 +280,19 @@
 
 /// Versions recorded on behalf of other nodes, for which this node is a witness.
 #[derive(Debug, Default)]
-pub struct WitnessBook {
+pub struct WitnessRecords {
     records: BTreeMap<NodeId, WitnessRecord>,
 }
 
-impl WitnessBook {
+impl WitnessRecords {
     /// Records that `id` will hold the record's version. Returns the recorded version, which
     /// never decreases.
-    pub fn note(&mut self, id: &NodeId, record: WitnessRecord) -> Version {
-        let noted = self.records.entry(id.clone()).or_insert(record);
-        if record.version >= noted.version {
-            *noted = record;
+    pub fn record_version(&mut self, id: &NodeId, record: WitnessRecord) -> Version {
+        let recorded = self.records.entry(id.clone()).or_insert(record);
+        if record.version >= recorded.version {
+            *recorded = record;
         }
-        noted.version
+        recorded.version
     }
 
     /// Returns the record of `id`, or `None` if this process has none.
@@ -308,15 +308,15 @@
 
 /// Query that a restarted node sends to its witnesses.
 #[derive(Debug, Default)]
-pub struct FloorQuestion {
+pub struct FloorQuery {
     nonce: u64,
     set: WitnessSet,
     answers: BTreeMap<NodeId, WitnessRecord>,
     /// Highest version known to any queried witness.
-    heard: Version,
+    newest_known: Version,
 }
 
-impl FloorQuestion {
+impl FloorQuery {
     /// Queries the witnesses that `state` names for `me`.
     pub fn ask(
         &mut self,
@@ -334,7 +334,7 @@
         self.set = set;
         self.nonce = nonce;
         for witness in &self.set.members {
-            outbox.send(witness, Message::FloorQuestion { nonce });
+            outbox.send(witness, Message::FloorQuery { nonce });
         }
     }
 
@@ -344,12 +344,12 @@
         from: &NodeId,
         nonce: u64,
         record: Option<WitnessRecord>,
-        heard: Version,
+        newest_known: Version,
     ) {
         if nonce != self.nonce || !self.set.members.contains(from) {
             return;
         }
-        self.heard = self.heard.max(heard);
+        self.newest_known = self.newest_known.max(newest_known);
         match record {
             Some(record) => self.answers.insert(from.clone(), record),
             None => self.answers.remove(from),
@@ -362,14 +362,14 @@
     }
 
     /// Evaluates the replies for a state at `version`.
-    pub fn verdict(&self, version: Version) -> FloorVerdict {
+    pub fn status(&self, version: Version) -> FloorStatus {
         let recorded = self.answers.values().map(|record| record.version).max();
         let Some(recorded) = recorded else {
-            return FloorVerdict::Open;
+            return FloorStatus::Undecided;
         };
-        let highest = recorded.max(self.heard);
+        let highest = recorded.max(self.newest_known);
         if highest > version {
-            return FloorVerdict::CatchUp(highest);
+            return FloorStatus::CatchUp(highest);
         }
         let set = self.set.id();
         let usable = self
@@ -378,8 +378,8 @@
             .filter(|record| record.set == set)
             .count();
         if self.set.members.is_empty() || usable < self.set.majority() {
-            return FloorVerdict::Open;
+            return FloorStatus::Undecided;
         }
-        FloorVerdict::Confirmed(highest)
+        FloorStatus::Confirmed(highest)
     }
 }
--- a/crates/rampthread-core/tests/fleet_properties.rs
+++ b/crates/rampthread-core/tests/fleet_properties.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner::TestRunner;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use rampthread_core::config::{LogEntry, ResourceKind};
-use rampthread_core::fleet::{Defect, FleetSettings, ProposalAnswer};
+use rampthread_core::fleet::{Defect, FleetSettings, ProposalReply};
 use rstest::rstest;
 use simulation::world::{NetworkFaults, World, ZONES};
 use simulation::{backend, delete, entry, put, route, secret, service};
@@ -163,7 +163,7 @@
                 let repeat = self.changes.iter().rev().find(|change| {
                     let id = &change.change.operation_id;
                     let answer = world.answers.get(id);
-                    !world.is_open(id) && matches!(answer, Some(ProposalAnswer::Unknown))
+                    !world.is_open(id) && matches!(answer, Some(ProposalReply::Unknown))
                 });
                 if let Some(change) = repeat {
                     world.propose(node, change);
--- a/crates/rampthread-core/tests/simulation/world.rs
+++ b/crates/rampthread-core/tests/simulation/world.rs
@@ -4,7 +4,7 @@
 use super::{node_id, region, zone_of};
 use rampthread_core::config::{ConfigState, LogEntry, Outcome};
 use rampthread_core::fleet::{
-    Action, Agent, AgentIdentity, Defect, Envelope, FleetSettings, Machine, ProposalAnswer,
+    Action, Agent, AgentIdentity, Defect, Envelope, FleetSettings, Machine, ProposalReply,
     RequestId, StoreAnswer, StoreFailure, StoreRequest, Ticket,
 };
 use rampthread_core::ids::{OperationId, Version};
@@ -82,7 +82,7 @@
     next_ticket: Ticket,
     open: BTreeMap<Ticket, OperationId>,
     /// Last answer to each operation's latest submission.
-    pub answers: BTreeMap<OperationId, ProposalAnswer>,
+    pub answers: BTreeMap<OperationId, ProposalReply>,
     /// Operations of which some submission ended unknown; a later `not run`
     /// speaks of its own submission only.
     unsure: BTreeSet<OperationId>,
@@ -425,7 +425,7 @@
                 Action::AnswerProposal { ticket, answer } => {
                     if let Some(operation) = self.open.remove(&ticket) {
                         self.check_answer(&operation, &answer);
-                        if answer == ProposalAnswer::Unknown {
+                        if answer == ProposalReply::Unknown {
                             self.unsure.insert(operation.clone());
                         }
                         self.answers.insert(operation, answer);
@@ -479,8 +479,8 @@
     }
 
     /// A decided answer says what the log says.
-    fn check_answer(&self, operation: &OperationId, answer: &ProposalAnswer) {
-        let ProposalAnswer::Decided {
+    fn check_answer(&self, operation: &OperationId, answer: &ProposalReply) {
+        let ProposalReply::Decided {
             version, outcome, ..
         } = answer
         else {
@@ -501,7 +501,7 @@
                 continue;
             }
             let written = self.times_written(operation);
-            if let ProposalAnswer::NotRun { .. } = answer {
+            if let ProposalReply::NotRun { .. } = answer {
                 assert_eq!(
                     written, 0,
                     "{operation} was told not run, but is in the log"
--- a/crates/rampthread-lab/src/demo.rs
+++ b/crates/rampthread-lab/src/demo.rs
@@ -4,7 +4,7 @@
 use crate::load::{LoadPlan, LoadReport, Seen, run};
 use http::Method;
 use rampthread_core::config::{ChangeSet, Operation, Outcome, Resource, Secret};
-use rampthread_core::fleet::ProposalAnswer;
+use rampthread_core::fleet::ProposalReply;
 use rampthread_core::ids::{OperationId, Version};
 use rampthread_node::node::keyring;
 use rampthread_node::settings::read_resource_toml;
@@ -63,7 +63,7 @@
     };
     let result = control.control.propose(change).await;
     match result.answer {
-        ProposalAnswer::Decided {
+        ProposalReply::Decided {
             version,
             outcome: Outcome::Accepted,
             ..
--- a/crates/rampthread-node/src/api/changes.rs
+++ b/crates/rampthread-node/src/api/changes.rs
@@ -8,7 +8,7 @@
     ChangeSet, MAX_ENTRY_BYTES, Operation, Resource, ResourceKey, ResourceKind, Secret,
 };
 use rampthread_core::findings::Findings;
-use rampthread_core::fleet::ProposalAnswer;
+use rampthread_core::fleet::ProposalReply;
 use rampthread_core::ids::{OperationId, ResourceName, Version};
 use rampthread_wire::SecretKeeper;
 use std::time::Duration;
@@ -246,9 +246,9 @@
     Ok(answer(result.operation_id, &result.answer))
 }
 
-fn answer(operation_id: OperationId, answer: &ProposalAnswer) -> Response {
+fn answer(operation_id: OperationId, answer: &ProposalReply) -> Response {
     match answer {
-        ProposalAnswer::Decided {
+        ProposalReply::Decided {
             version,
             outcome,
             held_by,
@@ -262,10 +262,10 @@
             };
             json(status, &view)
         }
-        ProposalAnswer::NotRun { retry_after } => {
+        ProposalReply::NotRun { retry_after } => {
             not_run(ChangeView::new(operation_id, "not-run"), *retry_after)
         }
-        ProposalAnswer::Unknown | ProposalAnswer::EpochMismatch => json(
+        ProposalReply::Unknown | ProposalReply::EpochMismatch => json(
             StatusCode::GatewayTimeout,
             &ChangeView::new(operation_id, "unknown"),
         ),
--- a/crates/rampthread-node/src/control/operators.rs
+++ b/crates/rampthread-node/src/control/operators.rs
@@ -3,7 +3,7 @@
 use super::Control;
 use super::requests::ChangeResult;
 use rampthread_core::config::{ChangeSet, LogEntry};
-use rampthread_core::fleet::{PropagationStatus, ProposalAnswer};
+use rampthread_core::fleet::{PropagationStatus, ProposalReply};
 use std::sync::Arc;
 
 impl Control {
@@ -20,7 +20,7 @@
         self.perform(actions);
         ChangeResult {
             operation_id,
-            answer: answer.recv().await.unwrap_or(ProposalAnswer::Unknown),
+            answer: answer.recv().await.unwrap_or(ProposalReply::Unknown),
         }
     }
 
--- a/crates/rampthread-node/src/control/requests.rs
+++ b/crates/rampthread-node/src/control/requests.rs
@@ -1,6 +1,6 @@
 //! Operators' requests that wait for the agent.
 
-use rampthread_core::fleet::{PropagationStatus, ProposalAnswer, Ticket};
+use rampthread_core::fleet::{PropagationStatus, ProposalReply, Ticket};
 use rampthread_core::ids::OperationId;
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -12,14 +12,14 @@
     /// Names the change; to be looked up later if the outcome is unknown.
     pub operation_id: OperationId,
     /// What became of it.
-    pub answer: ProposalAnswer,
+    pub answer: ProposalReply,
 }
 
 /// Requests by ticket.
 #[derive(Debug, Default)]
 pub struct Waiting {
     next: AtomicU64,
-    proposals: Mutex<HashMap<Ticket, async_channel::Sender<ProposalAnswer>>>,
+    proposals: Mutex<HashMap<Ticket, async_channel::Sender<ProposalReply>>>,
     spreads: Mutex<HashMap<Ticket, async_channel::Sender<Option<PropagationStatus>>>>,
 }
 
@@ -46,7 +46,7 @@
     }
 
     /// Registers a proposal.
-    pub fn proposal(&self) -> (Ticket, async_channel::Receiver<ProposalAnswer>) {
+    pub fn proposal(&self) -> (Ticket, async_channel::Receiver<ProposalReply>) {
         let ticket = self.ticket();
         (ticket, register(&self.proposals, ticket))
     }
@@ -58,7 +58,7 @@
     }
 
     /// The agent answered a proposal.
-    pub fn answer_proposal(&self, ticket: Ticket, answer: ProposalAnswer) {
+    pub fn answer_proposal(&self, ticket: Ticket, answer: ProposalReply) {
         resolve(&self.proposals, ticket, answer);
     }
 
--- a/crates/rampthread-wire/src/decode.rs
+++ b/crates/rampthread-wire/src/decode.rs
@@ -8,7 +8,7 @@
 use rampthread_core::config::Outcome;
 use rampthread_core::fleet::{
     Conditions, CrashReport, EndpointRecord, Envelope, LaggingNode, MemberRecord, Message,
-    ProbeBody, PropagationStatus, ProposalAnswer, SharedBytes, Status, WitnessRecord,
+    ProbeBody, PropagationStatus, ProposalReply, SharedBytes, Status, WitnessRecord,
 };
 use rampthread_core::ids::{
     InstanceId, InvalidName, NodeId, OperationId, Region, ResourceName, SoftwareVersion, Version,
@@ -144,10 +144,10 @@
         Which::HeldAck(from) => Message::HeldAck {
             version: Version(from.get_version()),
         },
-        Which::HeadQuestion(from) => Message::HeadQuestion {
+        Which::HeadQuestion(from) => Message::HeadQuery {
             nonce: from.get_nonce(),
         },
-        Which::HeadAnswer(from) => Message::HeadAnswer {
+        Which::HeadAnswer(from) => Message::HeadReply {
             nonce: from.get_nonce(),
             head: Version(from.get_head()),
         },
@@ -162,23 +162,23 @@
             version: Version(from.get_version()),
             asker_epoch: from.get_asker_life(),
         },
-        Which::FloorQuestion(from) => Message::FloorQuestion {
+        Which::FloorQuestion(from) => Message::FloorQuery {
             nonce: from.get_nonce(),
         },
-        Which::FloorAnswer(from) => Message::FloorAnswer {
+        Which::FloorAnswer(from) => Message::FloorReply {
             nonce: from.get_nonce(),
             record: from.get_known().then(|| WitnessRecord {
                 version: Version(from.get_version()),
                 set: from.get_set(),
             }),
-            heard: Version(from.get_heard()),
+            newest_known: Version(from.get_heard()),
         },
         Which::Propose(from) => Message::Propose {
             submission: from.get_submission(),
             reader_epoch: from.get_reader_life(),
             entry: from.get_entry()?.into(),
         },
-        Which::ProposeAnswer(from) => Message::ProposeAnswer {
+        Which::ProposeAnswer(from) => Message::ProposeReply {
             submission: from.get_submission(),
             operation_id: OperationId::new(from.get_operation_id()?.to_str()?)?,
             answer: read_answer(from.get_answer().which()?)?,
@@ -211,19 +211,19 @@
 
 fn read_answer(
     answer: schema::envelope::message::propose_answer::answer::WhichReader<'_>,
-) -> Result<ProposalAnswer, DecodeError> {
+) -> Result<ProposalReply, DecodeError> {
     use schema::envelope::message::propose_answer::answer::Which;
     Ok(match answer {
-        Which::Decided(from) => ProposalAnswer::Decided {
+        Which::Decided(from) => ProposalReply::Decided {
             version: Version(from.get_version()),
             outcome: serde_json::from_slice::<Outcome>(from.get_outcome()?)?,
             held_by: from.get_held_by(),
         },
-        Which::NotRun(from) => ProposalAnswer::NotRun {
+        Which::NotRun(from) => ProposalReply::NotRun {
             retry_after: Duration::from_micros(from.get_retry_after_micros()),
         },
-        Which::Unknown(()) => ProposalAnswer::Unknown,
-        Which::OtherLife(()) => ProposalAnswer::EpochMismatch,
+        Which::Unknown(()) => ProposalReply::Unknown,
+        Which::OtherLife(()) => ProposalReply::EpochMismatch,
     })
 }
 
--- a/crates/rampthread-wire/src/encode.rs
+++ b/crates/rampthread-wire/src/encode.rs
@@ -4,7 +4,7 @@
 use crate::{load_message, rollout_message};
 use rampthread_core::fleet::{
     CrashReport, EndpointRecord, Envelope, MemberRecord, Message, ProbeBody, PropagationStatus,
-    ProposalAnswer, Status,
+    ProposalReply, Status,
 };
 use std::net::{IpAddr, SocketAddr};
 
@@ -71,8 +71,8 @@
         }
         Message::Held { version } => to.init_held().set_version(version.0),
         Message::HeldAck { version } => to.init_held_ack().set_version(version.0),
-        Message::HeadQuestion { nonce } => to.init_head_question().set_nonce(*nonce),
-        Message::HeadAnswer { nonce, head } => {
+        Message::HeadQuery { nonce } => to.init_head_question().set_nonce(*nonce),
+        Message::HeadReply { nonce, head } => {
             let mut to = to.init_head_answer();
             to.set_nonce(*nonce);
             to.set_head(head.0);
@@ -94,15 +94,15 @@
             to.set_version(version.0);
             to.set_asker_life(*asker_epoch);
         }
-        Message::FloorQuestion { nonce } => to.init_floor_question().set_nonce(*nonce),
-        Message::FloorAnswer {
+        Message::FloorQuery { nonce } => to.init_floor_question().set_nonce(*nonce),
+        Message::FloorReply {
             nonce,
             record,
-            heard,
+            newest_known,
         } => {
             let mut to = to.init_floor_answer();
             to.set_nonce(*nonce);
-            to.set_heard(heard.0);
+            to.set_heard(newest_known.0);
             if let Some(record) = record {
                 to.set_known(true);
                 to.set_version(record.version.0);
@@ -119,7 +119,7 @@
             to.set_reader_life(*reader_epoch);
             to.set_entry(entry);
         }
-        Message::ProposeAnswer {
+        Message::ProposeReply {
             submission,
             operation_id,
             answer,
@@ -175,10 +175,10 @@
 
 fn write_answer(
     mut to: schema::envelope::message::propose_answer::answer::Builder<'_>,
-    answer: &ProposalAnswer,
+    answer: &ProposalReply,
 ) {
     match answer {
-        ProposalAnswer::Decided {
+        ProposalReply::Decided {
             version,
             outcome,
             held_by,
@@ -189,11 +189,11 @@
             to.set_outcome(&outcome);
             to.set_held_by(*held_by);
         }
-        ProposalAnswer::NotRun { retry_after } => to
+        ProposalReply::NotRun { retry_after } => to
             .init_not_run()
             .set_retry_after_micros(retry_after.as_micros() as u64),
-        ProposalAnswer::Unknown => to.set_unknown(()),
-        ProposalAnswer::EpochMismatch => to.set_other_life(()),
+        ProposalReply::Unknown => to.set_unknown(()),
+        ProposalReply::EpochMismatch => to.set_other_life(()),
     }
 }
 
--- a/crates/rampthread-wire/tests/wire_properties.rs
+++ b/crates/rampthread-wire/tests/wire_properties.rs
@@ -6,7 +6,7 @@
 use rampthread_core::findings::Findings;
 use rampthread_core::fleet::{
     Conditions, CrashReport, EndpointRecord, Envelope, LaggingNode, LoadReport, MemberRecord,
-    Message, ProbeBody, PropagationStatus, ProposalAnswer, ServiceLoad, Status, TenantLoad,
+    Message, ProbeBody, PropagationStatus, ProposalReply, ServiceLoad, Status, TenantLoad,
     TenantTag, WitnessRecord, ZoneLoad,
 };
 use rampthread_core::ids::{
@@ -113,20 +113,20 @@
     (0_u64..1_000_000_000).prop_map(Duration::from_micros)
 }
 
-fn answer() -> impl Strategy<Value = ProposalAnswer> {
+fn answer() -> impl Strategy<Value = ProposalReply> {
     prop_oneof![
         (version(), any::<u32>(), ".{0,20}").prop_map(|(version, held_by, text)| {
             let mut findings = Findings::new();
             findings.push("place", text, "allowed");
-            ProposalAnswer::Decided {
+            ProposalReply::Decided {
                 version,
                 outcome: Outcome::Refused(findings),
                 held_by,
             }
         }),
-        wait().prop_map(|retry_after| ProposalAnswer::NotRun { retry_after }),
-        Just(ProposalAnswer::Unknown),
-        Just(ProposalAnswer::EpochMismatch),
+        wait().prop_map(|retry_after| ProposalReply::NotRun { retry_after }),
+        Just(ProposalReply::Unknown),
+        Just(ProposalReply::EpochMismatch),
     ]
 }
 
@@ -299,8 +299,8 @@
         }),
         version().prop_map(|version| Message::Held { version }),
         version().prop_map(|version| Message::HeldAck { version }),
-        any::<u64>().prop_map(|nonce| Message::HeadQuestion { nonce }),
-        (any::<u64>(), version()).prop_map(|(nonce, head)| Message::HeadAnswer { nonce, head }),
+        any::<u64>().prop_map(|nonce| Message::HeadQuery { nonce }),
+        (any::<u64>(), version()).prop_map(|(nonce, head)| Message::HeadReply { nonce, head }),
         (version(), any::<u64>(), any::<u64>()).prop_map(|(version, set, witness_epoch)| {
             Message::Record {
                 record: WitnessRecord { version, set },
@@ -311,16 +311,16 @@
             version,
             asker_epoch
         }),
-        any::<u64>().prop_map(|nonce| Message::FloorQuestion { nonce }),
+        any::<u64>().prop_map(|nonce| Message::FloorQuery { nonce }),
         (
             any::<u64>(),
             prop::option::of((version(), any::<u64>())),
             version()
         )
-            .prop_map(|(nonce, record, heard)| Message::FloorAnswer {
+            .prop_map(|(nonce, record, newest_known)| Message::FloorReply {
                 nonce,
                 record: record.map(|(version, set)| WitnessRecord { version, set }),
-                heard,
+                newest_known,
             }),
         (any::<u64>(), any::<u64>(), bytes()).prop_map(|(submission, reader_epoch, entry)| {
             Message::Propose {
@@ -329,7 +329,7 @@
                 entry,
             }
         }),
-        (any::<u64>(), answer()).prop_map(|(submission, answer)| Message::ProposeAnswer {
+        (any::<u64>(), answer()).prop_map(|(submission, answer)| Message::ProposeReply {
             submission,
             operation_id: OperationId::new("operation").unwrap(),
             answer,
