--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -118,7 +118,7 @@
         now: Moment,
         take_up: impl FnOnce(&mut ReportedBackend) -> Option<EndpointRecord>,
     ) -> Vec<Action> {
-        let until = self.started + self.settings.remembered_life;
+        let until = self.started + self.settings.unconfirmed_backend_ttl;
         if now >= until {
             return Vec::new();
         }
--- a/crates/rampthread-core/src/fleet/agent/crash_news.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_news.rs
@@ -180,7 +180,7 @@
         if idle || now < self.crashes.next_round {
             return;
         }
-        self.crashes.next_round = now + self.settings.news_interval;
+        self.crashes.next_round = now + self.settings.gossip_interval;
         self.crashes.table.forget_old(now);
         self.compare_further(now, outbox);
         let due = std::mem::take(&mut self.crashes.untold);
@@ -333,7 +333,7 @@
 
     /// Tells the whole zone and some of each other one, and remembers to repeat it.
     fn tell_of_crashes(&mut self, new: Vec<CrashReport>, now: Moment, outbox: &mut Outbox) {
-        let direct = self.settings.news_direct;
+        let direct = self.settings.direct_update_fanout;
         let near = self.membership.near_targets(direct, &mut self.rng);
         send_reports(&near, &new, outbox);
         let far = self.membership.far_targets(FAR_TOLD, &mut self.rng);
@@ -345,7 +345,7 @@
     /// zone told, to some of it.
     fn pass_on(&mut self, from: &NodeId, new: Vec<CrashReport>, now: Moment, outbox: &mut Outbox) {
         if self.zone_of(from) != Some(&self.identity.zone) {
-            let direct = self.settings.news_direct;
+            let direct = self.settings.direct_update_fanout;
             let near = self.membership.near_targets(direct, &mut self.rng);
             send_reports(&near, &new, outbox);
         }
@@ -361,7 +361,7 @@
             return;
         }
         if self.crashes.untold.is_empty() {
-            self.crashes.next_round = now + self.settings.news_interval;
+            self.crashes.next_round = now + self.settings.gossip_interval;
         }
         for report in reports {
             let rounds = Rounds { left, far };
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -106,7 +106,7 @@
     /// Time for which a newer version is left to the peers: at least what a read
     /// of the store takes over this node's link.
     fn peers_grace(&self) -> Duration {
-        self.settings.pull_grace.max(self.read_took)
+        self.settings.document_read_delay.max(self.read_took)
     }
 
     /// Reads the store when peers did not help within the grace, and again.
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -17,7 +17,7 @@
         if self.floor.is_some() || now < self.next_floor_query {
             return;
         }
-        self.next_floor_query = now + self.settings.question_interval;
+        self.next_floor_query = now + self.settings.query_retry_interval;
         if self.defect == Some(Defect::SkipFloor) && self.replica.version() > Version::ZERO {
             self.confirm_floor(Version::ZERO, FloorSource::Witnesses, now, outbox);
             return;
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -25,7 +25,7 @@
         let lagged = self.replica.lags();
         self.replica.hear(version);
         let may_pull =
-            self.settings.distribution == DistributionMode::Rumour || self.floor.is_none();
+            self.settings.distribution == DistributionMode::Gossip || self.floor.is_none();
         if may_pull && version > self.replica.version() {
             self.distribution.note_source(peer);
             if self.settings.source == ConfigSource::Document {
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -188,12 +188,12 @@
             endpoint: None,
         };
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ identity.process_epoch);
-        let mut membership = Membership::new(me, settings.transmission_factor, now);
+        let mut membership = Membership::new(me, settings.retransmit_multiplier, now);
         membership.list_machines(machines, now);
         Self {
             membership,
             epochs: BTreeMap::new(),
-            replica: Replica::new(settings.kept_entries),
+            replica: Replica::new(settings.max_retained_entries),
             distribution: Distribution::default(),
             history: DocumentHistory::default(),
             read_due: None,
@@ -226,7 +226,7 @@
                 .map(|bounds| rollouts::Rollouts::new(identity.id.clone(), bounds)),
             draining: false,
             backend_up: true,
-            reported: ReportedBackend::with_heartbeat(settings.heartbeat),
+            reported: ReportedBackend::with_heartbeat(settings.heartbeat_interval),
             remembered_until: None,
             endpoint: None,
             started: now,
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -137,9 +137,9 @@
         let awaited = std::mem::take(&mut self.awaited_holds);
         for hold in awaited {
             let others = self.holders.others(hold.version, &self.membership);
-            let waited = now.since(hold.since) >= self.settings.hold_wait;
+            let waited = now.since(hold.since) >= self.settings.replication_wait;
             let accepted = hold.outcome == Outcome::Accepted;
-            if accepted && !waited && !others.suffice(self.settings.hold_count) {
+            if accepted && !waited && !others.suffice(self.settings.replication_count) {
                 self.awaited_holds.push(hold);
                 continue;
             }
@@ -176,7 +176,7 @@
     }
 
     pub(super) fn expire_spread_requests(&mut self, now: Moment, outbox: &mut Outbox) {
-        let wait = self.settings.question_interval;
+        let wait = self.settings.query_retry_interval;
         self.spread_requests.retain(|request| {
             let open = now.since(request.sent) < wait;
             if !open {
--- a/crates/rampthread-core/src/fleet/agent/store.rs
+++ b/crates/rampthread-core/src/fleet/agent/store.rs
@@ -42,7 +42,7 @@
 
     pub(super) fn write_snapshot(&mut self, outbox: &mut Outbox) {
         let version = self.replica.version();
-        let due = version.0 >= self.last_snapshot.0 + self.settings.snapshot_interval;
+        let due = version.0 >= self.last_snapshot.0 + self.settings.versions_per_snapshot;
         if !due || self.snapshot_request.is_some() {
             return;
         }
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -40,7 +40,7 @@
 
 /// A version that this node announces to peers.
 #[derive(Debug, Clone, Copy)]
-struct Rumour {
+struct Announcement {
     version: Version,
     learnt_from: LearntFrom,
     /// Number of completed rounds.
@@ -50,7 +50,7 @@
 /// Announcement in progress and pending pull.
 #[derive(Debug, Default)]
 pub struct Distribution {
-    rumour: Option<Rumour>,
+    announcement: Option<Announcement>,
     next_round: Moment,
     pull: Option<OpenPull>,
     /// Number of consecutive pulls that timed out.
@@ -79,7 +79,7 @@
         if settings.distribution == DistributionMode::PollReader {
             return;
         }
-        self.rumour = Some(Rumour {
+        self.announcement = Some(Announcement {
             version,
             learnt_from,
             rounds: 0,
@@ -111,8 +111,8 @@
             self.pull = None;
             self.timeouts += 1;
         }
-        let by_rumour = settings.distribution == DistributionMode::Rumour;
-        if by_rumour && replica.lags() && self.pull.is_none() && now >= self.pull_not_before {
+        let by_gossip = settings.distribution == DistributionMode::Gossip;
+        if by_gossip && replica.lags() && self.pull.is_none() && now >= self.pull_not_before {
             let source = self.source.take();
             if let Some(peer) = source.or_else(|| membership.mostly_near_peer(rng)) {
                 self.pull_from(&peer, replica, now, outbox);
@@ -151,28 +151,28 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        let Some(rumour) = &mut self.rumour else {
+        let Some(announcement) = &mut self.announcement else {
             return;
         };
         if now < self.next_round {
             return;
         }
-        let few = rumour.learnt_from != LearntFrom::Log
+        let few = announcement.learnt_from != LearntFrom::Log
             && membership.near_peers().count() < settings.notice_fanout;
         let rounds = match few {
             true => settings.notice_rounds.max(ROUNDS_TO_FEW),
             false => settings.notice_rounds,
         };
-        if rumour.rounds >= rounds {
-            self.rumour = None;
+        if announcement.rounds >= rounds {
+            self.announcement = None;
             return;
         }
         self.next_round = now + settings.notice_interval;
-        let told = *rumour;
-        rumour.rounds += 1;
-        let version = told.version;
-        let entry = inline_entry(replica, version, settings.inline_entry_bytes);
-        for peer in notice_targets(told, membership, settings.notice_fanout, rng) {
+        let current = *announcement;
+        announcement.rounds += 1;
+        let version = current.version;
+        let entry = inline_entry(replica, version, settings.max_inline_entry_bytes);
+        for peer in notice_targets(current, membership, settings.notice_fanout, rng) {
             let entry = entry.clone();
             outbox.send(&peer, Message::Notice { version, entry });
         }
@@ -332,16 +332,16 @@
 }
 
 fn notice_targets(
-    rumour: Rumour,
+    announcement: Announcement,
     membership: &Membership,
     fanout: usize,
     rng: &mut impl Rng,
 ) -> Vec<NodeId> {
-    if rumour.learnt_from == LearntFrom::Log {
+    if announcement.learnt_from == LearntFrom::Log {
         return mixed_targets(membership, fanout, rng);
     }
     let mut targets = membership.near_targets(fanout, rng);
-    if rumour.learnt_from == LearntFrom::Store && rumour.rounds == FAR_NOTICE_ROUND {
+    if announcement.learnt_from == LearntFrom::Store && announcement.rounds == FAR_NOTICE_ROUND {
         targets.extend(membership.far_targets(1, rng));
     }
     targets
--- a/crates/rampthread-core/src/fleet/holders.rs
+++ b/crates/rampthread-core/src/fleet/holders.rs
@@ -120,7 +120,7 @@
         if now < self.next_repeat || held == Version::ZERO {
             return;
         }
-        self.next_repeat = now + settings.question_interval;
+        self.next_repeat = now + settings.query_retry_interval;
         self.noted.retain(|id, _| {
             membership
                 .record(id)
--- a/crates/rampthread-core/src/fleet/membership/mod.rs
+++ b/crates/rampthread-core/src/fleet/membership/mod.rs
@@ -81,7 +81,7 @@
     /// Departures to forward at once.
     relayed: Vec<Relayed>,
     /// Maximum number of members to which updates are sent directly.
-    news_direct: usize,
+    direct_update_fanout: usize,
     /// Changes first seen by this node, with the remaining rounds of sending them to other
     /// zones.
     far_updates: BTreeMap<NodeId, u32>,
@@ -109,7 +109,7 @@
     agreeing: u32,
     /// Multiplied with the decimal logarithm of the zone's size gives the transmissions of one
     /// update.
-    transmission_factor: f64,
+    retransmit_multiplier: f64,
 }
 
 /// Origin of a change to the table.
@@ -127,7 +127,7 @@
 
 impl Membership {
     /// Creates a table with only this node.
-    pub fn new(me: MemberRecord, transmission_factor: f64, now: Moment) -> Self {
+    pub fn new(me: MemberRecord, retransmit_multiplier: f64, now: Moment) -> Self {
         let mut membership = Self {
             first_incarnation: me.incarnation,
             earlier_life: None,
@@ -136,7 +136,7 @@
             updates: BTreeMap::new(),
             urgent: BTreeSet::new(),
             relayed: Vec::new(),
-            news_direct: usize::MAX,
+            direct_update_fanout: usize::MAX,
             far_updates: BTreeMap::new(),
             zone_size: 1,
             met_zones: BTreeSet::new(),
@@ -154,7 +154,7 @@
             differing_peer: None,
             vain_comparisons: 0,
             agreeing: 0,
-            transmission_factor,
+            retransmit_multiplier,
         };
         membership.refresh_digest();
         membership
@@ -260,7 +260,7 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        self.news_direct = settings.news_direct;
+        self.direct_update_fanout = settings.direct_update_fanout;
         self.watch_probe(now, held, settings, rng, outbox);
         self.expire_suspects(now, settings, outbox);
         if now >= self.next_probe {
@@ -288,7 +288,7 @@
         for record in &body.updates {
             self.merge(record.clone(), origin, now, outbox);
         }
-        self.queue_relay(from, leaves, self.news_direct);
+        self.queue_relay(from, leaves, self.direct_update_fanout);
         self.differing_peer = None;
         if body.digest != self.digest {
             self.differing_peer = Some(from.clone());
--- a/crates/rampthread-core/src/fleet/membership/probes.rs
+++ b/crates/rampthread-core/src/fleet/membership/probes.rs
@@ -93,7 +93,7 @@
         settings: &FleetSettings,
         outbox: &mut Outbox,
     ) {
-        let limit = self.patience(settings.suspicion);
+        let limit = self.patience(settings.suspicion_timeout);
         let expired: Vec<MemberRecord> = self
             .members
             .values()
--- a/crates/rampthread-core/src/fleet/membership/updates.rs
+++ b/crates/rampthread-core/src/fleet/membership/updates.rs
@@ -33,7 +33,7 @@
         if self.updates.is_empty() && self.far_updates.is_empty() {
             return;
         }
-        self.next_news = now + settings.news_interval;
+        self.next_news = now + settings.gossip_interval;
         self.tell_zone(held, settings, rng, outbox);
         self.tell_other_zones(held, settings, rng, outbox);
     }
@@ -48,14 +48,14 @@
         outbox: &mut Outbox,
     ) {
         if !self.urgent.is_empty() {
-            let targets = self.near_targets(settings.news_direct, rng);
+            let targets = self.near_targets(settings.direct_update_fanout, rng);
             if targets.is_empty() {
                 // No other member is known yet. The updates stay pending.
                 return;
             }
             for _ in 0..BATCHES_PER_ROUND {
                 let urgent = self.take_urgent(settings.updates_per_message);
-                let relays = self.relays_for(&urgent, settings.news_direct);
+                let relays = self.relays_for(&urgent, settings.direct_update_fanout);
                 self.tell(relays.as_ref().unwrap_or(&targets), urgent, held, outbox);
             }
             return;
@@ -63,7 +63,7 @@
         if self.updates.is_empty() {
             return;
         }
-        for target in self.near_targets(settings.news_fanout, rng) {
+        for target in self.near_targets(settings.gossip_fanout, rng) {
             let body = self.body_for(&target, 0, held, settings);
             outbox.send(&target, Message::Ack(body));
         }
@@ -227,7 +227,7 @@
     /// Number of transmissions that reach the whole zone with high probability.
     pub(super) fn transmissions(&self) -> u32 {
         let size = self.zone_size + 1;
-        (self.transmission_factor * (size as f64).log10()).ceil() as u32
+        (self.retransmit_multiplier * (size as f64).log10()).ceil() as u32
     }
 }
 
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -187,7 +187,7 @@
             retry_after: NO_READER_RETRY,
         });
     }
-    (waited >= settings.proposal_patience).then_some(ProposalReply::Unknown)
+    (waited >= settings.proposal_timeout).then_some(ProposalReply::Unknown)
 }
 
 /// Returns the previously chosen reader if it still is one, otherwise any, preferably of the
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -435,9 +435,9 @@
     ) {
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
         let ceiling = settings
-            .store_backoff
+            .initial_store_backoff
             .saturating_mul(1 << self.failures)
-            .min(settings.store_backoff_limit);
+            .min(settings.max_store_backoff);
         let wait = ceiling.mul_f64(rng.random_range(0.0..1.0));
         self.not_before = now + wait.max(wish.unwrap_or_default());
         if !self.store_down {
--- a/crates/rampthread-core/src/fleet/settings.rs
+++ b/crates/rampthread-core/src/fleet/settings.rs
@@ -14,7 +14,7 @@
     /// Number of peers asked to probe on this node's behalf.
     pub indirect_probes: usize,
     /// Minimum time for which a member stays suspect before it is declared dead.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Interval between attempts to reach listed members that are considered dead.
     pub rejoin_interval: Duration,
     /// Mean interval between comparisons of the member table with a peer whose table digest
@@ -31,13 +31,13 @@
     /// Interval between rounds of notices.
     pub notice_interval: Duration,
     /// Largest log entry sent within a notice, in bytes. 0 disables inlining.
-    pub inline_entry_bytes: usize,
+    pub max_inline_entry_bytes: usize,
     /// Maximum number of pulls that a node serves per second.
     pub pulls_per_second: u32,
     /// Time after which an unanswered pull is sent to another peer.
     pub pull_timeout: Duration,
     /// Maximum number of log entries kept in memory for lagging peers.
-    pub kept_entries: usize,
+    pub max_retained_entries: usize,
     /// Number of nodes that hold a reader lease at a time.
     pub reader_count: usize,
     /// Number of members that may try to acquire a reader lease.
@@ -47,48 +47,48 @@
     /// Maximum wait of a single watch on the store.
     pub watch_wait: Duration,
     /// Base of the exponential backoff (with full jitter) after a failed store request.
-    pub store_backoff: Duration,
+    pub initial_store_backoff: Duration,
     /// Upper bound of the backoff after failed store requests.
-    pub store_backoff_limit: Duration,
+    pub max_store_backoff: Duration,
     /// Number of versions between snapshots of the log.
-    pub snapshot_interval: u64,
+    pub versions_per_snapshot: u64,
     /// Number of witnesses per node.
     pub witness_count: usize,
     /// Interval between repeats of an unanswered query.
-    pub question_interval: Duration,
+    pub query_retry_interval: Duration,
     /// Time after which the outcome of a proposal is reported as unknown.
-    pub proposal_patience: Duration,
+    pub proposal_timeout: Duration,
     /// Maximum wait for other nodes to hold an accepted version before the proposal is
     /// answered.
-    pub hold_wait: Duration,
+    pub replication_wait: Duration,
     /// Number of other nodes that must hold a version before its proposal is answered as
     /// accepted.
-    pub hold_count: usize,
+    pub replication_count: usize,
     /// How versions reach the other nodes. `PollReader` is for experiments only.
     pub distribution: DistributionMode,
     /// Origin of configuration versions.
     pub source: ConfigSource,
     /// Time that a node leaves its peers to deliver a newer document before it reads the store
     /// itself.
-    pub pull_grace: Duration,
+    pub document_read_delay: Duration,
     /// Time for which a backend known from an earlier run of this node counts without a
     /// heartbeat. It must stay below the time within which a departing backend stops getting
     /// work: the backend may have deregistered at the previous run just before that ended.
-    pub remembered_life: Duration,
+    pub unconfirmed_backend_ttl: Duration,
     /// Interval between heartbeats of a backend.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Number of nodes that watch the store for a new document.
     pub document_watchers: usize,
     /// Number of peers in the zone that receive member updates per gossip round.
-    pub news_fanout: usize,
+    pub gossip_fanout: usize,
     /// Maximum number of peers in the zone to which the first node that learns of an update
     /// sends it directly.
-    pub news_direct: usize,
+    pub direct_update_fanout: usize,
     /// Each node transmits a member update at most this many times the decimal logarithm of the
     /// zone's size.
-    pub transmission_factor: f64,
+    pub retransmit_multiplier: f64,
     /// Interval between gossip rounds while there are updates to send.
-    pub news_interval: Duration,
+    pub gossip_interval: Duration,
     /// Number of listed members considered dead that are contacted per rejoin attempt.
     pub rejoin_fanout: usize,
     /// Limits for rollouts. Rollout orders are ignored if absent.
@@ -108,14 +108,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DistributionMode {
     /// Notices to random peers; nodes that lag pull the missing entries.
-    Rumour,
+    Gossip,
     /// Baseline for comparison: every node polls a reader once a second.
     PollReader,
 }
 
 /// Well below the 2 s within which a version must be active, and long enough for two rounds of
 /// notices and a pull.
-const DOCUMENT_PULL_GRACE: Duration = Duration::from_millis(600);
+const DOCUMENT_READ_DELAY: Duration = Duration::from_millis(600);
 
 impl FleetSettings {
     /// Defaults for configuration from a document. Member updates are sent directly and dead
@@ -123,17 +123,17 @@
     pub fn for_documents() -> Self {
         Self {
             source: ConfigSource::Document,
-            pull_grace: DOCUMENT_PULL_GRACE,
-            news_fanout: 3,
-            news_direct: 64,
-            transmission_factor: 4.0,
+            document_read_delay: DOCUMENT_READ_DELAY,
+            gossip_fanout: 3,
+            direct_update_fanout: 64,
+            retransmit_multiplier: 4.0,
             rejoin_interval: Duration::from_secs(1),
             rejoin_fanout: 3,
             sync_interval: Duration::from_millis(500),
             pull_timeout: Duration::from_millis(250),
             notice_rounds: 3,
             notice_fanout: 4,
-            inline_entry_bytes: 0,
+            max_inline_entry_bytes: 0,
             ..Self::default()
         }
     }
@@ -145,7 +145,7 @@
             probe_interval: Duration::from_secs(1),
             probe_timeout: Duration::from_millis(300),
             indirect_probes: 3,
-            suspicion: Duration::from_secs(4),
+            suspicion_timeout: Duration::from_secs(4),
             rejoin_interval: Duration::from_secs(5),
             sync_interval: Duration::from_secs(1),
             updates_per_message: 10,
@@ -153,32 +153,32 @@
             notice_fanout: 4,
             notice_rounds: 2,
             notice_interval: Duration::from_millis(100),
-            inline_entry_bytes: 900,
+            max_inline_entry_bytes: 900,
             pulls_per_second: 40,
             pull_timeout: Duration::from_millis(400),
-            kept_entries: 256,
+            max_retained_entries: 256,
             reader_count: 3,
             reader_candidates: 6,
             lease_ttl: Duration::from_secs(3),
             watch_wait: Duration::from_secs(10),
-            store_backoff: Duration::from_millis(100),
-            store_backoff_limit: Duration::from_secs(3),
-            snapshot_interval: 64,
+            initial_store_backoff: Duration::from_millis(100),
+            max_store_backoff: Duration::from_secs(3),
+            versions_per_snapshot: 64,
             witness_count: 5,
-            question_interval: Duration::from_millis(500),
-            proposal_patience: Duration::from_secs(5),
-            hold_wait: Duration::from_secs(1),
-            hold_count: 2,
-            distribution: DistributionMode::Rumour,
+            query_retry_interval: Duration::from_millis(500),
+            proposal_timeout: Duration::from_secs(5),
+            replication_wait: Duration::from_secs(1),
+            replication_count: 2,
+            distribution: DistributionMode::Gossip,
             source: ConfigSource::ChangeLog,
-            pull_grace: Duration::ZERO,
-            remembered_life: Duration::from_millis(1_400),
-            heartbeat: Duration::from_millis(1_500),
+            document_read_delay: Duration::ZERO,
+            unconfirmed_backend_ttl: Duration::from_millis(1_400),
+            heartbeat_interval: Duration::from_millis(1_500),
             document_watchers: 8,
-            news_fanout: 0,
-            news_direct: 64,
-            transmission_factor: 10.0,
-            news_interval: Duration::from_millis(200),
+            gossip_fanout: 0,
+            direct_update_fanout: 64,
+            retransmit_multiplier: 10.0,
+            gossip_interval: Duration::from_millis(200),
             rejoin_fanout: 1,
             roll_outs: None,
         }
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -146,7 +146,7 @@
             self.waiting.pop_front();
         }
         self.waiting.push_back(Waiting { state, set });
-        self.next_repeat = now + settings.question_interval;
+        self.next_repeat = now + settings.query_retry_interval;
         self.ask(outbox);
     }
 
@@ -253,7 +253,7 @@
         if self.waiting.is_empty() || now < self.next_repeat {
             return;
         }
-        self.next_repeat = now + settings.question_interval;
+        self.next_repeat = now + settings.query_retry_interval;
         self.explain_wait(outbox);
         self.ask(outbox);
     }
--- a/crates/rampthread-core/tests/fleet_properties.rs
+++ b/crates/rampthread-core/tests/fleet_properties.rs
@@ -130,8 +130,8 @@
 
 fn settings() -> FleetSettings {
     FleetSettings {
-        snapshot_interval: 4,
-        kept_entries: 4,
+        versions_per_snapshot: 4,
+        max_retained_entries: 4,
         ..FleetSettings::default()
     }
 }
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -464,8 +464,8 @@
     let (fleet, source) = match adapter {
         Some(adapter) => (
             FleetSettings {
-                remembered_life: settings.backend.remembered_life(),
-                heartbeat: settings.backend.heartbeat,
+                unconfirmed_backend_ttl: settings.backend.remembered_life(),
+                heartbeat_interval: settings.backend.heartbeat,
                 roll_outs: settings.roll_outs.map(RolloutSettings::to_bounds),
                 ..settings.fleet.to_document_settings()
             },
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -263,10 +263,10 @@
         let defaults = FleetSettings::default();
         Self {
             probe_interval: defaults.probe_interval,
-            suspicion: defaults.suspicion,
+            suspicion: defaults.suspicion_timeout,
             lease_ttl: defaults.lease_ttl,
-            snapshot_interval: defaults.snapshot_interval,
-            proposal_patience: defaults.proposal_patience,
+            snapshot_interval: defaults.versions_per_snapshot,
+            proposal_patience: defaults.proposal_timeout,
             claim_life: rampthread_core::call::claims::CLAIM_LIFE,
             distribution: DistributionName::Rumour,
         }
@@ -287,12 +287,12 @@
     fn tune(&self, settings: FleetSettings) -> FleetSettings {
         FleetSettings {
             probe_interval: self.probe_interval,
-            suspicion: self.suspicion,
+            suspicion_timeout: self.suspicion,
             lease_ttl: self.lease_ttl,
-            snapshot_interval: self.snapshot_interval,
-            proposal_patience: self.proposal_patience,
+            versions_per_snapshot: self.snapshot_interval,
+            proposal_timeout: self.proposal_patience,
             distribution: match self.distribution {
-                DistributionName::Rumour => DistributionMode::Rumour,
+                DistributionName::Rumour => DistributionMode::Gossip,
                 DistributionName::PollReader => DistributionMode::PollReader,
             },
             ..settings
