--- a/crates/rampthread-core/src/fleet/agent/conditions.rs
+++ b/crates/rampthread-core/src/fleet/agent/conditions.rs
@@ -1,4 +1,4 @@
-//! What the node announces of itself, and what starts a drain.
+//! Conditions that this node announces of itself, and the start of a drain.
 
 use super::Agent;
 use crate::fleet::action::{Action, Decision, Outbox};
@@ -22,13 +22,14 @@
         outbox.actions.push(Action::StartDrain);
     }
 
-    /// A reader sees the machine list first; the node itself must know.
-    pub(super) fn pass_on_drain(&mut self, id: &NodeId, outbox: &mut Outbox) {
-        let told = self
+    /// Notifies a node that the machine list marks as leaving. A reader may see the list
+    /// before the node itself does.
+    pub(super) fn notify_drain(&mut self, id: &NodeId, outbox: &mut Outbox) {
+        let knows = self
             .membership
             .record(id)
             .is_none_or(|record| record.conditions.draining || !record.reachable());
-        if !told && self.membership.me().conditions.reader {
+        if !knows && self.membership.me().conditions.reader {
             outbox.send(id, Message::Drain);
         }
     }
@@ -45,7 +46,7 @@
     pub(super) fn announce(&mut self, now: Moment) {
         let reader = match self.settings.source {
             ConfigSource::ChangeLog => self.reader.holds_lease(now),
-            ConfigSource::Document => self.store_watch.answers(now) && self.reads_fast(),
+            ConfigSource::Document => self.store_watch.answers(now) && self.has_fast_store_link(),
         };
         let conditions = Conditions {
             reader,
--- a/crates/rampthread-core/src/fleet/agent/crash_news.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -1,7 +1,9 @@
-//! How reports of crashes reach every node: told at once to the whole zone and to
-//! some members of each other zone, which tell theirs; repeated a few times; and
-//! compared with each probe, so that a node that was cut off, lost the messages
-//! or has just started learns them from the first peer that answers it.
+//! Dissemination of backend crash reports.
+//!
+//! A report is sent at once to the whole zone and to some members of each other zone, which
+//! forward it within theirs, and is repeated for a few rounds. Probes carry a digest of the
+//! table, so that a node that was partitioned, lost messages or has just started
+//! synchronizes with the first peer that answers.
 
 use super::Agent;
 use crate::call::identity::RequestIdentity;
@@ -15,70 +17,61 @@
 use rand::seq::IteratorRandom;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-
-/// Reports in one message: it fits a datagram.
+/// Reports in one message, so that it fits a datagram.
 const REPORTS_PER_MESSAGE: usize = 12;
-/// Reports of one comparison of tables, in bytes about 64 kB: those under which
-/// several back ends have crashed, so there are few.
-const REPORTS_PER_COMPARISON: usize = 1_024;
-/// Reports of one comparison under which a single back end has crashed, drawn where
-/// there are more: in bytes about 16 kB.
-const RECENT_PER_COMPARISON: usize = 256;
-/// Members of each other zone that are told at once.
-const FAR_TOLD: usize = 2;
-/// Rounds in which the node that saw a crash repeats it. With 30 of 100 messages
-/// lost, 1 of 1,000 zones misses all of them, and learns it by comparison.
-const ROUNDS_OF_ORIGIN: u32 = 3;
-/// Rounds in which others repeat what they have heard.
-const ROUNDS_OF_OTHERS: u32 = 3;
-/// Rounds in which the clearing of an earlier crash is told when a later one makes
-/// it matter: many nodes may know of it, so that each tells few.
-const ROUNDS_OF_CLEARINGS: u32 = 2;
-/// Members of the own zone that are told in a round.
-const TOLD_PER_ROUND: usize = 2;
-/// Least time between two comparisons that this node begins.
-const COMPARISON_INTERVAL: Duration = Duration::from_millis(250);
-
-/// Comparisons with further peers after one that showed a difference: with 30 of
-/// 100 messages lost, one in four comes to its end.
-const FURTHER_COMPARISONS: u32 = 8;
-/// Comparisons that a node begins at its start and after a suspension, one a round.
-/// Its first probe may go to a peer that has just ended, and the next one comes a second
-/// later: a fleet of four told a new node after 2.1 s so, now within 0.5 s (fleet in
-/// memory).
+/// Reports sent in one comparison about requests that crashed several backends; about 64
+/// kB.
+const POISON_REPORTS_PER_COMPARISON: usize = 1_024;
+/// Reports sent in one comparison about requests that crashed a single backend, sampled at
+/// random if there are more; about 16 kB.
+const RECENT_REPORTS_PER_COMPARISON: usize = 256;
+/// Members of each other zone to which a new report is sent.
+const REMOTE_ZONE_FANOUT: usize = 2;
+/// Rounds in which the node that observed a crash repeats its report. At 30% message loss,
+/// 1 of 1,000 zones misses all of them and recovers by comparison.
+const ORIGIN_GOSSIP_ROUNDS: u32 = 3;
+/// Rounds in which other nodes repeat a report.
+const FORWARD_GOSSIP_ROUNDS: u32 = 3;
+/// Rounds in which the clearing of an earlier crash is sent once a later crash makes it
+/// relevant. Low, since many nodes may send it.
+const CLEARING_GOSSIP_ROUNDS: u32 = 2;
+/// Members of the own zone to which reports are sent in a round.
+const LOCAL_ZONE_FANOUT: usize = 2;
+/// Shortest interval between two comparisons started by this node.
+const MIN_COMPARISON_INTERVAL: Duration = Duration::from_millis(250);
+/// Further comparisons after one that found a difference; at 30% message loss, one in four
+/// completes.
+const COMPARISONS_AFTER_MISMATCH: u32 = 8;
+/// Comparisons that a node starts after its start or a suspension, one per round. More than
+/// one, since the first peer may have just stopped and probes are a second apart.
 const COMPARISONS_AT_START: u32 = 4;
-
-/// Rounds in which a report is still told.
+/// Remaining transmissions of a report.
 #[derive(Debug, Clone, Copy)]
-struct Rounds {
+struct Transmissions {
     left: u32,
-    /// Other zones are told as well.
-    far: bool,
+    /// Send to other zones as well.
+    other_zones: bool,
 }
-
-/// The table of crashes and what is still to be told of it.
+/// Crash table and the reports that are still to be sent.
 #[derive(Debug)]
-pub(super) struct CrashNews {
+pub(super) struct CrashGossip {
     table: CrashTable,
-    untold: BTreeMap<ReportKey, Rounds>,
+    pending_gossip: BTreeMap<ReportKey, Transmissions>,
     next_round: Moment,
     next_comparison: Moment,
-    /// Comparisons that are still to be made, since this node has just started or
-    /// woken, or a peer's table differed.
+    /// Comparisons still to be started: after a start, a suspension or a digest mismatch.
     comparisons_left: u32,
     digest: u64,
     digest_revision: u64,
-    /// When this node last ticked or heard a probe: probes and their answers carry a
-    /// digest as of then.
+    /// Time of the last tick or probe; digests in outgoing probes are computed for it.
     now: Moment,
 }
-
-impl CrashNews {
-    /// Nothing is known yet, and peers are to be asked.
+impl CrashGossip {
+    /// Starts with an empty table and comparisons with peers due.
     pub(super) fn new() -> Self {
         Self {
             table: CrashTable::default(),
-            untold: BTreeMap::new(),
+            pending_gossip: BTreeMap::new(),
             next_round: Moment::default(),
             next_comparison: Moment::default(),
             comparisons_left: COMPARISONS_AT_START,
@@ -87,14 +80,12 @@
             now: Moment::default(),
         }
     }
-
-    /// What is known may be old: peers are asked as at the start.
-    pub(super) fn ask_others(&mut self) {
+    /// Schedules comparisons as after a start, since the table may be outdated.
+    pub(super) fn schedule_comparisons(&mut self) {
         self.comparisons_left = COMPARISONS_AT_START;
     }
-
-    /// Of what peers compare: reports on offenders, and those of the last seconds. Each
-    /// probe carries it.
+    /// Digest carried by probes: reports on quarantined requests and reports of the last
+    /// seconds.
     fn digest(&mut self) -> u64 {
         if self.digest_revision != self.table.revision() {
             self.digest_revision = self.table.revision();
@@ -103,34 +94,31 @@
         self.digest ^ self.table.recent_digest(self.now)
     }
 }
-
 impl Agent {
-    /// Every report of a crash that this node knows.
+    /// All crash reports known to this node.
     pub fn crash_table(&self) -> &CrashTable {
         &self.crashes.table
     }
-
-    /// Takes what this node itself has seen: crashes, or that they were none.
+    /// Records crashes observed by this node, or corrections of them, and announces them.
     pub fn report_crashes(&mut self, reports: &[CrashReport], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         let recorded = self.crashes.table.against_offenders(now);
-        let new = self.take_reports(reports, now, &mut outbox);
-        self.record_offenders(&new, now, &mut outbox);
-        forget_withdrawn(&recorded, &new, &mut outbox);
-        self.tell_of_crashes(new, now, &mut outbox);
+        let new = self.merge_reports(reports, now, &mut outbox);
+        self.persist_poison_crashes(&new, now, &mut outbox);
+        retract_recorded_crashes(&recorded, &new, &mut outbox);
+        self.broadcast_crash_reports(new, now, &mut outbox);
         self.finish(outbox)
     }
-
-    /// Takes what others tell the rest of the fleet, or what all can read: the word
-    /// of a gate that came with its answer, and crashes that were on record.
+    /// Records reports that need no announcement: received with a peer's response, which
+    /// other nodes get as well, or read from the store.
     pub fn note_crashes(&mut self, reports: &[CrashReport], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        self.take_reports(reports, now, &mut outbox);
+        self.merge_reports(reports, now, &mut outbox);
         self.finish(outbox)
     }
-
-    /// The node that saw the last crash keeps all that counts against a request.
-    fn record_offenders(&self, new: &[CrashReport], now: Moment, outbox: &mut Outbox) {
+    /// Stores all crashes of a request that has reached the quarantine threshold. Done by
+    /// the node that observed the last crash.
+    fn persist_poison_crashes(&self, new: &[CrashReport], now: Moment, outbox: &mut Outbox) {
         let identities: BTreeSet<RequestIdentity> = new
             .iter()
             .filter(|report| !report.cleared)
@@ -143,9 +131,8 @@
             }
         }
     }
-
-    /// A back end has answered the request at `until`, or an operator lifts its
-    /// quarantine: crashes up to then count no more.
+    /// Clears the crashes of a request up to `until`: a backend answered it then, or an
+    /// operator lifted the quarantine.
     pub fn clear_request(
         &mut self,
         identity: &RequestIdentity,
@@ -163,18 +150,17 @@
                 origin: origin.to_string(),
             });
         }
-        // The clearing of a single crash matters only if a second one follows, and
-        // is told then. A crash with 18 calls under way costs a fleet of 430 nodes
-        // 6.5 kB a node so, 9.2 kB with all clearings told.
+        // The clearing of a single crash matters only when a second crash follows, and is
+        // sent then. This saves traffic after a crash with many calls in
+        // flight.
         if crashes >= QUARANTINE_CRASHES {
             outbox.actions.push(Action::ForgetCrashes(cleared.clone()));
-            self.tell_of_crashes(cleared, now, &mut outbox);
+            self.broadcast_crash_reports(cleared, now, &mut outbox);
         }
         self.finish(outbox)
     }
-
-    /// Repeats what may not be known everywhere, and forgets what is old.
-    pub(super) fn tick_crash_news(&mut self, now: Moment, outbox: &mut Outbox) {
+    /// Sends pending reports, starts due comparisons and drops expired reports.
+    pub(super) fn tick_crash_gossip(&mut self, now: Moment, outbox: &mut Outbox) {
         self.crashes.now = now;
         let idle = self.crashes.table.is_empty() && self.crashes.comparisons_left == 0;
         if idle || now < self.crashes.next_round {
@@ -182,32 +168,38 @@
         }
         self.crashes.next_round = now + self.settings.gossip_interval;
         self.crashes.table.forget_old(now);
-        self.compare_further(now, outbox);
-        let due = std::mem::take(&mut self.crashes.untold);
-        let (mut near, mut far) = (Vec::new(), Vec::new());
-        for (key, rounds) in due {
+        self.continue_comparisons(now, outbox);
+        let due = std::mem::take(&mut self.crashes.pending_gossip);
+        let (mut same_zone, mut other_zones) = (Vec::new(), Vec::new());
+        for (key, transmissions) in due {
             let (identity, instance) = &key;
             let Some(report) = self.crashes.table.held(identity, instance, now) else {
                 continue;
             };
-            if rounds.far {
-                far.push(report.clone());
+            if transmissions.other_zones {
+                other_zones.push(report.clone());
             }
-            near.push(report);
-            let left = rounds.left - 1;
+            same_zone.push(report);
+            let left = transmissions.left - 1;
             if left > 0 {
-                let rounds = Rounds { left, ..rounds };
-                self.crashes.untold.insert(key, rounds);
+                let transmissions = Transmissions {
+                    left,
+                    ..transmissions
+                };
+                self.crashes.pending_gossip.insert(key, transmissions);
             }
         }
-        let targets = self.membership.near_targets(TOLD_PER_ROUND, &mut self.rng);
-        send_reports(&targets, &near, outbox);
-        let targets = self.membership.far_targets(FAR_TOLD, &mut self.rng);
-        send_reports(&targets, &far, outbox);
+        let targets = self
+            .membership
+            .near_targets(LOCAL_ZONE_FANOUT, &mut self.rng);
+        send_reports(&targets, &same_zone, outbox);
+        let targets = self
+            .membership
+            .far_targets(REMOTE_ZONE_FANOUT, &mut self.rng);
+        send_reports(&targets, &other_zones, outbox);
     }
-
-    /// Reports of a peer. `all`: everything that it holds against offenders, to be
-    /// answered with what it lacks.
+    /// Handles a peer's reports. `all` marks a comparison with everything that the peer
+    /// holds; the response contains what it lacks.
     pub(super) fn on_crash_reports(
         &mut self,
         from: &NodeId,
@@ -223,19 +215,22 @@
             .filter_map(|report| table.held(&report.identity, &report.instance, now))
             .filter(|held| held.cleared)
             .collect();
-        let new = self.take_reports(reports, now, outbox);
-        self.pass_on(from, new, now, outbox);
+        let new = self.merge_reports(reports, now, outbox);
+        self.forward_crash_reports(from, new, now, outbox);
         let mut answer = outdated;
         if all {
-            let lacking = |held: &CrashReport| !reports.iter().any(|told| is_same(told, held));
+            let lacking = |held: &CrashReport| {
+                !reports
+                    .iter()
+                    .any(|received| is_same_report(received, held))
+            };
             let compared = self.compared_reports(now);
             answer.extend(compared.into_iter().filter(lacking));
         }
-        answer.truncate(REPORTS_PER_COMPARISON + RECENT_PER_COMPARISON);
+        answer.truncate(POISON_REPORTS_PER_COMPARISON + RECENT_REPORTS_PER_COMPARISON);
         send_reports(std::slice::from_ref(from), &answer, outbox);
     }
-
-    /// A probe or its answer: where the peer holds other reports, they are compared.
+    /// Starts a comparison when a probe or its response carries a different digest.
     pub(super) fn compare_crashes(
         &mut self,
         peer: &NodeId,
@@ -253,25 +248,23 @@
             return;
         }
         if now >= self.crashes.next_comparison {
-            self.crashes.next_comparison = now + COMPARISON_INTERVAL;
-            self.crashes.comparisons_left = FURTHER_COMPARISONS;
+            self.crashes.next_comparison = now + MIN_COMPARISON_INTERVAL;
+            self.crashes.comparisons_left = COMPARISONS_AFTER_MISMATCH;
             self.begin_comparison(peer, now, outbox);
         }
     }
-
-    /// A node that has just learnt whom there is asks several at once: of two that are
-    /// drawn one after the other both may be the same one that has ended unseen.
-    pub(super) fn compare_with_several(&mut self, now: Moment, outbox: &mut Outbox) {
-        let near = self.membership.near_peers().cloned();
-        let peers = rendezvous::order(self.identity.id.as_str(), near);
+    /// Compares with several peers at once when this node first learns of peers: successive
+    /// random choices may all hit a peer that has just stopped.
+    pub(super) fn compare_with_several_peers(&mut self, now: Moment, outbox: &mut Outbox) {
+        let same_zone = self.membership.near_peers().cloned();
+        let peers = rendezvous::order(self.identity.id.as_str(), same_zone);
         for peer in peers.iter().take(COMPARISONS_AT_START as usize) {
             self.begin_comparison(peer, now, outbox);
         }
     }
-
-    /// Probes are a second apart, messages are lost, and peers end: at the start, and
-    /// while tables differ, others are asked as well.
-    fn compare_further(&mut self, now: Moment, outbox: &mut Outbox) {
+    /// Starts the next scheduled comparison. Probes alone are too slow: they are a second
+    /// apart, and messages or peers may be lost.
+    fn continue_comparisons(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.crashes.comparisons_left == 0 {
             return;
         }
@@ -280,33 +273,30 @@
             self.begin_comparison(&peer, now, outbox);
         }
     }
-
     fn begin_comparison(&mut self, peer: &NodeId, now: Moment, outbox: &mut Outbox) {
         let reports = self.compared_reports(now);
         outbox.send(peer, Message::CrashReports { reports, all: true });
     }
-
-    /// What this node holds against offenders, and of the last seconds besides.
+    /// Reports for a comparison: those on quarantined requests, and a sample of those of
+    /// the last seconds.
     fn compared_reports(&mut self, now: Moment) -> Vec<CrashReport> {
         let table = &self.crashes.table;
         let mut reports = table.against_offenders(now);
-        reports.truncate(REPORTS_PER_COMPARISON);
+        reports.truncate(POISON_REPORTS_PER_COMPARISON);
         let known: BTreeSet<ReportKey> = reports.iter().map(CrashReport::key).collect();
         let recent = table.recent(now).into_iter();
         let further = recent.filter(|report| !known.contains(&report.key()));
-        reports.extend(further.choose_multiple(&mut self.rng, RECENT_PER_COMPARISON));
+        reports.extend(further.choose_multiple(&mut self.rng, RECENT_REPORTS_PER_COMPARISON));
         reports
     }
-
-    /// Writes the digest of this node's table into what it sends.
-    pub(super) fn name_crash_digest(&mut self, message: &mut Message) {
+    /// Sets the crash digest of an outgoing probe or acknowledgement.
+    pub(super) fn attach_crash_digest(&mut self, message: &mut Message) {
         if let Message::Ping(body) | Message::Ack(body) = message {
             body.crash_digest = self.crashes.digest();
         }
     }
-
-    /// Takes reports in; returns those that were new.
-    fn take_reports(
+    /// Merges reports into the table and returns the new ones.
+    fn merge_reports(
         &mut self,
         reports: &[CrashReport],
         now: Moment,
@@ -320,7 +310,7 @@
             new.push(report.clone());
             if !report.cleared {
                 let clearings = self.crashes.table.clearings(&report.identity, now);
-                self.repeat(clearings, ROUNDS_OF_CLEARINGS, true, now);
+                self.schedule_repeats(clearings, CLEARING_GOSSIP_ROUNDS, true, now);
             }
             let standing = self.crashes.table.standing(&report.identity, now);
             if let Standing::Quarantined { left, .. } = standing {
@@ -330,48 +320,61 @@
         }
         new
     }
-
-    /// Tells the whole zone and some of each other one, and remembers to repeat it.
-    fn tell_of_crashes(&mut self, new: Vec<CrashReport>, now: Moment, outbox: &mut Outbox) {
+    /// Sends new reports to the whole zone and to some members of each other zone, and
+    /// schedules repeats.
+    fn broadcast_crash_reports(&mut self, new: Vec<CrashReport>, now: Moment, outbox: &mut Outbox) {
         let direct = self.settings.direct_update_fanout;
-        let near = self.membership.near_targets(direct, &mut self.rng);
-        send_reports(&near, &new, outbox);
-        let far = self.membership.far_targets(FAR_TOLD, &mut self.rng);
-        send_reports(&far, &new, outbox);
-        self.repeat(new, ROUNDS_OF_ORIGIN, true, now);
+        let same_zone = self.membership.near_targets(direct, &mut self.rng);
+        send_reports(&same_zone, &new, outbox);
+        let other_zones = self
+            .membership
+            .far_targets(REMOTE_ZONE_FANOUT, &mut self.rng);
+        send_reports(&other_zones, &new, outbox);
+        self.schedule_repeats(new, ORIGIN_GOSSIP_ROUNDS, true, now);
     }
-
-    /// What another zone told is told to the whole own one; what a member of this
-    /// zone told, to some of it.
-    fn pass_on(&mut self, from: &NodeId, new: Vec<CrashReport>, now: Moment, outbox: &mut Outbox) {
+    /// Forwards new reports: those from another zone to the whole own zone, others only in
+    /// gossip rounds.
+    fn forward_crash_reports(
+        &mut self,
+        from: &NodeId,
+        new: Vec<CrashReport>,
+        now: Moment,
+        outbox: &mut Outbox,
+    ) {
         if self.zone_of(from) != Some(&self.identity.zone) {
             let direct = self.settings.direct_update_fanout;
-            let near = self.membership.near_targets(direct, &mut self.rng);
-            send_reports(&near, &new, outbox);
+            let same_zone = self.membership.near_targets(direct, &mut self.rng);
+            send_reports(&same_zone, &new, outbox);
         }
-        self.repeat(new, ROUNDS_OF_OTHERS, false, now);
+        self.schedule_repeats(new, FORWARD_GOSSIP_ROUNDS, false, now);
     }
-
     fn zone_of(&self, node: &NodeId) -> Option<&Zone> {
         self.membership.record(node).map(|record| &record.zone)
     }
-
-    fn repeat(&mut self, reports: Vec<CrashReport>, left: u32, far: bool, now: Moment) {
+    fn schedule_repeats(
+        &mut self,
+        reports: Vec<CrashReport>,
+        left: u32,
+        other_zones: bool,
+        now: Moment,
+    ) {
         if reports.is_empty() {
             return;
         }
-        if self.crashes.untold.is_empty() {
+        if self.crashes.pending_gossip.is_empty() {
             self.crashes.next_round = now + self.settings.gossip_interval;
         }
         for report in reports {
-            let rounds = Rounds { left, far };
-            self.crashes.untold.insert(report.key(), rounds);
+            let transmissions = Transmissions { left, other_zones };
+            self.crashes
+                .pending_gossip
+                .insert(report.key(), transmissions);
         }
     }
 }
-
-/// What counted against an offender may be on record.
-fn forget_withdrawn(recorded: &[CrashReport], new: &[CrashReport], outbox: &mut Outbox) {
+/// Removes withdrawn crashes of quarantined requests from the store, where they may be
+/// recorded.
+fn retract_recorded_crashes(recorded: &[CrashReport], new: &[CrashReport], outbox: &mut Outbox) {
     let recorded: BTreeSet<ReportKey> = recorded.iter().map(CrashReport::key).collect();
     let withdrawn: Vec<CrashReport> = new
         .iter()
@@ -382,11 +385,9 @@
         outbox.actions.push(Action::ForgetCrashes(withdrawn));
     }
 }
-
-fn is_same(left: &CrashReport, right: &CrashReport) -> bool {
+fn is_same_report(left: &CrashReport, right: &CrashReport) -> bool {
     left.on_trial == right.on_trial && left.key() == right.key()
 }
-
 fn quarantined(identity: RequestIdentity, against: &[CrashReport], left: Duration) -> Decision {
     Decision::RequestQuarantined {
         identity,
@@ -401,7 +402,6 @@
         left_ms: left.as_millis() as u64,
     }
 }
-
 fn send_reports(targets: &[NodeId], reports: &[CrashReport], outbox: &mut Outbox) {
     for target in targets {
         for reports in reports.chunks(REPORTS_PER_MESSAGE) {
--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which part of the agent each message goes to.
+//! Routes each peer message to the component that handles it.
 
 use super::Agent;
 use crate::fleet::ConfigSource;
@@ -7,7 +7,6 @@
 use crate::fleet::writer::Asker;
 use crate::ids::{NodeId, Version};
 use crate::time::Moment;
-
 impl Agent {
     pub(super) fn dispatch(&mut self, envelope: Envelope, now: Moment, outbox: &mut Outbox) {
         let Envelope {
@@ -21,7 +20,7 @@
                 let held = body.held;
                 self.compare_crashes(&from, &body, now, outbox);
                 self.membership.on_ack(&from, body, now, outbox);
-                self.hear(&from, held, now, outbox);
+                self.observe_peer_version(&from, held, now, outbox);
             }
             Message::PingRequest { sequence, target } => self.membership.on_ping_request(
                 &from,
@@ -40,9 +39,9 @@
                 .on_table_records(&from, members, &wanted, now, outbox),
             Message::Notice { version, entry } => {
                 if let Some(entry) = entry {
-                    self.learn(version, entry, now, outbox);
+                    self.ingest_entry(version, entry, now, outbox);
                 }
-                self.hear(&from, version, now, outbox);
+                self.observe_peer_version(&from, version, now, outbox);
             }
             Message::Pull { held } if self.settings.source == ConfigSource::Document => {
                 outbox.send(&from, self.history.answer(held));
@@ -60,11 +59,11 @@
             Message::PullEntries { entries, .. }
                 if self.settings.source == ConfigSource::Document =>
             {
-                self.take_deltas(&from, &entries, now, outbox);
+                self.apply_deltas(&from, &entries, now, outbox);
             }
             Message::PullEntries { first, entries } => {
                 let before = self.replica.version();
-                self.learn_all(first, entries, now, outbox);
+                self.ingest_entries(first, entries, now, outbox);
                 let had_news = self.replica.version() > before;
                 self.distribution.pull_ended(had_news, now);
                 if self.replica.lags() {
@@ -75,16 +74,16 @@
             Message::PullSnapshot { snapshot }
                 if self.settings.source == ConfigSource::Document =>
             {
-                self.take_snapshot(&snapshot, now, outbox);
+                self.apply_snapshot(&snapshot, now, outbox);
             }
             Message::PullSnapshot { snapshot } => {
                 self.distribution.pull_ended(true, now);
-                self.restore(&snapshot, now, outbox);
+                self.restore_snapshot(&snapshot, now, outbox);
             }
             Message::PullRefused { retry_after, .. }
                 if self.settings.source == ConfigSource::Document =>
             {
-                self.on_no_delta(retry_after, now, outbox);
+                self.on_document_pull_refused(retry_after, now, outbox);
             }
             Message::PullRefused {
                 retry_after,
@@ -100,11 +99,11 @@
             Message::Held { version } => {
                 self.holders.note(&from, version);
                 outbox.send(&from, Message::HeldAck { version });
-                self.hear(&from, version, now, outbox);
+                self.observe_peer_version(&from, version, now, outbox);
             }
             Message::HeldAck { version } => self.reports.on_ack(&from, version),
             Message::HeadQuery { .. } if self.settings.source == ConfigSource::Document => {
-                self.on_document_question(now);
+                self.on_document_query(now);
             }
             Message::HeadQuery { nonce } => {
                 if self.reader.holds_lease(now) {
@@ -117,7 +116,7 @@
                 record,
                 witness_epoch,
             } => {
-                self.hear(&from, record.version, now, outbox);
+                self.observe_peer_version(&from, record.version, now, outbox);
                 let version = if witness_epoch == self.identity.process_epoch {
                     self.witness_records.record_version(&from, record)
                 } else {
@@ -157,10 +156,10 @@
                 record,
                 newest_known,
             } => {
-                self.hear(&from, newest_known, now, outbox);
+                self.observe_peer_version(&from, newest_known, now, outbox);
                 self.floor_query
                     .on_answer(&from, nonce, record, newest_known);
-                self.judge_witnesses(now, outbox);
+                self.evaluate_witnesses(now, outbox);
             }
             Message::Propose {
                 submission,
@@ -202,7 +201,6 @@
             Message::Drain => self.start_drain("machine list, told by a reader", outbox),
         }
     }
-
     pub(super) fn on_ping(
         &mut self,
         from: &NodeId,
@@ -210,11 +208,11 @@
         now: Moment,
         outbox: &mut Outbox,
     ) {
-        let held_there = body.held;
+        let peer_version = body.held;
         self.compare_crashes(from, &body, now, outbox);
         let held = self.adoption.version();
         self.membership
             .on_ping(from, body, now, held, &self.settings, outbox);
-        self.hear(from, held_there, now, outbox);
+        self.observe_peer_version(from, peer_version, now, outbox);
     }
 }
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -1,8 +1,8 @@
-//! The agent where the platform's store holds the configuration as one
-//! document: the store has decided order and validity, so the change log, its
-//! readers, witnesses and the restart floor take no part. What stays: a version
-//! never falls within one life of the process, and peers give a node what the
-//! store refuses it.
+//! Document mode: the platform's store holds the configuration as one document.
+//!
+//! The store guarantees order and validity, so the change log, its readers, the witnesses
+//! and the restart floor are not used. The version still never decreases while the process
+//! runs, and peers supply the document to nodes that cannot read the store.
 
 use super::Agent;
 use crate::config::{ConfigState, DeltaError, StateDelta};
@@ -15,60 +15,54 @@
 use rand::Rng;
 use std::sync::Arc;
 use std::time::Duration;
-
-/// Pause between two reads of the store by a node that its peers do not help.
-const READ_PAUSE: Duration = Duration::from_secs(1);
-/// Time for a peer's answer, over the time of a read of the whole document from
-/// the store: compressed it is a tenth at most, and the link may be shared.
-const PEER_ANSWER_SHARE: f64 = 0.25;
-/// A node over whose link the whole document took longer the last time does not watch it
-/// while others can: it could not hand a version on in time, and a storm of
-/// versions would fill its link. A fifth of the 2 s within which the users want
-/// a version in force.
-const SLOW_READ: Duration = Duration::from_millis(400);
-
-/// Key of the rendezvous order in which nodes that start together read the document.
-const FIRST_READERS_KEY: &str = "first readers";
-/// Nodes of a zone that read at once: with two of them down, one is left.
-const FIRST_READERS: usize = 3;
-/// Time left to those that read before: a read of 150 kB takes 60 ms over a link of
-/// 20 Mbit/s, and a peer's answer a tenth of it.
-const FIRST_READ_STEP: Duration = Duration::from_millis(100);
-
+/// Interval between store reads while this node lags and peers do not help.
+const STORE_READ_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout for a peer's response, as a fraction of the time of a full document read from
+/// the store. A compressed response is at most a tenth of the document, but the link may be
+/// shared.
+const PEER_TIMEOUT_FRACTION: f64 = 0.25;
+/// A node whose last full read took longer does not watch the document while others can: it
+/// would forward versions late, and frequent versions would saturate its link. One fifth of
+/// the 2 s within which a version must become active.
+const MAX_WATCHER_READ_TIME: Duration = Duration::from_millis(400);
+/// Rendezvous key that orders the initial document reads of nodes that start together.
+const INITIAL_READERS_KEY: &str = "first readers";
+/// Nodes of a zone that read the document at the same time; tolerates two of them failing.
+const INITIAL_READERS_PER_STEP: usize = 3;
+/// Additional delay for each further group of nodes. A read of 150 kB takes 60 ms at 20
+/// Mbit/s, and a peer's compressed response a tenth of that.
+const INITIAL_READ_STEP: Duration = Duration::from_millis(100);
 impl Agent {
     pub(super) fn tick_with_document(&mut self, now: Moment, outbox: &mut Outbox) {
         let held = self.adoption.version();
         self.membership
             .tick(now, held, &self.settings, &mut self.rng, outbox);
-        self.read_if_behind(now, outbox);
-        self.tend_watch(now, outbox);
-        self.settle(now, outbox);
+        self.read_store_if_lagging(now, outbox);
+        self.update_watcher_role(now, outbox);
+        self.activate_ready_versions(now, outbox);
         self.drop_unconfirmed_backend(now, outbox);
         self.announce(now);
     }
-
-    /// A node that is to watch asks at once: what was written since the last answer
-    /// to those before it is not known here.
-    pub(super) fn tend_watch(&mut self, now: Moment, outbox: &mut Outbox) {
-        let asks = self
+    /// Updates the watcher role. A new watcher reads the document at once, since it does
+    /// not know what was written before it began to watch.
+    pub(super) fn update_watcher_role(&mut self, now: Moment, outbox: &mut Outbox) {
+        let read_now = self
             .store_watch
             .tick(now, &self.membership, &self.settings, outbox);
-        if asks {
+        if read_now {
             outbox.actions.push(Action::ReadDocument);
         }
     }
-
-    /// Takes the document that the store holds. An older one than the one in
-    /// force is ignored.
+    /// Handles the document read from the store; ignores it when it is older than the
+    /// active one.
     pub fn on_document(&mut self, state: Arc<ConfigState>, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        self.take_state(state, LearntFrom::Store, now, &mut outbox);
-        self.settle(now, &mut outbox);
+        self.apply_document(state, LearntFrom::Store, now, &mut outbox);
+        self.activate_ready_versions(now, &mut outbox);
         self.announce(now);
         self.finish(outbox)
     }
-
-    fn take_state(
+    fn apply_document(
         &mut self,
         state: Arc<ConfigState>,
         learnt_from: LearntFrom,
@@ -85,11 +79,10 @@
             .start(state.version(), learnt_from, now, &self.settings);
         self.adoption.stage(state, now, &self.settings, outbox);
     }
-
-    /// A peer names a newer version. It is asked at once for what has changed; the
-    /// store is asked later, where peers do not help: a whole fleet that starts would
-    /// wait for its link (984 nodes and 150 kB: 1.2 s).
-    pub(super) fn hear_of_document(
+    /// Handles a peer's announcement of a newer version. Requests the changes from the peer
+    /// at once, and reads the store only after a grace period: if every node of a starting
+    /// fleet read the store, its link would be saturated.
+    pub(super) fn request_newer_document(
         &mut self,
         peer: &NodeId,
         lagged: bool,
@@ -97,31 +90,32 @@
         outbox: &mut Outbox,
     ) {
         if !lagged {
-            self.read_due = Some(now + self.peers_grace());
+            self.next_store_read = Some(now + self.peer_grace_period());
         }
         self.distribution
             .pull_from(peer, &self.replica, now, outbox);
     }
-
-    /// Time for which a newer version is left to the peers: at least what a read
-    /// of the store takes over this node's link.
-    fn peers_grace(&self) -> Duration {
-        self.settings.document_read_delay.max(self.read_took)
+    /// Time during which only peers are asked for a newer version: at least the duration of
+    /// a store read over this node's link.
+    fn peer_grace_period(&self) -> Duration {
+        self.settings
+            .document_read_delay
+            .max(self.estimated_read_time)
     }
-
-    /// Reads the store when peers did not help within the grace, and again.
-    fn read_if_behind(&mut self, now: Moment, outbox: &mut Outbox) {
+    /// Reads the store when peers did not supply the newer version within the grace period,
+    /// and then periodically.
+    fn read_store_if_lagging(&mut self, now: Moment, outbox: &mut Outbox) {
         if !self.replica.lags() {
-            self.read_due = None;
+            self.next_store_read = None;
         }
-        if self.read_due.is_some_and(|due| now >= due) {
-            self.read_due = Some(now + READ_PAUSE);
+        if self.next_store_read.is_some_and(|due| now >= due) {
+            self.next_store_read = Some(now + STORE_READ_INTERVAL);
             outbox.actions.push(Action::ReadDocument);
         }
     }
-
-    /// Takes what has changed since the version held here.
-    pub(super) fn take_deltas(
+    /// Applies deltas from a peer. A delta that cannot be applied triggers a store read and
+    /// a request for the full state.
+    pub(super) fn apply_deltas(
         &mut self,
         from: &NodeId,
         deltas: &[SharedBytes],
@@ -133,8 +127,8 @@
             let applied =
                 StateDelta::decode(delta).and_then(|delta| delta.apply_to(self.replica.staged()));
             match applied {
-                Ok(state) => self.take_state(Arc::new(state), LearntFrom::Peer, now, outbox),
-                // The answer to an earlier question: newer news came first.
+                Ok(state) => self.apply_document(Arc::new(state), LearntFrom::Peer, now, outbox),
+                // Response to an earlier request; a newer state has arrived since.
                 Err(DeltaError::OtherBase { .. }) => {}
                 Err(error) => {
                     outbox.explain(Decision::VersionRefused {
@@ -153,49 +147,50 @@
                 .pull_from(from, &self.replica, now, outbox);
         }
     }
-
-    /// Takes the whole state from a peer.
-    pub(super) fn take_snapshot(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
+    /// Applies a full snapshot from a peer.
+    pub(super) fn apply_snapshot(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
         self.distribution.pull_ended(true, now);
         match ConfigState::decode_snapshot(snapshot) {
-            Ok(state) => self.take_state(Arc::new(state), LearntFrom::Peer, now, outbox),
+            Ok(state) => self.apply_document(Arc::new(state), LearntFrom::Peer, now, outbox),
             Err(error) => outbox.explain(Decision::VersionRefused {
                 version: self.replica.version(),
                 reason: error.to_string(),
             }),
         }
     }
-
-    /// The peer cannot help: the store is read; peers are asked for everything if
-    /// that does not help either.
-    pub(super) fn on_no_delta(&mut self, pause: Duration, now: Moment, outbox: &mut Outbox) {
+    /// The peer cannot supply a delta: reads the store now, and requests the full state
+    /// from the next peer.
+    pub(super) fn on_document_pull_refused(
+        &mut self,
+        pause: Duration,
+        now: Moment,
+        outbox: &mut Outbox,
+    ) {
         self.distribution.pull_ended(false, now);
         self.distribution.ask_for_all(true);
         self.distribution.wait_before_pull(now + pause);
-        self.read_due = Some(now + pause);
+        self.next_store_read = Some(now + pause);
         outbox.actions.push(Action::ReadDocument);
     }
-
-    /// Whether the store answers this node, as its last call showed. That it does no
-    /// more is told at once: others wait for what this node hears.
+    /// Records whether the store answered this node's last call. Announces at once that it
+    /// no longer does, since other nodes rely on watchers for new versions.
     pub fn store_answers(&mut self, answers: bool, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        let told = self.membership.me().conditions.reader;
+        let was_reader = self.membership.me().conditions.reader;
         if answers {
             self.store_watch.answered(now);
         } else {
-            self.have_others_ask(now, &mut outbox);
+            self.request_peer_reads(now, &mut outbox);
         }
         self.announce(now);
-        if told && !self.membership.me().conditions.reader {
-            self.tell_news(now, &mut outbox);
+        if was_reader && !self.membership.me().conditions.reader {
+            self.send_updates_now(now, &mut outbox);
         }
         self.finish(outbox)
     }
-
-    /// The store does not answer this node: where others wait for what it hears,
-    /// some of them must ask themselves.
-    fn have_others_ask(&mut self, now: Moment, outbox: &mut Outbox) {
+    /// Asks some peers to read the store, since the store does not answer this node and
+    /// others rely on it for new versions.
+    fn request_peer_reads(&mut self, now: Moment, outbox: &mut Outbox) {
         let asked = self
             .store_watch
             .lost(now, &self.membership, &mut self.watch_rng);
@@ -204,73 +199,62 @@
             outbox.send(&peer, Message::HeadQuery { nonce });
         }
     }
-
-    /// A peer that watched the document asks what the store holds now. The answer is
-    /// the notice of a newer version, if there is one.
-    pub(super) fn on_document_question(&mut self, now: Moment) {
+    /// Handles the request of a watcher that lost the store: reads the store soon. A newer
+    /// version is then announced as usual.
+    pub(super) fn on_document_query(&mut self, now: Moment) {
         self.store_watch.hedge(now, &mut self.watch_rng);
     }
-
-    /// How long the next watch at the store may wait.
+    /// How long the next watch request may wait at the store for a change.
     pub fn watch_wait(&mut self) -> Duration {
         self.store_watch.wait(&mut self.watch_rng)
     }
-
-    /// How long a call to the store may take, over the wait that it asked for.
+    /// Timeout of a store call, in addition to the wait that the call itself requests.
     pub fn store_patience(&self) -> Duration {
         self.store_watch.patience()
     }
-
-    /// Notes how long the store took to answer, over the wait that was asked for.
+    /// Records the store's response time, excluding the wait that the call requested.
     pub fn store_took(&mut self, took: Duration) {
         self.store_watch.took(took);
     }
-
-    /// True when the store's document reaches this node soon enough to watch it.
-    pub(super) fn reads_fast(&self) -> bool {
-        self.read_took <= SLOW_READ
+    /// True when a full document read is fast enough for this node to be a watcher.
+    pub(super) fn has_fast_store_link(&self) -> bool {
+        self.estimated_read_time <= MAX_WATCHER_READ_TIME
     }
-
-    /// Notes that the whole document, of so many bytes, took so long from the store
-    /// over this node's link. What counts is the best rate that the link has shown:
-    /// one that was full for a moment is not narrow.
+    /// Records that a full document read of `bytes` took `time`. Only the highest rate
+    /// counts: a link that was saturated for a moment is not a slow link.
     pub fn document_took(&mut self, bytes: u64, time: Duration) {
         let rate = bytes as f64 / time.as_secs_f64().max(f64::EPSILON);
-        self.link_rate = self.link_rate.max(rate);
-        self.read_took = Duration::from_secs_f64(bytes as f64 / self.link_rate.max(1.0));
+        self.link_bytes_per_second = self.link_bytes_per_second.max(rate);
+        self.estimated_read_time =
+            Duration::from_secs_f64(bytes as f64 / self.link_bytes_per_second.max(1.0));
         self.distribution
-            .set_least_patience(self.read_took.mul_f64(PEER_ANSWER_SHARE));
+            .set_least_patience(self.estimated_read_time.mul_f64(PEER_TIMEOUT_FRACTION));
     }
-
-    /// True when this node holds no document, or an older one than a peer.
+    /// True when this node has no document, or an older one than a peer.
     pub fn lacks_document(&self) -> bool {
         self.replica.version() == Version::ZERO || self.replica.lags()
     }
-
-    /// Time for which a node that starts leaves the document to its peers before it reads
-    /// it from the store: none for the first few of its zone, in a rendezvous order, and a
-    /// step more for each group after them. However large the fleet, so many read at
-    /// once, and where all before a node are down it still reads.
+    /// Delay of the initial document read, which gives peers time to supply it. Zero for
+    /// the first [`INITIAL_READERS_PER_STEP`] nodes of the zone in rendezvous order, and one step more
+    /// for each further group: the load on the store does not grow with the fleet, and a
+    /// node still reads when all nodes before it are down.
     pub fn first_read_wait(&self) -> Duration {
         let me = &self.membership.me().id;
-        let rank = rendezvous::rank(FIRST_READERS_KEY, me, self.membership.near_peers());
-        FIRST_READ_STEP * (rank / FIRST_READERS) as u32
+        let rank = rendezvous::rank(INITIAL_READERS_KEY, me, self.membership.near_peers());
+        INITIAL_READ_STEP * (rank / INITIAL_READERS_PER_STEP) as u32
     }
-
-    /// True when this node is one of the few that wait at the store for a new
-    /// document. The others hear of it from their peers. Those that the store
-    /// answers come first, spread over the zones.
+    /// True when this node is one of the few that watch the document at the store. The
+    /// others receive new versions from peers. Nodes that the store answers are preferred,
+    /// distributed over the zones.
     pub fn watches_document(&self) -> bool {
         self.store_watch.watches()
     }
-
-    /// Time since the store last answered this node for the document.
+    /// Time since the store last answered a document request of this node.
     pub fn store_answer_age(&self, now: Moment) -> Option<Duration> {
         self.store_watch.answer_age(now)
     }
-
-    /// True once this node can tell whether it is a watcher: it knows others, and
-    /// not from a list alone, which does not say whom the store answers.
+    /// True once the watcher selection is reliable: this node knows peers from their own
+    /// messages. The machine list alone does not say whom the store answers.
     pub fn knows_whether_to_watch(&self) -> bool {
         let mut peers = self.membership.reachable_peers().peekable();
         let judged = self.store_watch.is_current(&self.membership);
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -1,8 +1,8 @@
-//! The floor after a restart: nothing is in force before it is known.
+//! Restart floor: the lowest version that a restarted node may activate. Nothing is active
+//! before it is known.
 //!
-//! Two questions run side by side: the head of the log, read after this process
-//! asked, and the records of this id's witnesses. Whichever is answered first
-//! counts.
+//! Two queries run in parallel, and the first answer counts: the head of the log, read
+//! after this process asked for it, and the records of this id's witnesses.
 
 use super::{Agent, Defect};
 use crate::fleet::action::{Decision, FloorSource, Outbox};
@@ -11,9 +11,8 @@
 use crate::ids::Version;
 use crate::time::Moment;
 use rand::Rng;
-
 impl Agent {
-    pub(super) fn seek_floor(&mut self, now: Moment, outbox: &mut Outbox) {
+    pub(super) fn request_floor(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_some() || now < self.next_floor_query {
             return;
         }
@@ -22,7 +21,7 @@
             self.confirm_floor(Version::ZERO, FloorSource::Witnesses, now, outbox);
             return;
         }
-        self.ask_for_head(outbox);
+        self.request_head(outbox);
         let nonce = self.rng.random();
         self.floor_query.ask(
             &self.identity.id,
@@ -33,8 +32,7 @@
             outbox,
         );
     }
-
-    pub(super) fn ask_for_head(&mut self, outbox: &mut Outbox) {
+    pub(super) fn request_head(&mut self, outbox: &mut Outbox) {
         let nonce = self.head_nonce;
         let me = &self.identity.id;
         if self.membership.me().conditions.reader {
@@ -45,31 +43,28 @@
             outbox.send(&reader.id, Message::HeadQuery { nonce });
         }
     }
-
     pub(super) fn on_head(&mut self, nonce: u64, head: Version, now: Moment, outbox: &mut Outbox) {
         if nonce != self.head_nonce || self.floor.is_some() {
             return;
         }
         self.replica.hear(head);
-        self.head_floor(head, now, outbox);
+        self.apply_head(head, now, outbox);
     }
-
-    /// The store's head is at or above everything that this id ever held.
-    pub(super) fn head_floor(&mut self, head: Version, now: Moment, outbox: &mut Outbox) {
+    /// Takes the store's head as the floor: it is at or above every version that this id
+    /// ever held.
+    pub(super) fn apply_head(&mut self, head: Version, now: Moment, outbox: &mut Outbox) {
         if self.replica.version() >= head {
             self.confirm_floor(head, FloorSource::Store, now, outbox);
         } else {
-            self.known_head = Some(head);
+            self.target_head = Some(head);
         }
     }
-
-    pub(super) fn check_floor(&mut self, now: Moment, outbox: &mut Outbox) {
-        if let Some(head) = self.known_head {
-            self.head_floor(head, now, outbox);
+    pub(super) fn recheck_floor(&mut self, now: Moment, outbox: &mut Outbox) {
+        if let Some(head) = self.target_head {
+            self.apply_head(head, now, outbox);
         }
     }
-
-    pub(super) fn judge_witnesses(&mut self, now: Moment, outbox: &mut Outbox) {
+    pub(super) fn evaluate_witnesses(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_some() {
             return;
         }
@@ -82,7 +77,6 @@
             }
         }
     }
-
     pub(super) fn confirm_floor(
         &mut self,
         floor: Version,
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -1,4 +1,4 @@
-//! Learning log entries and moving versions into force.
+//! Ingestion of log entries and activation of versions.
 
 use super::{Agent, Defect};
 use crate::config::{ConfigState, Outcome};
@@ -9,10 +9,9 @@
 use crate::ids::{NodeId, Version};
 use crate::time::Moment;
 use std::sync::Arc;
-
 impl Agent {
-    /// `peer` holds `version`; pull if that is news.
-    pub(super) fn hear(
+    /// Records that `peer` holds `version`, and pulls it if it is newer.
+    pub(super) fn observe_peer_version(
         &mut self,
         peer: &NodeId,
         version: Version,
@@ -29,15 +28,14 @@
         if may_pull && version > self.replica.version() {
             self.distribution.note_source(peer);
             if self.settings.source == ConfigSource::Document {
-                self.hear_of_document(peer, lagged, now, outbox);
+                self.request_newer_document(peer, lagged, now, outbox);
                 return;
             }
             self.distribution
                 .pull_from(peer, &self.replica, now, outbox);
         }
     }
-
-    pub(super) fn learn(
+    pub(super) fn ingest_entry(
         &mut self,
         version: Version,
         entry: SharedBytes,
@@ -46,15 +44,15 @@
     ) {
         let states = self.replica.insert(version, entry);
         for state in &states {
-            explain_refusal(state, outbox);
+            report_rejected_version(state, outbox);
         }
         if let Some(newest) = states.last() {
             self.distribution
                 .start(newest.version(), LearntFrom::Log, now, &self.settings);
-            self.collect_finished(now);
+            self.collect_decided_proposals(now);
         }
         if self.floor.is_none() {
-            // A newer state may name other witnesses: ask them soon.
+            // A newer state may name other witnesses: query them soon.
             self.next_floor_query = now;
             return;
         }
@@ -62,8 +60,7 @@
             self.adoption.stage(state, now, &self.settings, outbox);
         }
     }
-
-    pub(super) fn learn_all(
+    pub(super) fn ingest_entries(
         &mut self,
         first: Version,
         entries: Vec<SharedBytes>,
@@ -72,17 +69,16 @@
     ) {
         let mut version = first;
         for entry in entries {
-            self.learn(version, entry, now, outbox);
+            self.ingest_entry(version, entry, now, outbox);
             version = version.next();
         }
     }
-
-    pub(super) fn restore(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
+    pub(super) fn restore_snapshot(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
         match self.replica.restore(snapshot) {
             Ok(Some(state)) => {
                 self.distribution
                     .start(state.version(), LearntFrom::Log, now, &self.settings);
-                self.collect_finished(now);
+                self.collect_decided_proposals(now);
                 if self.floor.is_some() {
                     self.adoption.stage(state, now, &self.settings, outbox);
                 }
@@ -94,11 +90,10 @@
             }),
         }
     }
-
-    /// Moves versions that their witnesses have noted into force.
-    pub(super) fn settle(&mut self, now: Moment, outbox: &mut Outbox) {
+    /// Activates versions that enough witnesses have acknowledged.
+    pub(super) fn activate_ready_versions(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_none() {
-            self.check_floor(now, outbox);
+            self.recheck_floor(now, outbox);
         }
         let no_witnesses = self.settings.source == ConfigSource::Document
             || self.defect == Some(Defect::SkipWitnesses);
@@ -106,14 +101,13 @@
             self.adoption.advance_without_witnesses();
         }
         if let Some(state) = self.adoption.advance() {
-            self.adopt(state, now, outbox);
+            self.activate(state, now, outbox);
         }
-        self.spread_news(now, outbox);
-        self.answer_holds(now, outbox);
+        self.tick_distribution(now, outbox);
+        self.answer_replicated_proposals(now, outbox);
     }
-
-    /// Sends due notices and pulls.
-    pub(super) fn spread_news(&mut self, now: Moment, outbox: &mut Outbox) {
+    /// Sends version notices and pulls that are due.
+    pub(super) fn tick_distribution(&mut self, now: Moment, outbox: &mut Outbox) {
         self.distribution.tick(
             now,
             &self.membership,
@@ -123,8 +117,7 @@
             outbox,
         );
     }
-
-    pub(super) fn adopt(&mut self, state: Arc<ConfigState>, now: Moment, outbox: &mut Outbox) {
+    pub(super) fn activate(&mut self, state: Arc<ConfigState>, now: Moment, outbox: &mut Outbox) {
         let version = state.version();
         outbox.actions.push(Action::Adopt(state));
         let learnt_from = self.learnt_from;
@@ -141,14 +134,13 @@
             self.ready = true;
             outbox.actions.push(Action::Ready(true));
         }
-        // A document has no readers to report to: the version rides on probes.
+        // Document mode has no readers to report to: probes carry the version.
         if self.settings.source == ConfigSource::ChangeLog {
             self.reports.report(version, &self.membership, outbox);
         }
     }
 }
-
-fn explain_refusal(state: &ConfigState, outbox: &mut Outbox) {
+fn report_rejected_version(state: &ConfigState, outbox: &mut Outbox) {
     let version = state.version();
     let reason = match state
         .operation_at(version)
--- a/crates/rampthread-core/src/fleet/agent/machines.rs
+++ b/crates/rampthread-core/src/fleet/agent/machines.rs
@@ -1,4 +1,4 @@
-//! Which machines there are, and what the platform says of this node's own.
+//! Machine list of the platform, and drain and departure of this node.
 
 use super::Agent;
 use crate::fleet::action::{Action, Outbox};
@@ -8,34 +8,36 @@
 use crate::time::Moment;
 
 impl Agent {
-    /// Takes the platform's machine list.
+    /// Applies the platform's machine list; starts a drain when it marks this node as
+    /// leaving.
     pub fn list_machines(&mut self, machines: &[Machine], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        self.learn_machines(now, &mut outbox, |membership| {
+        self.update_machines(now, &mut outbox, |membership| {
             membership.list_machines(machines, now);
         });
         for machine in machines.iter().filter(|machine| machine.leaving) {
             if machine.id == self.identity.id {
                 self.start_drain("machine list", &mut outbox);
             } else {
-                self.pass_on_drain(&machine.id, &mut outbox);
+                self.notify_drain(&machine.id, &mut outbox);
             }
         }
         self.finish(outbox)
     }
 
-    /// Takes machines that are not known yet.
+    /// Adds machines that are not known yet.
     pub fn add_machines(&mut self, machines: &[Machine], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        self.learn_machines(now, &mut outbox, |membership| {
+        self.update_machines(now, &mut outbox, |membership| {
             membership.add_machines(machines, now);
         });
         self.finish(outbox)
     }
 
-    /// A node that knew nobody asks at once what others hold; a probe comes later. It also
-    /// finds out at once that it need not watch the document, before it reads that.
-    fn learn_machines(
+    /// Updates the known machines. When this node had no peers before, it contacts some at
+    /// once rather than with the next probe, and updates its watcher role before it reads
+    /// the document.
+    fn update_machines(
         &mut self,
         now: Moment,
         outbox: &mut Outbox,
@@ -47,24 +49,24 @@
             let held = self.adoption.version();
             self.membership
                 .greet(held, &self.settings, &mut self.rng, outbox);
-            self.compare_with_several(now, outbox);
-            self.tend_watch(now, outbox);
+            self.compare_with_several_peers(now, outbox);
+            self.update_watcher_role(now, outbox);
         }
     }
 
-    /// Stops new work for the back end.
+    /// Stops accepting new work for the backend; `origin` names who requested it.
     pub fn drain(&mut self, origin: &str) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.start_drain(origin, &mut outbox);
         self.finish(outbox)
     }
 
-    /// Takes what the back end's own probe says.
+    /// Records the result of the backend's health check.
     pub fn backend_answers(&mut self, up: bool) {
         self.backend_up = up;
     }
 
-    /// Says goodbye: gives the lease back and announces the departure.
+    /// Releases the reader lease and announces the departure of this node.
     pub fn leave(&mut self) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.reader.release(&mut outbox);
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -1,17 +1,18 @@
-//! One node's control side: membership, log, distribution, adoption, reader.
+//! Control plane of one node: membership, change log, distribution and activation of
+//! configuration versions, and the log reader role.
 //!
-//! The driver calls [`Agent::tick`] about ten times a second and hands in
-//! messages, store answers and operators' requests; each call returns the
-//! actions to carry out. The agent never blocks and holds no clock.
+//! The driver calls [`Agent::tick`] about ten times a second and passes in peer messages,
+//! store responses and operator requests. Every call returns the actions to carry out. The
+//! agent never blocks and reads no clock.
 //!
 //! Invariants, checked by `tests/fleet_properties.rs`:
-//! - the version in force never falls, also across restarts of the id;
-//! - every state in force came out of `ConfigState::apply` in log order;
-//! - nothing is in force before the restart floor is known.
+//! - the active version never decreases, also across restarts of a node id;
+//! - every active state is the result of `ConfigState::apply` in log order;
+//! - no state is active before the restart floor is known.
 
 mod backend;
 mod conditions;
-mod crash_news;
+mod crash_gossip;
 mod dispatch;
 mod document;
 mod floor;
@@ -22,9 +23,6 @@
 mod rollouts;
 mod store;
 mod store_era;
-
-pub use backend::TakenReport;
-
 use crate::config::{ConfigState, Outcome};
 use crate::fleet::action::{
     Action, Decision, Outbox, RequestId, StoreAnswer, StoreFailure, Ticket,
@@ -49,127 +47,123 @@
 use crate::fleet::writer::{Asker, Writer};
 use crate::ids::{NodeId, OperationId, Region, Version, Zone};
 use crate::time::Moment;
+pub use backend::TakenReport;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-
-/// Refused submissions that a reader remembers, so that a delayed copy of one
-/// does not run after all.
-const MAX_REFUSED: usize = 4_096;
-/// Log entries that this node, as a reader, keeps behind its newest snapshot.
-const ENTRIES_BEHIND_SNAPSHOT: u64 = 128;
-
-/// Who the agent is.
+/// Rejected submissions that a reader remembers, so that a delayed duplicate of one is not
+/// executed later.
+const MAX_REJECTED_SUBMISSIONS: usize = 4_096;
+/// Log entries kept behind the newest snapshot when this node, as a reader, truncates the
+/// log.
+const RETAINED_LOG_ENTRIES: u64 = 128;
+/// Identity and location of a node.
 #[derive(Debug, Clone)]
 pub struct AgentIdentity {
-    /// The configured id.
+    /// Configured id, stable across restarts.
     pub id: NodeId,
-    /// Where peers reach it.
+    /// Address at which peers reach the node.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the node's machine.
     pub zone: Zone,
-    /// Its region.
+    /// Region of the node's machine.
     pub region: Region,
-    /// Wall clock at the start of the process, in microseconds.
+    /// Wall-clock time at which the process started, in microseconds since the Unix epoch.
     pub process_epoch: ProcessEpoch,
 }
-
-/// A deliberate fault. Tests switch one on to show that a property can fail.
+/// Fault that a test injects to show that a property test detects it.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Defect {
-    /// Versions come into force without witnesses.
+    /// Versions become active without witness acknowledgements.
     SkipWitnesses,
-    /// A restarted node takes what the first peer gives it.
+    /// A restarted node accepts the first state that a peer sends.
     SkipFloor,
-    /// A lost answer to a write is told as not run.
+    /// A lost response to a write is reported as "not run".
     LostAnswerIsRefusal,
 }
-
 #[derive(Debug)]
-struct AwaitedHold {
+struct PendingReplication {
     operation_id: OperationId,
     version: Version,
     outcome: Outcome,
     askers: Vec<Asker>,
     since: Moment,
 }
-
 #[derive(Debug)]
-struct SpreadRequest {
+struct PropagationQuery {
     ticket: Ticket,
     nonce: u64,
     sent: Moment,
 }
-
-/// The control side of one node.
+/// Control plane of one node, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Agent {
     settings: FleetSettings,
     identity: AgentIdentity,
     rng: ChaCha8Rng,
-    /// Chance for the calls to the store that holds the document.
+    /// Random numbers for store calls in document mode.
     watch_rng: ChaCha8Rng,
     membership: Membership,
     epochs: BTreeMap<NodeId, ProcessEpoch>,
     replica: Replica,
     distribution: Distribution,
-    /// The last states, where the configuration is a document.
+    /// Recent states in document mode, from which deltas for peers are made.
     history: DocumentHistory,
-    /// When the store is read because this node lags; none: it does not.
-    read_due: Option<Moment>,
-    /// Newest era of the store that this node has seen, or was told of.
-    told_era: u64,
-    /// Who gave the newest state to this node.
+    /// Time of the next store read in document mode; `None` while this node does not lag.
+    next_store_read: Option<Moment>,
+    /// Newest store era seen by this node or announced by a peer.
+    newest_known_era: u64,
+    /// Source of the newest state.
     learnt_from: LearntFrom,
-    /// Who watches the document, and whether the store answers this node.
+    /// Selection of document watchers, and whether the store answers this node.
     store_watch: StoreWatch,
-    /// Best rate at which a document came from the store, in bytes a second.
-    link_rate: f64,
-    /// Time that the document takes at that rate.
-    read_took: Duration,
+    /// Highest transfer rate seen for a document read, in bytes per second.
+    link_bytes_per_second: f64,
+    /// Estimated time of a document read at `link_bytes_per_second`.
+    estimated_read_time: Duration,
     adoption: Adoption,
     witness_records: WitnessRecords,
     floor_query: FloorQuery,
     floor: Option<Version>,
-    /// A head that was read after this process asked, not yet caught up with.
-    known_head: Option<Version>,
+    /// Head of the log, read after this process asked for it, that the replica has not
+    /// reached yet.
+    target_head: Option<Version>,
     head_nonce: u64,
     next_floor_query: Moment,
     ready: bool,
     reader: Reader,
     writer: Writer,
-    awaited_holds: Vec<AwaitedHold>,
+    pending_replications: Vec<PendingReplication>,
     refused: VecDeque<Asker>,
     holders: Holders,
     reports: HeldReports,
     proposals: Proposals,
-    spread_requests: Vec<SpreadRequest>,
-    crashes: crash_news::CrashNews,
+    propagation_queries: Vec<PropagationQuery>,
+    crashes: crash_gossip::CrashGossip,
     loads: LoadExchange,
-    /// None where orders to roll out are not carried out.
-    roll_outs: Option<rollouts::Rollouts>,
+    /// `None` where rollouts are disabled.
+    roll_outs: Option<rollouts::RolloutParticipant>,
     draining: bool,
     backend_up: bool,
-    /// Reports of the back end beside this node, where it reports here.
+    /// Reports received from the local backend.
     reported: ReportedBackend,
-    /// When a back end that was only remembered stops to count.
-    remembered_until: Option<Moment>,
-    /// What is announced of it.
+    /// Until when a restored backend is announced without a new report.
+    restored_endpoint_expiry: Option<Moment>,
+    /// Endpoint that this node currently announces.
     endpoint: Option<EndpointRecord>,
-    /// When this life began.
+    /// Start of this process.
     started: Moment,
     last_tick: Option<Moment>,
     last_snapshot: Version,
     snapshot_request: Option<RequestId>,
     defect: Option<Defect>,
 }
-
 impl Agent {
-    /// A node that has just started and knows nothing but `machines`.
+    /// Creates the agent of a process that has just started and knows only `machines`.
     pub fn new(
         identity: AgentIdentity,
         settings: FleetSettings,
@@ -196,38 +190,39 @@
             replica: Replica::new(settings.max_retained_entries),
             distribution: Distribution::default(),
             history: DocumentHistory::default(),
-            read_due: None,
-            told_era: 0,
+            next_store_read: None,
+            newest_known_era: 0,
             learnt_from: LearntFrom::Log,
             store_watch: StoreWatch::default(),
-            link_rate: 0.0,
-            read_took: Duration::ZERO,
+            link_bytes_per_second: 0.0,
+            estimated_read_time: Duration::ZERO,
             adoption: Adoption::new(identity.id.clone(), identity.region.clone()),
             witness_records: WitnessRecords::default(),
             floor_query: FloorQuery::default(),
-            // The store has decided order and validity of a document: nothing to ask.
+            // In document mode the store guarantees order and validity, so no restart floor
+            // is needed.
             floor: (settings.source == ConfigSource::Document).then_some(Version::ZERO),
-            known_head: None,
+            target_head: None,
             head_nonce: rng.random(),
             next_floor_query: now,
             ready: false,
             reader: Reader::new(0),
             writer: Writer::default(),
-            awaited_holds: Vec::new(),
+            pending_replications: Vec::new(),
             refused: VecDeque::new(),
             holders: Holders::default(),
             reports: HeldReports::default(),
             proposals: Proposals::new(identity.process_epoch),
-            spread_requests: Vec::new(),
-            crashes: crash_news::CrashNews::new(),
+            propagation_queries: Vec::new(),
+            crashes: crash_gossip::CrashGossip::new(),
             loads: LoadExchange::default(),
             roll_outs: settings
                 .roll_outs
-                .map(|bounds| rollouts::Rollouts::new(identity.id.clone(), bounds)),
+                .map(|bounds| rollouts::RolloutParticipant::new(identity.id.clone(), bounds)),
             draining: false,
             backend_up: true,
             reported: ReportedBackend::with_heartbeat(settings.heartbeat_interval),
-            remembered_until: None,
+            restored_endpoint_expiry: None,
             endpoint: None,
             started: now,
             last_tick: None,
@@ -240,53 +235,45 @@
             rng,
         }
     }
-
-    /// Switches a deliberate fault on, for tests.
+    /// Injects a fault, or removes it with `None`.
     #[doc(hidden)]
     pub fn set_defect(&mut self, defect: Option<Defect>) {
         self.defect = defect;
     }
-
-    /// The configuration in force; meaningful once [`Agent::is_ready`].
+    /// Active configuration; meaningful once [`Agent::is_ready`] returns true.
     pub fn active(&self) -> &Arc<ConfigState> {
         self.adoption.active()
     }
-
-    /// The newest state that this node knows, in force or not.
+    /// Newest known state, active or not.
     pub fn staged(&self) -> &Arc<ConfigState> {
         self.replica.staged()
     }
-
-    /// True when calls may be served.
+    /// True once a configuration is active and calls may be served.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
-
-    /// The floor, once known.
+    /// Restart floor: the lowest version that this process may activate. `None` until it is
+    /// known.
     pub fn floor(&self) -> Option<Version> {
         self.floor
     }
-
-    /// The member table.
+    /// Member table of the fleet.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
-
-    /// Ids that this node is a witness of.
+    /// Number of node ids that this node is a witness of.
     pub fn witnessed_ids(&self) -> usize {
         self.witness_records.len()
     }
-
-    /// True while this node takes no new work for its back end.
+    /// True while this node accepts no new work for its backend.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
-
-    /// Lets time pass.
+    /// Advances timers and returns the actions that are due.
     pub fn tick(&mut self, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        self.notice_freeze(now, &mut outbox);
-        self.tick_crash_news(now, &mut outbox);
+        self.detect_suspension(now, &mut outbox);
+        self.tick_crash_gossip(now, &mut outbox);
         self.loads.tick(now, &self.membership, &mut outbox);
         self.tick_roll_outs(now, &mut outbox);
         if self.settings.source == ConfigSource::Document {
@@ -296,20 +283,19 @@
         let held = self.adoption.version();
         self.membership
             .tick(now, held, &self.settings, &mut self.rng, &mut outbox);
-        self.seek_floor(now, &mut outbox);
-        self.spread_news(now, &mut outbox);
+        self.request_floor(now, &mut outbox);
+        self.tick_distribution(now, &mut outbox);
         self.adoption.tick(now, &self.settings, &mut outbox);
         self.tick_reader(now, &mut outbox);
         self.tick_proposals(now, &mut outbox);
         self.reports
             .tick(now, held, &self.membership, &self.settings, &mut outbox);
-        self.answer_holds(now, &mut outbox);
-        self.expire_spread_requests(now, &mut outbox);
+        self.answer_replicated_proposals(now, &mut outbox);
+        self.expire_propagation_queries(now, &mut outbox);
         self.announce(now);
         self.finish(outbox)
     }
-
-    /// Takes a message from a peer.
+    /// Handles a message from a peer.
     pub fn on_message(&mut self, envelope: Envelope, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         if envelope.from == self.identity.id {
@@ -319,18 +305,17 @@
         let started_anew = envelope.process_epoch > *known_epoch;
         *known_epoch = envelope.process_epoch.max(*known_epoch);
         if started_anew {
-            self.tell_newcomer(&envelope.from, now, &mut outbox);
+            self.send_states_to_restarted_peer(&envelope.from, now, &mut outbox);
         }
         self.dispatch(envelope, now, &mut outbox);
-        self.settle(now, &mut outbox);
+        self.activate_ready_versions(now, &mut outbox);
         self.announce(now);
-        self.tell_first(now, &mut outbox);
+        self.send_urgent_updates(now, &mut outbox);
         let mut actions = self.finish(outbox);
-        actions.extend(self.remember_backend_from_peer(now));
+        actions.extend(self.restore_backend_from_peer(now));
         actions
     }
-
-    /// Takes an answer of the store.
+    /// Handles the store's response to `request_id`.
     pub fn on_store(
         &mut self,
         request_id: RequestId,
@@ -356,20 +341,19 @@
             }
         }
         self.tick_reader(now, &mut outbox);
-        self.settle(now, &mut outbox);
+        self.activate_ready_versions(now, &mut outbox);
         self.announce(now);
         self.finish(outbox)
     }
-
-    /// Takes an operator's change.
+    /// Submits an operator's change; the result follows as [`Action::AnswerProposal`].
     pub fn propose(&mut self, ticket: Ticket, entry: SharedBytes, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.proposals.submit(ticket, entry, now);
         self.tick_proposals(now, &mut outbox);
         self.finish(outbox)
     }
-
-    /// Takes an operator's question how far the newest version has got.
+    /// Answers an operator's query about the propagation of the newest version, if
+    /// necessary by asking a reader.
     pub fn query_propagation(&mut self, ticket: Ticket, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         let knows = self.settings.source == ConfigSource::Document;
@@ -394,7 +378,7 @@
         };
         let nonce = self.rng.random();
         let sent = now;
-        self.spread_requests.push(SpreadRequest {
+        self.propagation_queries.push(PropagationQuery {
             ticket,
             nonce,
             sent,
@@ -402,11 +386,10 @@
         outbox.send(&reader, Message::PropagationQuery { nonce });
         self.finish(outbox)
     }
-
     fn finish(&mut self, outbox: Outbox) -> Vec<Action> {
         let mut actions = outbox.actions;
         for (to, mut message) in outbox.messages {
-            self.name_crash_digest(&mut message);
+            self.attach_crash_digest(&mut message);
             let Some(record) = self.membership.record(&to) else {
                 continue;
             };
@@ -423,8 +406,7 @@
         }
         actions
     }
-
-    fn notice_freeze(&mut self, now: Moment, outbox: &mut Outbox) {
+    fn detect_suspension(&mut self, now: Moment, outbox: &mut Outbox) {
         let gap = self
             .last_tick
             .map_or(Duration::ZERO, |last| now.since(last));
@@ -436,13 +418,12 @@
             gap_ms: gap.as_millis() as u64,
         });
         self.membership.thaw(now);
-        self.crashes.ask_others();
+        self.crashes.schedule_comparisons();
         if !self.reader.holds_lease(now) {
             self.reader.give_up("the process was frozen", outbox);
         }
     }
 }
-
 fn first_incarnation(process_epoch: ProcessEpoch) -> Incarnation {
     const MICROS_PER_SECOND: u64 = 1_000_000;
     process_epoch / MICROS_PER_SECOND
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -1,13 +1,12 @@
-//! Operators: proposals, their answers, the spread of a version.
+//! Operator requests: proposals, their results, and the propagation of a version.
 
-use super::{Agent, AwaitedHold, MAX_REFUSED};
+use super::{Agent, MAX_REJECTED_SUBMISSIONS, PendingReplication};
 use crate::config::{LogEntry, Outcome};
 use crate::fleet::action::{Action, Outbox};
 use crate::fleet::message::{Message, ProcessEpoch, PropagationStatus, ProposalReply, SharedBytes};
 use crate::fleet::writer::Asker;
 use crate::ids::{OperationId, Version};
 use crate::time::Moment;
-
 impl Agent {
     pub(super) fn tick_proposals(&mut self, now: Moment, outbox: &mut Outbox) {
         let own = self.proposals.tick(
@@ -28,7 +27,6 @@
             self.on_propose(asker, process_epoch, proposal.entry, now, outbox);
         }
     }
-
     pub(super) fn on_propose(
         &mut self,
         asker: Asker,
@@ -43,21 +41,21 @@
         let operation_id = decoded.change.operation_id.clone();
         if reader_epoch != self.identity.process_epoch {
             let answer = ProposalReply::EpochMismatch;
-            self.answer_asker(asker, operation_id, answer, outbox);
+            self.answer_proposer(asker, operation_id, answer, outbox);
             return;
         }
         if self.refused.contains(&asker) {
             let retry_after = self.reader.retry_after(now);
             let answer = ProposalReply::NotRun { retry_after };
-            self.answer_asker(asker, operation_id, answer, outbox);
+            self.answer_proposer(asker, operation_id, answer, outbox);
             return;
         }
         if let Some(recorded) = self.replica.staged().operation(&operation_id) {
             let (version, outcome) = (recorded.version, recorded.outcome.clone());
-            self.await_hold(operation_id, version, outcome, vec![asker], now);
+            self.await_replication(operation_id, version, outcome, vec![asker], now);
             return;
         }
-        // Without a lease too: a write of it may be on its way.
+        // Also without a lease: a write of this operation may be in flight.
         if self.writer.join(&operation_id, &asker) {
             return;
         }
@@ -66,13 +64,12 @@
         if !taken {
             let retry_after = self.reader.retry_after(now);
             let answer = ProposalReply::NotRun { retry_after };
-            self.answer_asker(asker, operation_id, answer, outbox);
+            self.answer_proposer(asker, operation_id, answer, outbox);
             return;
         }
         self.tick_reader(now, outbox);
     }
-
-    pub(super) fn answer_asker(
+    pub(super) fn answer_proposer(
         &mut self,
         asker: Asker,
         operation_id: OperationId,
@@ -81,7 +78,7 @@
     ) {
         if matches!(answer, ProposalReply::NotRun { .. }) && !self.refused.contains(&asker) {
             self.refused.push_back(asker.clone());
-            if self.refused.len() > MAX_REFUSED {
+            if self.refused.len() > MAX_REJECTED_SUBMISSIONS {
                 self.refused.pop_front();
             }
         }
@@ -99,12 +96,11 @@
         };
         outbox.send(&asker.node, message);
     }
-
-    pub(super) fn collect_finished(&mut self, now: Moment) {
+    pub(super) fn collect_decided_proposals(&mut self, now: Moment) {
         for finished in self.writer.finished(&self.replica) {
             let recorded = self.replica.staged().operation(&finished.operation_id);
             let outcome = recorded.map(|recorded| recorded.outcome.clone());
-            self.await_hold(
+            self.await_replication(
                 finished.operation_id,
                 finished.decided_at,
                 outcome.unwrap_or(Outcome::Accepted),
@@ -113,8 +109,7 @@
             );
         }
     }
-
-    pub(super) fn await_hold(
+    pub(super) fn await_replication(
         &mut self,
         operation_id: OperationId,
         version: Version,
@@ -122,7 +117,7 @@
         askers: Vec<Asker>,
         now: Moment,
     ) {
-        self.awaited_holds.push(AwaitedHold {
+        self.pending_replications.push(PendingReplication {
             operation_id,
             version,
             outcome,
@@ -130,17 +125,16 @@
             since: now,
         });
     }
-
-    /// Answers decided proposals once enough other nodes hold the version, or
-    /// after a stated wait: the log entry is what makes a change accepted.
-    pub(super) fn answer_holds(&mut self, now: Moment, outbox: &mut Outbox) {
-        let awaited = std::mem::take(&mut self.awaited_holds);
+    /// Answers decided proposals once enough other nodes hold the version or the wait is
+    /// over. The log entry alone makes a change accepted.
+    pub(super) fn answer_replicated_proposals(&mut self, now: Moment, outbox: &mut Outbox) {
+        let awaited = std::mem::take(&mut self.pending_replications);
         for hold in awaited {
             let others = self.holders.others(hold.version, &self.membership);
             let waited = now.since(hold.since) >= self.settings.replication_wait;
             let accepted = hold.outcome == Outcome::Accepted;
             if accepted && !waited && !others.suffice(self.settings.replication_count) {
-                self.awaited_holds.push(hold);
+                self.pending_replications.push(hold);
                 continue;
             }
             for asker in hold.askers {
@@ -149,11 +143,10 @@
                     outcome: hold.outcome.clone(),
                     held_by: others.count as u32 + 1,
                 };
-                self.answer_asker(asker, hold.operation_id.clone(), answer, outbox);
+                self.answer_proposer(asker, hold.operation_id.clone(), answer, outbox);
             }
         }
     }
-
     pub(super) fn spread(&self) -> PropagationStatus {
         self.holders.propagation_status(
             self.replica.version(),
@@ -161,23 +154,21 @@
             &self.membership,
         )
     }
-
     pub(super) fn on_spread(&mut self, nonce: u64, status: PropagationStatus, outbox: &mut Outbox) {
         let index = self
-            .spread_requests
+            .propagation_queries
             .iter()
             .position(|request| request.nonce == nonce);
         let Some(index) = index else { return };
-        let ticket = self.spread_requests.swap_remove(index).ticket;
+        let ticket = self.propagation_queries.swap_remove(index).ticket;
         let status = Some(status);
         outbox
             .actions
             .push(Action::AnswerPropagation { ticket, status });
     }
-
-    pub(super) fn expire_spread_requests(&mut self, now: Moment, outbox: &mut Outbox) {
+    pub(super) fn expire_propagation_queries(&mut self, now: Moment, outbox: &mut Outbox) {
         let wait = self.settings.query_retry_interval;
-        self.spread_requests.retain(|request| {
+        self.propagation_queries.retain(|request| {
             let open = now.since(request.sent) < wait;
             if !open {
                 let (ticket, status) = (request.ticket, None);
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -1,10 +1,10 @@
-//! Roll-outs: orders come from the store to those who watch it, states go around by
-//! messages, evidence goes to who decides.
+//! A node's part in rollouts: watchers read the orders from the store, nodes gossip the
+//! states, and entry nodes report evidence to the decider.
 //!
-//! A state that is new is passed on at once to a few members, so that it reaches a fleet of
-//! any size in a few steps; the decider tells what changes for callers to many directly. A
-//! state that only shows that the decider lives is passed on once. Without an order no
-//! message is sent.
+//! A new state is forwarded at once to a few members, so that it reaches a fleet of any
+//! size in a few rounds; the decider also sends changes that affect callers directly to
+//! many members. A state that only confirms that the decider is alive is forwarded once.
+//! Nothing is sent while there is no order.
 
 use super::Agent;
 use crate::fleet::action::{Action, Decision, Outbox};
@@ -21,82 +21,84 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Members of the own zone that are told at a time.
-const NEAR_TOLD: usize = 3;
-/// Members of each other zone that are told by a node that has heard something new for
-/// callers; of what only shows that the decider lives, one other zone is told.
-const FAR_TOLD: usize = 1;
-/// Members that the decider tells itself what changes for callers.
-const DIRECTLY_TOLD: usize = 96;
-/// Times that a node passes on what changes for callers, with [`ROUND`] between them.
-const ROUNDS_OF_CHANGES: u32 = 3;
-/// Time between two of them.
-const ROUND: Duration = Duration::from_millis(150);
-/// Least time between two reports of evidence of one node.
-const LEAST_REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for each member, where that makes more than [`LEAST_REPORT_INTERVAL`]: the decider
-/// hears of at most some 330 nodes a second in a fleet of any size.
-const REPORT_INTERVAL_A_MEMBER: Duration = Duration::from_millis(3);
-/// Time between two reports of everything: rows that have not changed since they were
-/// reported are left out meanwhile, and a message may be lost or the decider new.
-const WHOLE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Rows of evidence in one datagram: some 60 bytes each.
+/// Gossip targets per round in the node's own zone.
+const LOCAL_ZONE_FANOUT: usize = 3;
+/// Gossip targets per round in each other zone for changes that affect callers.
+/// Confirmations go to one member of one other zone.
+const REMOTE_ZONE_FANOUT: usize = 1;
+/// Members to which the decider sends changes directly.
+const DIRECT_FANOUT: usize = 96;
+/// Rounds in which a node forwards a change that affects callers, [`GOSSIP_INTERVAL`] apart.
+const CHANGE_GOSSIP_ROUNDS: u32 = 3;
+/// Interval between gossip rounds.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(150);
+/// Shortest interval between two evidence reports of one node.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval per fleet member, where that exceeds [`MIN_REPORT_INTERVAL`]. Limits the
+/// decider's load to about 330 reports per second in a fleet of any size.
+const REPORT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(3);
+/// Interval between full evidence reports. Other reports omit unchanged rows; full ones
+/// cover lost messages and a new decider.
+const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Evidence rows in one datagram, about 60 bytes each.
 const ROWS_PER_MESSAGE: usize = 20;
-/// Silence of an open roll-out after which peers are asked: the decider confirms it twice
-/// a second.
-const STANDSTILL: Duration = Duration::from_secs(2);
-/// Time between two questions to peers.
-const QUESTION_INTERVAL: Duration = Duration::from_millis(500);
-/// The same after [`QUESTIONS_AT_FIRST`] in vain.
-const LATER_QUESTION_INTERVAL: Duration = Duration::from_secs(10);
-/// The same while a roll-out that is known stands still: it may have ended long ago.
-const STANDSTILL_QUESTION_INTERVAL: Duration = Duration::from_secs(2);
-/// Questions at short intervals.
-const QUESTIONS_AT_FIRST: u32 = 8;
-/// Key of the order in which watchers take over.
+/// Time without a confirmation of an open rollout after which peers are queried; the
+/// decider confirms twice a second.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between queries to peers.
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval after [`FAST_QUERY_COUNT`] unsuccessful queries.
+const SLOW_QUERY_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval after that many queries while a known rollout has stalled: it may have ended
+/// long ago.
+const STALL_QUERY_INTERVAL: Duration = Duration::from_secs(2);
+/// Queries sent at the short interval.
+const FAST_QUERY_COUNT: u32 = 8;
+/// Rendezvous key of the order in which watchers take over as decider.
 const DECIDERS_KEY: &str = "roll-out deciders";
 
-/// One node's part in roll-outs.
+/// Rollout state of one node.
 #[derive(Debug)]
-pub(super) struct Rollouts {
+pub(super) struct RolloutParticipant {
     bounds: RolloutBounds,
     table: RolloutTable,
     decider: Decider,
-    /// States that are still to be passed on, with the rounds left.
-    untold: BTreeMap<ResourceName, u32>,
-    next_telling: Moment,
+    /// Services whose state is still to be forwarded, with the rounds left.
+    pending_gossip: BTreeMap<ResourceName, u32>,
+    next_gossip: Moment,
     evidence: Vec<VersionEvidence>,
     evidence_is_new: bool,
     next_report: Moment,
-    /// What was reported last, and when all of it is told again.
+    /// Evidence as last reported; unchanged rows are omitted until the next full report.
     reported: Vec<VersionEvidence>,
-    next_whole_report: Moment,
-    /// When peers are asked next, and how often they were asked in vain.
-    next_question: Moment,
-    questions: u32,
+    next_full_report: Moment,
+    /// Time of the next query to a peer.
+    next_query: Moment,
+    unanswered_queries: u32,
 }
 
-impl Rollouts {
+impl RolloutParticipant {
     pub(super) fn new(me: NodeId, bounds: RolloutBounds) -> Self {
         Self {
             bounds,
             table: RolloutTable::default(),
             decider: Decider::new(me, bounds),
-            untold: BTreeMap::new(),
-            next_telling: Moment::default(),
+            pending_gossip: BTreeMap::new(),
+            next_gossip: Moment::default(),
             evidence: Vec::new(),
             evidence_is_new: false,
             next_report: Moment::default(),
             reported: Vec::new(),
-            next_whole_report: Moment::default(),
-            next_question: Moment::default(),
-            questions: 0,
+            next_full_report: Moment::default(),
+            next_query: Moment::default(),
+            unanswered_queries: 0,
         }
     }
 }
 
 impl Agent {
-    /// Takes orders that stand in the store: written just now, or found there.
+    /// Handles rollout orders from the store: just written, or already there when this node
+    /// read it.
     pub fn on_orders(
         &mut self,
         orders: &[RolloutOrder],
@@ -112,7 +114,7 @@
             if roll_outs.table.accept_order(order, source, now) {
                 new.extend(roll_outs.table.state(&order.service, now));
             } else if source == OrderSource::NewWrite {
-                // Written again: the store may have lost what was on record.
+                // Written again: the store may have lost its records of the decision.
                 roll_outs.decider.recheck(now);
             }
         }
@@ -120,10 +122,10 @@
             outbox.explain(decision(state, "the order was read"));
         }
         match source {
-            OrderSource::NewWrite => self.tell_widely(new, now, &mut outbox),
-            // Most likely others know more of it: a node that starts finds old orders.
+            OrderSource::NewWrite => self.broadcast_states(new, now, &mut outbox),
+            // Peers probably know a later state: a node that starts finds old orders.
             OrderSource::Existing => {
-                self.pass_on_later(&new, 1, now);
+                self.queue_gossip(&new, 1, now);
                 outbox.actions.push(Action::RolloutsChanged);
             }
         }
@@ -131,14 +133,15 @@
         self.finish(outbox)
     }
 
-    /// The store came back from an older copy: a lease of before is none any more.
-    pub(super) fn end_decision(&mut self, now: Moment) {
+    /// Invalidates decision leases granted before the store was restored from an older
+    /// copy.
+    pub(super) fn invalidate_decision_lease(&mut self, now: Moment) {
         if let Some(roll_outs) = &mut self.roll_outs {
             roll_outs.decider.on_store_restored(&roll_outs.table, now);
         }
     }
 
-    /// Takes what callers of this node got from versions that are being brought in.
+    /// Records the results that callers of this node got from versions in rollout.
     pub fn note_evidence(&mut self, evidence: Vec<VersionEvidence>) {
         if let Some(roll_outs) = &mut self.roll_outs
             && roll_outs.evidence != evidence
@@ -148,25 +151,25 @@
         }
     }
 
-    /// Takes the store's answer to a call for a decision.
+    /// Handles the store's response to a decider call.
     pub fn on_decider_answer(&mut self, answer: DeciderResponse, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         if let Some(roll_outs) = &mut self.roll_outs {
             let table = &mut roll_outs.table;
             let step = roll_outs.decider.on_response(answer, table, now);
-            self.carry_out(step, now, &mut outbox);
+            self.apply_decider_step(step, now, &mut outbox);
         }
         self.tick_roll_outs(now, &mut outbox);
         self.finish(outbox)
     }
 
-    /// All roll-outs that this node knows.
+    /// All rollouts that this node knows.
     pub fn roll_outs(&self, now: Moment) -> Vec<RolloutState> {
         let roll_outs = self.roll_outs.as_ref();
         roll_outs.map_or_else(Vec::new, |roll_outs| roll_outs.table.states(now))
     }
 
-    /// What entries may do with the versions of each service.
+    /// Routing rule of entry nodes for the versions of each service.
     pub fn version_rules(&self, now: Moment) -> BTreeMap<ResourceName, VersionRule> {
         let roll_outs = self.roll_outs.as_ref();
         roll_outs.map_or_else(BTreeMap::new, |roll_outs| {
@@ -174,16 +177,16 @@
         })
     }
 
-    /// True while this node decides.
+    /// True while this node is the decider.
     pub fn decides_roll_outs(&self, now: Moment) -> bool {
         let roll_outs = self.roll_outs.as_ref();
         roll_outs.is_some_and(|roll_outs| roll_outs.decider.holds_lease(now))
     }
 
     pub(super) fn tick_roll_outs(&mut self, now: Moment, outbox: &mut Outbox) {
-        let idle = |roll_outs: &Rollouts| roll_outs.table.is_empty();
+        let idle = |roll_outs: &RolloutParticipant| roll_outs.table.is_empty();
         if self.roll_outs.as_ref().is_none_or(idle) {
-            self.ask_peers(now, outbox);
+            self.query_peers(now, outbox);
             return;
         }
         let rank = self.decider_rank();
@@ -213,51 +216,54 @@
             eligible,
             rank,
             slots: &slots,
-            evidence_collection_time: WHOLE_REPORT_INTERVAL
+            evidence_collection_time: FULL_REPORT_INTERVAL
                 + report_interval(membership.records().count()),
         };
         let step = roll_outs.decider.tick(&mut roll_outs.table, &context, now);
-        self.carry_out(step, now, outbox);
-        self.pass_on_states(now, outbox);
-        self.ask_peers(now, outbox);
+        self.apply_decider_step(step, now, outbox);
+        self.gossip_states(now, outbox);
+        self.query_peers(now, outbox);
         self.report_evidence(now, outbox);
     }
 
-    /// A node that was cut off, suspended or has just started may have missed what others
-    /// know: it asks one of them while a roll-out that it knows seems to stand still, or
-    /// back ends of several versions stand side by side and it knows of no roll-out.
-    fn ask_peers(&mut self, now: Moment, outbox: &mut Outbox) {
+    /// Queries a peer when this node may have missed updates: a known rollout has stalled,
+    /// or backends of a service run different versions and no rollout of it is known.
+    fn query_peers(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(roll_outs) = &self.roll_outs else {
             return;
         };
-        if now < roll_outs.next_question {
+        if now < roll_outs.next_query {
             return;
         }
         let silence = roll_outs.table.longest_silence(now);
-        let stands_still = silence.is_some_and(|silence| silence >= STANDSTILL);
+        let is_stalled = silence.is_some_and(|silence| silence >= STALL_TIMEOUT);
         let known = roll_outs.table.states(now);
-        let lacks_some = self.has_unknown_versions(now);
-        let lacks = stands_still || lacks_some;
-        // A peer answers only for what is named, and for all where nothing is.
-        let asked = if lacks_some { Vec::new() } else { known };
+        let versions_unknown = self.has_unknown_versions(now);
+        let is_behind = is_stalled || versions_unknown;
+        // A peer answers for the listed rollouts, or for all when the list is empty.
+        let queried = if versions_unknown { Vec::new() } else { known };
         let peer = self.membership.mostly_near_peer(&mut self.rng);
         let Some(roll_outs) = &mut self.roll_outs else {
             return;
         };
-        roll_outs.questions = if lacks { roll_outs.questions + 1 } else { 0 };
-        let pause = match roll_outs.questions > QUESTIONS_AT_FIRST {
-            true if stands_still => STANDSTILL_QUESTION_INTERVAL,
-            true => LATER_QUESTION_INTERVAL,
-            false => QUESTION_INTERVAL,
+        roll_outs.unanswered_queries = if is_behind {
+            roll_outs.unanswered_queries + 1
+        } else {
+            0
+        };
+        let pause = match roll_outs.unanswered_queries > FAST_QUERY_COUNT {
+            true if is_stalled => STALL_QUERY_INTERVAL,
+            true => SLOW_QUERY_INTERVAL,
+            false => QUERY_INTERVAL,
         };
-        roll_outs.next_question = now + pause;
-        if let Some(peer) = peer.filter(|_| lacks) {
-            outbox.send(&peer, Message::Rollouts(asked));
+        roll_outs.next_query = now + pause;
+        if let Some(peer) = peer.filter(|_| is_behind) {
+            outbox.send(&peer, Message::Rollouts(queried));
         }
     }
 
-    /// True when back ends of several versions of a service stand side by side, and no
-    /// roll-out of it is known.
+    /// True when backends of a service run different versions and no rollout of it is
+    /// known.
     fn has_unknown_versions(&self, now: Moment) -> bool {
         let mut versions: BTreeMap<&ResourceName, &SoftwareVersion> = BTreeMap::new();
         let known = self.version_rules(now);
@@ -286,69 +292,78 @@
             .count() as u32
     }
 
-    fn carry_out(&mut self, step: DeciderOutput, now: Moment, outbox: &mut Outbox) {
+    fn apply_decider_step(&mut self, step: DeciderOutput, now: Moment, outbox: &mut Outbox) {
         for made in &step.decisions {
             outbox.explain(decision(&made.state, &made.reason));
         }
         if let Some(call) = step.request {
             outbox.actions.push(Action::AskDeciderStore(call));
         }
-        let changed = |told: &RolloutState| {
+        let changed = |sent: &RolloutState| {
             let made = step.decisions.iter();
-            made.clone().any(|made| made.state.service == told.service)
+            made.clone().any(|made| made.state.service == sent.service)
         };
-        let (changes, beats): (Vec<_>, Vec<_>) = step.updates.into_iter().partition(changed);
-        self.tell_widely(changes, now, outbox);
-        self.pass_on_later(&beats, 1, now);
+        let (changes, confirmations): (Vec<_>, Vec<_>) =
+            step.updates.into_iter().partition(changed);
+        self.broadcast_states(changes, now, outbox);
+        self.queue_gossip(&confirmations, 1, now);
     }
 
-    /// What changes for callers goes to many at once.
-    fn tell_widely(&mut self, states: Vec<RolloutState>, now: Moment, outbox: &mut Outbox) {
+    /// Sends changes that affect callers to many members at once.
+    fn broadcast_states(&mut self, states: Vec<RolloutState>, now: Moment, outbox: &mut Outbox) {
         if states.is_empty() {
             return;
         }
-        self.pass_on_later(&states, ROUNDS_OF_CHANGES, now);
+        self.queue_gossip(&states, CHANGE_GOSSIP_ROUNDS, now);
         outbox.actions.push(Action::RolloutsChanged);
         let peers = self
             .membership
             .reachable_peers()
             .map(|peer| peer.id.clone());
         let order = rendezvous::order(self.identity.id.as_str(), peers);
-        for peer in order.iter().take(DIRECTLY_TOLD) {
+        for peer in order.iter().take(DIRECT_FANOUT) {
             outbox.send(peer, Message::Rollouts(states.clone()));
         }
     }
 
-    fn pass_on_later(&mut self, states: &[RolloutState], rounds: u32, now: Moment) {
+    fn queue_gossip(&mut self, states: &[RolloutState], rounds: u32, now: Moment) {
         let Some(roll_outs) = &mut self.roll_outs else {
             return;
         };
         for state in states {
-            let left = roll_outs.untold.entry(state.service.clone()).or_default();
+            let left = roll_outs
+                .pending_gossip
+                .entry(state.service.clone())
+                .or_default();
             *left = (*left).max(rounds);
-            roll_outs.next_telling = now;
+            roll_outs.next_gossip = now;
         }
     }
 
-    fn pass_on_states(&mut self, now: Moment, outbox: &mut Outbox) {
+    fn gossip_states(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(roll_outs) = &mut self.roll_outs else {
             return;
         };
-        if roll_outs.untold.is_empty() || now < roll_outs.next_telling {
+        if roll_outs.pending_gossip.is_empty() || now < roll_outs.next_gossip {
             return;
         }
-        roll_outs.next_telling = now + ROUND;
-        let due = std::mem::take(&mut roll_outs.untold);
+        roll_outs.next_gossip = now + GOSSIP_INTERVAL;
+        let due = std::mem::take(&mut roll_outs.pending_gossip);
         let services = due.keys();
         let states: Vec<RolloutState> = services
             .filter_map(|service| roll_outs.table.state(service, now))
             .collect();
         let changes = due.values().any(|left| *left > 1);
         let further = due.into_iter().filter(|(_, left)| *left > 1);
-        roll_outs.untold = further.map(|(service, left)| (service, left - 1)).collect();
-        let mut targets = self.membership.near_targets(NEAR_TOLD, &mut self.rng);
+        roll_outs.pending_gossip = further.map(|(service, left)| (service, left - 1)).collect();
+        let mut targets = self
+            .membership
+            .near_targets(LOCAL_ZONE_FANOUT, &mut self.rng);
         if changes {
-            targets.extend(self.membership.far_targets(FAR_TOLD, &mut self.rng));
+            targets.extend(
+                self.membership
+                    .far_targets(REMOTE_ZONE_FANOUT, &mut self.rng),
+            );
         } else {
             targets.extend(self.membership.far_peer(&mut self.rng));
         }
@@ -357,7 +372,7 @@
         }
     }
 
-    /// States that a peer tells; one that is behind is told what is known here.
+    /// Merges states from a peer, and sends back states that are newer here.
     pub(super) fn on_roll_outs(
         &mut self,
         from: &NodeId,
@@ -365,8 +380,8 @@
         now: Moment,
         outbox: &mut Outbox,
     ) {
-        let asked_for_all = states.is_empty();
-        let mut newer_here = match asked_for_all {
+        let requests_all = states.is_empty();
+        let mut newer_states = match requests_all {
             true => self.roll_outs(now),
             false => Vec::new(),
         };
@@ -377,32 +392,37 @@
             let known = roll_outs.table.state(&state.service, now);
             if roll_outs.table.merge(state.clone(), now) {
                 let changed = known.is_none_or(|known| !state.has_same_decision(&known));
-                let rounds = if changed { ROUNDS_OF_CHANGES } else { 1 };
+                let rounds = if changed { CHANGE_GOSSIP_ROUNDS } else { 1 };
                 if changed {
                     outbox.actions.push(Action::RolloutsChanged);
                 }
-                self.pass_on_later(&[state], rounds, now);
+                self.queue_gossip(&[state], rounds, now);
             } else if let Some(known) = known
                 && (known.order, known.phase) > (state.order, state.phase)
             {
-                newer_here.push(known);
+                newer_states.push(known);
             }
         }
-        if !newer_here.is_empty() {
-            outbox.send(from, Message::Rollouts(newer_here));
+        if !newer_states.is_empty() {
+            outbox.send(from, Message::Rollouts(newer_states));
         }
-        self.pass_on_states(now, outbox);
+        self.gossip_states(now, outbox);
     }
 
-    /// A peer has started, and knows of no roll-out.
-    pub(super) fn tell_newcomer(&self, peer: &NodeId, now: Moment, outbox: &mut Outbox) {
+    /// Sends all known states to a peer that has restarted and lost them.
+    pub(super) fn send_states_to_restarted_peer(
+        &self,
+        peer: &NodeId,
+        now: Moment,
+        outbox: &mut Outbox,
+    ) {
         let states = self.roll_outs(now);
         if !states.is_empty() {
             outbox.send(peer, Message::Rollouts(states));
         }
     }
 
-    /// Evidence of a peer: it counts where this node decides.
+    /// Records a peer's evidence; it is used only while this node is the decider.
     pub(super) fn on_version_evidence(
         &mut self,
         from: &NodeId,
@@ -418,27 +438,27 @@
         let Some(roll_outs) = &mut self.roll_outs else {
             return;
         };
-        // All is told again though no traffic adds to it: the last rows may be lost.
+        // A full report is due even without traffic: the last rows may have been lost.
         let is_open = !roll_outs.evidence.is_empty() && roll_outs.table.has_open();
-        let whole_is_due = is_open && now >= roll_outs.next_whole_report;
-        let due = roll_outs.evidence_is_new || whole_is_due;
+        let full_report_due = is_open && now >= roll_outs.next_full_report;
+        let due = roll_outs.evidence_is_new || full_report_due;
         if !due || now < roll_outs.next_report {
             return;
         }
         let members = self.membership.records().count();
         roll_outs.next_report = now + report_interval(members);
         roll_outs.evidence_is_new = false;
-        if now >= roll_outs.next_whole_report {
-            roll_outs.next_whole_report = now + WHOLE_REPORT_INTERVAL;
+        if now >= roll_outs.next_full_report {
+            roll_outs.next_full_report = now + FULL_REPORT_INTERVAL;
             roll_outs.reported.clear();
         }
         let reported = std::mem::replace(&mut roll_outs.reported, roll_outs.evidence.clone());
-        let news = roll_outs
+        let changed_rows = roll_outs
             .evidence
             .iter()
             .filter(|seen| !reported.contains(seen));
         let mut by_decider: BTreeMap<NodeId, Vec<VersionEvidence>> = BTreeMap::new();
-        for seen in news {
+        for seen in changed_rows {
             let state = roll_outs.table.state(&seen.service, now);
             let open = state.filter(|state| !state.phase.is_ended() && state.order == seen.order);
             if let Some(decider) = open.and_then(|state| state.decider) {
@@ -460,9 +480,9 @@
     }
 }
 
-/// Time between two reports of evidence in a fleet of so many members.
+/// Interval between evidence reports in a fleet of `members` nodes.
 fn report_interval(members: usize) -> Duration {
-    LEAST_REPORT_INTERVAL.max(REPORT_INTERVAL_A_MEMBER * members as u32)
+    MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_MEMBER * members as u32)
 }
 
 fn decision(state: &RolloutState, reason: &str) -> Decision {
--- a/crates/rampthread-core/src/fleet/agent/store.rs
+++ b/crates/rampthread-core/src/fleet/agent/store.rs
@@ -1,12 +1,11 @@
-//! The agent as a reader: lease, watch, writes, snapshots.
+//! Reader role of the agent: lease, log watch, writes and snapshots.
 
-use super::{Agent, Defect, ENTRIES_BEHIND_SNAPSHOT};
+use super::{Agent, Defect, RETAINED_LOG_ENTRIES};
 use crate::fleet::action::{Action, Decision, Outbox, StoreAnswer, StoreFailure, StoreRequest};
 use crate::fleet::message::{Message, ProposalReply};
 use crate::fleet::reader::ReaderNews;
 use crate::ids::Version;
 use crate::time::Moment;
-
 impl Agent {
     pub(super) fn tick_reader(&mut self, now: Moment, outbox: &mut Outbox) {
         let known = self.replica.version();
@@ -20,7 +19,7 @@
         );
         let may_write = self.reader.holds_lease(now);
         if !may_write || self.reader.store_down() {
-            self.refuse_untried(now, outbox);
+            self.reject_unstarted_writes(now, outbox);
         }
         if may_write && !self.reader.store_down() {
             self.writer
@@ -28,18 +27,16 @@
             self.write_snapshot(outbox);
         }
     }
-
-    /// While nothing can be written, what was never tried is refused at once.
-    pub(super) fn refuse_untried(&mut self, now: Moment, outbox: &mut Outbox) {
+    /// Rejects proposals whose write was not attempted, while no write is possible.
+    pub(super) fn reject_unstarted_writes(&mut self, now: Moment, outbox: &mut Outbox) {
         let retry_after = self.reader.retry_after(now);
         for untried in self.writer.take_untried() {
             for asker in untried.askers {
                 let answer = ProposalReply::NotRun { retry_after };
-                self.answer_asker(asker, untried.operation_id.clone(), answer, outbox);
+                self.answer_proposer(asker, untried.operation_id.clone(), answer, outbox);
             }
         }
     }
-
     pub(super) fn write_snapshot(&mut self, outbox: &mut Outbox) {
         let version = self.replica.version();
         let due = version.0 >= self.last_snapshot.0 + self.settings.versions_per_snapshot;
@@ -52,14 +49,13 @@
         let request = StoreRequest::WriteSnapshot {
             version,
             snapshot: self.replica.staged().encode_snapshot().into(),
-            truncate_to: Version(version.0.saturating_sub(ENTRIES_BEHIND_SNAPSHOT)),
+            truncate_to: Version(version.0.saturating_sub(RETAINED_LOG_ENTRIES)),
         };
         outbox.actions.push(Action::Store {
             request_id,
             request,
         });
     }
-
     pub(super) fn on_write_answer(
         &mut self,
         result: Result<StoreAnswer, StoreFailure>,
@@ -76,20 +72,19 @@
         if self.defect == Some(Defect::LostAnswerIsRefusal) && result == Err(StoreFailure::Unknown)
         {
             self.writer.forget_open();
-            self.refuse_untried(now, outbox);
+            self.reject_unstarted_writes(now, outbox);
             return;
         }
         if let Some((version, entry)) = self.writer.on_store(&result, now) {
-            self.learn(version, entry, now, outbox);
+            self.ingest_entry(version, entry, now, outbox);
         }
     }
-
     pub(super) fn on_reader_news(&mut self, news: ReaderNews, now: Moment, outbox: &mut Outbox) {
         match news {
             ReaderNews::Entries { first, entries } => {
-                self.learn_all(first, entries, now, outbox);
+                self.ingest_entries(first, entries, now, outbox);
             }
-            ReaderNews::Snapshot(snapshot) => self.restore(&snapshot, now, outbox),
+            ReaderNews::Snapshot(snapshot) => self.restore_snapshot(&snapshot, now, outbox),
             ReaderNews::Heads { head, askers } => {
                 let held = self.adoption.version();
                 if head < held {
--- a/crates/rampthread-core/src/fleet/agent/store_era.rs
+++ b/crates/rampthread-core/src/fleet/agent/store_era.rs
@@ -1,7 +1,7 @@
-//! The store has come back from an older copy: who acts upon it, and who is told.
+//! Reaction to a store that was restored from an older copy, which raises its era by one.
 //!
-//! What a peer tells of it is a reason to ask the store, and is not believed: a false era
-//! must not make a node deaf to the store.
+//! An era announced by a peer only triggers a read of the store and is not trusted: a false
+//! era must not make a node ignore the store.
 
 use super::Agent;
 use crate::fleet::action::{Action, Outbox};
@@ -11,43 +11,45 @@
 use crate::time::Moment;
 use rand::seq::IteratorRandom;
 
-/// Watchers that a node tells; each of them tells as many once it has seen it.
-const WATCHERS_TOLD: usize = 3;
+/// Watchers that a node notifies; each of them notifies as many once it has seen the era
+/// itself.
+const WATCHER_FANOUT: usize = 3;
 
 impl Agent {
-    /// The store answered in a newer era: leases of before are none any more, and a few
-    /// peers are told.
+    /// Handles a store response with a newer era: invalidates earlier leases and notifies a
+    /// few peers.
     pub fn on_store_restored(&mut self, era: u64, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        self.told_era = self.told_era.max(era);
-        self.end_decision(now);
-        for peer in self.told_of_restore() {
+        self.newest_known_era = self.newest_known_era.max(era);
+        self.invalidate_decision_lease(now);
+        for peer in self.restore_notification_targets() {
             outbox.send(&peer, Message::StoreEra { era });
         }
         self.finish(outbox)
     }
 
-    /// Some of those that watch the document, and who writes the snapshot of this zone.
-    fn told_of_restore(&mut self) -> Vec<NodeId> {
+    /// Peers to notify: some document watchers, and the node that writes the directory
+    /// snapshot of this zone.
+    fn restore_notification_targets(&mut self) -> Vec<NodeId> {
         let me = &self.identity.id;
         let watchers = self.store_watch.chosen_watchers().iter();
         let others = watchers.filter(|id| *id != me);
-        let mut told: Vec<NodeId> = others
-            .choose_multiple(&mut self.watch_rng, WATCHERS_TOLD)
+        let mut targets: Vec<NodeId> = others
+            .choose_multiple(&mut self.watch_rng, WATCHER_FANOUT)
             .into_iter()
             .cloned()
             .collect();
         let zone = self.identity.zone.as_str();
         let members = self.membership.near_peers().chain([me]).cloned();
         let writer = rendezvous::order(zone, members).into_iter().next();
-        told.extend(writer.filter(|id| id != me && !told.contains(id)));
-        told
+        targets.extend(writer.filter(|id| id != me && !targets.contains(id)));
+        targets
     }
 
-    /// A peer has seen the store in `era`: this node asks the store, once for each era.
+    /// Handles a peer's announcement of `era`: asks the store for it, once per era.
     pub(super) fn on_store_era(&mut self, era: u64, outbox: &mut Outbox) {
-        if era > self.told_era {
-            self.told_era = era;
+        if era > self.newest_known_era {
+            self.newest_known_era = era;
             outbox.actions.push(Action::AskForEra(era));
         }
     }
