--- a/crates/rampthread-core/src/call/tenant_table.rs
+++ b/crates/rampthread-core/src/call/tenant_table.rs
@@ -24,7 +24,7 @@
 
 /// Why a request is of nobody who may send it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Unidentified {
+pub enum TenantKeyError {
     /// It has no key, or not in a form that can be read.
     #[error("the request has no key of a tenant")]
     NoKey,
@@ -33,12 +33,12 @@
     UnknownKey,
 }
 
-impl Unidentified {
+impl TenantKeyError {
     /// The word in logs and metrics.
     pub fn cause(self) -> Cause {
         match self {
-            Unidentified::NoKey => Cause::KeyMissing,
-            Unidentified::UnknownKey => Cause::KeyUnknown,
+            TenantKeyError::NoKey => Cause::KeyMissing,
+            TenantKeyError::UnknownKey => Cause::KeyUnknown,
         }
     }
 }
@@ -62,7 +62,7 @@
 
     /// True when the configuration has tenants: calls need a key, and no key goes further
     /// than the node that they came to.
-    pub fn in_use(&self) -> bool {
+    pub fn has_tenants(&self) -> bool {
         self.in_use
     }
 
@@ -87,7 +87,7 @@
         &self,
         headers: &HeaderMap,
         public: bool,
-    ) -> Result<Option<&Arc<Tenant>>, Unidentified> {
+    ) -> Result<Option<&Arc<Tenant>>, TenantKeyError> {
         if !self.in_use {
             return Ok(None);
         }
@@ -95,8 +95,8 @@
             Some(key) => self
                 .by_key
                 .get(&KeyDigest::of(key))
-                .ok_or(Unidentified::UnknownKey),
-            None => Err(Unidentified::NoKey),
+                .ok_or(TenantKeyError::UnknownKey),
+            None => Err(TenantKeyError::NoKey),
         };
         match found {
             Ok(tenant) => Ok(Some(tenant)),
@@ -107,7 +107,7 @@
 }
 
 /// True for a key that a request can come with.
-pub fn can_be_sent(key: &str) -> bool {
+pub fn is_valid_key(key: &str) -> bool {
     let visible = |byte: u8| byte == b' ' || byte.is_ascii_graphic();
     let whole = !key.is_empty() && key.trim() == key;
     whole && key.len() <= MAX_KEY_BYTES && key.bytes().all(visible)
--- a/crates/rampthread-core/tests/tenant_properties.rs
+++ b/crates/rampthread-core/tests/tenant_properties.rs
@@ -5,7 +5,7 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderValue};
 use proptest::prelude::*;
-use rampthread_core::call::tenant_table::{TenantTable, Unidentified};
+use rampthread_core::call::tenant_table::{TenantKeyError, TenantTable};
 use rampthread_core::config::{ConfigState, KeyDigest, RequestCount, Resource, StateDelta, Tenant};
 use rampthread_core::findings::Findings;
 use rampthread_core::ids::Version;
@@ -34,7 +34,7 @@
     headers
 }
 
-fn found(state: &ConfigState, value: &str) -> Result<Option<String>, Unidentified> {
+fn found(state: &ConfigState, value: &str) -> Result<Option<String>, TenantKeyError> {
     let table = TenantTable::new(state);
     let tenant = table.identify(&with_key(value), false)?;
     Ok(tenant.map(|tenant| tenant.name.to_string()))
@@ -44,15 +44,15 @@
 #[case::first_key("Bearer key-1", Ok(Some("first")))]
 #[case::second_key("bearer  key-2 ", Ok(Some("first")))]
 #[case::another_tenant("BEARER key-3", Ok(Some("second")))]
-#[case::unknown("Bearer key-4", Err(Unidentified::UnknownKey))]
-#[case::a_part_of_a_key("Bearer key", Err(Unidentified::UnknownKey))]
-#[case::no_scheme("key-1", Err(Unidentified::NoKey))]
-#[case::another_scheme("Basic key-1", Err(Unidentified::NoKey))]
-#[case::nothing("", Err(Unidentified::NoKey))]
-#[case::no_key("Bearer ", Err(Unidentified::NoKey))]
+#[case::unknown("Bearer key-4", Err(TenantKeyError::UnknownKey))]
+#[case::a_part_of_a_key("Bearer key", Err(TenantKeyError::UnknownKey))]
+#[case::no_scheme("key-1", Err(TenantKeyError::NoKey))]
+#[case::another_scheme("Basic key-1", Err(TenantKeyError::NoKey))]
+#[case::nothing("", Err(TenantKeyError::NoKey))]
+#[case::no_key("Bearer ", Err(TenantKeyError::NoKey))]
 fn a_key_tells_whose_call_it_is(
     #[case] value: &str,
-    #[case] expected: Result<Option<&str>, Unidentified>,
+    #[case] expected: Result<Option<&str>, TenantKeyError>,
 ) {
     let tenants = vec![
         tenant("first", &["key-1", "key-2"]),
@@ -69,9 +69,9 @@
     let table = TenantTable::new(&state);
     let mut twice = with_key("Bearer key-1");
     twice.append(AUTHORIZATION, HeaderValue::from_static("Bearer key-1"));
-    assert_eq!(table.identify(&twice, false), Err(Unidentified::NoKey));
+    assert_eq!(table.identify(&twice, false), Err(TenantKeyError::NoKey));
     let long = with_key(&format!("Bearer {}", "k".repeat(8_192)));
-    assert_eq!(table.identify(&long, false), Err(Unidentified::NoKey));
+    assert_eq!(table.identify(&long, false), Err(TenantKeyError::NoKey));
 }
 
 #[test]
@@ -88,14 +88,17 @@
 fn without_tenants_no_call_needs_a_key() {
     let state = version(1, Vec::new()).unwrap();
     assert_eq!(found(&state, "Bearer anything"), Ok(None));
-    assert!(!TenantTable::new(&state).in_use());
+    assert!(!TenantTable::new(&state).has_tenants());
 }
 
 /// The last tenant's last key is gone: nobody has one, and nothing is open for it.
 #[test]
 fn tenants_without_keys_let_nobody_in() {
     let state = version(1, vec![tenant("first", &[])]).unwrap();
-    assert_eq!(found(&state, "Bearer key-1"), Err(Unidentified::UnknownKey));
+    assert_eq!(
+        found(&state, "Bearer key-1"),
+        Err(TenantKeyError::UnknownKey)
+    );
 }
 
 #[test]
--- a/crates/rampthread-node/src/calls/entry/admission.rs
+++ b/crates/rampthread-node/src/calls/entry/admission.rs
@@ -61,7 +61,7 @@
 /// Removes the caller's key, which only the entry needs, and any tenant name set by the caller.
 pub(super) fn remove_identity(config: &ActiveConfig, tenant: &HeaderName, headers: &mut HeaderMap) {
     headers.remove(tenant);
-    if config.tenants.in_use() {
+    if config.tenants.has_tenants() {
         headers.remove(AUTHORIZATION);
     }
 }
