--- a/crates/rampthread-core/src/call/cause.rs
+++ b/crates/rampthread-core/src/call/cause.rs
@@ -82,7 +82,7 @@
     /// back end accepts no new one.
     BackEndCrashed = "back-end-crashed", BAD_GATEWAY;
     /// What came back is not the back end's answer to this call.
-    NotItsAnswer = "not-its-answer", BAD_GATEWAY;
+    MismatchedResponse = "not-its-answer", BAD_GATEWAY;
     /// The answer broke off.
     BrokenOff = "broken-off", BAD_GATEWAY;
     /// The answer was overdue and another back end was free: a second try began
--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -94,7 +94,7 @@
 
 /// True for the statuses by which callers conclude that a request has not run and never
 /// will. No answer has one of them unless that is known.
-pub fn promises_not_run(status: StatusCode) -> bool {
+pub fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -26,7 +26,7 @@
 //! | [`body_transfers`] | when a large body may be sent to a gate |
 //! | [`fence`] | whether a call that was given up on can still start |
 //! | [`fence_finding`] | what the answer to a fence proves |
-//! | [`verdict`] | whether what came back is the back end's answer to the call |
+//! | [`response_check`] | whether what came back is the back end's answer to the call |
 //! | [`cause`] | why there is no answer |
 //! | [`dialect`] | how callers and back ends name what a call carries |
 //! | [`log_budget`] | which lines about calls are written |
@@ -74,6 +74,7 @@
 pub mod quota;
 pub mod rank_queue;
 pub mod recent_answers;
+pub mod response_check;
 pub mod retry_budget;
 pub mod return_advice;
 pub mod route_table;
@@ -81,5 +82,4 @@
 pub mod speed_meter;
 pub mod tenant_table;
 pub mod unnamed_starts;
-pub mod verdict;
 pub mod zone_spill;
--- a/crates/rampthread-core/src/call/verdict.rs
+++ b/crates/rampthread-core/src/call/response_check.rs
@@ -6,13 +6,13 @@
 //! run, before it is known to name the call.
 
 use super::dialect::CallDialect;
-use super::headers::{self, Outcome, promises_not_run};
+use super::headers::{self, Outcome, implies_not_run};
 use http::header::CONTENT_ENCODING;
 use http::{HeaderMap, HeaderName, StatusCode};
 
 /// What an answer is worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseCheck {
     /// The back end's answer to this call.
     Answered,
     /// The back end says that it did not run the call.
@@ -20,12 +20,12 @@
     /// Another incarnation answered at the address; it did not run the call.
     Misdirected,
     /// Something else, for this reason; the call may have run.
-    NotItsAnswer(&'static str),
+    MismatchedResponse(&'static str),
 }
 
 /// The names of a call.
 #[derive(Debug, Clone, Copy)]
-pub struct CallNames<'a> {
+pub struct CallIds<'a> {
     /// As its caller named it.
     pub request_id: &'a str,
     /// As this try of it is named.
@@ -34,48 +34,48 @@
 
 /// The head of an answer.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerHead<'a> {
+pub struct ResponseHead<'a> {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
     pub headers: &'a HeaderMap,
 }
 
-impl AnswerHead<'_> {
+impl ResponseHead<'_> {
     /// Judges the answer to `call`.
-    pub fn judge(self, call: CallNames<'_>, dialect: &CallDialect) -> Verdict {
+    pub fn check(self, call: CallIds<'_>, dialect: &CallDialect) -> ResponseCheck {
         if let Some(header) = &dialect.request_id
             && self.text(header.as_str()) != Some(call.request_id)
         {
-            return Verdict::NotItsAnswer("the answer names another request");
+            return ResponseCheck::MismatchedResponse("the answer names another request");
         }
         if dialect.misdirected == Some(self.status) {
-            return Verdict::Misdirected;
+            return ResponseCheck::Misdirected;
         }
         match &dialect.not_executed {
-            Some(header) if self.has(header) => return Verdict::NotRun,
-            Some(_) if promises_not_run(self.status) => {
+            Some(header) if self.has(header) => return ResponseCheck::NotRun,
+            Some(_) if implies_not_run(self.status) => {
                 let reason = "a status that promises that the call was not run, without a word";
-                return Verdict::NotItsAnswer(reason);
+                return ResponseCheck::MismatchedResponse(reason);
             }
-            None if self.says_not_run(call) => return Verdict::NotRun,
+            None if self.says_not_run(call) => return ResponseCheck::NotRun,
             Some(_) | None => {}
         }
         let Some(signature) = &dialect.signature else {
-            return Verdict::Answered;
+            return ResponseCheck::Answered;
         };
         if self.status.is_success() && !self.has(signature) {
-            return Verdict::NotItsAnswer("a success without a signature");
+            return ResponseCheck::MismatchedResponse("a success without a signature");
         }
         if self.has(&CONTENT_ENCODING) {
-            return Verdict::NotItsAnswer("an encoded body, which nobody asked for");
+            return ResponseCheck::MismatchedResponse("an encoded body, which nobody asked for");
         }
-        Verdict::Answered
+        ResponseCheck::Answered
     }
 
     /// The product's own word for it. A back end that passes on the refusal of a call
     /// that it made itself passes on the name of that call, too.
-    fn says_not_run(self, call: CallNames<'_>) -> bool {
+    fn says_not_run(self, call: CallIds<'_>) -> bool {
         let outcome = self.text(headers::OUTCOME).and_then(Outcome::parse);
         let named = self.text(headers::CALL_ID);
         let of_another = named.is_some_and(|name| name != call.request_id && name != call.call_id);
--- a/crates/rampthread-core/tests/verdict.rs
+++ b/crates/rampthread-core/tests/response_check.rs
@@ -3,10 +3,10 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use rampthread_core::call::dialect::CallDialect;
-use rampthread_core::call::verdict::{AnswerHead, CallNames, Verdict};
+use rampthread_core::call::response_check::{CallIds, ResponseCheck, ResponseHead};
 use rstest::rstest;
 
-fn judge(status: u16, lines: &[(&'static str, &'static str)]) -> Verdict {
+fn judge(status: u16, lines: &[(&'static str, &'static str)]) -> ResponseCheck {
     let headers: HeaderMap = lines
         .iter()
         .map(|(name, value)| {
@@ -14,15 +14,15 @@
             (name, HeaderValue::from_static(value))
         })
         .collect();
-    let head = AnswerHead {
+    let head = ResponseHead {
         status: StatusCode::from_u16(status).unwrap(),
         headers: &headers,
     };
-    let call = CallNames {
+    let call = CallIds {
         request_id: "call",
         call_id: "call~1",
     };
-    head.judge(call, &CallDialect::default())
+    head.check(call, &CallDialect::default())
 }
 
 /// What users would see: a call that ran is refused as not run. Order of events: its back
@@ -35,21 +35,21 @@
         ("rampthread-outcome", "not-run"),
         ("rampthread-call-id", "inner"),
     ];
-    assert_eq!(judge(503, &lines), Verdict::Answered);
+    assert_eq!(judge(503, &lines), ResponseCheck::Answered);
 }
 
 #[rstest]
-#[case(503, &[("rampthread-outcome", "not-run")], Verdict::NotRun)]
-#[case(503, &[("rampthread-outcome", "not-run"), ("rampthread-call-id", "call")], Verdict::NotRun)]
-#[case(503, &[("rampthread-outcome", "not-run"), ("rampthread-call-id", "call~1")], Verdict::NotRun)]
-#[case(503, &[("rampthread-outcome", "unknown")], Verdict::Answered)]
-#[case(503, &[], Verdict::Answered)]
-#[case(421, &[], Verdict::Answered)]
-#[case(200, &[("rampthread-outcome", "not-run")], Verdict::Answered)]
+#[case(503, &[("rampthread-outcome", "not-run")], ResponseCheck::NotRun)]
+#[case(503, &[("rampthread-outcome", "not-run"), ("rampthread-call-id", "call")], ResponseCheck::NotRun)]
+#[case(503, &[("rampthread-outcome", "not-run"), ("rampthread-call-id", "call~1")], ResponseCheck::NotRun)]
+#[case(503, &[("rampthread-outcome", "unknown")], ResponseCheck::Answered)]
+#[case(503, &[], ResponseCheck::Answered)]
+#[case(421, &[], ResponseCheck::Answered)]
+#[case(200, &[("rampthread-outcome", "not-run")], ResponseCheck::Answered)]
 fn only_a_back_ends_own_word_says_that_a_call_was_not_run(
     #[case] status: u16,
     #[case] lines: &[(&'static str, &'static str)],
-    #[case] expected: Verdict,
+    #[case] expected: ResponseCheck,
 ) {
     assert_eq!(judge(status, lines), expected);
 }
--- a/crates/rampthread-node/src/calls/entry/tries.rs
+++ b/crates/rampthread-node/src/calls/entry/tries.rs
@@ -14,7 +14,7 @@
 use http::{Request, Response, StatusCode};
 use rampthread_core::call::attempts::{Attempts, Next};
 use rampthread_core::call::cause::Cause;
-use rampthread_core::call::headers::{Outcome, promises_not_run};
+use rampthread_core::call::headers::{Outcome, implies_not_run};
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::quarantine::Standing;
 use rampthread_core::ids::{NodeId, Zone};
@@ -336,7 +336,7 @@
 /// If the combined outcome is unknown, a status that implies more (a client error, or one that
 /// promises that the request did not run) is replaced by 502.
 fn final_answer(last: CallError, outcome: Outcome) -> CallError {
-    let says_more = !last.status.is_server_error() || promises_not_run(last.status);
+    let says_more = !last.status.is_server_error() || implies_not_run(last.status);
     let status = match outcome {
         Outcome::Unknown if says_more => StatusCode::BAD_GATEWAY,
         _ => last.status,
--- a/crates/rampthread-node/src/calls/gate/exchange.rs
+++ b/crates/rampthread-node/src/calls/gate/exchange.rs
@@ -14,7 +14,7 @@
 use http::{Request, Response};
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::{self, Outcome};
-use rampthread_core::call::verdict::{AnswerHead, CallNames, Verdict};
+use rampthread_core::call::response_check::{CallIds, ResponseCheck, ResponseHead};
 use rampthread_http::{Body, Freshness, PooledBody, SendError, boxed, full, read_limited};
 use std::sync::Arc;
 
@@ -110,22 +110,22 @@
         watched: impl FnOnce(GuardedBody<PooledBody, Slot>) -> Body,
     ) -> Result<Response<Body>, CallError> {
         let (mut parts, body) = response.into_parts();
-        let head = AnswerHead {
+        let head = ResponseHead {
             status: parts.status,
             headers: &parts.headers,
         };
-        let names = CallNames {
+        let names = CallIds {
             request_id: hop.request_id(),
             call_id: &hop.call_id,
         };
-        match head.judge(names, &self.dialect) {
-            Verdict::Answered => {}
-            Verdict::NotRun => {
+        match head.check(names, &self.dialect) {
+            ResponseCheck::Answered => {}
+            ResponseCheck::NotRun => {
                 let reason = format!("the back end answered {} and did not run it", parts.status);
                 let call_error = CallError::not_run(Cause::Shed, reason);
                 return Err(call_error.from_backend().retry_after(CONFIG_RETRY));
             }
-            Verdict::Misdirected => {
+            ResponseCheck::Misdirected => {
                 if let Some(instance) = &backend.instance {
                     self.control.on_misdirected(instance);
                 }
@@ -133,9 +133,9 @@
                 let call_error = CallError::not_run(Cause::AnotherBackEnd, reason);
                 return Err(call_error.retry_after(CONFIG_RETRY));
             }
-            Verdict::NotItsAnswer(reason) => {
+            ResponseCheck::MismatchedResponse(reason) => {
                 body.abandon();
-                return Err(CallError::unknown(Cause::NotItsAnswer, reason));
+                return Err(CallError::unknown(Cause::MismatchedResponse, reason));
             }
         }
         self.note_backend_load(&parts.headers);
--- a/crates/rampthread/src/trace.rs
+++ b/crates/rampthread/src/trace.rs
@@ -248,7 +248,7 @@
         Cause::Fenced => "it was given up on before it started",
         Cause::ConnectionLost => "the connection was lost after it was sent; it may have run",
         Cause::BackEndCrashed => "the back end ended while it ran it; it may have run",
-        Cause::NotItsAnswer => "what came back was not its answer; it may have run",
+        Cause::MismatchedResponse => "what came back was not its answer; it may have run",
         Cause::BrokenOff => "the answer broke off; it has run",
         Cause::Overdue => "the answer was overdue and another back end was free",
         Cause::Deadline => "no answer came before its deadline; it may have run",
