--- a/crates/rampthread-core/src/call/claims.rs
+++ b/crates/rampthread-core/src/call/claims.rs
@@ -3,8 +3,8 @@
 //! A request with an `Idempotency-Key` runs only after a majority of the key's
 //! holders have granted a claim to it. Holders are the first of the rendezvous
 //! order of the key over the nodes that the configuration names. A claim lasts
-//! [`CLAIM_LIFE`] after its last change. A holder that started less than
-//! [`CLAIM_LIFE`] ago may have forgotten a claim and grants nothing: losing a
+//! [`CLAIM_TTL`] after its last change. A holder that started less than
+//! [`CLAIM_TTL`] ago may have forgotten a claim and grants nothing: losing a
 //! majority of holders at once therefore means refusals for that long, not
 //! doubled runs.
 
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How long a claim lasts after its last change.
-pub const CLAIM_LIFE: Duration = Duration::from_secs(60);
+pub const CLAIM_TTL: Duration = Duration::from_secs(60);
 /// Holders of one key.
 pub const CLAIM_HOLDERS: usize = 5;
 /// Claims held at most; beyond, claims are refused.
@@ -151,7 +151,7 @@
 
 /// What the answers so far mean.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ClaimDecision {
     /// A majority granted.
     Run,
     /// The request of this name was run.
@@ -191,12 +191,12 @@
     }
 
     /// The verdict once every holder answered or was given up on.
-    pub fn verdict(&self) -> Verdict {
+    pub fn decision(&self) -> ClaimDecision {
         match self.taken {
-            Some(ClaimState::Done) => Verdict::AlreadyDone,
-            Some(ClaimState::Open) => Verdict::InProgress,
-            None if self.granted * 2 > self.holders => Verdict::Run,
-            None => Verdict::NoMajority {
+            Some(ClaimState::Done) => ClaimDecision::AlreadyDone,
+            Some(ClaimState::Open) => ClaimDecision::InProgress,
+            None if self.granted * 2 > self.holders => ClaimDecision::Run,
+            None => ClaimDecision::NoMajority {
                 retry_after: self.retry_after,
             },
         }
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -8,7 +8,7 @@
     Attempts, MAX_TRIES, Next, RetryBudget, RetryClaim, RetryShare,
 };
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint, UNAVAILABLE_LOAD};
-use rampthread_core::call::claims::{ClaimAnswer, ClaimTable, ClaimVote, Verdict};
+use rampthread_core::call::claims::{ClaimAnswer, ClaimDecision, ClaimTable, ClaimVote};
 use rampthread_core::call::fence::{FENCE_MEMORY, FenceTable, Fenced};
 use rampthread_core::call::headers::{self, Outcome, Reach};
 use rampthread_core::call::precedence::Precedence;
@@ -320,9 +320,9 @@
                     vote.add(*answer);
                 }
             }
-            vote.verdict()
+            vote.decision()
         };
-        prop_assert!(!(verdict(0) == Verdict::Run && verdict(1) == Verdict::Run));
+        prop_assert!(!(verdict(0) == ClaimDecision::Run && verdict(1) == ClaimDecision::Run));
     }
 
     /// Whatever a caller sends in our headers, reading them does not panic.
--- a/crates/rampthread-node/src/calls/entry/claim.rs
+++ b/crates/rampthread-node/src/calls/entry/claim.rs
@@ -5,7 +5,7 @@
 use crate::calls::response::CallError;
 use http::Response;
 use rampthread_core::call::cause::Cause;
-use rampthread_core::call::claims::Verdict;
+use rampthread_core::call::claims::ClaimDecision;
 use rampthread_core::call::headers::Outcome;
 use rampthread_http::Body;
 
@@ -16,20 +16,20 @@
             return Ok(());
         };
         match claims.claim(key, &call.id).await {
-            Verdict::Run => Ok(()),
-            Verdict::AlreadyDone => Err(CallError {
+            ClaimDecision::Run => Ok(()),
+            ClaimDecision::AlreadyDone => Err(CallError {
                 outcome: Outcome::Completed,
                 ..CallError::not_run(
                     Cause::KeyInUse,
                     "a request with this idempotency key was run before; it is not run again",
                 )
             }),
-            Verdict::InProgress => Err(CallError::unknown(
+            ClaimDecision::InProgress => Err(CallError::unknown(
                 Cause::KeyInUse,
                 "a request with this idempotency key may be running; it is not run twice",
             )
             .retry_after(NO_BACKEND_RETRY)),
-            Verdict::NoMajority { retry_after } => Err(CallError::not_run(
+            ClaimDecision::NoMajority { retry_after } => Err(CallError::not_run(
                 Cause::KeyUnclaimed,
                 "no majority of the holders of this idempotency key answers",
             )
--- a/crates/rampthread-node/src/calls/idempotency_claims.rs
+++ b/crates/rampthread-node/src/calls/idempotency_claims.rs
@@ -5,7 +5,7 @@
 use futures_util::future::join_all;
 use http::HeaderMap;
 use rampthread_core::call::claims::{
-    self, ClaimAnswer, ClaimState, ClaimTable, ClaimVote, Verdict,
+    self, ClaimAnswer, ClaimDecision, ClaimState, ClaimTable, ClaimVote,
 };
 use rampthread_core::call::headers;
 use rampthread_core::ids::NodeId;
@@ -88,7 +88,7 @@
 
     /// IdempotencyClaims `key` for `call_id` at all holders and returns the result of the vote. If the call
     /// may not run, its claims are released.
-    pub async fn claim(&self, key: &str, call_id: &str) -> Verdict {
+    pub async fn claim(&self, key: &str, call_id: &str) -> ClaimDecision {
         let holders = self.holders(key);
         let mut vote = ClaimVote::new(holders.len());
         let answers = join_all(
@@ -99,8 +99,8 @@
         for answer in answers.await.into_iter().flatten() {
             vote.add(answer);
         }
-        let verdict = vote.verdict();
-        if verdict != Verdict::Run {
+        let verdict = vote.decision();
+        if verdict != ClaimDecision::Run {
             self.notify_holders(ClaimAction::Release, key, call_id)
                 .await;
         }
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -267,7 +267,7 @@
             lease_ttl: defaults.lease_ttl,
             snapshot_interval: defaults.versions_per_snapshot,
             proposal_patience: defaults.proposal_timeout,
-            claim_life: rampthread_core::call::claims::CLAIM_LIFE,
+            claim_life: rampthread_core::call::claims::CLAIM_TTL,
             distribution: DistributionName::Rumour,
         }
     }
