--- a/crates/rampthread-core/src/call/fence.rs
+++ b/crates/rampthread-core/src/call/fence.rs
@@ -13,13 +13,13 @@
 /// How long a decision is remembered at least, a time in which the process stood
 /// still not counted. An answer says how far back it reaches, so that a call that
 /// lasts longer is not taken for one that never started.
-pub const FENCE_MEMORY: Duration = Duration::from_secs(120);
+pub const FENCE_RETENTION: Duration = Duration::from_secs(120);
 /// Decisions remembered at most; beyond, new calls are refused as not run.
 pub const MAX_FENCE_ENTRIES: usize = 1 << 20;
 /// Longest time between two looks that counts as time in which the process ran. A
 /// gate looks ten times a second; after a longer gap it stood still, and hops that
 /// arrived meanwhile are not read yet: their fences must not have been forgotten.
-pub const LONGEST_RUN: Duration = Duration::from_secs(1);
+pub const MAX_COUNTED_GAP: Duration = Duration::from_secs(1);
 
 /// Names a call across the fleet.
 pub type CallId = String;
@@ -32,24 +32,24 @@
 
 /// Whether a fenced call may start, as far as the gate remembers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fenced {
+pub enum FenceStatus {
     /// It has not started since the beginning of the gate's memory, and never will.
     NeverStarts,
     /// It had started; it may have run.
-    HadStarted,
+    Started,
     /// The gate can remember no further fence, or says what is not understood.
-    CannotTell,
+    Unknown,
 }
 
-impl Fenced {
-    const ALL: [Self; 3] = [Self::NeverStarts, Self::HadStarted, Self::CannotTell];
+impl FenceStatus {
+    const ALL: [Self; 3] = [Self::NeverStarts, Self::Started, Self::Unknown];
 
     /// The word between nodes and in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Fenced::NeverStarts => "never-starts",
-            Fenced::HadStarted => "had-started",
-            Fenced::CannotTell => "cannot-tell",
+            FenceStatus::NeverStarts => "never-starts",
+            FenceStatus::Started => "had-started",
+            FenceStatus::Unknown => "cannot-tell",
         }
     }
 
@@ -58,7 +58,7 @@
         Self::ALL
             .into_iter()
             .find(|fenced| fenced.as_str() == word)
-            .unwrap_or(Fenced::CannotTell)
+            .unwrap_or(FenceStatus::Unknown)
     }
 }
 
@@ -66,20 +66,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FenceAnswer {
     /// Whether the call may still start, as far as the gate remembers.
-    pub fenced: Fenced,
+    pub fenced: FenceStatus,
     /// How far back the gate remembers.
-    pub memory: Duration,
+    pub retention: Duration,
 }
 
 /// Why a call may not start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum StartRefused {
+pub enum StartError {
     /// It was fenced before.
     #[error("the call was fenced before it started")]
     Fenced,
     /// The same call id has started before: a copy.
     #[error("the call has started before")]
-    Copy,
+    Duplicate,
     /// The table is full.
     #[error("the fence table is full")]
     Full,
@@ -112,15 +112,15 @@
     }
 
     /// The call wants to start, before any byte of it goes to the back end.
-    pub fn start(&mut self, call: &CallId, now: Moment) -> Result<(), StartRefused> {
+    pub fn start(&mut self, call: &CallId, now: Moment) -> Result<(), StartError> {
         self.expire(now);
         match self.states.get(call) {
-            Some(State::Fenced) => return Err(StartRefused::Fenced),
-            Some(State::Started) => return Err(StartRefused::Copy),
+            Some(State::Fenced) => return Err(StartError::Fenced),
+            Some(State::Started) => return Err(StartError::Duplicate),
             None => {}
         }
         if self.is_full() {
-            return Err(StartRefused::Full);
+            return Err(StartError::Full);
         }
         self.remember(call, State::Started);
         Ok(())
@@ -130,27 +130,27 @@
     pub fn fence(&mut self, call: &CallId, now: Moment) -> FenceAnswer {
         self.expire(now);
         let fenced = match self.states.get(call) {
-            Some(State::Started) => Fenced::HadStarted,
-            Some(State::Fenced) => Fenced::NeverStarts,
-            None if self.is_full() => Fenced::CannotTell,
+            Some(State::Started) => FenceStatus::Started,
+            Some(State::Fenced) => FenceStatus::NeverStarts,
+            None if self.is_full() => FenceStatus::Unknown,
             None => {
                 self.remember(call, State::Fenced);
-                Fenced::NeverStarts
+                FenceStatus::NeverStarts
             }
         };
         FenceAnswer {
             fenced,
-            memory: now.since(self.made).min(FENCE_MEMORY),
+            retention: now.since(self.made).min(FENCE_RETENTION),
         }
     }
 
-    /// Forgets what is older than [`FENCE_MEMORY`]. To be called while nothing else
+    /// Forgets what is older than [`FENCE_RETENTION`]. To be called while nothing else
     /// is asked of the table, too: only looks show that the process runs.
     pub fn expire(&mut self, now: Moment) {
-        self.ran += now.since(self.looked).min(LONGEST_RUN);
+        self.ran += now.since(self.looked).min(MAX_COUNTED_GAP);
         self.looked = self.looked.max(now);
         while let Some((decided, _)) = self.order.front()
-            && self.ran.saturating_sub(*decided) > FENCE_MEMORY
+            && self.ran.saturating_sub(*decided) > FENCE_RETENTION
         {
             if let Some((_, call)) = self.order.pop_front() {
                 self.states.remove(&call);
--- a/crates/rampthread-core/src/call/fence_finding.rs
+++ b/crates/rampthread-core/src/call/fence_finding.rs
@@ -11,7 +11,7 @@
 //! Every delay, of the hop, the question, the answer or either process, makes the hop
 //! older and the conclusion no bolder.
 
-use super::fence::{FenceAnswer, Fenced};
+use super::fence::{FenceAnswer, FenceStatus};
 use crate::ids::NodeId;
 use std::time::Duration;
 
@@ -60,9 +60,9 @@
             return FenceFinding::NoAnswer;
         };
         match reply.answer.fenced {
-            Fenced::HadStarted => FenceFinding::HadStarted,
-            Fenced::NeverStarts if knows_of(reply, hop) => FenceFinding::NeverStarts,
-            Fenced::NeverStarts | Fenced::CannotTell => FenceFinding::CannotTell,
+            FenceStatus::Started => FenceFinding::HadStarted,
+            FenceStatus::NeverStarts if knows_of(reply, hop) => FenceFinding::NeverStarts,
+            FenceStatus::NeverStarts | FenceStatus::Unknown => FenceFinding::CannotTell,
         }
     }
 
@@ -83,5 +83,5 @@
     let needed = hop.age.saturating_mul(numerator) / denominator;
     // Longer, not as long: a process that began at the moment of the hop may have
     // taken the place of the one that got it.
-    reply.by.as_ref() == Some(hop.node) && reply.answer.memory > needed
+    reply.by.as_ref() == Some(hop.node) && reply.answer.retention > needed
 }
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -9,7 +9,7 @@
 };
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint, UNAVAILABLE_LOAD};
 use rampthread_core::call::claims::{ClaimAnswer, ClaimDecision, ClaimTable, ClaimVote};
-use rampthread_core::call::fence::{FENCE_MEMORY, FenceTable, Fenced};
+use rampthread_core::call::fence::{FENCE_RETENTION, FenceStatus, FenceTable};
 use rampthread_core::call::headers::{self, Outcome, Reach};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::ids::{NodeId, Zone};
@@ -145,16 +145,16 @@
         let mut never = HashSet::new();
         for (call, fence, pause_ms) in steps {
             now = now + Duration::from_millis(pause_ms);
-            prop_assume!(now.since(Moment(1)) < FENCE_MEMORY);
+            prop_assume!(now.since(Moment(1)) < FENCE_RETENTION);
             let id = format!("call-{call}");
             if fence {
                 match table.fence(&id, now).fenced {
-                    Fenced::NeverStarts => {
+                    FenceStatus::NeverStarts => {
                         prop_assert!(!started.contains(&id));
                         never.insert(id);
                     }
-                    Fenced::HadStarted => prop_assert!(started.contains(&id)),
-                    Fenced::CannotTell => prop_assert!(false, "the table is not full"),
+                    FenceStatus::Started => prop_assert!(started.contains(&id)),
+                    FenceStatus::Unknown => prop_assert!(false, "the table is not full"),
                 }
             } else if table.start(&id, now).is_ok() {
                 prop_assert!(!never.contains(&id), "a fenced call started");
--- a/crates/rampthread-core/tests/fence_properties.rs
+++ b/crates/rampthread-core/tests/fence_properties.rs
@@ -9,7 +9,8 @@
 
 use proptest::prelude::*;
 use rampthread_core::call::fence::{
-    FENCE_MEMORY, FenceAnswer, FenceTable, Fenced, LONGEST_RUN, MAX_FENCE_ENTRIES, StartRefused,
+    FENCE_RETENTION, FenceAnswer, FenceStatus, FenceTable, MAX_COUNTED_GAP, MAX_FENCE_ENTRIES,
+    StartError,
 };
 use rampthread_core::call::fence_finding::{FenceFinding, FenceReply, LostHop};
 use rampthread_core::ids::NodeId;
@@ -193,10 +194,13 @@
     }
 }
 
-fn reply(by: Option<&str>, fenced: Fenced, memory: Duration) -> FenceReply {
+fn reply(by: Option<&str>, fenced: FenceStatus, memory: Duration) -> FenceReply {
     FenceReply {
         by: by.map(|name| NodeId::new(name).unwrap()),
-        answer: FenceAnswer { fenced, memory },
+        answer: FenceAnswer {
+            fenced,
+            retention: memory,
+        },
     }
 }
 
@@ -253,7 +257,7 @@
         age_ms in 0_u64..10_000,
         by in prop_oneof![Just(None), Just(Some("node-2"))],
     ) {
-        let reply = reply(by, Fenced::NeverStarts, FENCE_MEMORY);
+        let reply = reply(by, FenceStatus::NeverStarts, FENCE_RETENTION);
         let found = finding(Duration::from_millis(age_ms), &reply);
         prop_assert_eq!(found, FenceFinding::CannotTell);
     }
@@ -261,18 +265,18 @@
     /// A word that is not known is no promise.
     #[test]
     fn an_unknown_word_proves_nothing(word in "[a-z-]{0,20}") {
-        prop_assume!(word != Fenced::NeverStarts.as_str());
-        prop_assert_ne!(Fenced::parse(&word), Fenced::NeverStarts);
+        prop_assume!(word != FenceStatus::NeverStarts.as_str());
+        prop_assert_ne!(FenceStatus::parse(&word), FenceStatus::NeverStarts);
     }
 }
 
 #[test]
 fn what_the_gate_says_of_a_call_is_what_is_found() {
     let age = Duration::from_secs(1);
-    let found = |fenced| finding(age, &reply(Some(GATE), fenced, FENCE_MEMORY));
-    assert_eq!(found(Fenced::NeverStarts), FenceFinding::NeverStarts);
-    assert_eq!(found(Fenced::HadStarted), FenceFinding::HadStarted);
-    assert_eq!(found(Fenced::CannotTell), FenceFinding::CannotTell);
+    let found = |fenced| finding(age, &reply(Some(GATE), fenced, FENCE_RETENTION));
+    assert_eq!(found(FenceStatus::NeverStarts), FenceFinding::NeverStarts);
+    assert_eq!(found(FenceStatus::Started), FenceFinding::HadStarted);
+    assert_eq!(found(FenceStatus::Unknown), FenceFinding::CannotTell);
     let node = NodeId::new(GATE).unwrap();
     let unanswered = FenceFinding::new(LostHop { node: &node, age }, None);
     assert_eq!(unanswered, FenceFinding::NoAnswer);
@@ -280,33 +284,33 @@
 
 /// What users would see: a call that lasts longer than a gate remembers is refused as
 /// not run while it runs. Order of events: it starts; its entry goes without an answer
-/// for longer than [`FENCE_MEMORY`]; the connection is lost. Cause: a start that was
+/// for longer than [`FENCE_RETENTION`]; the connection is lost. Cause: a start that was
 /// forgotten looks like none.
 #[test]
 fn a_call_that_lasts_longer_than_the_memory_is_not_taken_for_one_that_never_started() {
     let mut world = World::new(500_000, 1_000, 1_000, 0);
     world.take(Step::Connect);
     world.take(Step::Arrive);
-    world.take(Step::Run(FENCE_MEMORY.as_millis() as u64 + 10_000));
+    world.take(Step::Run(FENCE_RETENTION.as_millis() as u64 + 10_000));
     world.take(Step::Ask);
     world.take(Step::Receive);
-    assert_eq!(world.reply.unwrap().answer.fenced, Fenced::NeverStarts);
+    assert_eq!(world.reply.unwrap().answer.fenced, FenceStatus::NeverStarts);
     assert_eq!(world.finding, Some(FenceFinding::CannotTell));
 }
 
 /// What users would see: a call that was refused as not run runs minutes later. Order
 /// of events: a gate answers a fence and stands still, suspended, for longer than
-/// [`FENCE_MEMORY`], with the hop unread in its socket; it goes on, forgets the fence
+/// [`FENCE_RETENTION`], with the hop unread in its socket; it goes on, forgets the fence
 /// and reads the hop. Cause: the memory aged while nothing could be read.
 #[test]
 fn a_fence_outlasts_a_standstill_of_the_gate() {
     let mut table = FenceTable::new(Moment(0));
     let call = CALL.to_string();
     let fenced = Moment(1_000_000);
-    assert_eq!(table.fence(&call, fenced).fenced, Fenced::NeverStarts);
-    let awake = fenced + FENCE_MEMORY * 10;
+    assert_eq!(table.fence(&call, fenced).fenced, FenceStatus::NeverStarts);
+    let awake = fenced + FENCE_RETENTION * 10;
     table.expire(awake);
-    assert_eq!(table.start(&call, awake), Err(StartRefused::Fenced));
+    assert_eq!(table.start(&call, awake), Err(StartError::Fenced));
 }
 
 /// While the process runs, what is old enough is forgotten.
@@ -314,9 +318,9 @@
 fn decisions_are_forgotten_while_the_gate_runs() {
     let mut table = FenceTable::new(Moment(0));
     table.fence(&CALL.to_string(), Moment(0));
-    let looks = FENCE_MEMORY.as_secs() + 2;
+    let looks = FENCE_RETENTION.as_secs() + 2;
     for second in 1..=looks {
-        table.expire(Moment(0) + LONGEST_RUN * second as u32);
+        table.expire(Moment(0) + MAX_COUNTED_GAP * second as u32);
     }
     assert!(table.is_empty());
 }
@@ -330,11 +334,11 @@
         assert!(table.start(&number.to_string(), now).is_ok());
     }
     let unknown = CALL.to_string();
-    assert_eq!(table.fence(&unknown, now).fenced, Fenced::CannotTell);
+    assert_eq!(table.fence(&unknown, now).fenced, FenceStatus::Unknown);
     assert_eq!(
         table.fence(&"0".to_string(), now).fenced,
-        Fenced::HadStarted
+        FenceStatus::Started
     );
-    assert_eq!(table.start(&unknown, now), Err(StartRefused::Full));
+    assert_eq!(table.start(&unknown, now), Err(StartError::Full));
     assert_eq!(table.len(), MAX_FENCE_ENTRIES);
 }
--- a/crates/rampthread-node/src/call_log.rs
+++ b/crates/rampthread-node/src/call_log.rs
@@ -302,7 +302,7 @@
             address = %line.address,
             hop_age_ms = line.hop_age.as_millis() as u64,
             by = by.map(tracing::field::display),
-            memory_ms = answer.map(|answer| answer.memory.as_millis() as u64),
+            memory_ms = answer.map(|answer| answer.retention.as_millis() as u64),
             answer = answer.map(|answer| answer.fenced.as_str()),
             finding,
             "hop fenced"
@@ -316,7 +316,7 @@
         }
         tracing::info!(
             request_id,
-            memory_ms = answer.memory.as_millis() as u64,
+            memory_ms = answer.retention.as_millis() as u64,
             answer = answer.fenced.as_str(),
             "fence answered"
         );
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -8,7 +8,7 @@
 use rampthread_core::call::admission::{AdmissionDecision, AdmissionLimits, Arrival, CallNumber};
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::dependency::Dependencies;
-use rampthread_core::call::fence::StartRefused;
+use rampthread_core::call::fence::StartError;
 use rampthread_core::call::headers::{Outcome, Waiting};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::speed_meter::SpeedMeter;
@@ -161,7 +161,7 @@
         let started = self.state().fences.start(&hop.call_id, now);
         started.map_err(|refused| {
             let outcome = match refused {
-                StartRefused::Copy => Outcome::Unknown,
+                StartError::Duplicate => Outcome::Unknown,
                 _ => Outcome::NotRun,
             };
             CallError {
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -9,7 +9,7 @@
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::dialect::CallDialect;
-use rampthread_core::call::fence::{FenceAnswer, Fenced};
+use rampthread_core::call::fence::{FenceAnswer, FenceStatus};
 use rampthread_core::call::fence_finding::FenceReply;
 use rampthread_core::call::headers::{self, Outcome};
 use rampthread_core::call::path_delay::PathDelays;
@@ -33,7 +33,7 @@
 pub const CLAIM_ACTION_HEADER: &str = "rampthread-claim-action";
 /// Result of a claim request.
 pub const CLAIM_RESULT_HEADER: &str = "rampthread-claim-answer";
-/// Whether a fenced call may have started: one of [`Fenced`].
+/// Whether a fenced call may have started: one of [`FenceStatus`].
 const FENCED: &str = "rampthread-fenced";
 /// Node that responds to a fence request.
 const FENCED_BY: &str = "rampthread-fenced-by";
@@ -190,8 +190,8 @@
         Some(FenceReply {
             by: by.and_then(|name| NodeId::new(name).ok()),
             answer: FenceAnswer {
-                fenced: Fenced::parse(header_filter::header_str(&reply, FENCED)?),
-                memory: Duration::from_millis(memory_ms),
+                fenced: FenceStatus::parse(header_filter::header_str(&reply, FENCED)?),
+                retention: Duration::from_millis(memory_ms),
             },
         })
     }
@@ -290,7 +290,7 @@
 
     fn take_fence(&self, call_id: &str) -> Response<Body> {
         let answer = self.gate.fence(call_id);
-        let memory_ms = answer.memory.as_millis().to_string();
+        let memory_ms = answer.retention.as_millis().to_string();
         let mut response = Response::new(empty());
         set_response_header(&mut response, FENCED_BY, self.control.id.as_str());
         set_response_header(&mut response, FENCED, answer.fenced.as_str());
