--- a/crates/rampthread-core/src/call/fence.rs
+++ b/crates/rampthread-core/src/call/fence.rs
@@ -4,7 +4,7 @@
 //! call id. Start and fence are decided in one table: whichever comes first
 //! wins, for ever within the table's memory. A fence that finds the call not
 //! started makes a second try elsewhere safe, if the table remembers the time of
-//! the hop: [`FenceFinding`](super::fence_finding::FenceFinding) decides that.
+//! the hop: [`FenceOutcome`](super::fence_outcome::FenceOutcome) decides that.
 
 use crate::time::Moment;
 use std::collections::{HashMap, VecDeque};
--- a/crates/rampthread-core/src/call/fence_finding.rs
+++ b/crates/rampthread-core/src/call/fence_outcome.rs
@@ -23,7 +23,7 @@
 
 /// A hop that was given up on.
 #[derive(Debug, Clone, Copy)]
-pub struct LostHop<'a> {
+pub struct AbandonedHop<'a> {
     /// The node that was sent it.
     pub node: &'a NodeId,
     /// From before any byte of it was sent until the answer to the fence was there, on
@@ -42,43 +42,43 @@
 
 /// What the entry knows of the call after a fence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FenceFinding {
+pub enum FenceOutcome {
     /// It has not run and never will.
     NeverStarts,
     /// It had started; it may have run.
-    HadStarted,
+    Started,
     /// The node that answers cannot know: it may have run.
-    CannotTell,
+    Unknown,
     /// Nobody answered in time: it may have run.
-    NoAnswer,
+    NoReply,
 }
 
-impl FenceFinding {
+impl FenceOutcome {
     /// The conclusion for `hop` from what came back.
-    pub fn new(hop: LostHop<'_>, reply: Option<&FenceReply>) -> Self {
+    pub fn new(hop: AbandonedHop<'_>, reply: Option<&FenceReply>) -> Self {
         let Some(reply) = reply else {
-            return FenceFinding::NoAnswer;
+            return FenceOutcome::NoReply;
         };
         match reply.answer.fenced {
-            FenceStatus::Started => FenceFinding::HadStarted,
-            FenceStatus::NeverStarts if knows_of(reply, hop) => FenceFinding::NeverStarts,
-            FenceStatus::NeverStarts | FenceStatus::Unknown => FenceFinding::CannotTell,
+            FenceStatus::Started => FenceOutcome::Started,
+            FenceStatus::NeverStarts if knows_of(reply, hop) => FenceOutcome::NeverStarts,
+            FenceStatus::NeverStarts | FenceStatus::Unknown => FenceOutcome::Unknown,
         }
     }
 
     /// The word in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            FenceFinding::NeverStarts => "never-starts",
-            FenceFinding::HadStarted => "had-started",
-            FenceFinding::CannotTell => "cannot-tell",
-            FenceFinding::NoAnswer => "no-answer",
+            FenceOutcome::NeverStarts => "never-starts",
+            FenceOutcome::Started => "had-started",
+            FenceOutcome::Unknown => "cannot-tell",
+            FenceOutcome::NoReply => "no-answer",
         }
     }
 }
 
 /// True when whoever answers would remember the start of the call.
-fn knows_of(reply: &FenceReply, hop: LostHop<'_>) -> bool {
+fn knows_of(reply: &FenceReply, hop: AbandonedHop<'_>) -> bool {
     let (numerator, denominator) = CLOCK_RATES;
     let needed = hop.age.saturating_mul(numerator) / denominator;
     // Longer, not as long: a process that began at the moment of the hop may have
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -25,7 +25,7 @@
 //! | [`service_times`] | how long a call may wait for a slot |
 //! | [`body_transfers`] | when a large body may be sent to a gate |
 //! | [`fence`] | whether a call that was given up on can still start |
-//! | [`fence_finding`] | what the answer to a fence proves |
+//! | [`fence_outcome`] | what the answer to a fence proves |
 //! | [`response_check`] | whether what came back is the back end's answer to the call |
 //! | [`cause`] | why there is no answer |
 //! | [`dialect`] | how callers and back ends name what a call carries |
@@ -61,7 +61,7 @@
 pub mod dialect;
 pub mod fair_queue;
 pub mod fence;
-pub mod fence_finding;
+pub mod fence_outcome;
 pub mod headers;
 pub mod identity;
 pub mod load_average;
--- a/crates/rampthread-core/tests/fence_properties.rs
+++ b/crates/rampthread-core/tests/fence_properties.rs
@@ -12,7 +12,7 @@
     FENCE_RETENTION, FenceAnswer, FenceStatus, FenceTable, MAX_COUNTED_GAP, MAX_FENCE_ENTRIES,
     StartError,
 };
-use rampthread_core::call::fence_finding::{FenceFinding, FenceReply, LostHop};
+use rampthread_core::call::fence_outcome::{AbandonedHop, FenceOutcome, FenceReply};
 use rampthread_core::ids::NodeId;
 use rampthread_core::time::Moment;
 use std::time::Duration;
@@ -80,7 +80,7 @@
     given_up: bool,
     started: bool,
     reply: Option<FenceReply>,
-    finding: Option<FenceFinding>,
+    finding: Option<FenceOutcome>,
 }
 
 impl World {
@@ -174,8 +174,8 @@
         let Some(reply) = &self.reply else { return };
         let node = NodeId::new(GATE).unwrap();
         let age = self.entry_now().since(self.begun);
-        let hop = LostHop { node: &node, age };
-        self.finding = Some(FenceFinding::new(hop, Some(reply)));
+        let hop = AbandonedHop { node: &node, age };
+        self.finding = Some(FenceOutcome::new(hop, Some(reply)));
     }
 }
 
@@ -204,9 +204,9 @@
     }
 }
 
-fn finding(age: Duration, reply: &FenceReply) -> FenceFinding {
+fn finding(age: Duration, reply: &FenceReply) -> FenceOutcome {
     let node = NodeId::new(GATE).unwrap();
-    FenceFinding::new(LostHop { node: &node, age }, Some(reply))
+    FenceOutcome::new(AbandonedHop { node: &node, age }, Some(reply))
 }
 
 proptest! {
@@ -222,7 +222,7 @@
     ) {
         for step in steps {
             world.take(step);
-            let believed = world.finding == Some(FenceFinding::NeverStarts);
+            let believed = world.finding == Some(FenceOutcome::NeverStarts);
             prop_assert!(!(believed && world.started), "refused as not run, and started");
         }
     }
@@ -246,7 +246,7 @@
         world.take(Step::Ask);
         world.take(Step::Pause(after));
         world.take(Step::Receive);
-        prop_assert_eq!(world.finding, Some(FenceFinding::NeverStarts));
+        prop_assert_eq!(world.finding, Some(FenceOutcome::NeverStarts));
         world.take(Step::Arrive);
         prop_assert!(!world.started);
     }
@@ -259,7 +259,7 @@
     ) {
         let reply = reply(by, FenceStatus::NeverStarts, FENCE_RETENTION);
         let found = finding(Duration::from_millis(age_ms), &reply);
-        prop_assert_eq!(found, FenceFinding::CannotTell);
+        prop_assert_eq!(found, FenceOutcome::Unknown);
     }
 
     /// A word that is not known is no promise.
@@ -274,12 +274,12 @@
 fn what_the_gate_says_of_a_call_is_what_is_found() {
     let age = Duration::from_secs(1);
     let found = |fenced| finding(age, &reply(Some(GATE), fenced, FENCE_RETENTION));
-    assert_eq!(found(FenceStatus::NeverStarts), FenceFinding::NeverStarts);
-    assert_eq!(found(FenceStatus::Started), FenceFinding::HadStarted);
-    assert_eq!(found(FenceStatus::Unknown), FenceFinding::CannotTell);
+    assert_eq!(found(FenceStatus::NeverStarts), FenceOutcome::NeverStarts);
+    assert_eq!(found(FenceStatus::Started), FenceOutcome::Started);
+    assert_eq!(found(FenceStatus::Unknown), FenceOutcome::Unknown);
     let node = NodeId::new(GATE).unwrap();
-    let unanswered = FenceFinding::new(LostHop { node: &node, age }, None);
-    assert_eq!(unanswered, FenceFinding::NoAnswer);
+    let unanswered = FenceOutcome::new(AbandonedHop { node: &node, age }, None);
+    assert_eq!(unanswered, FenceOutcome::NoReply);
 }
 
 /// What users would see: a call that lasts longer than a gate remembers is refused as
@@ -295,7 +295,7 @@
     world.take(Step::Ask);
     world.take(Step::Receive);
     assert_eq!(world.reply.unwrap().answer.fenced, FenceStatus::NeverStarts);
-    assert_eq!(world.finding, Some(FenceFinding::CannotTell));
+    assert_eq!(world.finding, Some(FenceOutcome::Unknown));
 }
 
 /// What users would see: a call that was refused as not run runs minutes later. Order
--- a/crates/rampthread-node/src/call_log.rs
+++ b/crates/rampthread-node/src/call_log.rs
@@ -7,7 +7,7 @@
 use rampthread_core::call::backend_load::BackendLoadError;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::fence::FenceAnswer;
-use rampthread_core::call::fence_finding::{FenceFinding, FenceReply};
+use rampthread_core::call::fence_outcome::{FenceOutcome, FenceReply};
 use rampthread_core::call::headers::Waiting;
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::log_budget::{LogBudget, is_sampled};
@@ -110,7 +110,7 @@
     /// What came back; none when nobody answered.
     pub reply: Option<&'a FenceReply>,
     /// What the entry makes of it.
-    pub finding: FenceFinding,
+    pub finding: FenceOutcome,
 }
 
 /// What the gate knows when it refuses a hop.
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -13,7 +13,7 @@
 use http::{HeaderMap, Request, Response};
 use rampthread_core::call::backend_speed::BackendSpeed;
 use rampthread_core::call::cause::Cause;
-use rampthread_core::call::fence_finding::{FenceFinding, LostHop};
+use rampthread_core::call::fence_outcome::{AbandonedHop, FenceOutcome};
 use rampthread_core::call::headers::{self, Outcome, Reach, Waiting};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::ids::{InstanceId, NodeId};
@@ -172,7 +172,7 @@
         let (node, address) = (&choice.node, choice.target.address);
         let reply = self.options.peers.fence(address, node, id, wait).await;
         let age = self.now().since(begun);
-        let finding = FenceFinding::new(LostHop { node, age }, reply.as_ref());
+        let finding = FenceOutcome::new(AbandonedHop { node, age }, reply.as_ref());
         self.control().call_log.hop_fenced(&FencedHopLine {
             request_id: &call.id,
             node: node.as_str(),
@@ -182,11 +182,11 @@
             finding,
         });
         match finding {
-            FenceFinding::NeverStarts => {
+            FenceOutcome::NeverStarts => {
                 CallError::not_run(Cause::Fenced, format!("{reason}; fenced before it started"))
                     .retry_after(NO_BACKEND_RETRY)
             }
-            FenceFinding::HadStarted | FenceFinding::CannotTell | FenceFinding::NoAnswer => {
+            FenceOutcome::Started | FenceOutcome::Unknown | FenceOutcome::NoReply => {
                 let reason = format!("{reason}; fence: {}", finding.as_str());
                 CallError::unknown(Cause::ConnectionLost, reason)
             }
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -10,7 +10,7 @@
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::dialect::CallDialect;
 use rampthread_core::call::fence::{FenceAnswer, FenceStatus};
-use rampthread_core::call::fence_finding::FenceReply;
+use rampthread_core::call::fence_outcome::FenceReply;
 use rampthread_core::call::headers::{self, Outcome};
 use rampthread_core::call::path_delay::PathDelays;
 use rampthread_core::ids::NodeId;
