--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -52,7 +52,7 @@
 pub const BODY_BYTES: &str = "rampthread-body-bytes";
 /// When the hop was sent: a [`SentAt`](super::path_delay::SentAt).
 pub const SENT_AT: &str = "rampthread-sent";
-/// Whether the call may wait for a slot: one of [`Waiting`].
+/// Whether the call may wait for a slot: one of [`QueueingLimit`].
 pub const WAITING: &str = "rampthread-waiting";
 /// A caller's name for a request that it may send again (IETF draft
 /// `idempotency-key-header`).
@@ -140,7 +140,7 @@
 
 /// Whether a call may wait for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Waiting {
+pub enum QueueingLimit {
     /// It runs now or is refused: another back end seems free.
     Never,
     /// While the target latency of its route can be met.
@@ -152,25 +152,25 @@
 const NEVER: &str = "never";
 const UNTIL_DEADLINE: &str = "until-deadline";
 
-impl Waiting {
+impl QueueingLimit {
     /// Reads the [`WAITING`] header; anything else does not wait.
-    pub fn parse(word: Option<&str>) -> Waiting {
+    pub fn parse(word: Option<&str>) -> QueueingLimit {
         match word {
-            Some(UNTIL_DEADLINE) => Waiting::UntilDeadline,
-            Some(word) => word.parse().map_or(Waiting::Never, |target| {
-                Waiting::ForTarget(Duration::from_millis(target))
+            Some(UNTIL_DEADLINE) => QueueingLimit::UntilDeadline,
+            Some(word) => word.parse().map_or(QueueingLimit::Never, |target| {
+                QueueingLimit::ForTarget(Duration::from_millis(target))
             }),
-            None => Waiting::Never,
+            None => QueueingLimit::Never,
         }
     }
 }
 
-impl fmt::Display for Waiting {
+impl fmt::Display for QueueingLimit {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Waiting::Never => formatter.write_str(NEVER),
-            Waiting::ForTarget(target) => write!(formatter, "{}", target.as_millis()),
-            Waiting::UntilDeadline => formatter.write_str(UNTIL_DEADLINE),
+            QueueingLimit::Never => formatter.write_str(NEVER),
+            QueueingLimit::ForTarget(target) => write!(formatter, "{}", target.as_millis()),
+            QueueingLimit::UntilDeadline => formatter.write_str(UNTIL_DEADLINE),
         }
     }
 }
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -13,7 +13,7 @@
 use rampthread_core::call::attempts::{RetryBudget, RetryClaim, RetryShare};
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
 use rampthread_core::call::cause::Cause;
-use rampthread_core::call::headers::Waiting;
+use rampthread_core::call::headers::QueueingLimit;
 use rampthread_core::call::log_budget::{LogBudget, is_sampled};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::route_table::{CallHead, RouteTable};
@@ -129,12 +129,12 @@
     #[test]
     fn waiting_is_read_as_it_was_written(target in 0_u64..1_000_000) {
         let all = [
-            Waiting::Never,
-            Waiting::UntilDeadline,
-            Waiting::ForTarget(Duration::from_millis(target)),
+            QueueingLimit::Never,
+            QueueingLimit::UntilDeadline,
+            QueueingLimit::ForTarget(Duration::from_millis(target)),
         ];
         for waiting in all {
-            prop_assert_eq!(Waiting::parse(Some(&waiting.to_string())), waiting);
+            prop_assert_eq!(QueueingLimit::parse(Some(&waiting.to_string())), waiting);
         }
     }
 
--- a/crates/rampthread-node/src/call_log.rs
+++ b/crates/rampthread-node/src/call_log.rs
@@ -8,7 +8,7 @@
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::fence::FenceAnswer;
 use rampthread_core::call::fence_outcome::{FenceOutcome, FenceReply};
-use rampthread_core::call::headers::Waiting;
+use rampthread_core::call::headers::QueueingLimit;
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::log_budget::{LogBudget, is_sampled};
 use rampthread_core::call::precedence::Precedence;
@@ -88,7 +88,7 @@
     /// Of a hundred recent tries in that zone, those that found room.
     pub room_percent: u32,
     /// Whether the call might wait for a slot.
-    pub waiting: Waiting,
+    pub waiting: QueueingLimit,
     /// How long it took.
     pub took: Duration,
     /// What came of it.
@@ -126,7 +126,7 @@
     /// Rank of the call.
     pub rank: u32,
     /// Whether it might wait, and what was left of its route's target.
-    pub waiting: Waiting,
+    pub waiting: QueueingLimit,
     /// Time that was left.
     pub left: Duration,
     /// The back end.
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -14,7 +14,7 @@
 use rampthread_core::call::backend_speed::BackendSpeed;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::fence_outcome::{AbandonedHop, FenceOutcome};
-use rampthread_core::call::headers::{self, Outcome, Reach, Waiting};
+use rampthread_core::call::headers::{self, Outcome, QueueingLimit, Reach};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::ids::{InstanceId, NodeId};
 use rampthread_core::time::Moment;
@@ -114,16 +114,16 @@
 
     /// Whether the gate may queue the call. While another backend appears free, the call must
     /// run immediately or be rejected.
-    pub(super) fn waiting(&self, call: &Call, choice: &Choice) -> Waiting {
+    pub(super) fn waiting(&self, call: &Call, choice: &Choice) -> QueueingLimit {
         if choice.others_free {
-            return Waiting::Never;
+            return QueueingLimit::Never;
         }
         match call.route.target_latency_ms {
             // The response misses the target anyway, so it must not delay calls that can meet
             // it.
-            Some(_) if call.precedence == Precedence::Retry => Waiting::Never,
-            Some(_) => Waiting::ForTarget(self.target_left(call).unwrap_or_default()),
-            None => Waiting::UntilDeadline,
+            Some(_) if call.precedence == Precedence::Retry => QueueingLimit::Never,
+            Some(_) => QueueingLimit::ForTarget(self.target_left(call).unwrap_or_default()),
+            None => QueueingLimit::UntilDeadline,
         }
     }
 
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -29,7 +29,7 @@
 use rampthread_core::call::dependency::Dependencies;
 use rampthread_core::call::dialect::CallDialect;
 use rampthread_core::call::fence::{FenceAnswer, FenceTable};
-use rampthread_core::call::headers::{self, Waiting};
+use rampthread_core::call::headers::{self, QueueingLimit};
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::load_average::LoadAverage;
 use rampthread_core::call::precedence::Precedence;
@@ -138,7 +138,7 @@
     /// Order among calls of the same priority.
     pub precedence: Precedence,
     /// Whether and how long the call may be queued for a slot.
-    pub waiting: Waiting,
+    pub waiting: QueueingLimit,
 }
 
 impl Hop {
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -9,7 +9,7 @@
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::dependency::Dependencies;
 use rampthread_core::call::fence::StartError;
-use rampthread_core::call::headers::{Outcome, Waiting};
+use rampthread_core::call::headers::{Outcome, QueueingLimit};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::speed_meter::SpeedMeter;
 use rampthread_core::time::Moment;
@@ -102,7 +102,7 @@
 
     /// Counts a call that starts although its response is expected after the latency target.
     fn count_late(&self, hop: &Hop, waited: Duration) {
-        let Waiting::ForTarget(target) = hop.waiting else {
+        let QueueingLimit::ForTarget(target) = hop.waiting else {
             return;
         };
         let work = self.state().work_times.expected(&hop.route);
@@ -122,11 +122,11 @@
     ) -> Arrival {
         let left = hop.deadline.since(now);
         let max_wait = match hop.waiting {
-            Waiting::Never => Duration::ZERO,
-            Waiting::ForTarget(target) => state
+            QueueingLimit::Never => Duration::ZERO,
+            QueueingLimit::ForTarget(target) => state
                 .work_times
                 .max_wait(&hop.route, target, precedence, left),
-            Waiting::UntilDeadline => left,
+            QueueingLimit::UntilDeadline => left,
         };
         Arrival {
             call: number,
--- a/crates/rampthread-node/src/calls/gate/reserve.rs
+++ b/crates/rampthread-node/src/calls/gate/reserve.rs
@@ -9,7 +9,7 @@
 use rampthread_core::call::admission::{AdmissionDecision, CallNumber};
 use rampthread_core::call::body_transfers::{BodyOffer, OfferDecision};
 use rampthread_core::call::cause::Cause;
-use rampthread_core::call::headers::{self, Waiting};
+use rampthread_core::call::headers::{self, QueueingLimit};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_http::{Body, empty};
 use std::sync::Arc;
@@ -214,9 +214,9 @@
     /// the expected service time.
     fn body_patience(&self, hop: &Hop, bytes: u64, left: Duration) -> Duration {
         match hop.waiting {
-            Waiting::Never => Duration::ZERO,
-            Waiting::UntilDeadline => left,
-            Waiting::ForTarget(target) => {
+            QueueingLimit::Never => Duration::ZERO,
+            QueueingLimit::UntilDeadline => left,
+            QueueingLimit::ForTarget(target) => {
                 let target = target.saturating_sub(self.transfers.expected(bytes));
                 let precedence = Precedence::FirstAttempt;
                 self.work_times
--- a/crates/rampthread-node/src/calls/hop_headers.rs
+++ b/crates/rampthread-node/src/calls/hop_headers.rs
@@ -7,7 +7,7 @@
 use super::header_filter;
 use http::HeaderMap;
 use rampthread_core::call::dialect::CallDialect;
-use rampthread_core::call::headers::{self, Waiting};
+use rampthread_core::call::headers::{self, QueueingLimit};
 use rampthread_core::call::path_delay::SentAt;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::config::default_priority;
@@ -112,7 +112,7 @@
         },
         rank: header_filter::parse_header(from, headers::RANK).unwrap_or(default_priority()),
         precedence: Precedence::parse(header_filter::header_str(from, headers::PRECEDENCE)),
-        waiting: Waiting::parse(header_filter::header_str(from, headers::WAITING)),
+        waiting: QueueingLimit::parse(header_filter::header_str(from, headers::WAITING)),
         hops: header_filter::parse_header(from, headers::HOPS).unwrap_or(headers::MAX_HOPS),
     })
 }
