--- a/crates/rampthread-core/src/call/attempts.rs
+++ b/crates/rampthread-core/src/call/attempts.rs
@@ -87,7 +87,7 @@
     ) -> Next {
         self.tries += 1;
         self.under_way = self.under_way.saturating_sub(1);
-        if reach == Reach::BackEnd {
+        if reach == Reach::Backend {
             self.arrivals += 1;
             self.second_try = None;
         }
--- a/crates/rampthread-core/src/call/cause.rs
+++ b/crates/rampthread-core/src/call/cause.rs
@@ -53,11 +53,11 @@
     /// Its idempotency key was used before, or may be in use.
     KeyInUse = "key-in-use", CONFLICT;
     /// No majority of the holders of its idempotency key answers.
-    KeyUnclaimed = "key-unclaimed", SERVICE_UNAVAILABLE;
+    NoClaimMajority = "key-unclaimed", SERVICE_UNAVAILABLE;
     /// No back end of the service is known to take work.
-    NoBackEnd = "no-back-end", SERVICE_UNAVAILABLE;
+    NoBackend = "no-back-end", SERVICE_UNAVAILABLE;
     /// The back end has no slot free and its queue is too long.
-    Full = "full", SERVICE_UNAVAILABLE;
+    QueueFull = "full", SERVICE_UNAVAILABLE;
     /// Too many large bodies are on their way to the back end.
     LinkFull = "link-full", SERVICE_UNAVAILABLE;
     /// No slot came free before the deadline.
@@ -65,7 +65,7 @@
     /// The back end is leaving.
     Draining = "draining", SERVICE_UNAVAILABLE;
     /// Another back end, or none, stands beside the node.
-    AnotherBackEnd = "another-back-end", SERVICE_UNAVAILABLE;
+    WrongBackend = "another-back-end", SERVICE_UNAVAILABLE;
     /// The configuration of the gate's node lacks what the call needs.
     ConfigurationBehind = "configuration-behind", SERVICE_UNAVAILABLE;
     /// The back end said that it did not run the call.
@@ -80,32 +80,32 @@
     ConnectionLost = "connection-lost", BAD_GATEWAY;
     /// The back end ended while it ran the call: the connection was lost and the
     /// back end accepts no new one.
-    BackEndCrashed = "back-end-crashed", BAD_GATEWAY;
+    BackendCrashed = "back-end-crashed", BAD_GATEWAY;
     /// What came back is not the back end's answer to this call.
     MismatchedResponse = "not-its-answer", BAD_GATEWAY;
     /// The answer broke off.
-    BrokenOff = "broken-off", BAD_GATEWAY;
+    TruncatedResponse = "broken-off", BAD_GATEWAY;
     /// The answer was overdue and another back end was free: a second try began
     /// beside the first.
     Overdue = "overdue", GATEWAY_TIMEOUT;
     /// No answer before the deadline.
     Deadline = "deadline", GATEWAY_TIMEOUT;
     /// The sender is no member of the fleet.
-    Stranger = "stranger", FORBIDDEN;
+    NotAMember = "stranger", FORBIDDEN;
 }
 
 impl Cause {
     /// True when the back end could not take the call for want of a slot in time. One that
     /// sheds is another thing: its gate had a slot for the call.
-    pub fn is_lack_of_room(self) -> bool {
-        matches!(self, Cause::Full | Cause::QueueDeadline)
+    pub fn is_out_of_capacity(self) -> bool {
+        matches!(self, Cause::QueueFull | Cause::QueueDeadline)
     }
 
     /// True when the call was at a back end and its answer did not come whole.
     pub fn is_lost_answer(self) -> bool {
         matches!(
             self,
-            Cause::ConnectionLost | Cause::BrokenOff | Cause::BackEndCrashed
+            Cause::ConnectionLost | Cause::TruncatedResponse | Cause::BackendCrashed
         )
     }
 
--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -108,7 +108,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
     /// It did, or may have: the next try is a second arrival.
-    BackEnd,
+    Backend,
     /// The node beside the back end refused it, or could not be reached.
     Gate,
 }
@@ -117,7 +117,7 @@
     /// The word in the [`REACH`] header.
     pub fn as_str(self) -> &'static str {
         match self {
-            Reach::BackEnd => "back-end",
+            Reach::Backend => "back-end",
             Reach::Gate => "gate",
         }
     }
@@ -127,7 +127,7 @@
     pub fn parse(word: Option<&str>) -> Reach {
         match word {
             Some("gate") => Reach::Gate,
-            _ => Reach::BackEnd,
+            _ => Reach::Backend,
         }
     }
 }
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -172,7 +172,7 @@
             Just(Outcome::NotRun), Just(Outcome::Unknown)
         ], 1..10),
         percent in 0_u8..=100,
-        reach in prop_oneof![Just(Reach::Gate), Just(Reach::BackEnd)],
+        reach in prop_oneof![Just(Reach::Gate), Just(Reach::Backend)],
         max_arrivals in 1_u32..5,
     ) {
         let mut budget = RetryBudget::new(RetryShare::percent(percent));
@@ -221,7 +221,7 @@
             prop_assert!(under_way <= 2);
             prop_assert!(attempts.arrivals() + under_way <= max_arrivals.max(1));
             let outcome = if ran { Outcome::Unknown } else { Outcome::NotRun };
-            let reach = if ran || reached { Reach::BackEnd } else { Reach::Gate };
+            let reach = if ran || reached { Reach::Backend } else { Reach::Gate };
             under_way -= 1;
             match attempts.after(outcome, reach, now, &mut budget) {
                 Next::AwaitOther => prop_assert_eq!(under_way, 1),
--- a/crates/rampthread-core/tests/second_tries.rs
+++ b/crates/rampthread-core/tests/second_tries.rs
@@ -40,7 +40,7 @@
         if !rng.random_bool(SHED) {
             return true;
         }
-        let next = attempts.after(Outcome::NotRun, Reach::BackEnd, now, budget);
+        let next = attempts.after(Outcome::NotRun, Reach::Backend, now, budget);
         if next != Next::TryElsewhere {
             return false;
         }
@@ -117,7 +117,7 @@
         window: WINDOW,
     });
     let mut attempts = Attempts::new(true, now + WINDOW, 3);
-    let shed = attempts.after(Outcome::NotRun, Reach::BackEnd, now, &mut budget);
+    let shed = attempts.after(Outcome::NotRun, Reach::Backend, now, &mut budget);
     assert_eq!(shed, Next::TryElsewhere);
     assert!(!budget.take(RetryClaim::Nested, now), "it is taken");
     let full = attempts.after(Outcome::NotRun, Reach::Gate, now, &mut budget);
--- a/crates/rampthread-node/src/calls/entry/claim.rs
+++ b/crates/rampthread-node/src/calls/entry/claim.rs
@@ -30,7 +30,7 @@
             )
             .retry_after(NO_BACKEND_RETRY)),
             ClaimDecision::NoMajority { retry_after } => Err(CallError::not_run(
-                Cause::KeyUnclaimed,
+                Cause::NoClaimMajority,
                 "no majority of the holders of this idempotency key answers",
             )
             .retry_after(retry_after)),
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -460,5 +460,5 @@
         "no back end of service {} can take the call now",
         call.service
     );
-    CallError::not_run(Cause::NoBackEnd, reason).retry_after(NO_BACKEND_RETRY)
+    CallError::not_run(Cause::NoBackend, reason).retry_after(NO_BACKEND_RETRY)
 }
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -240,7 +240,7 @@
             let call_error = error_from_response(&response, outcome);
             // A backend that sheds load had a slot for the call.
             let had_room = call_error.cause == Cause::Shed;
-            if had_room || call_error.cause.is_lack_of_room() {
+            if had_room || call_error.cause.is_out_of_capacity() {
                 self.note_room(call, choice, !had_room);
             }
             self.note_lost_answer(call, choice, &call_error);
@@ -355,7 +355,7 @@
         header_filter::parse_header(from, headers::RETRY_AFTER_MS).map(Duration::from_millis);
     let reach = match outcome {
         Outcome::NotRun => Reach::parse(header_filter::header_str(from, headers::REACH)),
-        _ => Reach::BackEnd,
+        _ => Reach::Backend,
     };
     CallError {
         status: response.status(),
--- a/crates/rampthread-node/src/calls/entry/tries.rs
+++ b/crates/rampthread-node/src/calls/entry/tries.rs
@@ -257,7 +257,7 @@
         let next = entry.with_budget(self.call, |budget| {
             attempts.after(call_error.outcome, call_error.reach, now, budget)
         });
-        let full = call_error.cause == Cause::Full;
+        let full = call_error.cause == Cause::QueueFull;
         let call_error = sooner(call_error, self.last.take());
         match next {
             Next::AwaitOther => {
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -33,13 +33,13 @@
         }
         let Some(backend) = self.control.local_backend() else {
             return Err(unavailable(
-                Cause::AnotherBackEnd,
+                Cause::WrongBackend,
                 "no back end stands beside this node",
             ));
         };
         if backend.name != hop.backend {
             return Err(unavailable(
-                Cause::AnotherBackEnd,
+                Cause::WrongBackend,
                 "another back end stands beside this node",
             ));
         }
@@ -175,7 +175,7 @@
 pub(super) fn full(state: &GateState, retry_after: Duration) -> CallError {
     let load = state.admission.load();
     let reason = format!("the back end is full: {load} running and waiting");
-    CallError::not_run(Cause::Full, reason).retry_after(retry_after)
+    CallError::not_run(Cause::QueueFull, reason).retry_after(retry_after)
 }
 
 /// Effective precedence. Calls of other backends rank as dependencies; only the gate sees who
--- a/crates/rampthread-node/src/calls/gate/exchange.rs
+++ b/crates/rampthread-node/src/calls/gate/exchange.rs
@@ -130,7 +130,7 @@
                     self.control.on_misdirected(instance);
                 }
                 let reason = "another back end answers at this address";
-                let call_error = CallError::not_run(Cause::AnotherBackEnd, reason);
+                let call_error = CallError::not_run(Cause::WrongBackend, reason);
                 return Err(call_error.retry_after(CONFIG_RETRY));
             }
             ResponseCheck::MismatchedResponse(reason) => {
--- a/crates/rampthread-node/src/calls/gate/lost.rs
+++ b/crates/rampthread-node/src/calls/gate/lost.rs
@@ -65,8 +65,8 @@
         let instance = suspicion.instance.clone();
         self.control.report_suspicions(&[suspicion], false);
         CallError {
-            cause: Cause::BackEndCrashed,
-            status: Cause::BackEndCrashed.status(),
+            cause: Cause::BackendCrashed,
+            status: Cause::BackendCrashed.status(),
             crashed: Some(instance),
             ..lost
         }
@@ -221,7 +221,7 @@
             && let Some(loss) = self.loss.take()
         {
             async_std::task::spawn(async move {
-                let broken = CallError::unknown(Cause::BrokenOff, "the answer broke off");
+                let broken = CallError::unknown(Cause::TruncatedResponse, "the answer broke off");
                 loss.gate
                     .explain_loss(&loss.backend, &loss.content, loss.on_trial, broken)
                     .await;
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -377,7 +377,7 @@
 
 fn forbidden(peer: SocketAddr) -> Response<Body> {
     tracing::warn!(%peer, "a hop without a valid token was refused");
-    let mut call_error = CallError::not_run(Cause::Stranger, "not a hop of this fleet");
+    let mut call_error = CallError::not_run(Cause::NotAMember, "not a hop of this fleet");
     call_error.outcome = Outcome::NotRun;
     call_error.into_hop_response()
 }
--- a/crates/rampthread-node/src/calls/response.rs
+++ b/crates/rampthread-node/src/calls/response.rs
@@ -47,14 +47,14 @@
     pub fn unknown(cause: Cause, reason: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::Unknown,
-            reach: Reach::BackEnd,
+            reach: Reach::Backend,
             ..Self::not_run(cause, reason)
         }
     }
 
     /// Marks the request as rejected by a backend that did not run it.
     pub fn from_backend(mut self) -> Self {
-        self.reach = Reach::BackEnd;
+        self.reach = Reach::Backend;
         self
     }
 
@@ -140,7 +140,7 @@
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(error)) => {
             let reason = format!("the answer broke off: {error}");
-            Err(CallError::unknown(Cause::BrokenOff, reason))
+            Err(CallError::unknown(Cause::TruncatedResponse, reason))
         }
         Err(_) => {
             let reason = "the deadline passed within the answer";
--- a/crates/rampthread/src/trace.rs
+++ b/crates/rampthread/src/trace.rs
@@ -232,13 +232,13 @@
         Cause::BodyTooLarge => "its body was larger than allowed",
         Cause::BodyTimeout => "its body did not arrive in time",
         Cause::KeyInUse => "its idempotency key was in use or used before",
-        Cause::KeyUnclaimed => "no majority held its idempotency key",
-        Cause::NoBackEnd => "no back end of the service was known to take work",
-        Cause::Full => "every slot was taken and the queue too long to wait in",
+        Cause::NoClaimMajority => "no majority held its idempotency key",
+        Cause::NoBackend => "no back end of the service was known to take work",
+        Cause::QueueFull => "every slot was taken and the queue too long to wait in",
         Cause::LinkFull => "too many large bodies were on their way to the back end",
         Cause::QueueDeadline => "no slot came free before its deadline",
         Cause::Draining => "the back end was leaving",
-        Cause::AnotherBackEnd => "the back end that was meant was not there any more",
+        Cause::WrongBackend => "the back end that was meant was not there any more",
         Cause::ConfigurationBehind => "the gate's node lacked what the route needs",
         Cause::Shed => "the back end itself refused to run it",
         Cause::Unreachable => "no connection could be had",
@@ -247,12 +247,12 @@
         }
         Cause::Fenced => "it was given up on before it started",
         Cause::ConnectionLost => "the connection was lost after it was sent; it may have run",
-        Cause::BackEndCrashed => "the back end ended while it ran it; it may have run",
+        Cause::BackendCrashed => "the back end ended while it ran it; it may have run",
         Cause::MismatchedResponse => "what came back was not its answer; it may have run",
-        Cause::BrokenOff => "the answer broke off; it has run",
+        Cause::TruncatedResponse => "the answer broke off; it has run",
         Cause::Overdue => "the answer was overdue and another back end was free",
         Cause::Deadline => "no answer came before its deadline; it may have run",
-        Cause::Stranger => "the sender was no member of the fleet",
+        Cause::NotAMember => "the sender was no member of the fleet",
     }
 }
 
