--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -10,11 +10,11 @@
 //! done: the records are read again before anything else is written.
 
 use super::RolloutBounds;
+use super::evaluation::VersionEvaluator;
 use super::evidence::{Counts, VersionEvidence};
 use super::schedule::{self, Next, Progress};
 use super::state::{ALL_CALLS_PERMILLE, OrderId, Phase, RolloutState};
 use super::table::RolloutTable;
-use super::verdict::VersionJudge;
 use crate::fleet::{LeaseId, ProcessEpoch};
 use crate::ids::{NodeId, ResourceName, SoftwareVersion};
 use crate::time::Moment;
@@ -165,7 +165,7 @@
 #[derive(Debug)]
 struct Case {
     order: OrderId,
-    judge: VersionJudge,
+    judge: VersionEvaluator,
     /// What each node has told last in each of its lives: counts begin anew with a life.
     heard: BTreeMap<(NodeId, ProcessEpoch), BTreeMap<EvidenceKey, Counts>>,
     /// Counted since the last round.
@@ -630,7 +630,7 @@
         if state.phase == Phase::RollingBack {
             return (with(Phase::RollingBack, 0), "not on record yet".to_string());
         }
-        if let Some(bad) = case.judge.verdict() {
+        if let Some(bad) = case.judge.regression() {
             return (with(Phase::RollingBack, 0), bad.to_string());
         }
         let (answers, target_answers) = case.judge.answers();
@@ -697,7 +697,7 @@
     if known.is_none_or(|case| case.order != state.order) {
         let case = Case {
             order: state.order,
-            judge: VersionJudge::new(state.target.clone()),
+            judge: VersionEvaluator::new(state.target.clone()),
             heard: BTreeMap::new(),
             round: Vec::new(),
             rate: 0.0,
--- a/crates/rampthread-core/src/rollout/verdict.rs
+++ b/crates/rampthread-core/src/rollout/evaluation.rs
@@ -59,7 +59,7 @@
 
 /// Why a version is bad: the inputs of the verdict.
 #[derive(Debug, Clone, PartialEq)]
-pub struct BadVersion {
+pub struct VersionRegression {
     /// The route on which it shows.
     pub route: ResourceName,
     /// What shows.
@@ -83,7 +83,7 @@
     Excess,
 }
 
-impl fmt::Display for BadVersion {
+impl fmt::Display for VersionRegression {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let symptom = match self.symptom {
             Symptom::Failures => "failures",
@@ -209,7 +209,7 @@
 
 /// What is known of one route.
 #[derive(Debug, Clone, Default)]
-struct RouteJudge {
+struct RouteEvaluator {
     other: ByGroup,
     target: ByGroup,
     /// Answers of this round.
@@ -222,7 +222,7 @@
     failures: u32,
 }
 
-impl RouteJudge {
+impl RouteEvaluator {
     fn fade(&mut self, passed: Duration) {
         for group in self.other.0.iter_mut().chain(&mut self.target.0) {
             group.fade(passed);
@@ -299,18 +299,23 @@
         *score = (*score + bad * for_bad + (answers - bad) * for_good).max(0.0);
     }
 
-    fn verdict(&self, route: &ResourceName) -> Option<BadVersion> {
+    fn regression(&self, route: &ResourceName) -> Option<VersionRegression> {
         let mut scores = self.scores.iter().copied().enumerate();
         let (measure, score) = scores.find(|(_, score)| *score >= BAD_SCORE)?;
         let symptom = match measure {
             FAILURES => Symptom::Failures,
             _ => Symptom::Slow,
         };
-        Some(self.bad_version(route, symptom, score))
+        Some(self.regression_by(route, symptom, score))
     }
 
-    fn bad_version(&self, route: &ResourceName, symptom: Symptom, score: f64) -> BadVersion {
-        BadVersion {
+    fn regression_by(
+        &self,
+        route: &ResourceName,
+        symptom: Symptom,
+        score: f64,
+    ) -> VersionRegression {
+        VersionRegression {
             route: route.clone(),
             symptom,
             score,
@@ -322,15 +327,15 @@
 
 /// Judges one version against the other one, from what the fleet has seen of both.
 #[derive(Debug, Clone)]
-pub struct VersionJudge {
+pub struct VersionEvaluator {
     target: SoftwareVersion,
-    routes: BTreeMap<ResourceName, RouteJudge>,
+    routes: BTreeMap<ResourceName, RouteEvaluator>,
     /// Answers of all versions, and of the target.
     answers: u64,
     target_answers: u64,
 }
 
-impl VersionJudge {
+impl VersionEvaluator {
     /// Judges `target`; nothing is known of it yet.
     pub fn new(target: SoftwareVersion) -> Self {
         Self {
@@ -360,18 +365,18 @@
     }
 
     /// Why the version is bad; none while it is not known to be.
-    pub fn verdict(&self) -> Option<BadVersion> {
+    pub fn regression(&self) -> Option<VersionRegression> {
         let mut routes = self.routes.iter();
-        let by_score = routes.find_map(|(route, judge)| judge.verdict(route));
-        by_score.or_else(|| self.excess_verdict())
+        let by_score = routes.find_map(|(route, judge)| judge.regression(route));
+        by_score.or_else(|| self.excess_regression())
     }
 
-    fn excess_verdict(&self) -> Option<BadVersion> {
+    fn excess_regression(&self) -> Option<VersionRegression> {
         let excess: f64 = self.routes.values().map(|judge| judge.excess).sum();
         let routes = self.routes.iter();
         let worst = routes.max_by(|left, right| left.1.excess.total_cmp(&right.1.excess));
         let (route, judge) = worst.filter(|_| excess >= MOST_EXCESS)?;
-        Some(judge.bad_version(route, Symptom::Excess, excess))
+        Some(judge.regression_by(route, Symptom::Excess, excess))
     }
 
     /// Answers of all versions, and of the new one, so far.
--- a/crates/rampthread-core/src/rollout/exposure.rs
+++ b/crates/rampthread-core/src/rollout/exposure.rs
@@ -35,7 +35,7 @@
 
 impl VersionRule {
     /// True while evidence counts.
-    pub fn is_judged(&self) -> bool {
+    pub fn collects_evidence(&self) -> bool {
         self.open
     }
 }
--- a/crates/rampthread-core/src/rollout/mod.rs
+++ b/crates/rampthread-core/src/rollout/mod.rs
@@ -7,19 +7,19 @@
 //! | [`table`] | what this node knows of all roll-outs, and which orders are new |
 //! | [`exposure`] | which calls may go to the version under judgement |
 //! | [`evidence`] | what callers got from each version |
-//! | [`verdict`] | whether the new version is worse than the one beside it |
+//! | [`evaluation`] | whether the new version is worse than the one beside it |
 //! | [`schedule`] | when the traffic moves, and when the roll-out ends |
 //! | [`decider`] | who decides, under a lease, and what stands in the store |
 //!
 //! `docs/design/roll-outs.md` has the whole.
 
 pub mod decider;
+pub mod evaluation;
 pub mod evidence;
 pub mod exposure;
 pub mod schedule;
 pub mod state;
 pub mod table;
-pub mod verdict;
 
 pub use decider::{Decider, DeciderRequest, DeciderResponse, StoredRollout};
 pub use evidence::{EvidenceBook, VersionEvidence};
--- a/crates/rampthread-core/tests/rollout_verdicts.rs
+++ b/crates/rampthread-core/tests/rollout_evaluation.rs
@@ -2,8 +2,8 @@
 //! found. The sequential test is compared with fixed windows on the same answers.
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
+use rampthread_core::rollout::evaluation::VersionEvaluator;
 use rampthread_core::rollout::evidence::{Answer, Counts, TIME_STEPS, VersionEvidence, group_of};
-use rampthread_core::rollout::verdict::VersionJudge;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -154,7 +154,7 @@
     fn is_bad(&self) -> bool;
 }
 
-struct Sequential(VersionJudge);
+struct Sequential(VersionEvaluator);
 
 impl Judge for Sequential {
     fn take(&mut self, round: &[VersionEvidence]) {
@@ -162,7 +162,7 @@
     }
 
     fn is_bad(&self) -> bool {
-        self.0.verdict().is_some()
+        self.0.regression().is_some()
     }
 }
 
@@ -278,7 +278,7 @@
 }
 
 fn sequential() -> Box<dyn Judge> {
-    Box::new(Sequential(VersionJudge::new(version("v2"))))
+    Box::new(Sequential(VersionEvaluator::new(version("v2"))))
 }
 
 fn fixed_windows() -> Box<dyn Judge> {
@@ -299,7 +299,7 @@
 #[rstest]
 #[case::calm(CALM)]
 #[case::rough(ROUGH)]
-fn good_versions_are_not_found_bad(#[case] trouble: Trouble) {
+fn good_versions_have_no_regression_detected(#[case] trouble: Trouble) {
     let all = outcomes(GOOD, trouble, 300, sequential);
     let alarms = all.iter().filter(|one| one.found_after.is_some()).count();
     assert!(alarms <= 3, "{alarms} of 300 good versions were found bad");
@@ -314,7 +314,7 @@
 #[case::slow(Version { slow_share: 1.0, slow: 4.0, ..GOOD })]
 #[case::slow_in_part(Version { slow_share: 0.4, slow: 4.0, ..GOOD })]
 #[case::slow_late(Version { slow_share: 0.5, slow: 4.0, from: Duration::from_secs(6), ..GOOD })]
-fn bad_versions_are_found_in_time(#[case] new: Version, #[values(CALM, ROUGH)] trouble: Trouble) {
+fn regressions_are_detected_in_time(#[case] new: Version, #[values(CALM, ROUGH)] trouble: Trouble) {
     let all = outcomes(new, trouble, 60, sequential);
     let late = |one: &&Outcome| {
         let Some(started) = one.clock_started else {
@@ -332,7 +332,7 @@
 /// Prints the figures of both ways: `--nocapture --ignored`.
 #[test]
 #[ignore = "a table for the design note"]
-fn table_of_both_ways() {
+fn table_of_both_methods() {
     let kinds = [
         ("good", GOOD),
         ("fails 30%", Version { fails: 0.3, ..GOOD }),
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -149,7 +149,7 @@
         if let VersionShare::UpTo { permille, .. } = rule.share {
             self.with_meter(call, rule, &bounds, |meter| meter.answered(permille));
         }
-        if !rule.is_judged() {
+        if !rule.collects_evidence() {
             return;
         }
         let failed = matches!(answer, VersionAnswer::Failure);
@@ -196,7 +196,7 @@
         let evidence = &mut self.versions.evidence;
         evidence.retain(|service, order| {
             let rule = rules.get(service);
-            rule.is_some_and(|rule| rule.order == order && rule.is_judged())
+            rule.is_some_and(|rule| rule.order == order && rule.collects_evidence())
         });
         evidence.all()
     }
--- a/crates/rampthread-wire/tests/rollouts.rs
+++ b/crates/rampthread-wire/tests/rollouts.rs
@@ -145,7 +145,7 @@
         let is_bad = self.elapsed() >= self.fails_from && self.rng.random_bool(self.fails);
         let failed = to_target && is_bad;
         self.note_bad(failed, to_target, index);
-        if !rule.is_judged() {
+        if !rule.collects_evidence() {
             return;
         }
         let at = self.rng.random_range(0..NODES / 2) * 2 + usize::from(to_target);
