--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -11,7 +11,7 @@
 
 use super::RolloutBounds;
 use super::evaluation::VersionEvaluator;
-use super::evidence::{Counts, VersionEvidence};
+use super::evidence::{ResponseCounts, VersionEvidence};
 use super::schedule::{self, Next, Progress};
 use super::state::{ALL_CALLS_PERMILLE, OrderId, Phase, RolloutState};
 use super::table::RolloutTable;
@@ -167,7 +167,7 @@
     order: OrderId,
     judge: VersionEvaluator,
     /// What each node has told last in each of its lives: counts begin anew with a life.
-    heard: BTreeMap<(NodeId, ProcessEpoch), BTreeMap<EvidenceKey, Counts>>,
+    heard: BTreeMap<(NodeId, ProcessEpoch), BTreeMap<EvidenceKey, ResponseCounts>>,
     /// Counted since the last round.
     round: Vec<VersionEvidence>,
     rate: f64,
@@ -269,7 +269,7 @@
                 continue;
             };
             before.clone_from(&seen.counts);
-            if counts.answers > 0 {
+            if counts.responses > 0 {
                 case.round.push(VersionEvidence {
                     counts,
                     ..seen.clone()
@@ -676,7 +676,7 @@
 impl Case {
     fn take_round(&mut self, passed: Duration) {
         let round = std::mem::take(&mut self.round);
-        let answers = round.iter().map(|seen| f64::from(seen.counts.answers));
+        let answers = round.iter().map(|seen| f64::from(seen.counts.responses));
         let answers: f64 = answers.sum();
         self.judge.take(&round, passed);
         let passed = passed.as_secs_f64();
--- a/crates/rampthread-core/src/rollout/evaluation.rs
+++ b/crates/rampthread-core/src/rollout/evaluation.rs
@@ -12,7 +12,7 @@
 //! One bad back end is no bad version. The back ends of each version fall into groups, and
 //! of failures the worst quarter of the groups counts for nothing, on both sides.
 
-use super::evidence::{Counts, GROUPS, TIME_STEPS, VersionEvidence};
+use super::evidence::{BACKEND_GROUPS, LATENCY_BUCKETS, ResponseCounts, VersionEvidence};
 use crate::ids::{ResourceName, SoftwareVersion};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -103,7 +103,7 @@
 struct Recent {
     answers: f64,
     failures: f64,
-    times: [f64; TIME_STEPS],
+    times: [f64; LATENCY_BUCKETS],
 }
 
 impl Recent {
@@ -116,10 +116,10 @@
         }
     }
 
-    fn add(&mut self, counts: &Counts) {
-        self.answers += f64::from(counts.answers);
+    fn add(&mut self, counts: &ResponseCounts) {
+        self.answers += f64::from(counts.responses);
         self.failures += f64::from(counts.failures);
-        for (sum, count) in self.times.iter_mut().zip(&counts.times) {
+        for (sum, count) in self.times.iter_mut().zip(&counts.latency_histogram) {
             *sum += f64::from(*count);
         }
     }
@@ -150,17 +150,17 @@
             }
             above -= count;
         }
-        TIME_STEPS
+        LATENCY_BUCKETS
     }
 }
 
 /// One version's answers on a route, by group.
 #[derive(Debug, Clone, Default)]
-struct ByGroup([Recent; GROUPS as usize]);
+struct ByGroup([Recent; BACKEND_GROUPS as usize]);
 
 impl ByGroup {
     fn group(&mut self, group: u8) -> &mut Recent {
-        &mut self.0[usize::from(group % GROUPS)]
+        &mut self.0[usize::from(group % BACKEND_GROUPS)]
     }
 
     fn all(&self) -> Recent {
@@ -178,7 +178,12 @@
     }
 
     /// Groups that count for nothing by a measure: those with most bad answers.
-    fn outliers(&self, measure: usize, slow: usize, most: usize) -> [bool; GROUPS as usize] {
+    fn outliers(
+        &self,
+        measure: usize,
+        slow: usize,
+        most: usize,
+    ) -> [bool; BACKEND_GROUPS as usize] {
         let mut worst: Vec<(f64, usize)> = self
             .0
             .iter()
@@ -187,7 +192,7 @@
             .filter(|(bad, _)| *bad >= LEAST_OUTLIER)
             .collect();
         worst.sort_by(|left, right| right.0.total_cmp(&left.0));
-        let mut outliers = [false; GROUPS as usize];
+        let mut outliers = [false; BACKEND_GROUPS as usize];
         for (_, index) in worst.iter().take(most) {
             outliers[*index] = true;
         }
@@ -197,7 +202,7 @@
     /// Bad answers and all answers, without those of `outliers`.
     fn bad_without(
         &self,
-        outliers: &[bool; GROUPS as usize],
+        outliers: &[bool; BACKEND_GROUPS as usize],
         measure: usize,
         slow: usize,
     ) -> (f64, f64) {
@@ -229,9 +234,9 @@
         }
     }
 
-    fn take(&mut self, group: u8, counts: &Counts, of_target: bool) {
+    fn take(&mut self, group: u8, counts: &ResponseCounts, of_target: bool) {
         if of_target {
-            self.answers = self.answers.saturating_add(counts.answers);
+            self.answers = self.answers.saturating_add(counts.responses);
             self.failures = self.failures.saturating_add(counts.failures);
             self.target_round.group(group).add(counts);
         } else {
@@ -250,7 +255,7 @@
         if usual.answers >= LEAST_BASELINE {
             self.judge(FAILURES, 0, &other_round, &target_round);
             for (index, tail) in TAILS.into_iter().enumerate() {
-                let slow = (usual.tail(tail) + ALLOWED_STEPS).min(TIME_STEPS);
+                let slow = (usual.tail(tail) + ALLOWED_STEPS).min(LATENCY_BUCKETS);
                 self.judge(1 + index, slow, &other_round, &target_round);
             }
         }
@@ -353,7 +358,7 @@
         }
         for seen in round {
             let of_target = seen.version == self.target;
-            let answers = u64::from(seen.counts.answers);
+            let answers = u64::from(seen.counts.responses);
             self.answers += answers;
             self.target_answers += if of_target { answers } else { 0 };
             let judge = self.routes.entry(seen.route.clone()).or_default();
--- a/crates/rampthread-core/src/rollout/evidence.rs
+++ b/crates/rampthread-core/src/rollout/evidence.rs
@@ -11,10 +11,10 @@
 
 /// Buckets of the histogram of answer times: each begins at √2 times the one before, from
 /// 1 ms; the last takes all from 4 s on.
-pub const TIME_STEPS: usize = 25;
+pub const LATENCY_BUCKETS: usize = 25;
 /// Groups into which the back ends of a version fall: one bad back end shows in one of
 /// them, a bad version in all.
-pub const GROUPS: u8 = 16;
+pub const BACKEND_GROUPS: u8 = 16;
 /// Key by which back ends fall into groups.
 const GROUP_KEY: &str = "roll-out groups";
 
@@ -33,63 +33,67 @@
     /// The route.
     pub route: ResourceName,
     /// What was counted.
-    pub counts: Counts,
+    pub counts: ResponseCounts,
 }
 
 /// Answers of one kind, counted.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct ResponseCounts {
     /// Answers, failures among them.
-    pub answers: u32,
+    pub responses: u32,
     /// Answers that were failures of the back end.
     pub failures: u32,
     /// Good answers by their time: index `n` counts those of at least `2^(n/2)` ms.
-    pub times: [u32; TIME_STEPS],
+    pub latency_histogram: [u32; LATENCY_BUCKETS],
 }
 
 /// What one answer was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum ResponseOutcome {
     /// The back end failed it, or did not answer until the deadline.
     Failure,
     /// It came after this time.
-    Good(Duration),
+    Success(Duration),
     /// It was good, and its time says nothing: the back end has just started.
-    GoodWhileCold,
+    SuccessDuringWarmUp,
 }
 
-impl Counts {
+impl ResponseCounts {
     /// Counts one answer.
-    pub fn note(&mut self, answer: Answer) {
-        self.answers += 1;
+    pub fn record(&mut self, answer: ResponseOutcome) {
+        self.responses += 1;
         match answer {
-            Answer::Failure => self.failures += 1,
-            Answer::Good(time) => self.times[step_of(time)] += 1,
-            Answer::GoodWhileCold => {}
+            ResponseOutcome::Failure => self.failures += 1,
+            ResponseOutcome::Success(time) => self.latency_histogram[step_of(time)] += 1,
+            ResponseOutcome::SuccessDuringWarmUp => {}
         }
     }
 
     /// What has been counted since `earlier`; none where it was counted before that.
     pub fn since(&self, earlier: &Self) -> Option<Self> {
-        if self.answers < earlier.answers || self.failures < earlier.failures {
+        if self.responses < earlier.responses || self.failures < earlier.failures {
             return None;
         }
-        let mut times = self.times;
-        for (now, before) in times.iter_mut().zip(&earlier.times) {
+        let mut times = self.latency_histogram;
+        for (now, before) in times.iter_mut().zip(&earlier.latency_histogram) {
             *now = now.saturating_sub(*before);
         }
         Some(Self {
-            answers: self.answers - earlier.answers,
+            responses: self.responses - earlier.responses,
             failures: self.failures - earlier.failures,
-            times,
+            latency_histogram: times,
         })
     }
 
     /// Adds `other`.
     pub fn add(&mut self, other: &Self) {
-        self.answers = self.answers.saturating_add(other.answers);
+        self.responses = self.responses.saturating_add(other.responses);
         self.failures = self.failures.saturating_add(other.failures);
-        for (sum, more) in self.times.iter_mut().zip(&other.times) {
+        for (sum, more) in self
+            .latency_histogram
+            .iter_mut()
+            .zip(&other.latency_histogram)
+        {
             *sum = sum.saturating_add(*more);
         }
     }
@@ -98,34 +102,34 @@
 fn step_of(time: Duration) -> usize {
     let millis = (time.as_secs_f64() * 1_000.0).max(1.0);
     let step = (2.0 * millis.log2()).floor() as usize;
-    step.min(TIME_STEPS - 1)
+    step.min(LATENCY_BUCKETS - 1)
 }
 
 /// The group of the back end beside `node`.
-pub fn group_of(node: &NodeId) -> u8 {
-    (rendezvous::weight(GROUP_KEY, node) % u64::from(GROUPS)) as u8
+pub fn backend_group(node: &NodeId) -> u8 {
+    (rendezvous::weight(GROUP_KEY, node) % u64::from(BACKEND_GROUPS)) as u8
 }
 
 type Row = (SoftwareVersion, u8, ResourceName);
 
 /// What one node has counted under the newest order of each service.
 #[derive(Debug, Default)]
-pub struct EvidenceBook {
-    orders: BTreeMap<ResourceName, (OrderId, BTreeMap<Row, Counts>)>,
+pub struct EvidenceRecorder {
+    orders: BTreeMap<ResourceName, (OrderId, BTreeMap<Row, ResponseCounts>)>,
 }
 
-impl EvidenceBook {
+impl EvidenceRecorder {
     /// Counts an answer of the back end beside `node`. An order that is new begins anew.
-    pub fn note(&mut self, place: EvidencePlace<'_>, answer: Answer) {
+    pub fn record(&mut self, place: ResponseSource<'_>, answer: ResponseOutcome) {
         let known = self.orders.entry(place.service.clone());
         let (order, rows) = known.or_insert_with(|| (place.order, BTreeMap::new()));
         if *order != place.order {
             *order = place.order;
             rows.clear();
         }
-        let group = group_of(place.node);
+        let group = backend_group(place.node);
         let row = (place.version.clone(), group, place.route.clone());
-        rows.entry(row).or_default().note(answer);
+        rows.entry(row).or_default().record(answer);
     }
 
     /// Everything that was counted.
@@ -154,7 +158,7 @@
 
 /// Where an answer came from.
 #[derive(Debug, Clone, Copy)]
-pub struct EvidencePlace<'a> {
+pub struct ResponseSource<'a> {
     /// The service.
     pub service: &'a ResourceName,
     /// The order that is carried out.
--- a/crates/rampthread-core/src/rollout/mod.rs
+++ b/crates/rampthread-core/src/rollout/mod.rs
@@ -22,7 +22,7 @@
 pub mod table;
 
 pub use decider::{Decider, DeciderRequest, DeciderResponse, StoredRollout};
-pub use evidence::{EvidenceBook, VersionEvidence};
+pub use evidence::{EvidenceRecorder, VersionEvidence};
 pub use exposure::{ExposureMeter, VersionRule, VersionShare};
 pub use state::{OrderId, Phase, RolloutOrder, RolloutState};
 pub use table::RolloutTable;
--- a/crates/rampthread-core/tests/rollout_evaluation.rs
+++ b/crates/rampthread-core/tests/rollout_evaluation.rs
@@ -3,7 +3,9 @@
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::evaluation::VersionEvaluator;
-use rampthread_core::rollout::evidence::{Answer, Counts, TIME_STEPS, VersionEvidence, group_of};
+use rampthread_core::rollout::evidence::{
+    LATENCY_BUCKETS, ResponseCounts, ResponseOutcome, VersionEvidence, backend_group,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -95,7 +97,7 @@
 
     /// One round of evidence, and the bad answers among those of the new version.
     fn round(&mut self, at: Duration) -> (Vec<VersionEvidence>, u32) {
-        let mut rows: BTreeMap<(bool, u8, usize), Counts> = BTreeMap::new();
+        let mut rows: BTreeMap<(bool, u8, usize), ResponseCounts> = BTreeMap::new();
         let mut bad = 0;
         let in_wave = at.as_secs() % 4 == 2;
         let answers = (RATE * ROUND.as_secs_f64()) as usize;
@@ -106,9 +108,9 @@
             let (answer, was_bad) = self.answer(new, route, back_end, at, in_wave);
             bad += u32::from(was_bad);
             let node = NodeId::new(&format!("node-{back_end}")).unwrap();
-            rows.entry((new, group_of(&node), route))
+            rows.entry((new, backend_group(&node), route))
                 .or_default()
-                .note(answer);
+                .record(answer);
         }
         let evidence = rows
             .into_iter()
@@ -130,13 +132,13 @@
         back_end: usize,
         at: Duration,
         in_wave: bool,
-    ) -> (Answer, bool) {
+    ) -> (ResponseOutcome, bool) {
         let struck = new && at >= self.new.from && (!self.new.one_route || route == 0);
         let grey = self.grey[back_end] && self.rng.random_bool(0.45);
         let wave = in_wave && self.rng.random_bool(self.trouble.wave);
         let own = struck && self.rng.random_bool(self.new.fails);
         if grey || wave || own {
-            return (Answer::Failure, own);
+            return (ResponseOutcome::Failure, own);
         }
         let slow = struck && self.rng.random_bool(self.new.slow_share);
         let queue =
@@ -144,7 +146,7 @@
         let factor = if slow { self.new.slow } else { 1.0 };
         let work = 220.0 * self.rng.random_range(0.7..1.3) * self.speeds[back_end];
         let time = Duration::from_secs_f64(work * queue * factor / 1_000.0);
-        (Answer::Good(time), slow)
+        (ResponseOutcome::Success(time), slow)
     }
 }
 
@@ -171,7 +173,7 @@
 #[derive(Default)]
 struct FixedWindows {
     rounds: u32,
-    counts: BTreeMap<(ResourceName, bool), Counts>,
+    counts: BTreeMap<(ResourceName, bool), ResponseCounts>,
     bad: bool,
 }
 
@@ -200,24 +202,24 @@
     }
 }
 
-fn is_worse(new: &Counts, other: &Counts) -> bool {
-    if new.answers < LEAST_ANSWERS {
+fn is_worse(new: &ResponseCounts, other: &ResponseCounts) -> bool {
+    if new.responses < LEAST_ANSWERS {
         return false;
     }
-    let mut above: u32 = other.times.iter().sum();
+    let mut above: u32 = other.latency_histogram.iter().sum();
     let least = above / 20;
     let mut step = 0;
-    while step < TIME_STEPS && above > least {
-        above -= other.times[step];
+    while step < LATENCY_BUCKETS && above > least {
+        above -= other.latency_histogram[step];
         step += 1;
     }
-    let slow = |counts: &Counts| {
-        counts.times[(step + 2).min(TIME_STEPS)..]
+    let slow = |counts: &ResponseCounts| {
+        counts.latency_histogram[(step + 2).min(LATENCY_BUCKETS)..]
             .iter()
             .sum::<u32>()
     };
-    let fails = z(new.failures, new.answers, other.failures, other.answers);
-    let lates = z(slow(new), new.answers, slow(other), other.answers);
+    let fails = z(new.failures, new.responses, other.failures, other.responses);
+    let lates = z(slow(new), new.responses, slow(other), other.responses);
     fails > Z_BAD || lates > Z_BAD
 }
 
--- a/crates/rampthread-core/tests/rollout_evidence.rs
+++ b/crates/rampthread-core/tests/rollout_evidence.rs
@@ -2,7 +2,7 @@
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::decider::DeciderContext;
-use rampthread_core::rollout::evidence::{Counts, TIME_STEPS};
+use rampthread_core::rollout::evidence::{LATENCY_BUCKETS, ResponseCounts};
 use rampthread_core::rollout::table::OrderSource;
 use rampthread_core::rollout::{
     Decider, DeciderRequest, DeciderResponse, Phase, RolloutBounds, RolloutOrder, RolloutTable,
@@ -97,10 +97,10 @@
         version: order().target,
         group: 0,
         route: ResourceName::new("route").unwrap(),
-        counts: Counts {
-            answers,
+        counts: ResponseCounts {
+            responses: answers,
             failures: 0,
-            times: [0; TIME_STEPS],
+            latency_histogram: [0; LATENCY_BUCKETS],
         },
     }
 }
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -5,10 +5,10 @@
 use crate::control::{ServiceEndpoints, VersionRules};
 use rampthread_core::call::balance::Endpoint;
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
-use rampthread_core::rollout::evidence::{Answer, EvidencePlace};
+use rampthread_core::rollout::evidence::{ResponseOutcome, ResponseSource};
 use rampthread_core::rollout::exposure::split_by_version;
 use rampthread_core::rollout::{
-    EvidenceBook, ExposureMeter, RolloutBounds, VersionEvidence, VersionRule, VersionShare,
+    EvidenceRecorder, ExposureMeter, RolloutBounds, VersionEvidence, VersionRule, VersionShare,
 };
 use rampthread_core::time::Moment;
 use std::borrow::Cow;
@@ -24,7 +24,7 @@
 #[derive(Default)]
 pub(super) struct Versions {
     meters: HashMap<ResourceName, ExposureMeter>,
-    evidence: EvidenceBook,
+    evidence: EvidenceRecorder,
     /// When each version of a service with several versions was first seen.
     first_seen: HashMap<ResourceName, HashMap<SoftwareVersion, Moment>>,
     /// When each backend came into service.
@@ -157,18 +157,18 @@
         let metrics = &self.control().metrics;
         metrics.count_judged_call(of_target, failed);
         let answer = match answer {
-            VersionAnswer::Failure => Answer::Failure,
-            VersionAnswer::Good(_) if self.is_cold(choice) => Answer::GoodWhileCold,
-            VersionAnswer::Good(took) => Answer::Good(took),
+            VersionAnswer::Failure => ResponseOutcome::Failure,
+            VersionAnswer::Good(_) if self.is_cold(choice) => ResponseOutcome::SuccessDuringWarmUp,
+            VersionAnswer::Good(took) => ResponseOutcome::Success(took),
         };
-        let place = EvidencePlace {
+        let place = ResponseSource {
             service: &call.service,
             order: rule.order,
             version,
             node: &choice.node,
             route: &call.route.name,
         };
-        self.state().versions.evidence.note(place, answer);
+        self.state().versions.evidence.record(place, answer);
     }
 
     fn is_cold(&self, choice: &Choice) -> bool {
--- a/crates/rampthread-wire/src/rollout_message.rs
+++ b/crates/rampthread-wire/src/rollout_message.rs
@@ -3,7 +3,7 @@
 use crate::control_capnp as schema;
 use crate::decode::{DecodeError, check_length};
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
-use rampthread_core::rollout::evidence::{Counts, TIME_STEPS};
+use rampthread_core::rollout::evidence::{LATENCY_BUCKETS, ResponseCounts};
 use rampthread_core::rollout::{Phase, RolloutState, VersionEvidence};
 use std::time::Duration;
 
@@ -73,10 +73,10 @@
         to.set_version(seen.version.as_str());
         to.set_route(seen.route.as_str());
         to.set_group(seen.group);
-        to.set_answers(seen.counts.answers);
+        to.set_answers(seen.counts.responses);
         to.set_failures(seen.counts.failures);
-        let mut times = to.init_times(TIME_STEPS as u32);
-        for (step, count) in seen.counts.times.iter().enumerate() {
+        let mut times = to.init_times(LATENCY_BUCKETS as u32);
+        for (step, count) in seen.counts.latency_histogram.iter().enumerate() {
             times.set(step as u32, *count);
         }
     }
@@ -100,15 +100,15 @@
 
 /// A node of another version may have more or fewer steps of times; those that are known
 /// count.
-fn read_counts(from: schema::version_evidence::Reader<'_>) -> Result<Counts, DecodeError> {
-    let mut times = [0; TIME_STEPS];
+fn read_counts(from: schema::version_evidence::Reader<'_>) -> Result<ResponseCounts, DecodeError> {
+    let mut times = [0; LATENCY_BUCKETS];
     for (count, told) in times.iter_mut().zip(from.get_times()?) {
         *count = told;
     }
-    Ok(Counts {
-        answers: from.get_answers(),
+    Ok(ResponseCounts {
+        responses: from.get_answers(),
         failures: from.get_failures(),
-        times,
+        latency_histogram: times,
     })
 }
 
--- a/crates/rampthread-wire/tests/rollouts.rs
+++ b/crates/rampthread-wire/tests/rollouts.rs
@@ -5,7 +5,7 @@
 
 use fleet::Fleet;
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
-use rampthread_core::rollout::evidence::{Answer, EvidenceBook, EvidencePlace};
+use rampthread_core::rollout::evidence::{EvidenceRecorder, ResponseOutcome, ResponseSource};
 use rampthread_core::rollout::{ExposureMeter, Phase, RolloutBounds, RolloutOrder, VersionShare};
 use rampthread_core::time::Moment;
 use rand::{Rng, SeedableRng};
@@ -45,7 +45,7 @@
     calls: usize,
     began: Moment,
     meters: BTreeMap<usize, ExposureMeter>,
-    books: BTreeMap<usize, EvidenceBook>,
+    books: BTreeMap<usize, EvidenceRecorder>,
     total: u64,
     target: u64,
     bad: u64,
@@ -152,18 +152,18 @@
         let node = NodeId::new(&format!("back-end-{at}")).unwrap();
         let took = Duration::from_millis(self.rng.random_range(60..140));
         let answer = if failed {
-            Answer::Failure
+            ResponseOutcome::Failure
         } else {
-            Answer::Good(took)
+            ResponseOutcome::Success(took)
         };
-        let place = EvidencePlace {
+        let place = ResponseSource {
             service: &name("shop"),
             order: rule.order,
             version: &version(if to_target { "v2" } else { "v1" }),
             node: &node,
             route: &name("r"),
         };
-        self.books.entry(index).or_default().note(place, answer);
+        self.books.entry(index).or_default().record(place, answer);
     }
 
     fn note_bad(&mut self, failed: bool, to_target: bool, index: usize) {
--- a/crates/rampthread-wire/tests/wire_properties.rs
+++ b/crates/rampthread-wire/tests/wire_properties.rs
@@ -12,7 +12,7 @@
 use rampthread_core::ids::{
     InstanceId, NodeId, OperationId, Region, ResourceName, SoftwareVersion, Version, Zone,
 };
-use rampthread_core::rollout::evidence::{Counts, TIME_STEPS};
+use rampthread_core::rollout::evidence::{LATENCY_BUCKETS, ResponseCounts};
 use rampthread_core::rollout::{Phase, RolloutState, VersionEvidence};
 use rampthread_wire::{FleetKey, HopKeys, Keyring, Sealer, SecretKeeper, decode, encode};
 use secrecy::{ExposeSecret, SecretString};
@@ -249,14 +249,13 @@
 
 fn evidence() -> impl Strategy<Value = VersionEvidence> {
     let names = (resource(), software(), resource());
-    let counts =
-        (any::<[u32; 2]>(), any::<[u32; TIME_STEPS]>()).prop_map(|([answers, failures], times)| {
-            Counts {
-                answers,
-                failures,
-                times,
-            }
-        });
+    let counts = (any::<[u32; 2]>(), any::<[u32; LATENCY_BUCKETS]>()).prop_map(
+        |([answers, failures], times)| ResponseCounts {
+            responses: answers,
+            failures,
+            latency_histogram: times,
+        },
+    );
     (names, any::<u64>(), any::<u8>(), counts).prop_map(
         |((service, version, route), order, group, counts)| VersionEvidence {
             service,
