--- a/crates/rampthread-core/src/rollout/exposure.rs
+++ b/crates/rampthread-core/src/rollout/exposure.rs
@@ -44,12 +44,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionShare {
     /// No call.
-    Nothing,
+    Blocked,
     /// No call, unless no other version is left: nobody decides yet, and the roll-out may
     /// have ended long ago.
-    OnlyAlone,
+    LastResort,
     /// Some of a thousand answered calls.
-    UpTo {
+    Limited {
         /// How many.
         permille: u16,
         /// Counts the decider's rounds: back ends take turns by it.
@@ -61,14 +61,14 @@
 
 /// One entry's credit for the version under judgement of one order.
 #[derive(Debug, Clone)]
-pub struct ExposureMeter {
+pub struct ExposureLimiter {
     order: OrderId,
     credit: f64,
     /// Calls sent to the version, which take turns between all back ends and one.
     sent: u64,
 }
 
-impl ExposureMeter {
+impl ExposureLimiter {
     /// An entry that has seen nothing of `order`: one of `nodes` that share the slack.
     /// `chance`, from 0 to 1, spreads their first calls over time.
     pub fn new(order: OrderId, slack: f64, nodes: usize, chance: f64) -> Self {
@@ -87,7 +87,7 @@
     }
 
     /// A call of the service was answered by a back end of any version.
-    pub fn answered(&mut self, permille: u16) {
+    pub fn on_response(&mut self, permille: u16) {
         let share = f64::from(permille) / f64::from(ALL_CALLS_PERMILLE);
         self.credit = (self.credit + share).min(MAX_CREDIT);
     }
@@ -98,7 +98,7 @@
     }
 
     /// A call goes to the version.
-    pub fn sent(&mut self) {
+    pub fn on_sent(&mut self) {
         self.credit -= 1.0;
         self.sent += 1;
     }
@@ -106,7 +106,7 @@
     /// Which back ends of the version the next call may go to. Every other call goes to
     /// the one whose turn it is, so that one of them at a time has about as much work as
     /// those of the version beside it: some versions fail only under load.
-    pub fn candidates(&self, version: Vec<Endpoint>, round: u64) -> Vec<Endpoint> {
+    pub fn eligible_backends(&self, version: Vec<Endpoint>, round: u64) -> Vec<Endpoint> {
         if self.sent.is_multiple_of(2) || version.len() < 2 {
             return version;
         }
--- a/crates/rampthread-core/src/rollout/mod.rs
+++ b/crates/rampthread-core/src/rollout/mod.rs
@@ -23,7 +23,7 @@
 
 pub use decider::{Decider, DeciderRequest, DeciderResponse, StoredRollout};
 pub use evidence::{EvidenceRecorder, VersionEvidence};
-pub use exposure::{ExposureMeter, VersionRule, VersionShare};
+pub use exposure::{ExposureLimiter, VersionRule, VersionShare};
 pub use state::{OrderId, Phase, RolloutOrder, RolloutState};
 pub use table::RolloutTable;
 
--- a/crates/rampthread-core/src/rollout/table.rs
+++ b/crates/rampthread-core/src/rollout/table.rs
@@ -124,17 +124,17 @@
         let rules = self.held.iter().filter_map(|(service, held)| {
             let silence = now.since(held.at);
             let share = match held.state.phase {
-                Phase::Running if held.state.term == 0 => VersionShare::OnlyAlone,
-                Phase::Running if silence < patience => VersionShare::UpTo {
+                Phase::Running if held.state.term == 0 => VersionShare::LastResort,
+                Phase::Running if silence < patience => VersionShare::Limited {
                     permille: held.state.share_permille,
                     round: held.state.step,
                 },
                 // Not even alone: a version that may have been found bad since, with calls
                 // that no share counts, would break the bound wherever others are shut out.
-                Phase::Running | Phase::RollingBack | Phase::RolledBack => VersionShare::Nothing,
+                Phase::Running | Phase::RollingBack | Phase::RolledBack => VersionShare::Blocked,
                 Phase::Moving if silence < patience => VersionShare::Preferred,
                 // The old back ends may be gone by now.
-                Phase::Moving => VersionShare::OnlyAlone,
+                Phase::Moving => VersionShare::LastResort,
                 Phase::Succeeded if silence < PREFERENCE => VersionShare::Preferred,
                 Phase::Succeeded => return None,
             };
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -7,7 +7,7 @@
 use rampthread_core::rollout::schedule::{Lack, Next, Progress, judged_permille, next};
 use rampthread_core::rollout::table::OrderSource;
 use rampthread_core::rollout::{
-    ExposureMeter, Phase, RolloutBounds, RolloutOrder, RolloutState, RolloutTable, VersionShare,
+    ExposureLimiter, Phase, RolloutBounds, RolloutOrder, RolloutState, RolloutTable, VersionShare,
 };
 use rampthread_core::time::Moment;
 use rstest::rstest;
@@ -68,18 +68,18 @@
         chances in prop::collection::vec(0.0_f64..1.0, 160),
     ) {
         let mut chances = chances.into_iter().cycle();
-        let mut new = || ExposureMeter::new(1, BOUNDS.exposure_slack, nodes, chances.next().unwrap());
-        let mut entries: Vec<ExposureMeter> = (0..nodes).map(|_| new()).collect();
+        let mut new = || ExposureLimiter::new(1, BOUNDS.exposure_slack, nodes, chances.next().unwrap());
+        let mut entries: Vec<ExposureLimiter> = (0..nodes).map(|_| new()).collect();
         let (mut total, mut target) = (0_u32, 0_u32);
         for (index, calls) in traffic {
             let entry = &mut entries[index % nodes];
             for _ in 0..calls {
                 total += 1;
                 if entry.may_send() {
-                    entry.sent();
+                    entry.on_sent();
                     target += 1;
                 }
-                entry.answered(permille);
+                entry.on_response(permille);
             }
         }
         // A second life of an entry begins with the same part of the slack.
@@ -168,9 +168,9 @@
     let now = Moment(1_000_000);
     table.merge(state(1, Phase::Running, 1, 1), now);
     let share = |at: Moment| table.rules(&BOUNDS, at)[&name("shop")].share;
-    assert!(matches!(share(now), VersionShare::UpTo { .. }));
+    assert!(matches!(share(now), VersionShare::Limited { .. }));
     let later = now + Duration::from_millis(1_600);
-    assert_eq!(share(later), VersionShare::Nothing);
+    assert_eq!(share(later), VersionShare::Blocked);
 }
 
 /// The decider may have found it bad since, and the word of it not have arrived.
@@ -182,7 +182,7 @@
     let share = |table: &RolloutTable, at: Moment| table.rules(&BOUNDS, at)[&name("shop")].share;
     assert_eq!(share(&table, now), VersionShare::Preferred);
     let later = now + Duration::from_millis(1_600);
-    assert_eq!(share(&table, later), VersionShare::OnlyAlone);
+    assert_eq!(share(&table, later), VersionShare::LastResort);
     table.merge(state(1, Phase::Moving, 1, 2), later);
     assert_eq!(share(&table, later), VersionShare::Preferred);
 }
@@ -220,11 +220,15 @@
 #[test]
 fn back_ends_take_turns() {
     let endpoints = endpoints();
-    let mut meter = ExposureMeter::new(1, BOUNDS.exposure_slack, 1, 1.0);
-    assert_eq!(meter.candidates(endpoints.clone(), 0).len(), 5);
-    meter.sent();
+    let mut limiter = ExposureLimiter::new(1, BOUNDS.exposure_slack, 1, 1.0);
+    assert_eq!(limiter.eligible_backends(endpoints.clone(), 0).len(), 5);
+    limiter.on_sent();
     let turns: BTreeSet<NodeId> = (0..5)
-        .map(|round| meter.candidates(endpoints.clone(), round)[0].node.clone())
+        .map(|round| {
+            limiter.eligible_backends(endpoints.clone(), round)[0]
+                .node
+                .clone()
+        })
         .collect();
     assert_eq!(turns.len(), 5);
 }
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -8,7 +8,7 @@
 use rampthread_core::rollout::evidence::{ResponseOutcome, ResponseSource};
 use rampthread_core::rollout::exposure::split_by_version;
 use rampthread_core::rollout::{
-    EvidenceRecorder, ExposureMeter, RolloutBounds, VersionEvidence, VersionRule, VersionShare,
+    EvidenceRecorder, ExposureLimiter, RolloutBounds, VersionEvidence, VersionRule, VersionShare,
 };
 use rampthread_core::time::Moment;
 use std::borrow::Cow;
@@ -23,7 +23,7 @@
 /// Rollout state of an entry.
 #[derive(Default)]
 pub(super) struct Versions {
-    meters: HashMap<ResourceName, ExposureMeter>,
+    limiters: HashMap<ResourceName, ExposureLimiter>,
     evidence: EvidenceRecorder,
     /// When each version of a service with several versions was first seen.
     first_seen: HashMap<ResourceName, HashMap<SoftwareVersion, Moment>>,
@@ -68,17 +68,19 @@
         match rule.share {
             VersionShare::Preferred if !target.is_empty() => Cow::Owned(target),
             VersionShare::Preferred => candidates,
-            VersionShare::OnlyAlone if others.is_empty() => Cow::Owned(target),
-            VersionShare::OnlyAlone | VersionShare::Nothing => Cow::Owned(others),
-            VersionShare::UpTo { round, .. } => {
-                let open = self.with_meter(call, rule, &bounds, |meter| {
-                    let open = meter.may_send().then(|| meter.candidates(target, round));
+            VersionShare::LastResort if others.is_empty() => Cow::Owned(target),
+            VersionShare::LastResort | VersionShare::Blocked => Cow::Owned(others),
+            VersionShare::Limited { round, .. } => {
+                let open = self.with_limiter(call, rule, &bounds, |limiter| {
+                    let open = limiter
+                        .may_send()
+                        .then(|| limiter.eligible_backends(target, round));
                     let untried = open.filter(|open| {
                         let mut nodes = open.iter();
                         nodes.any(|endpoint| !tried.contains(&endpoint.node))
                     });
                     if untried.is_some() {
-                        meter.sent();
+                        limiter.on_sent();
                     }
                     untried
                 });
@@ -113,25 +115,25 @@
         Cow::Owned(known)
     }
 
-    fn with_meter<T>(
+    fn with_limiter<T>(
         &self,
         call: &Call,
         rule: &VersionRule,
         bounds: &RolloutBounds,
-        act: impl FnOnce(&mut ExposureMeter) -> T,
+        act: impl FnOnce(&mut ExposureLimiter) -> T,
     ) -> T {
         let nodes = self.control().endpoints().alive;
         let new = || {
             let chance = rand::random();
-            ExposureMeter::new(rule.order, bounds.exposure_slack, nodes, chance)
+            ExposureLimiter::new(rule.order, bounds.exposure_slack, nodes, chance)
         };
         let mut state = self.state();
-        let meters = &mut state.versions.meters;
-        let meter = meters.entry(call.service.clone()).or_insert_with(new);
-        if meter.order() != rule.order {
-            *meter = new();
+        let limiters = &mut state.versions.limiters;
+        let limiter = limiters.entry(call.service.clone()).or_insert_with(new);
+        if limiter.order() != rule.order {
+            *limiter = new();
         }
-        act(meter)
+        act(limiter)
     }
 
     /// Records a result for the rollout of the service, if one is in progress.
@@ -146,8 +148,8 @@
         let Some(version) = &choice.target.version else {
             return;
         };
-        if let VersionShare::UpTo { permille, .. } = rule.share {
-            self.with_meter(call, rule, &bounds, |meter| meter.answered(permille));
+        if let VersionShare::Limited { permille, .. } = rule.share {
+            self.with_limiter(call, rule, &bounds, |limiter| limiter.on_response(permille));
         }
         if !rule.collects_evidence() {
             return;
--- a/crates/rampthread-wire/tests/rollouts.rs
+++ b/crates/rampthread-wire/tests/rollouts.rs
@@ -6,7 +6,7 @@
 use fleet::Fleet;
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::evidence::{EvidenceRecorder, ResponseOutcome, ResponseSource};
-use rampthread_core::rollout::{ExposureMeter, Phase, RolloutBounds, RolloutOrder, VersionShare};
+use rampthread_core::rollout::{ExposureLimiter, Phase, RolloutBounds, RolloutOrder, VersionShare};
 use rampthread_core::time::Moment;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -44,7 +44,7 @@
     /// Calls of each node in a step, at most.
     calls: usize,
     began: Moment,
-    meters: BTreeMap<usize, ExposureMeter>,
+    meters: BTreeMap<usize, ExposureLimiter>,
     books: BTreeMap<usize, EvidenceRecorder>,
     total: u64,
     target: u64,
@@ -126,18 +126,18 @@
             return;
         };
         let chance = self.rng.random();
-        let new = || ExposureMeter::new(rule.order, BOUNDS.exposure_slack, NODES, chance);
+        let new = || ExposureLimiter::new(rule.order, BOUNDS.exposure_slack, NODES, chance);
         let meter = self.meters.entry(index).or_insert_with(new);
         let to_target = match rule.share {
             VersionShare::Preferred => true,
-            VersionShare::UpTo { .. } if meter.may_send() => {
-                meter.sent();
+            VersionShare::Limited { .. } if meter.may_send() => {
+                meter.on_sent();
                 true
             }
             _ => false,
         };
-        if let VersionShare::UpTo { permille, .. } = rule.share {
-            meter.answered(permille);
+        if let VersionShare::Limited { permille, .. } = rule.share {
+            meter.on_response(permille);
         }
         let in_time = now.since(self.began) <= DURATION;
         self.total += u64::from(in_time);
