--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -12,7 +12,7 @@
 use super::RolloutBounds;
 use super::evaluation::VersionEvaluator;
 use super::evidence::{ResponseCounts, VersionEvidence};
-use super::schedule::{self, Next, Progress};
+use super::schedule::{self, NextAction, RolloutProgress};
 use super::state::{ALL_CALLS_PERMILLE, OrderId, Phase, RolloutState};
 use super::table::RolloutTable;
 use crate::fleet::{LeaseId, ProcessEpoch};
@@ -639,7 +639,7 @@
         }
         let answers_at_move = case.moving_since.map_or(0, |(_, answers)| answers);
         let (target_slots, other_slots) = (context.slots)(&state.service, &state.target);
-        let progress = Progress {
+        let progress = RolloutProgress {
             answers,
             target_answers,
             rate: case.rate,
@@ -657,14 +657,14 @@
             state.elapsed.as_millis(),
             state.duration.as_millis(),
         );
-        let next = match schedule::next(state, &progress, &self.bounds) {
-            Next::Judge { permille } => with(Phase::Running, permille),
-            Next::Move => with(Phase::Moving, ALL_CALLS_PERMILLE),
-            Next::Succeed => {
+        let next = match schedule::next_action(state, &progress, &self.bounds) {
+            NextAction::Judge { permille } => with(Phase::Running, permille),
+            NextAction::Move => with(Phase::Moving, ALL_CALLS_PERMILLE),
+            NextAction::Succeed => {
                 case.succeeds = true;
                 with(Phase::Moving, ALL_CALLS_PERMILLE)
             }
-            Next::GiveUp(lack) => {
+            NextAction::GiveUp(lack) => {
                 reason = format!("{}: {reason}", lack.as_str());
                 with(Phase::RollingBack, 0)
             }
--- a/crates/rampthread-core/src/rollout/schedule.rs
+++ b/crates/rampthread-core/src/rollout/schedule.rs
@@ -40,7 +40,7 @@
 
 /// What the fleet has seen of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Progress {
+pub struct RolloutProgress {
     /// Calls answered by all versions since the order.
     pub answers: u64,
     /// Calls answered by the new version.
@@ -65,7 +65,7 @@
 
 /// What a version lacks to go on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lack {
+pub enum MissingCondition {
     /// Back ends that could take over.
     Slots,
     /// The decider is new: it has not heard the whole fleet.
@@ -78,42 +78,46 @@
     AnswersSinceMove,
 }
 
-impl Lack {
+impl MissingCondition {
     /// The words for logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Lack::Slots => "too few slots to take over",
-            Lack::Hearing => "the fleet was not heard yet",
-            Lack::Traffic => "no call was answered, so nothing shows that it is good",
-            Lack::TargetAnswers => "it has answered no call",
-            Lack::AnswersSinceMove => "it has answered no call since the move",
+            MissingCondition::Slots => "too few slots to take over",
+            MissingCondition::Hearing => "the fleet was not heard yet",
+            MissingCondition::Traffic => "no call was answered, so nothing shows that it is good",
+            MissingCondition::TargetAnswers => "it has answered no call",
+            MissingCondition::AnswersSinceMove => "it has answered no call since the move",
         }
     }
 }
 
-impl Progress {
+impl RolloutProgress {
     fn has_enough_slots(&self) -> bool {
         let needed = f64::from(self.other_slots) * ENOUGH_SLOTS;
         self.target_slots > 0 && f64::from(self.target_slots) >= needed
     }
 
     /// What is missing for the next step of `state`, if anything.
-    pub fn lack(&self, state: &RolloutState, bounds: &RolloutBounds) -> Option<Lack> {
+    pub fn missing_condition(
+        &self,
+        state: &RolloutState,
+        bounds: &RolloutBounds,
+    ) -> Option<MissingCondition> {
         let moving = state.phase == Phase::Moving;
         let lacks = [
-            (!moving && !self.has_enough_slots(), Lack::Slots),
+            (!moving && !self.has_enough_slots(), MissingCondition::Slots),
             (
                 self.evidence_collected_for < self.evidence_collection_time,
-                Lack::Hearing,
+                MissingCondition::Hearing,
             ),
-            (self.answers == 0, Lack::Traffic),
+            (self.answers == 0, MissingCondition::Traffic),
             (
                 !moving && self.target_answers == 0 && !self.is_thin(state, bounds),
-                Lack::TargetAnswers,
+                MissingCondition::TargetAnswers,
             ),
             (
                 moving && self.answers_since_move == 0,
-                Lack::AnswersSinceMove,
+                MissingCondition::AnswersSinceMove,
             ),
         ];
         let found = lacks.into_iter().find(|(lacks, _)| *lacks);
@@ -123,7 +127,7 @@
     /// True where the traffic is so thin that no entry has earned a call to the version,
     /// and the calls after the latest move fit into the bound: the move tries it.
     fn is_thin(&self, state: &RolloutState, bounds: &RolloutBounds) -> bool {
-        let permille = f64::from(judged_permille(state.duration, bounds));
+        let permille = f64::from(evaluation_permille(state.duration, bounds));
         let earned = self.answers as f64 * permille / f64::from(ALL_CALLS_PERMILLE);
         let rest = self.rate * LATEST_MOVE.as_secs_f64();
         let share = bounds.exposure_share * USED_PART * (self.answers as f64 + rest);
@@ -133,7 +137,7 @@
 
 /// What is to be done with a roll-out whose version was not found bad.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// It gets this share and is judged further.
     Judge {
         /// Of a thousand calls.
@@ -144,12 +148,12 @@
     /// It has succeeded: that goes on record.
     Succeed,
     /// It was waited for long enough.
-    GiveUp(Lack),
+    GiveUp(MissingCondition),
 }
 
 /// Share of the calls, of a thousand, that a version under judgement gets: with the calls
 /// after the latest move it makes up the exposure.
-pub fn judged_permille(duration: Duration, bounds: &RolloutBounds) -> u16 {
+pub fn evaluation_permille(duration: Duration, bounds: &RolloutBounds) -> u16 {
     let judged = duration.saturating_sub(LATEST_MOVE).as_secs_f64();
     let allowed = bounds.exposure_share * USED_PART * duration.as_secs_f64();
     let share = (allowed - LATEST_MOVE.as_secs_f64()) / judged.max(f64::EPSILON);
@@ -159,36 +163,44 @@
 }
 
 /// What comes next in `state`.
-pub fn next(state: &RolloutState, progress: &Progress, bounds: &RolloutBounds) -> Next {
+pub fn next_action(
+    state: &RolloutState,
+    progress: &RolloutProgress,
+    bounds: &RolloutBounds,
+) -> NextAction {
     let left = state.duration.saturating_sub(state.elapsed);
-    let lack = progress.lack(state, bounds);
+    let lack = progress.missing_condition(state, bounds);
     if let Some(lack) = lack.filter(|lack| is_given_up(*lack, state, progress)) {
-        return Next::GiveUp(lack);
+        return NextAction::GiveUp(lack);
     }
     if state.phase == Phase::Moving {
         let moved = progress.moving_for.unwrap_or_default();
         let in_time = left <= WRITE_TIME && moved >= LEAST_MOVE.min(state.duration / 4);
         let done = in_time && lack.is_none();
-        return if done { Next::Succeed } else { Next::Move };
+        return if done {
+            NextAction::Succeed
+        } else {
+            NextAction::Move
+        };
     }
     let due = left <= LATEST_MOVE || (left <= EARLIEST_MOVE && rest_fits(left, progress, bounds));
     if due && lack.is_none() {
-        return Next::Move;
+        return NextAction::Move;
     }
-    Next::Judge {
-        permille: judged_permille(state.duration, bounds),
+    NextAction::Judge {
+        permille: evaluation_permille(state.duration, bounds),
     }
 }
 
 /// True when what lacks was waited for long enough. Slots are known without evidence; for
 /// the rest a decider that took over late waits as long as any other.
-fn is_given_up(lack: Lack, state: &RolloutState, progress: &Progress) -> bool {
+fn is_given_up(lack: MissingCondition, state: &RolloutState, progress: &RolloutProgress) -> bool {
     let heard = progress.evidence_collected_for >= progress.evidence_collection_time + LAST_WAIT;
-    state.elapsed >= state.duration + LAST_WAIT && (heard || lack == Lack::Slots)
+    state.elapsed >= state.duration + LAST_WAIT && (heard || lack == MissingCondition::Slots)
 }
 
 /// True when all calls until the deadline may go to the version.
-fn rest_fits(left: Duration, progress: &Progress, bounds: &RolloutBounds) -> bool {
+fn rest_fits(left: Duration, progress: &RolloutProgress, bounds: &RolloutBounds) -> bool {
     let rest = progress.rate * left.as_secs_f64();
     let allowed = bounds.exposure_share * USED_PART * (progress.answers as f64 + rest);
     progress.answers > 0 && progress.target_answers as f64 + rest <= allowed
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -4,7 +4,9 @@
 use rampthread_core::call::balance::Endpoint;
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion, Zone};
 use rampthread_core::rollout::exposure::{presumed_version, split_by_version};
-use rampthread_core::rollout::schedule::{Lack, Next, Progress, judged_permille, next};
+use rampthread_core::rollout::schedule::{
+    MissingCondition, NextAction, RolloutProgress, evaluation_permille, next_action,
+};
 use rampthread_core::rollout::table::OrderSource;
 use rampthread_core::rollout::{
     ExposureLimiter, Phase, RolloutBounds, RolloutOrder, RolloutState, RolloutTable, VersionShare,
@@ -128,7 +130,7 @@
         rate in 10.0_f64..5_000.0,
     ) {
         let duration = Duration::from_secs(seconds);
-        let share = f64::from(judged_permille(duration, &BOUNDS)) / 1_000.0;
+        let share = f64::from(evaluation_permille(duration, &BOUNDS)) / 1_000.0;
         let step = Duration::from_millis(100);
         let mut at = Duration::ZERO;
         let (mut total, mut target, mut moving) = (0.0, 0.0, None);
@@ -138,7 +140,7 @@
             total += calls;
             target += if phase == Phase::Running { share * calls } else { calls };
             at += step;
-            let progress = Progress {
+            let progress = RolloutProgress {
                 answers: total as u64,
                 target_answers: target as u64,
                 rate,
@@ -152,7 +154,7 @@
                 duration,
                 ..state(1, phase, 1, 1)
             };
-            if phase == Phase::Running && next(&known, &progress, &BOUNDS) == Next::Move {
+            if phase == Phase::Running && next_action(&known, &progress, &BOUNDS) == NextAction::Move {
                 phase = Phase::Moving;
                 moving = Some(at);
             }
@@ -234,14 +236,14 @@
 }
 
 #[rstest]
-#[case::too_few_slots(20, Next::Judge { permille: 30 })]
-#[case::enough(80, Next::Move)]
-fn traffic_moves_only_to_enough_back_ends(#[case] target_slots: u32, #[case] expected: Next) {
+#[case::too_few_slots(20, NextAction::Judge { permille: 30 })]
+#[case::enough(80, NextAction::Move)]
+fn traffic_moves_only_to_enough_back_ends(#[case] target_slots: u32, #[case] expected: NextAction) {
     let known = RolloutState {
         elapsed: Duration::from_millis(11_500),
         ..state(1, Phase::Running, 1, 1)
     };
-    let progress = Progress {
+    let progress = RolloutProgress {
         answers: 1_000,
         target_answers: 30,
         rate: 100.0,
@@ -250,7 +252,7 @@
         moving_for: None,
         ..heard()
     };
-    let found = next(&known, &progress, &BOUNDS);
+    let found = next_action(&known, &progress, &BOUNDS);
     assert_eq!(
         std::mem::discriminant(&found),
         std::mem::discriminant(&expected)
@@ -258,8 +260,8 @@
 }
 
 /// A decider that has heard the whole fleet.
-fn heard() -> Progress {
-    Progress {
+fn heard() -> RolloutProgress {
+    RolloutProgress {
         answers: 1_000,
         target_answers: 30,
         rate: 100.0,
@@ -274,56 +276,61 @@
 }
 
 /// What comes next, whatever the share of a version that is judged further.
-fn progress_of(phase: Phase, elapsed_ms: u64, progress: Progress) -> Next {
+fn progress_of(phase: Phase, elapsed_ms: u64, progress: RolloutProgress) -> NextAction {
     let known = RolloutState {
         elapsed: Duration::from_millis(elapsed_ms),
         ..state(1, phase, 1, 1)
     };
-    match next(&known, &progress, &BOUNDS) {
-        Next::Judge { .. } => Next::Judge { permille: 0 },
+    match next_action(&known, &progress, &BOUNDS) {
+        NextAction::Judge { .. } => NextAction::Judge { permille: 0 },
         found => found,
     }
 }
 
-const JUDGE: Next = Next::Judge { permille: 0 };
+const JUDGE: NextAction = NextAction::Judge { permille: 0 };
 
 #[rstest]
-#[case::heard(heard(), 11_500, Next::Move)]
-#[case::took_over_late(Progress { evidence_collected_for: Duration::from_secs(1), ..heard() }, 11_500, JUDGE)]
-#[case::took_over_long_after(Progress { evidence_collected_for: Duration::ZERO, ..heard() }, 60_000, JUDGE)]
-#[case::no_answer_of_it(Progress { target_answers: 0, ..heard() }, 11_500, JUDGE)]
+#[case::heard(heard(), 11_500, NextAction::Move)]
+#[case::took_over_late(RolloutProgress { evidence_collected_for: Duration::from_secs(1), ..heard() }, 11_500, JUDGE)]
+#[case::took_over_long_after(RolloutProgress { evidence_collected_for: Duration::ZERO, ..heard() }, 60_000, JUDGE)]
+#[case::no_answer_of_it(RolloutProgress { target_answers: 0, ..heard() }, 11_500, JUDGE)]
 #[case::none_at_last(
-    Progress { target_answers: 0, ..heard() }, 17_500, Next::GiveUp(Lack::TargetAnswers)
+    RolloutProgress { target_answers: 0, ..heard() }, 17_500, NextAction::GiveUp(MissingCondition::TargetAnswers)
 )]
-#[case::no_traffic(Progress { answers: 0, target_answers: 0, rate: 0.0, ..heard() }, 11_500, JUDGE)]
+#[case::no_traffic(RolloutProgress { answers: 0, target_answers: 0, rate: 0.0, ..heard() }, 11_500, JUDGE)]
 #[case::no_traffic_at_last(
-    Progress { answers: 0, target_answers: 0, rate: 0.0, ..heard() },
+    RolloutProgress { answers: 0, target_answers: 0, rate: 0.0, ..heard() },
     17_500,
-    Next::GiveUp(Lack::Traffic)
+    NextAction::GiveUp(MissingCondition::Traffic)
 )]
 #[case::thin_traffic(
-    Progress { answers: 60, target_answers: 0, rate: 5.0, ..heard() }, 11_500, Next::Move
+    RolloutProgress { answers: 60, target_answers: 0, rate: 5.0, ..heard() }, 11_500, NextAction::Move
 )]
 fn traffic_moves_only_on_evidence(
-    #[case] progress: Progress,
+    #[case] progress: RolloutProgress,
     #[case] elapsed_ms: u64,
-    #[case] expected: Next,
+    #[case] expected: NextAction,
 ) {
     assert_eq!(progress_of(Phase::Running, elapsed_ms, progress), expected);
 }
 
 #[rstest]
-#[case::heard(1, 9_000, 11_800, Next::Succeed)]
-#[case::nothing_since_the_move(0, 9_000, 11_800, Next::Move)]
-#[case::nothing_at_last(0, 9_000, 17_500, Next::GiveUp(Lack::AnswersSinceMove))]
-#[case::took_over_amid_it(1, 500, 17_500, Next::Move)]
+#[case::heard(1, 9_000, 11_800, NextAction::Succeed)]
+#[case::nothing_since_the_move(0, 9_000, 11_800, NextAction::Move)]
+#[case::nothing_at_last(
+    0,
+    9_000,
+    17_500,
+    NextAction::GiveUp(MissingCondition::AnswersSinceMove)
+)]
+#[case::took_over_amid_it(1, 500, 17_500, NextAction::Move)]
 fn a_move_succeeds_only_on_evidence(
     #[case] answers_since_move: u64,
     #[case] hearing_ms: u64,
     #[case] elapsed_ms: u64,
-    #[case] expected: Next,
+    #[case] expected: NextAction,
 ) {
-    let progress = Progress {
+    let progress = RolloutProgress {
         moving_for: Some(Duration::from_millis(500)),
         answers_since_move,
         evidence_collected_for: Duration::from_millis(hearing_ms),
