--- a/crates/rampthread-core/src/rollout/mod.rs
+++ b/crates/rampthread-core/src/rollout/mod.rs
@@ -35,7 +35,7 @@
     /// Largest part of a service's calls that a bad version may get.
     pub exposure_share: f64,
     /// Calls that it may get besides.
-    pub exposure_slack: f64,
+    pub exposure_slack_calls: f64,
     /// Time within which a bad version gets no more calls.
-    pub roll_back: Duration,
+    pub rollback_deadline: Duration,
 }
--- a/crates/rampthread-core/src/rollout/schedule.rs
+++ b/crates/rampthread-core/src/rollout/schedule.rs
@@ -131,7 +131,8 @@
         let earned = self.answers as f64 * permille / f64::from(ALL_CALLS_PERMILLE);
         let rest = self.rate * LATEST_MOVE.as_secs_f64();
         let share = bounds.exposure_share * USED_PART * (self.answers as f64 + rest);
-        earned < self.reporters as f64 && rest <= share + bounds.exposure_slack * SLACK_OF_MOVE
+        earned < self.reporters as f64
+            && rest <= share + bounds.exposure_slack_calls * SLACK_OF_MOVE
     }
 }
 
--- a/crates/rampthread-core/src/rollout/table.rs
+++ b/crates/rampthread-core/src/rollout/table.rs
@@ -120,7 +120,7 @@
         bounds: &RolloutBounds,
         now: Moment,
     ) -> BTreeMap<ResourceName, VersionRule> {
-        let patience = bounds.roll_back.mul_f64(CONFIRMATION_SHARE);
+        let patience = bounds.rollback_deadline.mul_f64(CONFIRMATION_SHARE);
         let rules = self.held.iter().filter_map(|(service, held)| {
             let silence = now.since(held.at);
             let share = match held.state.phase {
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -18,8 +18,8 @@
 
 const BOUNDS: RolloutBounds = RolloutBounds {
     exposure_share: 0.1,
-    exposure_slack: 50.0,
-    roll_back: Duration::from_secs(5),
+    exposure_slack_calls: 50.0,
+    rollback_deadline: Duration::from_secs(5),
 };
 
 fn name(text: &str) -> ResourceName {
@@ -70,7 +70,7 @@
         chances in prop::collection::vec(0.0_f64..1.0, 160),
     ) {
         let mut chances = chances.into_iter().cycle();
-        let mut new = || ExposureLimiter::new(1, BOUNDS.exposure_slack, nodes, chances.next().unwrap());
+        let mut new = || ExposureLimiter::new(1, BOUNDS.exposure_slack_calls, nodes, chances.next().unwrap());
         let mut entries: Vec<ExposureLimiter> = (0..nodes).map(|_| new()).collect();
         let (mut total, mut target) = (0_u32, 0_u32);
         for (index, calls) in traffic {
@@ -90,7 +90,7 @@
             entries[index % nodes] = new();
         }
         let share = f64::from(permille) / 1_000.0;
-        let slack = BOUNDS.exposure_slack / 2.0 + restarted;
+        let slack = BOUNDS.exposure_slack_calls / 2.0 + restarted;
         prop_assert!(f64::from(target) <= share * f64::from(total) + slack);
     }
 
@@ -160,7 +160,7 @@
             }
         }
         prop_assert_eq!(phase, Phase::Moving);
-        prop_assert!(target <= total * BOUNDS.exposure_share + BOUNDS.exposure_slack);
+        prop_assert!(target <= total * BOUNDS.exposure_share + BOUNDS.exposure_slack_calls);
     }
 }
 
@@ -222,7 +222,7 @@
 #[test]
 fn back_ends_take_turns() {
     let endpoints = endpoints();
-    let mut limiter = ExposureLimiter::new(1, BOUNDS.exposure_slack, 1, 1.0);
+    let mut limiter = ExposureLimiter::new(1, BOUNDS.exposure_slack_calls, 1, 1.0);
     assert_eq!(limiter.eligible_backends(endpoints.clone(), 0).len(), 5);
     limiter.on_sent();
     let turns: BTreeSet<NodeId> = (0..5)
--- a/crates/rampthread-core/tests/rollout_restored.rs
+++ b/crates/rampthread-core/tests/rollout_restored.rs
@@ -17,8 +17,8 @@
 
 const BOUNDS: RolloutBounds = RolloutBounds {
     exposure_share: 0.05,
-    exposure_slack: 20.0,
-    roll_back: Duration::from_secs(3),
+    exposure_slack_calls: 20.0,
+    rollback_deadline: Duration::from_secs(3),
 };
 
 struct Node {
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -125,7 +125,7 @@
         let nodes = self.control().endpoints().alive;
         let new = || {
             let chance = rand::random();
-            ExposureLimiter::new(rule.order, bounds.exposure_slack, nodes, chance)
+            ExposureLimiter::new(rule.order, bounds.exposure_slack_calls, nodes, chance)
         };
         let mut state = self.state();
         let limiters = &mut state.versions.limiters;
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -103,8 +103,8 @@
     pub fn to_bounds(self) -> RolloutBounds {
         RolloutBounds {
             exposure_share: self.exposure_share,
-            exposure_slack: self.exposure_slack,
-            roll_back: self.roll_back,
+            exposure_slack_calls: self.exposure_slack,
+            rollback_deadline: self.roll_back,
         }
     }
 }
--- a/crates/rampthread-wire/tests/rollouts.rs
+++ b/crates/rampthread-wire/tests/rollouts.rs
@@ -20,8 +20,8 @@
 const DURATION: Duration = Duration::from_secs(12);
 const BOUNDS: RolloutBounds = RolloutBounds {
     exposure_share: 0.1,
-    exposure_slack: 50.0,
-    roll_back: Duration::from_secs(5),
+    exposure_slack_calls: 50.0,
+    rollback_deadline: Duration::from_secs(5),
 };
 
 fn name(text: &str) -> ResourceName {
@@ -126,7 +126,7 @@
             return;
         };
         let chance = self.rng.random();
-        let new = || ExposureLimiter::new(rule.order, BOUNDS.exposure_slack, NODES, chance);
+        let new = || ExposureLimiter::new(rule.order, BOUNDS.exposure_slack_calls, NODES, chance);
         let meter = self.meters.entry(index).or_insert_with(new);
         let to_target = match rule.share {
             VersionShare::Preferred => true,
@@ -174,7 +174,7 @@
         }
         let late = self
             .clock_started
-            .is_some_and(|at| now.since(at) > BOUNDS.roll_back);
+            .is_some_and(|at| now.since(at) > BOUNDS.rollback_deadline);
         if late && to_target && !self.out_of_touch.contains(&index) {
             self.too_late += 1;
         }
@@ -231,7 +231,7 @@
     }
 
     fn check_exposure(&self) {
-        let allowed = self.total as f64 * BOUNDS.exposure_share + BOUNDS.exposure_slack;
+        let allowed = self.total as f64 * BOUNDS.exposure_share + BOUNDS.exposure_slack_calls;
         let (target, total) = (self.target, self.total);
         assert!(
             target as f64 <= allowed,
