--- a/crates/rampthread-core/src/rollout/evidence.rs
+++ b/crates/rampthread-core/src/rollout/evidence.rs
@@ -74,14 +74,14 @@
         if self.responses < earlier.responses || self.failures < earlier.failures {
             return None;
         }
-        let mut times = self.latency_histogram;
-        for (now, before) in times.iter_mut().zip(&earlier.latency_histogram) {
+        let mut latency_histogram = self.latency_histogram;
+        for (now, before) in latency_histogram.iter_mut().zip(&earlier.latency_histogram) {
             *now = now.saturating_sub(*before);
         }
         Some(Self {
             responses: self.responses - earlier.responses,
             failures: self.failures - earlier.failures,
-            latency_histogram: times,
+            latency_histogram,
         })
     }
 
--- a/crates/rampthread-wire/src/rollout_message.rs
+++ b/crates/rampthread-wire/src/rollout_message.rs
@@ -101,14 +101,14 @@
 /// A node of another version may have more or fewer steps of times; those that are known
 /// count.
 fn read_counts(from: schema::version_evidence::Reader<'_>) -> Result<ResponseCounts, DecodeError> {
-    let mut times = [0; LATENCY_BUCKETS];
-    for (count, told) in times.iter_mut().zip(from.get_times()?) {
+    let mut latency_histogram = [0; LATENCY_BUCKETS];
+    for (count, told) in latency_histogram.iter_mut().zip(from.get_times()?) {
         *count = told;
     }
     Ok(ResponseCounts {
         responses: from.get_answers(),
         failures: from.get_failures(),
-        latency_histogram: times,
+        latency_histogram,
     })
 }
 
--- a/crates/rampthread-wire/tests/wire_properties.rs
+++ b/crates/rampthread-wire/tests/wire_properties.rs
@@ -250,10 +250,10 @@
 fn evidence() -> impl Strategy<Value = VersionEvidence> {
     let names = (resource(), software(), resource());
     let counts = (any::<[u32; 2]>(), any::<[u32; LATENCY_BUCKETS]>()).prop_map(
-        |([answers, failures], times)| ResponseCounts {
-            responses: answers,
+        |([responses, failures], latency_histogram)| ResponseCounts {
+            responses,
             failures,
-            latency_histogram: times,
+            latency_histogram,
         },
     );
     (names, any::<u64>(), any::<u8>(), counts).prop_map(
