--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -97,7 +97,7 @@
     }
     /// Restores the backend as peers remember it from before this node's restart.
     pub(super) fn restore_backend_from_peer(&mut self, now: Moment) -> Vec<Action> {
-        match self.membership.take_earlier_backend() {
+        match self.membership.take_previous_backend() {
             Some(endpoint) => {
                 self.restore_endpoint(now, |reported| reported.remember_from_peer(endpoint))
             }
@@ -141,8 +141,8 @@
     /// departures immediately.
     pub(super) fn send_urgent_updates(&mut self, now: Moment, outbox: &mut Outbox) {
         self.membership
-            .relay_leaves(self.adoption.version(), outbox);
-        if self.membership.has_first_news(now) {
+            .forward_departures(self.adoption.version(), outbox);
+        if self.membership.has_urgent_updates(now) {
             self.send_updates_now(now, outbox);
         }
     }
@@ -150,7 +150,7 @@
     pub(super) fn send_updates_now(&mut self, now: Moment, outbox: &mut Outbox) {
         let held = self.adoption.version();
         self.membership
-            .tell_news(now, held, &self.settings, &mut self.rng, outbox);
+            .gossip_updates(now, held, &self.settings, &mut self.rng, outbox);
     }
     /// Endpoint that this node announces for its backend, if any.
     pub fn endpoint(&self) -> Option<&EndpointRecord> {
--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -191,11 +191,11 @@
         }
         let targets = self
             .membership
-            .near_targets(LOCAL_ZONE_FANOUT, &mut self.rng);
+            .random_same_zone_peers(LOCAL_ZONE_FANOUT, &mut self.rng);
         send_reports(&targets, &same_zone, outbox);
         let targets = self
             .membership
-            .far_targets(REMOTE_ZONE_FANOUT, &mut self.rng);
+            .random_other_zone_peers(REMOTE_ZONE_FANOUT, &mut self.rng);
         send_reports(&targets, &other_zones, outbox);
     }
     /// Handles a peer's reports. `all` marks a comparison with everything that the peer
@@ -256,7 +256,7 @@
     /// Compares with several peers at once when this node first learns of peers: successive
     /// random choices may all hit a peer that has just stopped.
     pub(super) fn compare_with_several_peers(&mut self, now: Moment, outbox: &mut Outbox) {
-        let same_zone = self.membership.near_peers().cloned();
+        let same_zone = self.membership.same_zone_peers().cloned();
         let peers = rendezvous::order(self.identity.id.as_str(), same_zone);
         for peer in peers.iter().take(COMPARISONS_AT_START as usize) {
             self.begin_comparison(peer, now, outbox);
@@ -268,7 +268,7 @@
         if self.crashes.comparisons_left == 0 {
             return;
         }
-        if let Some(peer) = self.membership.mostly_near_peer(&mut self.rng) {
+        if let Some(peer) = self.membership.random_peer_preferring_zone(&mut self.rng) {
             self.crashes.comparisons_left -= 1;
             self.begin_comparison(&peer, now, outbox);
         }
@@ -324,11 +324,13 @@
     /// schedules repeats.
     fn broadcast_crash_reports(&mut self, new: Vec<CrashReport>, now: Moment, outbox: &mut Outbox) {
         let direct = self.settings.direct_update_fanout;
-        let same_zone = self.membership.near_targets(direct, &mut self.rng);
+        let same_zone = self
+            .membership
+            .random_same_zone_peers(direct, &mut self.rng);
         send_reports(&same_zone, &new, outbox);
         let other_zones = self
             .membership
-            .far_targets(REMOTE_ZONE_FANOUT, &mut self.rng);
+            .random_other_zone_peers(REMOTE_ZONE_FANOUT, &mut self.rng);
         send_reports(&other_zones, &new, outbox);
         self.schedule_repeats(new, ORIGIN_GOSSIP_ROUNDS, true, now);
     }
@@ -343,7 +345,9 @@
     ) {
         if self.zone_of(from) != Some(&self.identity.zone) {
             let direct = self.settings.direct_update_fanout;
-            let same_zone = self.membership.near_targets(direct, &mut self.rng);
+            let same_zone = self
+                .membership
+                .random_same_zone_peers(direct, &mut self.rng);
             send_reports(&same_zone, &new, outbox);
         }
         self.schedule_repeats(new, FORWARD_GOSSIP_ROUNDS, false, now);
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -240,7 +240,7 @@
     /// node still reads when all nodes before it are down.
     pub fn first_read_wait(&self) -> Duration {
         let me = &self.membership.me().id;
-        let rank = rendezvous::rank(INITIAL_READERS_KEY, me, self.membership.near_peers());
+        let rank = rendezvous::rank(INITIAL_READERS_KEY, me, self.membership.same_zone_peers());
         INITIAL_READ_STEP * (rank / INITIAL_READERS_PER_STEP) as u32
     }
     /// True when this node is one of the few that watch the document at the store. The
--- a/crates/rampthread-core/src/fleet/agent/machines.rs
+++ b/crates/rampthread-core/src/fleet/agent/machines.rs
@@ -48,7 +48,7 @@
         if alone && self.settings.source == ConfigSource::Document {
             let held = self.adoption.version();
             self.membership
-                .greet(held, &self.settings, &mut self.rng, outbox);
+                .contact_first_peers(held, &self.settings, &mut self.rng, outbox);
             self.compare_with_several_peers(now, outbox);
             self.update_watcher_role(now, outbox);
         }
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -417,7 +417,7 @@
         outbox.explain(Decision::Frozen {
             gap_ms: gap.as_millis() as u64,
         });
-        self.membership.thaw(now);
+        self.membership.reset_after_freeze(now);
         self.crashes.schedule_comparisons();
         if !self.reader.holds_lease(now) {
             self.reader.give_up("the process was frozen", outbox);
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -242,7 +242,7 @@
         let is_behind = is_stalled || versions_unknown;
         // A peer answers for the listed rollouts, or for all when the list is empty.
         let queried = if versions_unknown { Vec::new() } else { known };
-        let peer = self.membership.mostly_near_peer(&mut self.rng);
+        let peer = self.membership.random_peer_preferring_zone(&mut self.rng);
         let Some(roll_outs) = &mut self.roll_outs else {
             return;
         };
@@ -358,14 +358,14 @@
         roll_outs.pending_gossip = further.map(|(service, left)| (service, left - 1)).collect();
         let mut targets = self
             .membership
-            .near_targets(LOCAL_ZONE_FANOUT, &mut self.rng);
+            .random_same_zone_peers(LOCAL_ZONE_FANOUT, &mut self.rng);
         if changes {
             targets.extend(
                 self.membership
-                    .far_targets(REMOTE_ZONE_FANOUT, &mut self.rng),
+                    .random_other_zone_peers(REMOTE_ZONE_FANOUT, &mut self.rng),
             );
         } else {
-            targets.extend(self.membership.far_peer(&mut self.rng));
+            targets.extend(self.membership.random_other_zone_peer(&mut self.rng));
         }
         for target in &targets {
             outbox.send(target, Message::Rollouts(states.clone()));
--- a/crates/rampthread-core/src/fleet/agent/store_era.rs
+++ b/crates/rampthread-core/src/fleet/agent/store_era.rs
@@ -40,7 +40,7 @@
             .cloned()
             .collect();
         let zone = self.identity.zone.as_str();
-        let members = self.membership.near_peers().chain([me]).cloned();
+        let members = self.membership.same_zone_peers().chain([me]).cloned();
         let writer = rendezvous::order(zone, members).into_iter().next();
         targets.extend(writer.filter(|id| id != me && !targets.contains(id)));
         targets
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -114,7 +114,7 @@
         let by_gossip = settings.distribution == DistributionMode::Gossip;
         if by_gossip && replica.lags() && self.pull.is_none() && now >= self.pull_not_before {
             let source = self.source.take();
-            if let Some(peer) = source.or_else(|| membership.mostly_near_peer(rng)) {
+            if let Some(peer) = source.or_else(|| membership.random_peer_preferring_zone(rng)) {
                 self.pull_from(&peer, replica, now, outbox);
                 self.pull_from_second(&peer, membership, replica, rng, outbox);
             }
@@ -136,7 +136,7 @@
         if self.timeouts == 0 || self.whole || held == Version::ZERO || self.pull.is_none() {
             return;
         }
-        let second = membership.mostly_near_peer(rng);
+        let second = membership.random_peer_preferring_zone(rng);
         if let Some(second) = second.filter(|second| second != first) {
             outbox.send(&second, Message::Pull { held });
         }
@@ -158,7 +158,7 @@
             return;
         }
         let few = announcement.learnt_from != LearntFrom::Log
-            && membership.near_peers().count() < settings.notice_fanout;
+            && membership.same_zone_peers().count() < settings.notice_fanout;
         let rounds = match few {
             true => settings.notice_rounds.max(ROUNDS_TO_FEW),
             false => settings.notice_rounds,
@@ -340,22 +340,22 @@
     if announcement.learnt_from == LearntFrom::Log {
         return mixed_targets(membership, fanout, rng);
     }
-    let mut targets = membership.near_targets(fanout, rng);
+    let mut targets = membership.random_same_zone_peers(fanout, rng);
     if announcement.learnt_from == LearntFrom::Store && announcement.rounds == FAR_NOTICE_ROUND {
-        targets.extend(membership.far_targets(1, rng));
+        targets.extend(membership.random_other_zone_peers(1, rng));
     }
     targets
 }
 
 /// Returns random peers, half of them from other zones.
 fn mixed_targets(membership: &Membership, fanout: usize, rng: &mut impl Rng) -> Vec<NodeId> {
-    let far = membership.far_zones().into_values().flatten();
+    let far = membership.other_zone_peers().into_values().flatten();
     let far_share = fanout.div_ceil(2);
     let mut targets: Vec<NodeId> = far
         .choose_multiple(rng, far_share)
         .into_iter()
         .cloned()
         .collect();
-    targets.extend(membership.near_targets(fanout - targets.len(), rng));
+    targets.extend(membership.random_same_zone_peers(fanout - targets.len(), rng));
     targets
 }
--- a/crates/rampthread-core/src/fleet/membership/machines.rs
+++ b/crates/rampthread-core/src/fleet/membership/machines.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Time after which an unlisted dead member is removed from the table.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+const UNLISTED_RETENTION: Duration = Duration::from_secs(600);
 
 impl Membership {
     /// Returns since when a member is unreachable, or `None` if it is reachable.
@@ -35,16 +35,18 @@
             }
             let known = self.members.entry(machine.id.clone());
             known.or_insert_with(|| Member::listed(machine, now)).listed = true;
-            self.meet_zone(&machine.zone);
+            self.discover_zone(&machine.zone);
         }
-        self.count_zone();
+        self.recount_zone();
         self.refresh_digest();
     }
 
-    pub(super) fn forget_unlisted(&mut self, now: Moment) {
+    pub(super) fn remove_unlisted(&mut self, now: Moment) {
         self.members.retain(|_, member| {
-            member.listed || member.record.reachable() || now.since(member.since) < FORGET_AFTER
+            member.listed
+                || member.record.reachable()
+                || now.since(member.since) < UNLISTED_RETENTION
         });
-        self.count_zone();
+        self.recount_zone();
     }
 }
--- a/crates/rampthread-core/src/fleet/membership/member_entry.rs
+++ b/crates/rampthread-core/src/fleet/membership/member_entry.rs
@@ -11,10 +11,10 @@
     /// True if the settings or the platform's list name the member.
     pub(super) listed: bool,
     /// True if the member was sent this node's own record.
-    pub(super) introduced: bool,
+    pub(super) sent_own_record: bool,
     /// Backend announced by the previous run of the member, until its current run is ready or
     /// announces one.
-    pub(super) former_backend: Option<EndpointRecord>,
+    pub(super) previous_backend: Option<EndpointRecord>,
 }
 
 impl Member {
@@ -33,20 +33,20 @@
             },
             since: now,
             listed: true,
-            introduced: false,
-            former_backend: None,
+            sent_own_record: false,
+            previous_backend: None,
         }
     }
 
     /// Returns the backend that stays known when `next` replaces this record. A run that has
     /// just started does not know its backend yet. One that is ready has dropped it.
-    pub(super) fn backend_before(&self, next: &MemberRecord) -> Option<EndpointRecord> {
+    pub(super) fn previous_backend_after(&self, next: &MemberRecord) -> Option<EndpointRecord> {
         let begins = next.endpoint.is_none() && !next.conditions.ready;
         let known = self
             .record
             .endpoint
             .as_ref()
-            .or(self.former_backend.as_ref());
+            .or(self.previous_backend.as_ref());
         known.filter(|_| begins).cloned()
     }
 }
--- a/crates/rampthread-core/src/fleet/membership/mod.rs
+++ b/crates/rampthread-core/src/fleet/membership/mod.rs
@@ -16,7 +16,7 @@
 mod zones;
 
 use member_entry::Member;
-use relays::Relayed;
+use relays::PendingForward;
 
 use super::action::{Decision, Outbox};
 use super::member::{Conditions, EndpointRecord, Incarnation, MemberRecord, Status};
@@ -32,20 +32,20 @@
 /// Maximum of the local health score.
 const MAX_LOCAL_HEALTH: u32 = 8;
 /// Maximum number of pending indirect probes on behalf of peers.
-const MAX_RELAYS: usize = 64;
+const MAX_PENDING_RELAYS: usize = 64;
 /// Transmissions deducted from an update when a peer sends it back (rumor mongering with
 /// feedback, Demers et al. 1987).
-const KNOWN_UPDATE_COST: u32 = 2;
+const DUPLICATE_UPDATE_COST: u32 = 2;
 /// Number of reader records sent to a node without a version.
-const READERS_TOLD: usize = 3;
+const READER_RECORDS_COUNT: usize = 3;
 /// Number of consecutive messages from peers with an identical table after which updates are no
 /// longer repeated.
-const AGREEING_PEERS: u32 = 4;
+const MATCHING_DIGESTS_LIMIT: u32 = 4;
 /// Maximum number of members in the own zone that are notified of a departure.
-const MAX_FAREWELLS: usize = 64;
+const MAX_DEPARTURE_NOTICES: usize = 64;
 /// Number of members per other zone that are notified of a departure. Nothing is repeated,
 /// since the process ends: two of three messages may be lost.
-const FAREWELLS_PER_ZONE: usize = 3;
+const DEPARTURE_NOTICES_PER_ZONE: usize = 3;
 
 #[derive(Debug)]
 struct Probe {
@@ -71,7 +71,7 @@
     /// Incarnation at the start of this run. Records below it are of an earlier run.
     first_incarnation: Incarnation,
     /// Record of an earlier run of this node, received from a peer.
-    earlier_life: Option<MemberRecord>,
+    previous_run: Option<MemberRecord>,
     members: BTreeMap<NodeId, Member>,
     /// Updates to gossip within the zone, with the remaining transmissions.
     updates: BTreeMap<NodeId, u32>,
@@ -79,16 +79,16 @@
     /// zone to know them.
     urgent: BTreeSet<NodeId>,
     /// Departures to forward at once.
-    relayed: Vec<Relayed>,
+    pending_forwards: Vec<PendingForward>,
     /// Maximum number of members to which updates are sent directly.
     direct_update_fanout: usize,
     /// Changes first seen by this node, with the remaining rounds of sending them to other
     /// zones.
-    far_updates: BTreeMap<NodeId, u32>,
+    other_zone_updates: BTreeMap<NodeId, u32>,
     /// Number of known members in this node's zone, including itself, whatever their status.
     zone_size: usize,
     /// Other zones known to this node.
-    met_zones: BTreeSet<Zone>,
+    known_zones: BTreeSet<Zone>,
     probe_order: Vec<NodeId>,
     probe: Option<Probe>,
     relays: Vec<Relay>,
@@ -97,16 +97,16 @@
     next_probe: Moment,
     next_rejoin: Moment,
     next_sync: Moment,
-    next_news: Moment,
+    next_gossip: Moment,
     digest: u64,
     /// Incremented with every change of the table.
     revision: u64,
     differing_peer: Option<NodeId>,
     /// Consecutive table comparisons that did not bring the tables together while there were no
     /// updates to send.
-    vain_comparisons: usize,
+    ineffective_comparisons: usize,
     /// Number of consecutive messages whose sender had an identical table.
-    agreeing: u32,
+    matching_digests: u32,
     /// Multiplied with the decimal logarithm of the zone's size gives the transmissions of one
     /// update.
     retransmit_multiplier: f64,
@@ -117,12 +117,12 @@
 enum Origin {
     /// This node is the first to see the change, as far as it knows, and sends it to other
     /// zones.
-    Here,
+    Local,
     /// A member of another zone sent the change. Other members of this zone may not know it
     /// yet.
     OtherZone,
     /// A member of this zone sent the change, or all nodes observe it by themselves.
-    Elsewhere,
+    SameZone,
 }
 
 impl Membership {
@@ -130,16 +130,16 @@
     pub fn new(me: MemberRecord, retransmit_multiplier: f64, now: Moment) -> Self {
         let mut membership = Self {
             first_incarnation: me.incarnation,
-            earlier_life: None,
+            previous_run: None,
             me,
             members: BTreeMap::new(),
             updates: BTreeMap::new(),
             urgent: BTreeSet::new(),
-            relayed: Vec::new(),
+            pending_forwards: Vec::new(),
             direct_update_fanout: usize::MAX,
-            far_updates: BTreeMap::new(),
+            other_zone_updates: BTreeMap::new(),
             zone_size: 1,
-            met_zones: BTreeSet::new(),
+            known_zones: BTreeSet::new(),
             probe_order: Vec::new(),
             probe: None,
             relays: Vec::new(),
@@ -148,12 +148,12 @@
             next_probe: now,
             next_rejoin: now,
             next_sync: now,
-            next_news: now,
+            next_gossip: now,
             digest: 0,
             revision: 0,
             differing_peer: None,
-            vain_comparisons: 0,
-            agreeing: 0,
+            ineffective_comparisons: 0,
+            matching_digests: 0,
             retransmit_multiplier,
         };
         membership.refresh_digest();
@@ -212,8 +212,8 @@
     pub fn leave(&mut self, rng: &mut impl Rng, outbox: &mut Outbox) {
         self.me.status = Status::Left;
         self.raise_incarnation(self.me.incarnation);
-        let mut targets = self.near_targets(MAX_FAREWELLS, rng);
-        targets.extend(self.far_targets(FAREWELLS_PER_ZONE, rng));
+        let mut targets = self.random_same_zone_peers(MAX_DEPARTURE_NOTICES, rng);
+        targets.extend(self.random_other_zone_peers(DEPARTURE_NOTICES_PER_ZONE, rng));
         for target in targets {
             let body = ProbeBody {
                 updates: vec![self.me.clone()],
@@ -225,24 +225,24 @@
 
     fn raise_incarnation(&mut self, above: Incarnation) {
         self.me.incarnation = self.me.incarnation.max(above) + 1;
-        self.agreeing = 0;
+        self.matching_digests = 0;
         let id = self.me.id.clone();
-        self.queue_update(id, Origin::Here);
+        self.queue_update(id, Origin::Local);
         self.refresh_digest();
     }
 
     /// Scales a timeout by the local health score.
-    fn patience(&self, base: Duration) -> Duration {
+    fn scaled_timeout(&self, base: Duration) -> Duration {
         base * (1 + self.local_health)
     }
 
-    fn blame_self(&mut self) {
+    fn increase_local_health(&mut self) {
         self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
     }
 
     /// Resets all running timeouts after this process was suspended, so that no member is
     /// blamed for the gap.
-    pub fn thaw(&mut self, now: Moment) {
+    pub fn reset_after_freeze(&mut self, now: Moment) {
         self.probe = None;
         self.relays.clear();
         self.local_health = MAX_LOCAL_HEALTH;
@@ -261,7 +261,7 @@
         outbox: &mut Outbox,
     ) {
         self.direct_update_fanout = settings.direct_update_fanout;
-        self.watch_probe(now, held, settings, rng, outbox);
+        self.check_probe(now, held, settings, rng, outbox);
         self.expire_suspects(now, settings, outbox);
         if now >= self.next_probe {
             self.next_probe = now + settings.probe_interval;
@@ -270,10 +270,10 @@
         if now >= self.next_rejoin {
             self.next_rejoin = now + settings.rejoin_interval;
             self.try_rejoin(held, settings, rng, outbox);
-            self.forget_unlisted(now);
+            self.remove_unlisted(now);
         }
-        if now >= self.next_news {
-            self.tell_news(now, held, settings, rng, outbox);
+        if now >= self.next_gossip {
+            self.gossip_updates(now, held, settings, rng, outbox);
         }
         if now >= self.next_sync {
             self.next_sync = now + settings.sync_interval.mul_f64(rng.random_range(0.5..1.5));
@@ -282,31 +282,31 @@
         self.relays.retain(|relay| relay.expires > now);
     }
 
-    fn take_in(&mut self, from: &NodeId, body: &ProbeBody, now: Moment, outbox: &mut Outbox) {
+    fn merge_body(&mut self, from: &NodeId, body: &ProbeBody, now: Moment, outbox: &mut Outbox) {
         let origin = self.origin_of(from);
-        let leaves = self.new_leaves(from, body);
+        let departures = self.new_departures(from, body);
         for record in &body.updates {
             self.merge(record.clone(), origin, now, outbox);
         }
-        self.queue_relay(from, leaves, self.direct_update_fanout);
+        self.queue_forward(from, departures, self.direct_update_fanout);
         self.differing_peer = None;
         if body.digest != self.digest {
             self.differing_peer = Some(from.clone());
-            self.agreeing = 0;
+            self.matching_digests = 0;
             return;
         }
-        self.agreeing += 1;
-        if self.agreeing >= AGREEING_PEERS {
+        self.matching_digests += 1;
+        if self.matching_digests >= MATCHING_DIGESTS_LIMIT {
             // All recent senders have an identical table. Table comparisons repair what is
             // missed by that.
             self.updates.clear();
         }
     }
 
-    fn origin_of(&self, teller: &NodeId) -> Origin {
-        let zone = self.record(teller).map(|record| &record.zone);
+    fn origin_of(&self, sender: &NodeId) -> Origin {
+        let zone = self.record(sender).map(|record| &record.zone);
         if zone == Some(&self.me.zone) {
-            Origin::Elsewhere
+            Origin::SameZone
         } else {
             Origin::OtherZone
         }
@@ -322,7 +322,7 @@
             && !record.outranks(&member.record)
         {
             if !member.record.outranks(&record) {
-                self.lose_interest(&record.id);
+                self.reduce_transmissions(&record.id);
             }
             return;
         }
@@ -334,19 +334,19 @@
                 incarnation: record.incarnation,
             });
         }
-        let same_life = known.is_some_and(|member| member.introduced && !status_changed);
+        let same_run = known.is_some_and(|member| member.sent_own_record && !status_changed);
         let member = Member {
             since: known
                 .filter(|_| !status_changed)
                 .map_or(now, |member| member.since),
             listed: known.is_some_and(|member| member.listed),
-            introduced: same_life,
-            former_backend: known.and_then(|member| member.backend_before(&record)),
+            sent_own_record: same_run,
+            previous_backend: known.and_then(|member| member.previous_backend_after(&record)),
             record,
         };
         let id = member.record.id.clone();
         // Peers with an identical table may lack this update.
-        self.agreeing = 0;
+        self.matching_digests = 0;
         self.digest ^= record_digest(&member.record);
         self.revision += 1;
         let in_my_zone = member.record.zone == self.me.zone;
@@ -355,7 +355,7 @@
             Some(replaced) => self.digest ^= record_digest(&replaced.record),
             None => self.zone_size += usize::from(in_my_zone),
         }
-        self.meet_zone(&zone);
+        self.discover_zone(&zone);
         self.queue_update(id, origin);
     }
 
@@ -363,7 +363,7 @@
     /// run.
     fn refute(&mut self, record: &MemberRecord) {
         if record.incarnation < self.first_incarnation {
-            self.note_earlier_life(record);
+            self.keep_previous_run(record);
         }
         let newer = record.incarnation > self.me.incarnation;
         let doubted = record.incarnation == self.me.incarnation && record.status > self.me.status;
@@ -371,23 +371,23 @@
             return;
         }
         if doubted {
-            self.blame_self();
+            self.increase_local_health();
         }
         self.raise_incarnation(record.incarnation);
     }
 
     /// Keeps the record with the highest incarnation that contains a backend.
-    fn note_earlier_life(&mut self, record: &MemberRecord) {
+    fn keep_previous_run(&mut self, record: &MemberRecord) {
         let newer = |kept: &MemberRecord| kept.incarnation < record.incarnation;
-        if record.endpoint.is_some() && self.earlier_life.as_ref().is_none_or(newer) {
-            self.earlier_life = Some(record.clone());
+        if record.endpoint.is_some() && self.previous_run.as_ref().is_none_or(newer) {
+            self.previous_run = Some(record.clone());
         }
     }
 
     /// Returns the backend announced by an earlier run of this node if a peer has sent it since
     /// the last call.
-    pub fn take_earlier_backend(&mut self) -> Option<EndpointRecord> {
-        self.earlier_life.take().and_then(|record| record.endpoint)
+    pub fn take_previous_backend(&mut self) -> Option<EndpointRecord> {
+        self.previous_run.take().and_then(|record| record.endpoint)
     }
 
     fn refresh_digest(&mut self) {
--- a/crates/rampthread-core/src/fleet/membership/probes.rs
+++ b/crates/rampthread-core/src/fleet/membership/probes.rs
@@ -1,6 +1,6 @@
 //! Direct and indirect probes, and probes of dead members (SWIM, section 4).
 
-use super::{MAX_RELAYS, Membership, Origin, Probe, READERS_TOLD, Relay};
+use super::{MAX_PENDING_RELAYS, Membership, Origin, Probe, READER_RECORDS_COUNT, Relay};
 use crate::fleet::action::Outbox;
 use crate::fleet::member::{MemberRecord, Status};
 use crate::fleet::message::{Message, ProbeBody};
@@ -14,13 +14,13 @@
 const PROBE_RETRIES: u32 = 2;
 /// Number of members of the own zone contacted at the start. With a third of all members down,
 /// at least one answers in 99 of 100 cases.
-const GREETED_NEAR: usize = 4;
+const FIRST_CONTACT_COUNT: usize = 4;
 /// Share of probes sent to another zone while a member there is suspect, so that the loss of a
 /// whole zone is detected within a few rounds.
-const DOUBTFUL_ZONE_SHARE: f64 = 0.5;
+const SUSPECT_ZONE_PROBE_RATIO: f64 = 0.5;
 
 impl Membership {
-    pub(super) fn watch_probe(
+    pub(super) fn check_probe(
         &mut self,
         now: Moment,
         held: Version,
@@ -28,8 +28,8 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        let direct_wait = self.patience(settings.probe_timeout);
-        let whole_wait = self.patience(settings.probe_interval);
+        let direct_wait = self.scaled_timeout(settings.probe_timeout);
+        let whole_wait = self.scaled_timeout(settings.probe_interval);
         let Some(probe) = &mut self.probe else { return };
         let waited = now.since(probe.sent);
         let retry_due = waited >= direct_wait * (probe.retries + 1);
@@ -42,7 +42,7 @@
         if waited >= whole_wait {
             let target = probe.target.clone();
             self.probe = None;
-            self.blame_self();
+            self.increase_local_health();
             self.suspect(&target, now, outbox);
         }
     }
@@ -60,14 +60,14 @@
     ) {
         let body = self.body_for(target, sequence, held, settings);
         outbox.send(target, Message::Ping(body));
-        for helper in self.helpers(target, settings.indirect_probes, rng) {
+        for prober in self.indirect_probers(target, settings.indirect_probes, rng) {
             let target = target.clone();
-            outbox.send(&helper, Message::PingRequest { sequence, target });
+            outbox.send(&prober, Message::PingRequest { sequence, target });
         }
     }
 
     /// Selects members for an indirect probe from the zones of the target and of this node.
-    fn helpers(&self, target: &NodeId, count: usize, rng: &mut impl Rng) -> Vec<NodeId> {
+    fn indirect_probers(&self, target: &NodeId, count: usize, rng: &mut impl Rng) -> Vec<NodeId> {
         let target_zone = self.record(target).map(|record| record.zone.clone());
         self.reachable_peers()
             .filter(|peer| peer.id != *target && peer.status == Status::Alive)
@@ -83,7 +83,7 @@
         if member.record.status == Status::Alive {
             let mut record = member.record.clone();
             record.status = Status::Suspect;
-            self.merge(record, Origin::Here, now, outbox);
+            self.merge(record, Origin::Local, now, outbox);
         }
     }
 
@@ -93,7 +93,7 @@
         settings: &FleetSettings,
         outbox: &mut Outbox,
     ) {
-        let limit = self.patience(settings.suspicion_timeout);
+        let limit = self.scaled_timeout(settings.suspicion_timeout);
         let expired: Vec<MemberRecord> = self
             .members
             .values()
@@ -106,7 +106,7 @@
             .collect();
         for record in expired {
             // All nodes that know of the suspicion reach the same result.
-            self.merge(record, Origin::Elsewhere, now, outbox);
+            self.merge(record, Origin::SameZone, now, outbox);
         }
     }
 
@@ -140,19 +140,20 @@
     /// probe per round and zone goes to another zone, so that every member gets one probe per
     /// round on average, whatever the sizes of the zones.
     fn next_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
-        if rng.random_bool(DOUBTFUL_ZONE_SHARE)
-            && let Some(peer) = self.peer_of_doubtful_zone(rng)
+        if rng.random_bool(SUSPECT_ZONE_PROBE_RATIO)
+            && let Some(peer) = self.peer_of_suspect_zone(rng)
         {
             return Some(peer);
         }
-        let crosses = rng.random_ratio(1, self.zone_size as u32);
-        if crosses && let Some(peer) = self.far_peer(rng) {
+        let to_other_zone = rng.random_ratio(1, self.zone_size as u32);
+        if to_other_zone && let Some(peer) = self.random_other_zone_peer(rng) {
             return Some(peer);
         }
-        self.next_near_target(rng).or_else(|| self.far_peer(rng))
+        self.next_same_zone_target(rng)
+            .or_else(|| self.random_other_zone_peer(rng))
     }
 
-    fn next_near_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
+    fn next_same_zone_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
         for _ in 0..2 {
             while let Some(candidate) = self.probe_order.pop() {
                 let known = self.members.get(&candidate);
@@ -160,7 +161,7 @@
                     return Some(candidate);
                 }
             }
-            self.probe_order = self.near_peers().cloned().collect();
+            self.probe_order = self.same_zone_peers().cloned().collect();
             self.probe_order.shuffle(rng);
         }
         None
@@ -174,31 +175,31 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        let mut lost = self.lost_members(true);
-        lost = lost
+        let mut dead = self.unreachable_members(true);
+        dead = dead
             .into_iter()
             .choose_multiple(rng, settings.rejoin_fanout);
         // The members of this zone share the attempts to reach other zones.
         let share = settings.rejoin_fanout as f64 / self.zone_size as f64;
         if rng.random_bool(share.min(1.0)) {
-            lost.extend(self.lost_members(false).into_iter().choose(rng));
+            dead.extend(self.unreachable_members(false).into_iter().choose(rng));
         }
-        for target in lost {
+        for target in dead {
             if let Some(member) = self.members.get_mut(&target) {
-                member.introduced = false;
+                member.sent_own_record = false;
             }
             let body = self.body_for(&target, 0, held, settings);
             outbox.send(&target, Message::Ping(body));
         }
     }
 
-    /// Returns the listed unreachable members: those in this zone if `near`, otherwise those in
+    /// Returns the listed unreachable members: those in this zone if `same_zone`, otherwise those in
     /// other zones.
-    fn lost_members(&self, near: bool) -> Vec<NodeId> {
+    fn unreachable_members(&self, same_zone: bool) -> Vec<NodeId> {
         self.members
             .values()
             .filter(|member| member.listed && !member.record.reachable())
-            .filter(|member| (member.record.zone == self.me.zone) == near)
+            .filter(|member| (member.record.zone == self.me.zone) == same_zone)
             .map(|member| member.record.id.clone())
             .collect()
     }
@@ -214,17 +215,17 @@
         settings: &FleetSettings,
         outbox: &mut Outbox,
     ) {
-        self.take_in(from, &body, now, outbox);
+        self.merge_body(from, &body, now, outbox);
         if !self.members.contains_key(from) {
             return;
         }
         let mut answer = self.body_for(from, body.sequence, held, settings);
-        answer.updates.extend(self.better_record_of(from, &body));
-        answer.updates.extend(self.earlier_life_of(from));
+        answer.updates.extend(self.newer_record_of(from, &body));
+        answer.updates.extend(self.previous_run_of(from));
         if body.held == Version::ZERO {
             // The sender has just started: these are the readers that it can query for the head
             // of the log.
-            let readers = self.readers().take(READERS_TOLD).cloned();
+            let readers = self.readers().take(READER_RECORDS_COUNT).cloned();
             answer.updates.extend(readers.collect::<Vec<_>>());
         }
         outbox.send(from, Message::Ack(answer));
@@ -233,7 +234,7 @@
     /// Returns the known record of a restarted sender that announces itself with a lower
     /// incarnation, because its wall clock was set back. The sender must continue above the
     /// known incarnation.
-    fn better_record_of(&self, from: &NodeId, body: &ProbeBody) -> Option<MemberRecord> {
+    fn newer_record_of(&self, from: &NodeId, body: &ProbeBody) -> Option<MemberRecord> {
         let known = &self.members.get(from)?.record;
         let announced = body.updates.iter().find(|record| record.id == *from)?;
         (known.outranks(announced) && known.status == Status::Alive).then(|| known.clone())
@@ -241,9 +242,9 @@
 
     /// Returns the backend that a restarted sender announced in its previous run. Peers have
     /// more recent data than the store.
-    fn earlier_life_of(&self, from: &NodeId) -> Option<MemberRecord> {
+    fn previous_run_of(&self, from: &NodeId) -> Option<MemberRecord> {
         let member = self.members.get(from)?;
-        let endpoint = member.former_backend.clone()?;
+        let endpoint = member.previous_backend.clone()?;
         Some(MemberRecord {
             incarnation: 0,
             endpoint: Some(endpoint),
@@ -253,15 +254,15 @@
 
     /// Probes some members after this node has learned the first members: they answer with
     /// their versions and with what they know of its previous run.
-    pub fn greet(
+    pub fn contact_first_peers(
         &mut self,
         held: Version,
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        let mut targets = self.near_targets(GREETED_NEAR, rng);
-        targets.extend(self.far_peer(rng));
+        let mut targets = self.random_same_zone_peers(FIRST_CONTACT_COUNT, rng);
+        targets.extend(self.random_other_zone_peer(rng));
         for target in targets {
             let body = self.body_for(&target, 0, held, settings);
             outbox.send(&target, Message::Ping(body));
@@ -270,7 +271,7 @@
 
     /// Handles an ack of an own or a relayed probe.
     pub fn on_ack(&mut self, from: &NodeId, body: ProbeBody, now: Moment, outbox: &mut Outbox) {
-        self.take_in(from, &body, now, outbox);
+        self.merge_body(from, &body, now, outbox);
         let awaited = self
             .probe
             .as_ref()
@@ -308,7 +309,7 @@
         settings: &FleetSettings,
         outbox: &mut Outbox,
     ) {
-        if self.relays.len() >= MAX_RELAYS || !self.members.contains_key(target) {
+        if self.relays.len() >= MAX_PENDING_RELAYS || !self.members.contains_key(target) {
             return;
         }
         self.sequence += 1;
--- a/crates/rampthread-core/src/fleet/membership/reconcile.rs
+++ b/crates/rampthread-core/src/fleet/membership/reconcile.rs
@@ -14,7 +14,7 @@
 const MAX_RECORDS: usize = 256;
 /// Maximum number of additional peers to compare with. At a message loss of 30 %, half of the
 /// comparisons get a reply; with four of them, at least one does in 93 of 100 cases.
-const MOST_ASKED_BESIDES: usize = 3;
+const MAX_ADDITIONAL_PEERS: usize = 3;
 
 impl Membership {
     /// Starts a comparison with the peer whose last message had another table digest. With a
@@ -23,22 +23,22 @@
     /// extended to more peers the next time.
     pub(super) fn compare_with_differing_peer(&mut self, rng: &mut impl Rng, outbox: &mut Outbox) {
         let Some(peer) = self.differing_peer.clone() else {
-            self.vain_comparisons = 0;
+            self.ineffective_comparisons = 0;
             return;
         };
         let at_rest = self.updates.is_empty();
         if !at_rest {
-            self.vain_comparisons = 0;
+            self.ineffective_comparisons = 0;
         }
-        if at_rest || self.origin_of(&peer) == Origin::Elsewhere {
+        if at_rest || self.origin_of(&peer) == Origin::SameZone {
             self.compare_tables(&peer, outbox);
         }
-        for other in self.near_targets(self.vain_comparisons, rng) {
+        for other in self.random_same_zone_peers(self.ineffective_comparisons, rng) {
             if other != peer {
                 self.compare_tables(&other, outbox);
             }
         }
-        self.vain_comparisons = (self.vain_comparisons + 1).min(MOST_ASKED_BESIDES);
+        self.ineffective_comparisons = (self.ineffective_comparisons + 1).min(MAX_ADDITIONAL_PEERS);
     }
 
     fn compare_tables(&self, peer: &NodeId, outbox: &mut Outbox) {
@@ -72,7 +72,7 @@
         outbox: &mut Outbox,
     ) {
         let wanted: BTreeSet<u64> = wanted.iter().copied().collect();
-        let asked_for: Vec<MemberRecord> = self
+        let requested: Vec<MemberRecord> = self
             .records()
             .filter(|record| wanted.contains(&record_digest(record)))
             .take(MAX_RECORDS)
@@ -83,9 +83,9 @@
         for record in members {
             self.merge(record, origin, now, outbox);
         }
-        if !asked_for.is_empty() {
+        if !requested.is_empty() {
             let answer = Message::TableRecords {
-                members: asked_for,
+                members: requested,
                 wanted: Vec::new(),
             };
             outbox.send(from, answer);
--- a/crates/rampthread-core/src/fleet/membership/relays.rs
+++ b/crates/rampthread-core/src/fleet/membership/relays.rs
@@ -14,8 +14,8 @@
 
 /// Departures to forward, and the receivers.
 #[derive(Debug)]
-pub(super) struct Relayed {
-    leaves: Vec<NodeId>,
+pub(super) struct PendingForward {
+    departures: Vec<NodeId>,
     targets: Vec<NodeId>,
 }
 
@@ -23,26 +23,30 @@
     /// Returns the at most `direct` members that this node sends a batch to first. `None` if
     /// any members will do, since the batch contains no departure or all of the zone get it
     /// directly.
-    pub(super) fn relays_for(&self, batch: &[MemberRecord], direct: usize) -> Option<Vec<NodeId>> {
-        let large = self.near_peers().count() > direct;
-        if !large || !batch.iter().any(is_leave) {
+    pub(super) fn forwarders_for(
+        &self,
+        batch: &[MemberRecord],
+        direct: usize,
+    ) -> Option<Vec<NodeId>> {
+        let large = self.same_zone_peers().count() > direct;
+        if !large || !batch.iter().any(is_departure) {
             return None;
         }
         let me = &self.me.id;
-        let mut relays = rendezvous::order(me.as_str(), self.near_peers().cloned());
-        relays.truncate(direct);
-        Some(relays)
+        let mut forwarders = rendezvous::order(me.as_str(), self.same_zone_peers().cloned());
+        forwarders.truncate(direct);
+        Some(forwarders)
     }
 
-    /// Returns the departures in a message from `teller` that are new to this node, if the
+    /// Returns the departures in a message from `sender` that are new to this node, if the
     /// sender is in this zone.
-    pub(super) fn new_leaves(&self, teller: &NodeId, body: &ProbeBody) -> Vec<NodeId> {
-        let near = self.record(teller).map(|record| &record.zone) == Some(&self.me.zone);
+    pub(super) fn new_departures(&self, sender: &NodeId, body: &ProbeBody) -> Vec<NodeId> {
+        let same_zone = self.record(sender).map(|record| &record.zone) == Some(&self.me.zone);
         let is_new = |record: &&MemberRecord| {
             let known = self.record(&record.id);
-            is_leave(record) && known.is_none_or(|known| record.outranks(known))
+            is_departure(record) && known.is_none_or(|known| record.outranks(known))
         };
-        match near {
+        match same_zone {
             true => body.updates.iter().filter(is_new),
             false => [].iter().filter(is_new),
         }
@@ -50,16 +54,24 @@
         .collect()
     }
 
-    /// Queues departures received from `teller` for forwarding, if this node is one of the
+    /// Queues departures received from `sender` for forwarding, if this node is one of the
     /// first receivers.
-    pub(super) fn queue_relay(&mut self, teller: &NodeId, leaves: Vec<NodeId>, direct: usize) {
-        let others = self.near_peers().filter(|peer| *peer != teller);
-        if leaves.is_empty() || others.count() < direct {
+    pub(super) fn queue_forward(
+        &mut self,
+        sender: &NodeId,
+        departures: Vec<NodeId>,
+        direct: usize,
+    ) {
+        let others = self.same_zone_peers().filter(|peer| *peer != sender);
+        if departures.is_empty() || others.count() < direct {
             return;
         }
         let me = self.me.id.clone();
-        let zone = self.near_peers().filter(|peer| *peer != teller).cloned();
-        let order = rendezvous::order(teller.as_str(), zone.chain([me.clone()]));
+        let zone = self
+            .same_zone_peers()
+            .filter(|peer| *peer != sender)
+            .cloned();
+        let order = rendezvous::order(sender.as_str(), zone.chain([me.clone()]));
         let place = order.iter().take(direct).position(|node| *node == me);
         let Some(place) = place else {
             return;
@@ -72,23 +84,27 @@
             .cloned()
             .collect();
         if !targets.is_empty() {
-            self.relayed.push(Relayed { leaves, targets });
+            self.pending_forwards.push(PendingForward {
+                departures,
+                targets,
+            });
         }
     }
 
     /// Sends the queued departures.
-    pub fn relay_leaves(&mut self, held: Version, outbox: &mut Outbox) {
-        for relayed in std::mem::take(&mut self.relayed) {
-            let leaves = relayed.leaves.iter();
-            let updates: Vec<MemberRecord> =
-                leaves.filter_map(|id| self.record(id).cloned()).collect();
-            self.tell(&relayed.targets, updates, held, outbox);
+    pub fn forward_departures(&mut self, held: Version, outbox: &mut Outbox) {
+        for forward in std::mem::take(&mut self.pending_forwards) {
+            let departures = forward.departures.iter();
+            let updates: Vec<MemberRecord> = departures
+                .filter_map(|id| self.record(id).cloned())
+                .collect();
+            self.send_updates(&forward.targets, updates, held, outbox);
         }
     }
 }
 
 /// Returns true if the member or its backend departs.
-fn is_leave(record: &MemberRecord) -> bool {
+fn is_departure(record: &MemberRecord) -> bool {
     let draining = record.endpoint.as_ref().is_some_and(|it| it.draining);
     draining || record.status == Status::Left
 }
--- a/crates/rampthread-core/src/fleet/membership/updates.rs
+++ b/crates/rampthread-core/src/fleet/membership/updates.rs
@@ -1,6 +1,6 @@
 //! Selection and transmission of member updates.
 
-use super::{KNOWN_UPDATE_COST, Membership, Origin};
+use super::{DUPLICATE_UPDATE_COST, Membership, Origin};
 use crate::fleet::action::Outbox;
 use crate::fleet::member::{MemberRecord, Status};
 use crate::fleet::message::{Message, ProbeBody};
@@ -13,16 +13,16 @@
 /// Rounds in which the node that first saw a change sends it to other zones. At a message loss
 /// of 30 %, 1 of 1,000 zones misses all of them and learns of the change from the next probe
 /// between zones.
-const FAR_ROUNDS: u32 = 3;
+const OTHER_ZONE_ROUNDS: u32 = 3;
 /// Maximum number of messages per receiver and round when many members change at once.
 const BATCHES_PER_ROUND: usize = 4;
 /// Number of members per other zone that get an update in a round.
-const FAR_TOLD: usize = 2;
+const OTHER_ZONE_FANOUT: usize = 2;
 
 impl Membership {
     /// Sends updates to random peers without waiting for the next probe: all pending updates
     /// within this zone, and the changes first seen by this node to other zones.
-    pub fn tell_news(
+    pub fn gossip_updates(
         &mut self,
         now: Moment,
         held: Version,
@@ -30,17 +30,17 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        if self.updates.is_empty() && self.far_updates.is_empty() {
+        if self.updates.is_empty() && self.other_zone_updates.is_empty() {
             return;
         }
-        self.next_news = now + settings.gossip_interval;
-        self.tell_zone(held, settings, rng, outbox);
-        self.tell_other_zones(held, settings, rng, outbox);
+        self.next_gossip = now + settings.gossip_interval;
+        self.send_to_zone(held, settings, rng, outbox);
+        self.send_to_other_zones(held, settings, rng, outbox);
     }
 
     /// Sends urgent updates directly to the zone. If there are none, gossips the others to a
     /// few members.
-    fn tell_zone(
+    fn send_to_zone(
         &mut self,
         held: Version,
         settings: &FleetSettings,
@@ -48,22 +48,27 @@
         outbox: &mut Outbox,
     ) {
         if !self.urgent.is_empty() {
-            let targets = self.near_targets(settings.direct_update_fanout, rng);
+            let targets = self.random_same_zone_peers(settings.direct_update_fanout, rng);
             if targets.is_empty() {
                 // No other member is known yet. The updates stay pending.
                 return;
             }
             for _ in 0..BATCHES_PER_ROUND {
                 let urgent = self.take_urgent(settings.updates_per_message);
-                let relays = self.relays_for(&urgent, settings.direct_update_fanout);
-                self.tell(relays.as_ref().unwrap_or(&targets), urgent, held, outbox);
+                let forwarders = self.forwarders_for(&urgent, settings.direct_update_fanout);
+                self.send_updates(
+                    forwarders.as_ref().unwrap_or(&targets),
+                    urgent,
+                    held,
+                    outbox,
+                );
             }
             return;
         }
         if self.updates.is_empty() {
             return;
         }
-        for target in self.near_targets(settings.gossip_fanout, rng) {
+        for target in self.random_same_zone_peers(settings.gossip_fanout, rng) {
             let body = self.body_for(&target, 0, held, settings);
             outbox.send(&target, Message::Ack(body));
         }
@@ -82,12 +87,12 @@
     }
 
     /// Returns true if urgent updates are pending and the last round is long enough ago.
-    pub fn has_first_news(&self, now: Moment) -> bool {
-        !self.urgent.is_empty() && now >= self.next_news
+    pub fn has_urgent_updates(&self, now: Moment) -> bool {
+        !self.urgent.is_empty() && now >= self.next_gossip
     }
 
     /// Sends the same updates to all `targets`.
-    pub(super) fn tell(
+    pub(super) fn send_updates(
         &mut self,
         targets: &[NodeId],
         updates: Vec<MemberRecord>,
@@ -97,10 +102,10 @@
         if updates.is_empty() {
             return;
         }
-        let tells_of_me = updates.iter().any(|record| record.id == self.me.id);
+        let includes_me = updates.iter().any(|record| record.id == self.me.id);
         for target in targets {
             if let Some(member) = self.members.get_mut(target) {
-                member.introduced |= tells_of_me;
+                member.sent_own_record |= includes_me;
             }
             let body = ProbeBody {
                 sequence: 0,
@@ -113,32 +118,32 @@
         }
     }
 
-    fn tell_other_zones(
+    fn send_to_other_zones(
         &mut self,
         held: Version,
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        if self.far_updates.is_empty() {
+        if self.other_zone_updates.is_empty() {
             return;
         }
-        let targets = self.far_targets(FAR_TOLD, rng);
+        let targets = self.random_other_zone_peers(OTHER_ZONE_FANOUT, rng);
         if targets.is_empty() {
             // No other zone is known yet. The rounds are not used up.
             return;
         }
-        let taken = self.take_far_updates(BATCHES_PER_ROUND * settings.updates_per_message);
+        let taken = self.take_other_zone_updates(BATCHES_PER_ROUND * settings.updates_per_message);
         for updates in taken.chunks(settings.updates_per_message) {
-            self.tell(&targets, updates.to_vec(), held, outbox);
+            self.send_updates(&targets, updates.to_vec(), held, outbox);
         }
     }
 
     /// Takes the updates for one round to other zones, those sent least often first.
-    fn take_far_updates(&mut self, count: usize) -> Vec<MemberRecord> {
-        let taken = most_left(&self.far_updates, count);
+    fn take_other_zone_updates(&mut self, count: usize) -> Vec<MemberRecord> {
+        let taken = most_remaining(&self.other_zone_updates, count);
         for id in &taken {
-            count_down(&mut self.far_updates, id, 1);
+            count_down(&mut self.other_zone_updates, id, 1);
         }
         taken
             .iter()
@@ -149,17 +154,18 @@
     /// Queues an update for the receivers that depend on its origin.
     pub(super) fn queue_update(&mut self, id: NodeId, origin: Origin) {
         match origin {
-            Origin::Here => {
-                self.far_updates.insert(id.clone(), FAR_ROUNDS);
+            Origin::Local => {
+                self.other_zone_updates
+                    .insert(id.clone(), OTHER_ZONE_ROUNDS);
                 self.urgent.insert(id.clone());
             }
             Origin::OtherZone => {
-                self.far_updates.remove(&id);
+                self.other_zone_updates.remove(&id);
                 self.urgent.insert(id.clone());
             }
             // The update that this node was sending is outdated.
-            Origin::Elsewhere => {
-                self.far_updates.remove(&id);
+            Origin::SameZone => {
+                self.other_zone_updates.remove(&id);
                 self.urgent.remove(&id);
             }
         }
@@ -169,10 +175,11 @@
 
     /// Queues this node's own record for a zone that is new to it. If all nodes start with an
     /// empty store, zones are discovered one by one.
-    pub(super) fn meet_zone(&mut self, zone: &Zone) {
-        if *zone != self.me.zone && !self.met_zones.contains(zone) {
-            self.met_zones.insert(zone.clone());
-            self.far_updates.insert(self.me.id.clone(), FAR_ROUNDS);
+    pub(super) fn discover_zone(&mut self, zone: &Zone) {
+        if *zone != self.me.zone && !self.known_zones.contains(zone) {
+            self.known_zones.insert(zone.clone());
+            self.other_zone_updates
+                .insert(self.me.id.clone(), OTHER_ZONE_ROUNDS);
         }
     }
 
@@ -184,11 +191,11 @@
         settings: &FleetSettings,
     ) -> ProbeBody {
         let mut updates = Vec::with_capacity(settings.updates_per_message);
-        let mut near = false;
+        let mut same_zone = false;
         if let Some(member) = self.members.get_mut(target) {
-            near = member.record.zone == self.me.zone;
-            if !member.introduced {
-                member.introduced = true;
+            same_zone = member.record.zone == self.me.zone;
+            if !member.sent_own_record {
+                member.sent_own_record = true;
                 updates.push(self.me.clone());
             }
             // The target must know its reported status to be able to refute it.
@@ -196,7 +203,7 @@
                 updates.push(member.record.clone());
             }
         }
-        if near {
+        if same_zone {
             updates.extend(self.take_updates(settings.updates_per_message - updates.len()));
         }
         ProbeBody {
@@ -209,7 +216,7 @@
     }
 
     fn take_updates(&mut self, count: usize) -> Vec<MemberRecord> {
-        let taken = most_left(&self.updates, count);
+        let taken = most_remaining(&self.updates, count);
         for id in &taken {
             count_down(&mut self.updates, id, 1);
         }
@@ -220,8 +227,8 @@
     }
 
     /// A peer sent an update that this node is sending as well, so it has already spread.
-    pub(super) fn lose_interest(&mut self, id: &NodeId) {
-        count_down(&mut self.updates, id, KNOWN_UPDATE_COST);
+    pub(super) fn reduce_transmissions(&mut self, id: &NodeId) {
+        count_down(&mut self.updates, id, DUPLICATE_UPDATE_COST);
     }
 
     /// Number of transmissions that reach the whole zone with high probability.
@@ -232,7 +239,7 @@
 }
 
 /// Returns the `count` updates with the most remaining transmissions.
-fn most_left(updates: &BTreeMap<NodeId, u32>, count: usize) -> Vec<NodeId> {
+fn most_remaining(updates: &BTreeMap<NodeId, u32>, count: usize) -> Vec<NodeId> {
     let mut queue: Vec<(u32, &NodeId)> = updates.iter().map(|(id, left)| (*left, id)).collect();
     if queue.len() > count {
         queue.select_nth_unstable_by(count, |left, right| right.cmp(left));
--- a/crates/rampthread-core/src/fleet/membership/zones.rs
+++ b/crates/rampthread-core/src/fleet/membership/zones.rs
@@ -9,18 +9,18 @@
 use std::collections::BTreeMap;
 
 /// Share of queries sent to another zone, in case all of the own zone is outdated.
-const FAR_QUESTION_SHARE: f64 = 0.25;
+const OTHER_ZONE_QUERY_RATIO: f64 = 0.25;
 
 impl Membership {
     /// Returns the reachable peers in this node's zone.
-    pub fn near_peers(&self) -> impl Iterator<Item = &NodeId> {
+    pub fn same_zone_peers(&self) -> impl Iterator<Item = &NodeId> {
         self.reachable_peers()
             .filter(|peer| peer.zone == self.me.zone)
             .map(|peer| &peer.id)
     }
 
     /// Returns the reachable peers in each other zone.
-    pub fn far_zones(&self) -> BTreeMap<&Zone, Vec<&NodeId>> {
+    pub fn other_zone_peers(&self) -> BTreeMap<&Zone, Vec<&NodeId>> {
         let mut zones: BTreeMap<&Zone, Vec<&NodeId>> = BTreeMap::new();
         for peer in self.reachable_peers() {
             if peer.zone != self.me.zone {
@@ -31,8 +31,8 @@
     }
 
     /// Returns up to `count` random peers in this node's zone.
-    pub fn near_targets(&self, count: usize, rng: &mut impl Rng) -> Vec<NodeId> {
-        let peers = self.near_peers();
+    pub fn random_same_zone_peers(&self, count: usize, rng: &mut impl Rng) -> Vec<NodeId> {
+        let peers = self.same_zone_peers();
         peers
             .choose_multiple(rng, count)
             .into_iter()
@@ -41,9 +41,9 @@
     }
 
     /// Returns up to `per_zone` random peers in each other zone.
-    pub fn far_targets(&self, per_zone: usize, rng: &mut impl Rng) -> Vec<NodeId> {
+    pub fn random_other_zone_peers(&self, per_zone: usize, rng: &mut impl Rng) -> Vec<NodeId> {
         let mut targets = Vec::new();
-        for peers in self.far_zones().into_values() {
+        for peers in self.other_zone_peers().into_values() {
             let chosen = peers.into_iter().choose_multiple(rng, per_zone);
             targets.extend(chosen.into_iter().cloned());
         }
@@ -52,38 +52,38 @@
 
     /// Returns a random peer for a query that most members can answer. Prefers this node's
     /// zone.
-    pub fn mostly_near_peer(&self, rng: &mut impl Rng) -> Option<NodeId> {
-        let near = self.near_peers().cloned().choose(rng);
-        if near.is_none() || rng.random_bool(FAR_QUESTION_SHARE) {
-            return self.far_peer(rng).or(near);
+    pub fn random_peer_preferring_zone(&self, rng: &mut impl Rng) -> Option<NodeId> {
+        let same_zone = self.same_zone_peers().cloned().choose(rng);
+        if same_zone.is_none() || rng.random_bool(OTHER_ZONE_QUERY_RATIO) {
+            return self.random_other_zone_peer(rng).or(same_zone);
         }
-        near
+        same_zone
     }
 
     /// Returns a random peer of another zone. All zones are equally likely, whatever their
     /// sizes.
-    pub fn far_peer(&self, rng: &mut impl Rng) -> Option<NodeId> {
-        let zone = self.far_zones().into_values().choose(rng)?;
+    pub fn random_other_zone_peer(&self, rng: &mut impl Rng) -> Option<NodeId> {
+        let zone = self.other_zone_peers().into_values().choose(rng)?;
         zone.into_iter().choose(rng).cloned()
     }
 
     /// Returns a random live peer of another zone that has a suspect member, since the whole
     /// zone may be unreachable.
-    pub(super) fn peer_of_doubtful_zone(&self, rng: &mut impl Rng) -> Option<NodeId> {
-        let doubtful = self
+    pub(super) fn peer_of_suspect_zone(&self, rng: &mut impl Rng) -> Option<NodeId> {
+        let suspect_zone = self
             .reachable_peers()
             .filter(|peer| peer.status == Status::Suspect && peer.zone != self.me.zone)
             .map(|peer| &peer.zone)
             .choose(rng)?;
         let alive = |peer: &&crate::fleet::member::MemberRecord| {
-            peer.status == Status::Alive && peer.zone == *doubtful
+            peer.status == Status::Alive && peer.zone == *suspect_zone
         };
         let peers = self.reachable_peers().filter(alive);
         peers.map(|peer| peer.id.clone()).choose(rng)
     }
 
     /// Recounts the known members of this zone.
-    pub(super) fn count_zone(&mut self) {
+    pub(super) fn recount_zone(&mut self) {
         let in_zone = |member: &&Member| member.record.zone == self.me.zone;
         self.zone_size = 1 + self.members.values().filter(in_zone).count();
     }
--- a/crates/rampthread-core/src/fleet/zone_directory.rs
+++ b/crates/rampthread-core/src/fleet/zone_directory.rs
@@ -187,7 +187,7 @@
         if self.looked.is_none() {
             return Some(ZoneStep::Look { current: true });
         }
-        if self.stored.revision == 0 && membership.near_peers().next().is_none() {
+        if self.stored.revision == 0 && membership.same_zone_peers().next().is_none() {
             return self.first_step(now, membership);
         }
         self.rank(membership);
@@ -363,7 +363,7 @@
         }
         self.ranked_at = Some(membership.revision());
         let me = &membership.me().id;
-        let rank = rendezvous::rank(self.zone.as_str(), me, membership.near_peers());
+        let rank = rendezvous::rank(self.zone.as_str(), me, membership.same_zone_peers());
         self.rank = rank.min(CANDIDATES);
     }
 
