--- a/crates/rampthread-http/src/connect.rs
+++ b/crates/rampthread-http/src/connect.rs
@@ -37,20 +37,20 @@
     }
 }
 
-/// Connects with `TCP_NODELAY`, since requests are small and latency matters. `unacknowledged`
+/// Connects with `TCP_NODELAY`, since requests are small and latency matters. `tcp_user_timeout`
 /// sets `TCP_USER_TIMEOUT`, which detects peers that vanished without a reset.
 pub async fn connect(
     address: SocketAddr,
     wait: Duration,
-    unacknowledged: Option<Duration>,
+    tcp_user_timeout: Option<Duration>,
 ) -> Result<FuturesIo<TcpStream>, ConnectError> {
     let stream = crate::time::timeout(wait, TcpStream::connect(address))
         .await
         .map_err(|_| ConnectError::Timeout { address, wait })?
         .map_err(|source| ConnectError::Refused { address, source })?;
     let _ = stream.set_nodelay(true);
-    if unacknowledged.is_some() {
-        let _ = SockRef::from(&stream).set_tcp_user_timeout(unacknowledged);
+    if tcp_user_timeout.is_some() {
+        let _ = SockRef::from(&stream).set_tcp_user_timeout(tcp_user_timeout);
     }
     Ok(FuturesIo::new(stream))
 }
--- a/crates/rampthread-http/src/lib.rs
+++ b/crates/rampthread-http/src/lib.rs
@@ -17,7 +17,7 @@
 };
 pub use connect::{ConnectError, connect, refuses_connections};
 pub use listener::bind;
-pub use pool::{Freshness, Pool, PoolSettings, PooledBody, SendError, Sent};
+pub use pool::{ConnectionReuse, Pool, PoolSettings, PooledBody, PooledResponse, SendError};
 pub use server::{
     LimitSource, Limits, ReceivedAt, Rejection, RequestBody, RequestBodyError, Server, Service,
     Stop, rejection_answer,
--- a/crates/rampthread-http/src/pool.rs
+++ b/crates/rampthread-http/src/pool.rs
@@ -20,40 +20,40 @@
 
 /// Which pooled connections a request may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Freshness {
+pub enum ConnectionReuse {
     /// Any idle connection.
-    Any,
+    AnyIdle,
     /// Only an idle connection that was used recently, or else a new one; for requests that
     /// must not run twice.
-    Recent,
+    RecentOnly,
 }
 
 /// Fraction of the peer's announced keep-alive timeout for which an idle connection is reused.
-const KEPT_SHARE: f64 = 0.8;
+const KEEP_ALIVE_RATIO: f64 = 0.8;
 
 /// Settings of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
     /// Timeout of connecting.
-    pub connect_wait: Duration,
+    pub connect_timeout: Duration,
     /// Maximum number of idle connections per address.
-    pub max_idle: usize,
+    pub max_idle_per_address: usize,
     /// Age at which an idle connection is closed.
-    pub idle_limit: Duration,
+    pub idle_timeout: Duration,
     /// Maximum age of an idle connection for requests that must not run twice.
-    pub recent_limit: Duration,
+    pub recent_max_age: Duration,
     /// `TCP_USER_TIMEOUT` of the connections; `None` keeps the default of the operating system.
-    pub unacknowledged: Option<Duration>,
+    pub tcp_user_timeout: Option<Duration>,
 }
 
 impl Default for PoolSettings {
     fn default() -> Self {
         Self {
-            connect_wait: Duration::from_secs(1),
-            max_idle: 256,
-            idle_limit: Duration::from_secs(20),
-            recent_limit: Duration::from_secs(5),
-            unacknowledged: None,
+            connect_timeout: Duration::from_secs(1),
+            max_idle_per_address: 256,
+            idle_timeout: Duration::from_secs(20),
+            recent_max_age: Duration::from_secs(5),
+            tcp_user_timeout: None,
         }
     }
 }
@@ -71,7 +71,7 @@
     },
     /// The request was sent, but no response arrived; it may have run.
     #[error("sent, then lost: {reason}")]
-    Lost {
+    ResponseLost {
         /// Description of the error.
         reason: String,
     },
@@ -80,9 +80,9 @@
 impl SendError {
     /// Converts the error of a preliminary query: whatever happened to it, the request itself
     /// was not sent.
-    pub fn of_a_question(self) -> Self {
+    pub fn into_not_sent(self) -> Self {
         match self {
-            SendError::Lost { reason } => SendError::NotSent {
+            SendError::ResponseLost { reason } => SendError::NotSent {
                 reason,
                 unreachable: false,
             },
@@ -100,37 +100,37 @@
     }
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Body>,
     since: BootInstant,
     /// Keep-alive timeout announced by the peer, less a margin.
-    kept_for: Option<Duration>,
+    keep_alive: Option<Duration>,
 }
 
-impl Idle {
+impl IdleConnection {
     fn usable(&self, limit: Duration) -> bool {
-        let limit = self.kept_for.map_or(limit, |kept| limit.min(kept));
+        let limit = self.keep_alive.map_or(limit, |kept| limit.min(kept));
         self.since.elapsed() < limit && !self.sender.is_closed()
     }
 }
 
-type IdleMap = Arc<Mutex<HashMap<SocketAddr, Vec<Idle>>>>;
+type IdleConnections = Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>;
 
 /// Pool of idle connections by address.
 #[derive(Clone)]
 pub struct Pool {
-    idle: IdleMap,
+    idle: IdleConnections,
     settings: PoolSettings,
 }
 
 /// A response whose body returns its connection to the pool when it ends.
-pub type Sent = Response<PooledBody>;
+pub type PooledResponse = Response<PooledBody>;
 
 impl Pool {
     /// Creates an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         Self {
-            idle: IdleMap::default(),
+            idle: IdleConnections::default(),
             settings,
         }
     }
@@ -141,31 +141,31 @@
         &self,
         address: SocketAddr,
         mut request: Request<Body>,
-        freshness: Freshness,
-    ) -> Result<Sent, SendError> {
-        while let Some(idle) = self.take_idle(address, freshness) {
+        reuse: ConnectionReuse,
+    ) -> Result<PooledResponse, SendError> {
+        while let Some(idle) = self.take_idle(address, reuse) {
             match self.send_on(idle, address, request).await {
                 Ok(response) => return Ok(response),
-                Err(Attempt::HandedBack(handed_back)) => request = *handed_back,
-                Err(Attempt::Lost(error)) => return Err(error),
+                Err(Attempt::Unsent(unsent)) => request = *unsent,
+                Err(Attempt::Failed(error)) => return Err(error),
             }
         }
         let sender = self.open(address).await?;
         match self.send_on(sender, address, request).await {
             Ok(response) => Ok(response),
-            Err(Attempt::HandedBack(_)) => Err(SendError::NotSent {
+            Err(Attempt::Unsent(_)) => Err(SendError::NotSent {
                 reason: "the connection closed before the request was sent".to_string(),
                 unreachable: false,
             }),
-            Err(Attempt::Lost(error)) => Err(error),
+            Err(Attempt::Failed(error)) => Err(error),
         }
     }
 
     async fn open(&self, address: SocketAddr) -> Result<SendRequest<Body>, SendError> {
         let io = connect(
             address,
-            self.settings.connect_wait,
-            self.settings.unacknowledged,
+            self.settings.connect_timeout,
+            self.settings.tcp_user_timeout,
         )
         .await?;
         let (sender, connection) =
@@ -188,37 +188,37 @@
         mut sender: SendRequest<Body>,
         address: SocketAddr,
         request: Request<Body>,
-    ) -> Result<Sent, Attempt> {
+    ) -> Result<PooledResponse, Attempt> {
         if sender.ready().await.is_err() {
-            return Err(Attempt::HandedBack(Box::new(request)));
+            return Err(Attempt::Unsent(Box::new(request)));
         }
         match sender.try_send_request(request).await {
             Ok(response) => {
-                let kept_for = kept_for(response.headers());
+                let keep_alive = keep_alive(response.headers());
                 Ok(response.map(|inner| PooledBody {
                     inner,
-                    home: Some(Home {
+                    pool_slot: Some(PoolSlot {
                         sender,
                         address,
                         idle: self.idle.clone(),
-                        max_idle: self.settings.max_idle,
-                        kept_for,
+                        max_idle_per_address: self.settings.max_idle_per_address,
+                        keep_alive,
                     }),
                 }))
             }
             Err(mut error) => match error.take_message() {
-                Some(request) => Err(Attempt::HandedBack(Box::new(request))),
-                None => Err(Attempt::Lost(SendError::Lost {
+                Some(request) => Err(Attempt::Unsent(Box::new(request))),
+                None => Err(Attempt::Failed(SendError::ResponseLost {
                     reason: describe(&error.into_error()),
                 })),
             },
         }
     }
 
-    fn take_idle(&self, address: SocketAddr, freshness: Freshness) -> Option<SendRequest<Body>> {
-        let limit = match freshness {
-            Freshness::Any => self.settings.idle_limit,
-            Freshness::Recent => self.settings.recent_limit,
+    fn take_idle(&self, address: SocketAddr, reuse: ConnectionReuse) -> Option<SendRequest<Body>> {
+        let limit = match reuse {
+            ConnectionReuse::AnyIdle => self.settings.idle_timeout,
+            ConnectionReuse::RecentOnly => self.settings.recent_max_age,
         };
         let mut idle = self
             .idle
@@ -243,41 +243,41 @@
 }
 
 enum Attempt {
-    HandedBack(Box<Request<Body>>),
-    Lost(SendError),
+    Unsent(Box<Request<Body>>),
+    Failed(SendError),
 }
 
 /// The timeout from `Keep-Alive: timeout=N`, less a margin, since the peer may close the
 /// connection while a request is on its way.
-fn kept_for(headers: &http::HeaderMap) -> Option<Duration> {
+fn keep_alive(headers: &http::HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text
         .split(',')
         .filter_map(|part| part.trim().strip_prefix("timeout="))
         .find_map(|seconds| seconds.trim().parse().ok())?;
-    Some(Duration::from_secs(seconds).mul_f64(KEPT_SHARE))
+    Some(Duration::from_secs(seconds).mul_f64(KEEP_ALIVE_RATIO))
 }
 
-struct Home {
+struct PoolSlot {
     sender: SendRequest<Body>,
     address: SocketAddr,
-    idle: IdleMap,
-    max_idle: usize,
-    kept_for: Option<Duration>,
+    idle: IdleConnections,
+    max_idle_per_address: usize,
+    keep_alive: Option<Duration>,
 }
 
-impl Home {
-    fn give_back(self) {
+impl PoolSlot {
+    fn return_connection(self) {
         let mut idle = self
             .idle
             .lock()
             .unwrap_or_else(|broken| broken.into_inner());
         let connections = idle.entry(self.address).or_default();
-        if connections.len() < self.max_idle && !self.sender.is_closed() {
-            connections.push(Idle {
+        if connections.len() < self.max_idle_per_address && !self.sender.is_closed() {
+            connections.push(IdleConnection {
                 sender: self.sender,
                 since: BootInstant::now(),
-                kept_for: self.kept_for,
+                keep_alive: self.keep_alive,
             });
         }
     }
@@ -287,14 +287,14 @@
 /// that no stale bytes reach another request.
 pub struct PooledBody {
     inner: Incoming,
-    home: Option<Home>,
+    pool_slot: Option<PoolSlot>,
 }
 
 impl PooledBody {
     /// Closes the connection instead of returning it to the pool, for a peer whose data cannot
     /// be trusted.
-    pub fn abandon(mut self) {
-        self.home = None;
+    pub fn close_connection(mut self) {
+        self.pool_slot = None;
     }
 }
 
@@ -309,8 +309,8 @@
         let polled = Pin::new(&mut self.inner).poll_frame(context);
         let ended = matches!(polled, Poll::Ready(None))
             || (matches!(polled, Poll::Ready(Some(Ok(_)))) && self.inner.is_end_stream());
-        if ended && let Some(home) = self.home.take() {
-            home.give_back();
+        if ended && let Some(pool_slot) = self.pool_slot.take() {
+            pool_slot.return_connection();
         }
         polled
     }
@@ -327,9 +327,9 @@
 impl Drop for PooledBody {
     fn drop(&mut self) {
         if self.inner.is_end_stream()
-            && let Some(home) = self.home.take()
+            && let Some(pool_slot) = self.pool_slot.take()
         {
-            home.give_back();
+            pool_slot.return_connection();
         }
     }
 }
--- a/crates/rampthread-http/tests/suspension.rs
+++ b/crates/rampthread-http/tests/suspension.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http::{Request, Response};
 use rampthread_http::{
-    BootInstant, Freshness, Limits, Pool, PoolSettings, Server, Stop, bind, full, read_limited,
-    sleep, suspend_for_tests, timeout,
+    BootInstant, ConnectionReuse, Limits, Pool, PoolSettings, Server, Stop, bind, full,
+    read_limited, sleep, suspend_for_tests, timeout,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -60,7 +60,9 @@
         .uri("/")
         .header("host", "h")
         .body(full(Bytes::new()));
-    let sent = pool.send(address, request.unwrap(), Freshness::Any).await;
+    let sent = pool
+        .send(address, request.unwrap(), ConnectionReuse::AnyIdle)
+        .await;
     read_limited(sent.unwrap().into_body(), 100).await.unwrap();
 }
 
@@ -75,7 +77,7 @@
         async { Response::new(full("answer")) }
     }));
     let pool = Pool::new(PoolSettings {
-        idle_limit: SUSPENSION / 2,
+        idle_timeout: SUSPENSION / 2,
         ..PoolSettings::default()
     });
     ask(&pool, address).await;
--- a/crates/rampthread-lab/src/load.rs
+++ b/crates/rampthread-lab/src/load.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use http::{Method, Request, StatusCode};
 use rampthread_core::call::headers::{OUTCOME, Outcome};
-use rampthread_http::{Freshness, Pool, PoolSettings, full, read_limited};
+use rampthread_http::{ConnectionReuse, Pool, PoolSettings, full, read_limited};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -167,7 +167,7 @@
     request: Request<rampthread_http::Body>,
     sum: &str,
 ) -> Seen {
-    let Ok(response) = pool.send(entry, request, Freshness::Recent).await else {
+    let Ok(response) = pool.send(entry, request, ConnectionReuse::RecentOnly).await else {
         return Seen::Unknown;
     };
     let (parts, body) = response.into_parts();
--- a/crates/rampthread-lab/src/standins/backend.rs
+++ b/crates/rampthread-lab/src/standins/backend.rs
@@ -8,7 +8,8 @@
 use http::{Request, Response, StatusCode};
 use rampthread_core::call::headers::{DEADLINE_MS, HOPS, OUTCOME};
 use rampthread_http::{
-    Body, Freshness, Limits, Pool, PoolSettings, RequestBody, Server, Stop, full, read_limited,
+    Body, ConnectionReuse, Limits, Pool, PoolSettings, RequestBody, Server, Stop, full,
+    read_limited,
 };
 use rampthread_platform::{BackendReport, paths};
 use serde::{Deserialize, Serialize};
@@ -273,7 +274,10 @@
         }
         let request = request.body(full("")).ok()?;
         let pool = Pool::new(PoolSettings::default());
-        let response = pool.send(entry, request, Freshness::Any).await.ok()?;
+        let response = pool
+            .send(entry, request, ConnectionReuse::AnyIdle)
+            .await
+            .ok()?;
         if response.status() == StatusCode::OK {
             return None;
         }
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -19,7 +19,7 @@
 use rampthread_core::ids::{InstanceId, NodeId};
 use rampthread_core::time::Moment;
 use rampthread_http::timeout;
-use rampthread_http::{Body, Freshness, SendError, boxed, full, read_whole};
+use rampthread_http::{Body, ConnectionReuse, SendError, boxed, full, read_whole};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -78,10 +78,10 @@
             return Ok(self.options.gate.handle(hop, copy_of(template)).await);
         }
         let request = self.hop_request(&hop, choice, template);
-        let freshness = if call.repeatable {
-            Freshness::Any
+        let reuse = if call.repeatable {
+            ConnectionReuse::AnyIdle
         } else {
-            Freshness::Recent
+            ConnectionReuse::RecentOnly
         };
         let peers = &self.options.peers;
         let address = choice.target.address;
@@ -98,7 +98,7 @@
         }
         let begun = self.now();
         let failed = |error| FailedHop { error, begun };
-        let sent = peers.pool().send(address, request, freshness).await;
+        let sent = peers.pool().send(address, request, reuse).await;
         sent.map(|response| response.map(boxed)).map_err(failed)
     }
 
@@ -148,7 +148,7 @@
                 }
                 CallError::not_run(Cause::Unreachable, reason).retry_after(NO_BACKEND_RETRY)
             }
-            SendError::Lost { reason } => {
+            SendError::ResponseLost { reason } => {
                 self.state().balancer.record_failure(&choice.node, now);
                 if call.repeatable {
                     return CallError::unknown(Cause::ConnectionLost, reason);
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -95,7 +95,7 @@
     /// Decrypts the secrets of routes; `None` where no secrets are configured.
     pub secrets: Option<SecretKeeper>,
     /// Time limit for a connection to the backend.
-    pub connect_wait: Duration,
+    pub connect_timeout: Duration,
     /// Interval between two reports of the backend.
     pub heartbeat: Duration,
     /// Limits that can change while the node runs.
@@ -165,8 +165,8 @@
             dialect: options.dialect,
             secrets: options.secrets,
             pool: Pool::new(PoolSettings {
-                connect_wait: options.connect_wait,
-                unacknowledged: Some(BACKEND_SILENCE),
+                connect_timeout: options.connect_timeout,
+                tcp_user_timeout: Some(BACKEND_SILENCE),
                 ..PoolSettings::default()
             }),
             state: Mutex::new(GateState {
--- a/crates/rampthread-node/src/calls/gate/exchange.rs
+++ b/crates/rampthread-node/src/calls/gate/exchange.rs
@@ -15,7 +15,7 @@
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::{self, Outcome};
 use rampthread_core::call::response_check::{CallIds, ResponseCheck, ResponseHead};
-use rampthread_http::{Body, Freshness, PooledBody, SendError, boxed, full, read_limited};
+use rampthread_http::{Body, ConnectionReuse, PooledBody, SendError, boxed, full, read_limited};
 use std::sync::Arc;
 
 /// Largest response that is buffered before it is returned to the entry, in bytes. 100
@@ -85,13 +85,13 @@
         request: Request<Body>,
         backend: &LocalBackend,
     ) -> Result<Response<PooledBody>, CallError> {
-        let freshness = if hop.repeatable {
-            Freshness::Any
+        let reuse = if hop.repeatable {
+            ConnectionReuse::AnyIdle
         } else {
-            Freshness::Recent
+            ConnectionReuse::RecentOnly
         };
         let remaining = hop.deadline.since(self.control.clock.now());
-        let sending = self.pool.send(backend.address, request, freshness);
+        let sending = self.pool.send(backend.address, request, reuse);
         match rampthread_http::timeout(remaining, sending).await {
             Ok(sent) => sent.map_err(|error| from_send_error(&error)),
             Err(_) => {
@@ -134,7 +134,7 @@
                 return Err(call_error.retry_after(CONFIG_RETRY));
             }
             ResponseCheck::MismatchedResponse(reason) => {
-                body.abandon();
+                body.close_connection();
                 return Err(CallError::unknown(Cause::MismatchedResponse, reason));
             }
         }
@@ -191,6 +191,8 @@
         SendError::NotSent { reason, .. } => {
             CallError::not_run(Cause::Unreachable, reason.clone()).retry_after(CONFIG_RETRY)
         }
-        SendError::Lost { reason } => CallError::unknown(Cause::ConnectionLost, reason.clone()),
+        SendError::ResponseLost { reason } => {
+            CallError::unknown(Cause::ConnectionLost, reason.clone())
+        }
     }
 }
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -16,7 +16,7 @@
 use rampthread_core::ids::NodeId;
 use rampthread_core::time::Moment;
 use rampthread_http::{
-    Body, Freshness, Pool, PoolSettings, RequestBody, SendError, boxed, empty, read_limited,
+    Body, ConnectionReuse, Pool, PoolSettings, RequestBody, SendError, boxed, empty, read_limited,
 };
 use rampthread_wire::{HopKeys, MAX_MESSAGE_BYTES};
 use std::net::SocketAddr;
@@ -63,8 +63,8 @@
             control,
             keys,
             pool: Pool::new(PoolSettings {
-                connect_wait: PEER_CONNECT_WAIT,
-                unacknowledged: Some(PEER_SILENCE),
+                connect_timeout: PEER_CONNECT_WAIT,
+                tcp_user_timeout: Some(PEER_SILENCE),
                 ..PoolSettings::default()
             }),
             process_epoch: rand::random(),
@@ -132,7 +132,7 @@
         let request = request.body(empty()).ok()?;
         let response = self
             .pool
-            .send(address, request, Freshness::Any)
+            .send(address, request, ConnectionReuse::AnyIdle)
             .await
             .ok()?;
         let (parts, body) = response.into_parts();
@@ -158,8 +158,11 @@
             headers::BODY_BYTES,
             &bytes.to_string(),
         );
-        let sent = self.pool.send(address, request, Freshness::Any).await;
-        let response = sent.map_err(SendError::of_a_question)?;
+        let sent = self
+            .pool
+            .send(address, request, ConnectionReuse::AnyIdle)
+            .await;
+        let response = sent.map_err(SendError::into_not_sent)?;
         if !response.headers().contains_key(headers::GRANTED) {
             return Ok(Some(response.map(boxed)));
         }
--- a/crates/rampthread-node/src/control/large_messages.rs
+++ b/crates/rampthread-node/src/control/large_messages.rs
@@ -7,7 +7,7 @@
 use http::{Method, Request};
 use rampthread_core::ids::NodeId;
 use rampthread_http::timeout;
-use rampthread_http::{Freshness, Pool, PoolSettings, full, read_limited};
+use rampthread_http::{ConnectionReuse, Pool, PoolSettings, full, read_limited};
 use rampthread_wire::MAX_MESSAGE_BYTES;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -54,8 +54,8 @@
         let (queue, waiting) = async_channel::bounded(MAX_WAITING);
         let under_way: Arc<Mutex<HashSet<_>>> = Arc::default();
         let pool = Pool::new(PoolSettings {
-            max_idle: 2,
-            unacknowledged: Some(PEER_SILENCE),
+            max_idle_per_address: 2,
+            tcp_user_timeout: Some(PEER_SILENCE),
             ..PoolSettings::default()
         });
         let unfinished: Arc<AtomicUsize> = Arc::default();
@@ -144,7 +144,9 @@
         .uri(CONTROL_PATH)
         .header(http::header::HOST, address.to_string())
         .body(full(bytes))?;
-    let response = pool.send(address, request, Freshness::Any).await?;
+    let response = pool
+        .send(address, request, ConnectionReuse::AnyIdle)
+        .await?;
     read_limited(response.into_body(), MAX_MESSAGE_BYTES).await?;
     Ok(())
 }
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -382,7 +382,7 @@
             control: control.clone(),
             dialect: dialect.clone(),
             secrets: keyring.as_ref().map(SecretKeeper::new),
-            connect_wait: settings.backend.connect_wait,
+            connect_timeout: settings.backend.connect_wait,
             heartbeat: settings.backend.heartbeat,
             live: live.clone(),
         }));
--- a/crates/rampthread-platform/src/http_client.rs
+++ b/crates/rampthread-platform/src/http_client.rs
@@ -7,7 +7,8 @@
 use governor::{DefaultDirectRateLimiter, Quota, RateLimiter};
 use http::{HeaderName, Method, Request, StatusCode, header};
 use rampthread_http::{
-    BootInstant, Freshness, Pool, PoolSettings, ReadError, SendError, Sent, full, read_while_moving,
+    BootInstant, ConnectionReuse, Pool, PoolSettings, PooledResponse, ReadError, SendError, full,
+    read_while_moving,
 };
 use std::net::SocketAddr;
 use std::num::NonZeroU32;
@@ -114,7 +115,9 @@
         extra_wait: Duration,
     ) -> Result<Answer, PlatformError> {
         let request = self.build(method, path_and_query, body)?;
-        let sending = self.pool.send(self.address, request, Freshness::Any);
+        let sending = self
+            .pool
+            .send(self.address, request, ConnectionReuse::AnyIdle);
         let sent = rampthread_http::timeout(self.patience() + extra_wait, sending).await;
         let Ok(sent) = sent else {
             self.unanswered.fetch_add(1, Ordering::Relaxed);
@@ -156,7 +159,9 @@
     ) -> Result<Answer, PlatformError> {
         let wait = held + patience;
         let request = self.build(method, path_and_query, Vec::new())?;
-        let sending = self.pool.send(self.address, request, Freshness::Recent);
+        let sending = self
+            .pool
+            .send(self.address, request, ConnectionReuse::RecentOnly);
         match rampthread_http::timeout(wait, sending).await {
             Ok(sent) => self.read_answer(sent, patience.max(LEAST_STALL)).await,
             Err(_) => Err(PlatformError::Silent { waited: wait }),
@@ -189,7 +194,7 @@
     /// Reads an answer in whose body no pause is longer than `stall`.
     async fn read_answer(
         &self,
-        sent: Result<Sent, SendError>,
+        sent: Result<PooledResponse, SendError>,
         stall: Duration,
     ) -> Result<Answer, PlatformError> {
         let response = sent.map_err(from_send_error)?;
@@ -238,7 +243,7 @@
             reason,
             retry_after: None,
         },
-        SendError::Lost { reason } => PlatformError::Unknown { reason },
+        SendError::ResponseLost { reason } => PlatformError::Unknown { reason },
     }
 }
 
--- a/crates/rampthread/src/client.rs
+++ b/crates/rampthread/src/client.rs
@@ -2,7 +2,7 @@
 
 use http::{Method, Request, StatusCode};
 use rampthread_http::{
-    Body, Freshness, Pool, PoolSettings, PooledBody, SendError, full, read_limited,
+    Body, ConnectionReuse, Pool, PoolSettings, PooledBody, SendError, full, read_limited,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -94,14 +94,16 @@
         body: Vec<u8>,
     ) -> Result<http::Response<PooledBody>, ClientError> {
         let request = self.request(method, path, headers, body)?;
-        let sending = self.pool.send(self.address, request, Freshness::Any);
+        let sending = self
+            .pool
+            .send(self.address, request, ConnectionReuse::AnyIdle);
         match rampthread_http::timeout(WAIT, sending).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(SendError::NotSent { reason, .. })) => Err(ClientError::NotSent {
                 address: self.address,
                 reason,
             }),
-            Ok(Err(SendError::Lost { reason })) => Err(self.lost(reason)),
+            Ok(Err(SendError::ResponseLost { reason })) => Err(self.lost(reason)),
             Err(_) => Err(self.lost("no answer in time")),
         }
     }
