--- a/crates/rampthread-http/src/body.rs
+++ b/crates/rampthread-http/src/body.rs
@@ -20,7 +20,7 @@
     },
     /// The body ended early or exceeds the size limit.
     #[error(transparent)]
-    Broken(#[from] BodyError),
+    Body(#[from] BodyError),
 }
 
 /// A buffered or streamed body.
@@ -59,7 +59,7 @@
 
 /// Reads a whole body of at most `limit` bytes. The total time is unlimited, but a pause longer
 /// than `stall` between two frames is an error.
-pub async fn read_while_moving<B>(
+pub async fn read_with_stall_timeout<B>(
     body: B,
     limit: usize,
     stall: Duration,
@@ -85,7 +85,7 @@
 
 /// Reads a boxed body of at most `limit` bytes, without copying a body that consists of a
 /// single frame.
-pub async fn read_whole(mut body: Body, limit: usize) -> Result<Bytes, BodyError> {
+pub async fn read_boxed_limited(mut body: Body, limit: usize) -> Result<Bytes, BodyError> {
     let mut whole = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
--- a/crates/rampthread-http/src/lib.rs
+++ b/crates/rampthread-http/src/lib.rs
@@ -13,16 +13,17 @@
 mod time;
 
 pub use body::{
-    Body, BodyError, ReadError, boxed, empty, full, read_limited, read_while_moving, read_whole,
+    Body, BodyError, ReadError, boxed, empty, full, read_boxed_limited, read_limited,
+    read_with_stall_timeout,
 };
 pub use connect::{ConnectError, connect, refuses_connections};
 pub use listener::bind;
 pub use pool::{ConnectionReuse, Pool, PoolSettings, PooledBody, PooledResponse, SendError};
 pub use server::{
-    LimitSource, Limits, ReceivedAt, Rejection, RequestBody, RequestBodyError, Server, Service,
-    Stop, rejection_answer,
+    Limits, LimitsProvider, ReceivedAt, Rejection, RequestBody, RequestBodyError, Server, Service,
+    Stop, rejection_response,
 };
 pub use tide_server::serve_tide;
 #[doc(hidden)]
-pub use time::suspend_for_tests;
+pub use time::advance_clock_for_tests;
 pub use time::{BootInstant, TimeoutError, sleep, timeout};
--- a/crates/rampthread-http/src/server/mod.rs
+++ b/crates/rampthread-http/src/server/mod.rs
@@ -11,7 +11,7 @@
 
 pub use head::Rejection;
 pub use request_body::{RequestBody, RequestBodyError};
-pub use service::{ReceivedAt, Service, rejection_answer};
+pub use service::{ReceivedAt, Service, rejection_response};
 
 use async_std::net::TcpListener;
 use connection::Connection;
@@ -119,13 +119,13 @@
 }
 
 /// Returns the limits in force; called for every request.
-pub type LimitSource = Arc<dyn Fn() -> Limits + Send + Sync>;
+pub type LimitsProvider = Arc<dyn Fn() -> Limits + Send + Sync>;
 
 /// Accepts connections and serves HTTP/1.1 on them.
 #[derive(Clone)]
 pub struct Server {
     /// Source of the limits.
-    pub limits: LimitSource,
+    pub limits: LimitsProvider,
     /// Shuts the server down.
     pub stop: Stop,
 }
--- a/crates/rampthread-http/src/server/service.rs
+++ b/crates/rampthread-http/src/server/service.rs
@@ -35,12 +35,12 @@
     /// Response to a request that was rejected by its head alone.
     fn reject(&self, peer: SocketAddr, rejection: &Rejection) -> Response<Body> {
         tracing::debug!(%peer, %rejection, "request rejected");
-        rejection_answer(rejection)
+        rejection_response(rejection)
     }
 }
 
 /// Plain text response with the reason of a rejection.
-pub fn rejection_answer(rejection: &Rejection) -> Response<Body> {
+pub fn rejection_response(rejection: &Rejection) -> Response<Body> {
     let mut response = Response::new(full(format!("{rejection}\n")));
     *response.status_mut() = rejection.status();
     response
--- a/crates/rampthread-http/src/time.rs
+++ b/crates/rampthread-http/src/time.rs
@@ -79,6 +79,6 @@
 /// Advances the clock but not the runtime's timers, like a suspension of the machine. For
 /// tests.
 #[doc(hidden)]
-pub fn suspend_for_tests(time: Duration) {
+pub fn advance_clock_for_tests(time: Duration) {
     SUSPENDED_NANOS.fetch_add(time.as_nanos() as u64, Ordering::Relaxed);
 }
--- a/crates/rampthread-http/tests/suspension.rs
+++ b/crates/rampthread-http/tests/suspension.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http::{Request, Response};
 use rampthread_http::{
-    BootInstant, ConnectionReuse, Limits, Pool, PoolSettings, Server, Stop, bind, full,
-    read_limited, sleep, suspend_for_tests, timeout,
+    BootInstant, ConnectionReuse, Limits, Pool, PoolSettings, Server, Stop,
+    advance_clock_for_tests, bind, full, read_limited, sleep, timeout,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 fn suspend_soon() {
     spawn(async {
         async_std::task::sleep(Duration::from_millis(50)).await;
-        suspend_for_tests(SUSPENSION);
+        advance_clock_for_tests(SUSPENSION);
     });
 }
 
@@ -83,7 +83,7 @@
     ask(&pool, address).await;
     ask(&pool, address).await;
     assert_eq!(peers.lock().unwrap().len(), 1, "it was used again");
-    suspend_for_tests(SUSPENSION);
+    advance_clock_for_tests(SUSPENSION);
     ask(&pool, address).await;
     assert_eq!(
         peers.lock().unwrap().len(),
--- a/crates/rampthread-node/src/calls/entry/one_try.rs
+++ b/crates/rampthread-node/src/calls/entry/one_try.rs
@@ -19,7 +19,7 @@
 use rampthread_core::ids::{InstanceId, NodeId};
 use rampthread_core::time::Moment;
 use rampthread_http::timeout;
-use rampthread_http::{Body, ConnectionReuse, SendError, boxed, full, read_whole};
+use rampthread_http::{Body, ConnectionReuse, SendError, boxed, full, read_boxed_limited};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -295,7 +295,7 @@
     /// could still be retried.
     async fn whole_body(&self, call: &Call, body: Body) -> Result<Body, CallError> {
         let remaining = call.deadline.since(self.now()) + HOP_SLACK;
-        let reading = read_whole(body, MAX_UNDECLARED_BYTES);
+        let reading = read_boxed_limited(body, MAX_UNDECLARED_BYTES);
         read_response_body(reading, remaining).await.map(full)
     }
 
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -19,7 +19,7 @@
 use rampthread_core::fleet::{AgentIdentity, FleetSettings};
 use rampthread_core::ids::NodeId;
 use rampthread_http::{
-    Body, BootInstant, LimitSource, Limits, RequestBody, Server, Stop, bind, serve_tide, sleep,
+    Body, BootInstant, Limits, LimitsProvider, RequestBody, Server, Stop, bind, serve_tide, sleep,
 };
 use rampthread_platform::{
     BackendHealth, HttpBackendHealth, HttpClient, HttpMachineList, HttpStore, LogStore,
@@ -159,7 +159,7 @@
     }
 
     /// What the configuration in force allows callers, else the settings.
-    fn caller_limits(&self) -> LimitSource {
+    fn caller_limits(&self) -> LimitsProvider {
         let own = &self.settings.limits;
         let by_settings = Limits {
             connections: own.connections,
--- a/crates/rampthread-platform/src/http_client.rs
+++ b/crates/rampthread-platform/src/http_client.rs
@@ -8,7 +8,7 @@
 use http::{HeaderName, Method, Request, StatusCode, header};
 use rampthread_http::{
     BootInstant, ConnectionReuse, Pool, PoolSettings, PooledResponse, ReadError, SendError, full,
-    read_while_moving,
+    read_with_stall_timeout,
 };
 use std::net::SocketAddr;
 use std::num::NonZeroU32;
@@ -202,7 +202,7 @@
         let era = self.take_era(response.headers());
         let retry_after = retry_after(response.headers());
         let begun = BootInstant::now();
-        let body = read_while_moving(response.into_body(), MAX_ANSWER_BYTES, stall)
+        let body = read_with_stall_timeout(response.into_body(), MAX_ANSWER_BYTES, stall)
             .await
             .map_err(from_read_error)?;
         if matches!(
@@ -250,7 +250,7 @@
 fn from_read_error(error: ReadError) -> PlatformError {
     match error {
         ReadError::Stalled { waited } => PlatformError::Silent { waited },
-        ReadError::Broken(error) => PlatformError::Unknown {
+        ReadError::Body(error) => PlatformError::Unknown {
             reason: error.to_string(),
         },
     }
