--- a/crates/rampthread-http/src/lib.rs
+++ b/crates/rampthread-http/src/lib.rs
@@ -20,8 +20,8 @@
 pub use listener::bind;
 pub use pool::{ConnectionReuse, Pool, PoolSettings, PooledBody, PooledResponse, SendError};
 pub use server::{
-    Limits, LimitsProvider, ReceivedAt, Rejection, RequestBody, RequestBodyError, Server, Service,
-    Stop, rejection_response,
+    LimitsProvider, ReceivedAt, Rejection, RequestBody, RequestBodyError, Server, ServerLimits,
+    Service, ShutdownHandle, rejection_response,
 };
 pub use tide_server::serve_tide;
 #[doc(hidden)]
--- a/crates/rampthread-http/src/server/answer_head.rs
+++ b/crates/rampthread-http/src/server/answer_head.rs
@@ -54,7 +54,7 @@
     parts: &Parts,
     delimited: Delimited,
     keeps: bool,
-    dated: bool,
+    send_date: bool,
 ) -> BytesMut {
     let mut head = BytesMut::with_capacity(USUAL_HEAD);
     head.put_slice(b"HTTP/1.1 ");
@@ -86,7 +86,7 @@
     } else if to.version == Version::HTTP_10 {
         put_header(&mut head, "connection", b"keep-alive");
     }
-    if dated && !parts.headers.contains_key(DATE) {
+    if send_date && !parts.headers.contains_key(DATE) {
         let now = httpdate::fmt_http_date(SystemTime::now());
         put_header(&mut head, "date", now.as_bytes());
     }
--- a/crates/rampthread-http/src/server/connection.rs
+++ b/crates/rampthread-http/src/server/connection.rs
@@ -11,7 +11,7 @@
 use super::pipeline::{AnswerTo, Output, Pipeline, Room};
 use super::request_body::{BodyFeed, RequestBody, UnreadBody};
 use super::socket::{Input, ReadEnd, end_writing, write};
-use super::{Limits, ReceivedAt, Server, Service};
+use super::{ReceivedAt, Server, ServerLimits, Service};
 use crate::body::{Body, BodyError};
 use crate::time::{BootInstant, timeout};
 use async_std::net::TcpStream;
@@ -101,7 +101,7 @@
             }
         }
         self.pipeline.close();
-        let limit = (self.server.limits)().head_bytes;
+        let limit = (self.server.limits)().max_head_bytes;
         ReaderEnd::Left(input.until_left(limit).await)
     }
 
@@ -125,28 +125,30 @@
     }
 
     /// Waits for the first byte of a request.
-    async fn wait_for_request(&self, input: &mut Input<'_>) -> Result<Limits, ReaderEnd> {
+    async fn wait_for_request(&self, input: &mut Input<'_>) -> Result<ServerLimits, ReaderEnd> {
         loop {
             let limits = (self.server.limits)();
             skip_empty_lines(&mut input.buffer);
             let idle = input.buffer.is_empty() || !self.pipeline.is_empty();
-            if idle && self.server.stop.has_begun() {
+            if idle && self.server.shutdown.has_started() {
                 return Err(ReaderEnd::NoMore);
             }
             if !input.buffer.is_empty() {
                 return Ok(limits);
             }
             let stopped = async {
-                self.server.stop.begun().await;
+                self.server.shutdown.started().await;
                 Ok(Ok(()))
             };
             // Many connections are idle, and closing one late after a suspension does no harm,
             // so the runtime's own timer is used, which wakes up only once.
-            let filled = async_std::future::timeout(limits.idle, input.fill());
+            let filled = async_std::future::timeout(limits.idle_timeout, input.fill());
             match future::or(filled, stopped).await {
                 Ok(Ok(())) => {}
                 Ok(Err(end)) => return Err(ReaderEnd::Left(end)),
-                Err(_) if self.pipeline.has_rested(limits.idle) => return Err(ReaderEnd::NoMore),
+                Err(_) if self.pipeline.has_rested(limits.idle_timeout) => {
+                    return Err(ReaderEnd::NoMore);
+                }
                 Err(_) => {}
             }
         }
@@ -155,21 +157,21 @@
     async fn read_head(
         &self,
         input: &mut Input<'_>,
-        limits: &Limits,
+        limits: &ServerLimits,
     ) -> Result<Result<Head, Rejection>, ReaderEnd> {
         let reading = async {
             loop {
-                match take_head(&mut input.buffer, limits.head_bytes) {
+                match take_head(&mut input.buffer, limits.max_head_bytes) {
                     Ok(Some(head)) => return Ok(Ok(head)),
                     Ok(None) => input.fill().await.map_err(ReaderEnd::Left)?,
                     Err(rejection) => return Ok(Err(rejection)),
                 }
             }
         };
-        match timeout(limits.head_wait, reading).await {
+        match timeout(limits.head_timeout, reading).await {
             Ok(read) => read,
             Err(_) => Ok(Err(Rejection::HeadTimeout {
-                wait: limits.head_wait,
+                wait: limits.head_timeout,
             })),
         }
     }
@@ -179,17 +181,17 @@
         &self,
         input: &mut Input<'_>,
         overlaps: bool,
-        limits: &Limits,
+        limits: &ServerLimits,
     ) -> Result<(), ReaderEnd> {
         let room = Room {
             requests: OVERLAPPING_REQUESTS,
             answer_bytes: WAITING_ANSWER_BYTES,
         };
         let free = self.pipeline.room(overlaps, room);
-        unless_left(input, limits.head_bytes, free).await?;
+        unless_left(input, limits.max_head_bytes, free).await?;
         // If an earlier response closes the connection or the server shuts down, requests that
         // were read but not started are never run.
-        let stopping = self.server.stop.has_begun() && !self.pipeline.is_empty();
+        let stopping = self.server.shutdown.has_started() && !self.pipeline.is_empty();
         if stopping || self.pipeline.is_closing() {
             return Err(ReaderEnd::NoMore);
         }
@@ -234,7 +236,7 @@
             return Ok(());
         };
         if head.expects_continue {
-            let limit = (self.server.limits)().head_bytes;
+            let limit = (self.server.limits)().max_head_bytes;
             if !unless_left(input, limit, feed.wanted()).await? {
                 return Err(ReaderEnd::NoMore);
             }
@@ -319,8 +321,8 @@
         let (parts, mut body) = response.into_parts();
         let delimited = delimited(to, &parts, &body);
         let keeps = keeps && delimited != Delimited::Close;
-        let dated = (self.server.limits)().dated;
-        let mut bytes = encode(to, &parts, delimited, keeps, dated);
+        let send_date = (self.server.limits)().send_date;
+        let mut bytes = encode(to, &parts, delimited, keeps, send_date);
         drop(parts);
         let mut written = 0;
         if delimited != Delimited::NoBody {
--- a/crates/rampthread-http/src/server/mod.rs
+++ b/crates/rampthread-http/src/server/mod.rs
@@ -29,28 +29,28 @@
 
 /// Limits of one listener.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct ServerLimits {
     /// Maximum number of open connections; further ones are closed immediately.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Maximum size of a request's head, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Time from the first byte of a request until its head must be complete.
-    pub head_wait: Duration,
+    pub head_timeout: Duration,
     /// Keep-alive timeout: how long a connection may be idle between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Whether responses have a `Date` header.
-    pub dated: bool,
+    pub send_date: bool,
 }
 
-impl Default for Limits {
+impl Default for ServerLimits {
     fn default() -> Self {
         Self {
-            connections: 4_096,
-            head_bytes: 32 * 1024,
-            head_wait: Duration::from_secs(10),
+            max_connections: 4_096,
+            max_head_bytes: 32 * 1024,
+            head_timeout: Duration::from_secs(10),
             // Longer than any client pool of this project keeps an idle connection.
-            idle: Duration::from_secs(60),
-            dated: true,
+            idle_timeout: Duration::from_secs(60),
+            send_date: true,
         }
     }
 }
@@ -58,46 +58,46 @@
 /// Handle for shutting down a server: no new connections, requests in flight complete, idle
 /// connections are closed.
 #[derive(Debug, Clone)]
-pub struct Stop {
+pub struct ShutdownHandle {
     sender: async_channel::Sender<Infallible>,
     receiver: async_channel::Receiver<Infallible>,
-    cut_sender: async_channel::Sender<Infallible>,
-    cut_receiver: async_channel::Receiver<Infallible>,
+    abort_sender: async_channel::Sender<Infallible>,
+    abort_receiver: async_channel::Receiver<Infallible>,
     open: Arc<AtomicUsize>,
 }
 
-impl Default for Stop {
+impl Default for ShutdownHandle {
     fn default() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
-        let (cut_sender, cut_receiver) = async_channel::bounded(1);
+        let (abort_sender, abort_receiver) = async_channel::bounded(1);
         Self {
             sender,
             receiver,
-            cut_sender,
-            cut_receiver,
+            abort_sender,
+            abort_receiver,
             open: Arc::default(),
         }
     }
 }
 
-impl Stop {
+impl ShutdownHandle {
     /// Starts a graceful shutdown.
-    pub fn begin(&self) {
+    pub fn start(&self) {
         self.sender.close();
     }
 
     /// Ends the accept loop and all connections immediately, as if the process had ended.
-    pub fn cut(&self) {
-        self.begin();
-        self.cut_sender.close();
+    pub fn abort(&self) {
+        self.start();
+        self.abort_sender.close();
     }
 
-    async fn was_cut(&self) {
-        let _ = self.cut_receiver.recv().await;
+    async fn aborted(&self) {
+        let _ = self.abort_receiver.recv().await;
     }
 
     /// Waits until all connections have ended.
-    pub async fn ended(&self) {
+    pub async fn wait_closed(&self) {
         while self.open.load(Ordering::Acquire) > 0 {
             async_std::task::sleep(IDLE_POLL).await;
         }
@@ -109,17 +109,17 @@
     }
 
     /// Whether a shutdown was started.
-    fn has_begun(&self) -> bool {
+    fn has_started(&self) -> bool {
         self.receiver.is_closed()
     }
 
-    async fn begun(&self) {
+    async fn started(&self) {
         let _ = self.receiver.recv().await;
     }
 }
 
 /// Returns the limits in force; called for every request.
-pub type LimitsProvider = Arc<dyn Fn() -> Limits + Send + Sync>;
+pub type LimitsProvider = Arc<dyn Fn() -> ServerLimits + Send + Sync>;
 
 /// Accepts connections and serves HTTP/1.1 on them.
 #[derive(Clone)]
@@ -127,15 +127,15 @@
     /// Source of the limits.
     pub limits: LimitsProvider,
     /// Shuts the server down.
-    pub stop: Stop,
+    pub shutdown: ShutdownHandle,
 }
 
 impl Server {
     /// Creates a server with constant limits.
-    pub fn new(limits: Limits, stop: Stop) -> Self {
+    pub fn new(limits: ServerLimits, shutdown: ShutdownHandle) -> Self {
         Self {
             limits: Arc::new(move || limits),
-            stop,
+            shutdown,
         }
     }
 
@@ -145,7 +145,7 @@
         loop {
             let accepted = async { Some(listener.accept().await) };
             let stopped = async {
-                self.stop.begun().await;
+                self.shutdown.started().await;
                 None
             };
             let Some(accepted) = future::or(accepted, stopped).await else {
@@ -160,11 +160,11 @@
                 }
             };
             let limits = (self.limits)();
-            if self.stop.open_connections() >= limits.connections {
+            if self.shutdown.open_connections() >= limits.max_connections {
                 tracing::warn!(%peer, "connection limit reached");
                 continue;
             }
-            let guard = OpenGuard::new(self.stop.open.clone());
+            let guard = OpenGuard::new(self.shutdown.open.clone());
             let connection = Connection {
                 stream,
                 peer,
@@ -172,9 +172,9 @@
                 service: service.clone(),
                 pipeline: Pipeline::default(),
             };
-            let stop = self.stop.clone();
+            let shutdown = self.shutdown.clone();
             async_std::task::spawn(async move {
-                future::or(connection.run(), stop.was_cut()).await;
+                future::or(connection.run(), shutdown.aborted()).await;
                 drop(guard);
             });
         }
--- a/crates/rampthread-http/src/server/pipeline.rs
+++ b/crates/rampthread-http/src/server/pipeline.rs
@@ -65,7 +65,7 @@
     closing: bool,
 }
 
-/// Limits on starting a request concurrently with others.
+/// ServerLimits on starting a request concurrently with others.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Room {
     /// Maximum number of requests without a written response.
--- a/crates/rampthread-http/tests/connections.rs
+++ b/crates/rampthread-http/tests/connections.rs
@@ -7,7 +7,8 @@
 use http::request::Parts;
 use http::{Request, Response};
 use rampthread_http::{
-    Body, Limits, RequestBody, Server, Service, Stop, bind, boxed, empty, full, read_limited,
+    Body, RequestBody, Server, ServerLimits, Service, ShutdownHandle, bind, boxed, empty, full,
+    read_limited,
 };
 use rstest::rstest;
 use std::collections::HashMap;
@@ -143,12 +144,12 @@
     }
 }
 
-fn serve(limits: Limits) -> (SocketAddr, Scripted, Stop) {
+fn serve(limits: ServerLimits) -> (SocketAddr, Scripted, ShutdownHandle) {
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
-    let (service, stop) = (Scripted::default(), Stop::default());
-    task::spawn(Server::new(limits, stop.clone()).serve(listener, service.clone()));
-    (address, service, stop)
+    let (service, shutdown) = (Scripted::default(), ShutdownHandle::default());
+    task::spawn(Server::new(limits, shutdown.clone()).serve(listener, service.clone()));
+    (address, service, shutdown)
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
@@ -199,7 +200,7 @@
 
 #[test]
 fn requests_of_a_pipeline_run_at_the_same_time_and_are_answered_in_order() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let pipeline = [get("/safe/1"), get("/safe/2"), get("/safe/3")].concat();
     stream.write_all(pipeline.as_bytes()).unwrap();
@@ -222,7 +223,7 @@
 
 #[test]
 fn a_request_that_may_not_overlap_waits_for_those_before_it() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let pipeline = [get("/safe/1"), get("/once/2")].concat();
     stream.write_all(pipeline.as_bytes()).unwrap();
@@ -237,7 +238,7 @@
 
 #[test]
 fn what_follows_an_answer_that_closes_is_never_started() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let closing = "GET /safe/1 HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     stream
@@ -255,7 +256,7 @@
 
 #[test]
 fn no_more_than_a_bounded_number_of_requests_of_one_connection_run() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let pipeline: String = (0..40)
         .map(|number| get(&format!("/safe/{number}")))
@@ -272,7 +273,7 @@
 
 #[test]
 fn a_caller_that_leaves_ends_all_its_requests() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let pipeline = [get("/safe/1"), get("/safe/2"), get("/once/3")].concat();
     stream.write_all(pipeline.as_bytes()).unwrap();
@@ -284,7 +285,7 @@
 
 #[test]
 fn an_answer_that_is_ready_reaches_a_caller_that_closed_only_its_sending_side() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/safe/1", "one");
     let mut stream = connect(address);
     stream.write_all(get("/safe/1").as_bytes()).unwrap();
@@ -313,7 +314,7 @@
 #[case::blank_before_the_colon("GET /x HTTP/1.1\r\nhost : a\r\n\r\n")]
 #[case::folded_header("GET /x HTTP/1.1\r\nhost: a\r\nx: 1\r\n 2\r\n\r\n")]
 fn a_contradiction_gets_400_and_a_close(#[case] request: &str) {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     stream
         .write_all([request, &get("/safe/1")].concat().as_bytes())
@@ -326,10 +327,10 @@
 
 #[test]
 fn a_head_that_does_not_end_gets_408_and_a_close() {
-    let head_wait = Duration::from_millis(100);
-    let (address, service, _stop) = serve(Limits {
-        head_wait,
-        ..Limits::default()
+    let head_timeout = Duration::from_millis(100);
+    let (address, service, _shutdown) = serve(ServerLimits {
+        head_timeout,
+        ..ServerLimits::default()
     });
     let mut stream = connect(address);
     stream.write_all(b"GET /safe/1 HTTP/1.1\r\n").unwrap();
@@ -340,28 +341,28 @@
 
 #[test]
 fn a_connection_that_rests_too_long_is_closed_without_an_answer() {
-    let idle = Duration::from_millis(100);
-    let (address, _service, _stop) = serve(Limits {
-        idle,
-        ..Limits::default()
+    let idle_timeout = Duration::from_millis(100);
+    let (address, _service, _shutdown) = serve(ServerLimits {
+        idle_timeout,
+        ..ServerLimits::default()
     });
     assert_eq!(read_to_end(connect(address)), "");
 }
 
 #[test]
 fn a_connection_rests_from_its_last_answer_on() {
-    let idle = Duration::from_millis(600);
-    let (address, service, _stop) = serve(Limits {
-        idle,
-        ..Limits::default()
+    let idle_timeout = Duration::from_millis(600);
+    let (address, service, _shutdown) = serve(ServerLimits {
+        idle_timeout,
+        ..ServerLimits::default()
     });
     let mut stream = connect(address);
     stream.write_all(get("/safe/1").as_bytes()).unwrap();
     service.wait_started("/safe/1");
-    std::thread::sleep(idle.mul_f64(0.8));
+    std::thread::sleep(idle_timeout.mul_f64(0.8));
     service.release("/safe/1", "one");
     read_answers(&mut stream, 1);
-    std::thread::sleep(idle.mul_f64(0.6));
+    std::thread::sleep(idle_timeout.mul_f64(0.6));
     service.release("/safe/2", "two");
     stream.write_all(get("/safe/2").as_bytes()).unwrap();
     assert!(read_answers(&mut stream, 1)[0].ends_with("two"));
@@ -369,9 +370,9 @@
 
 #[test]
 fn a_head_that_is_too_large_gets_431() {
-    let (address, service, _stop) = serve(Limits {
-        head_bytes: 1_000,
-        ..Limits::default()
+    let (address, service, _shutdown) = serve(ServerLimits {
+        max_head_bytes: 1_000,
+        ..ServerLimits::default()
     });
     let mut stream = connect(address);
     let large = format!(
@@ -393,7 +394,7 @@
 #[case::bad_chunk("transfer-encoding: chunked\r\n\r\n5\r\nhelloworld\r\n0\r\n\r\n", Err(()))]
 #[case::bad_size("transfer-encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", Err(()))]
 fn bodies_come_with_a_length_or_in_chunks(#[case] rest: &str, #[case] read: Result<usize, ()>) {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/read", "done");
     let mut stream = connect(address);
     let request = format!("POST /read HTTP/1.1\r\nhost: a\r\n{rest}");
@@ -405,7 +406,7 @@
 
 #[test]
 fn a_body_of_the_largest_size_arrives_whole_and_the_next_request_after_it() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/read", "first");
     service.release("/safe/2", "second");
     let mut stream = connect(address);
@@ -421,7 +422,7 @@
 
 #[test]
 fn a_body_that_breaks_off_never_counts_as_whole() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let request = "POST /read HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\nabc";
     stream.write_all(request.as_bytes()).unwrap();
@@ -437,7 +438,7 @@
 
 #[test]
 fn the_body_is_asked_for_when_it_is_wanted() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/read", "done");
     let mut stream = connect(address);
     let head =
@@ -452,7 +453,7 @@
 
 #[test]
 fn a_body_that_nobody_wants_is_not_asked_for() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/once/1", "no");
     let mut stream = connect(address);
     let head =
@@ -465,7 +466,7 @@
 
 #[test]
 fn an_early_answer_to_a_large_body_arrives_and_ends_the_connection() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/once/1", "no");
     let mut stream = connect(address);
     let head = "POST /once/1 HTTP/1.1\r\nhost: a\r\ncontent-length: 360000\r\n\r\n";
@@ -480,7 +481,7 @@
 
 #[test]
 fn an_early_answer_to_a_small_body_keeps_the_connection() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/once/1", "no");
     service.release("/safe/2", "two");
     let mut stream = connect(address);
@@ -495,7 +496,7 @@
 #[case::chunks("HTTP/1.1")]
 #[case::close("HTTP/1.0")]
 fn an_answer_that_breaks_off_never_looks_complete(#[case] version: &str) {
-    let (address, _service, _stop) = serve(Limits::default());
+    let (address, _service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let request = format!("GET /broken {version}\r\nhost: a\r\n\r\n");
     stream.write_all(request.as_bytes()).unwrap();
@@ -508,7 +509,7 @@
 
 #[test]
 fn an_old_client_is_answered_and_closed_unless_it_asks() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/safe/1", "one");
     let mut stream = connect(address);
     stream.write_all(b"GET /safe/1 HTTP/1.0\r\n\r\n").unwrap();
@@ -526,7 +527,7 @@
 
 #[test]
 fn the_answer_to_head_has_no_body() {
-    let (address, service, _stop) = serve(Limits::default());
+    let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/safe/1", "");
     service.release("/safe/2", "two");
     let mut stream = connect(address);
@@ -550,14 +551,14 @@
 
 #[test]
 fn a_stop_answers_what_was_started_and_closes() {
-    let (address, service, stop) = serve(Limits::default());
+    let (address, service, shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     stream
         .write_all([get("/safe/1"), get("/safe/2")].concat().as_bytes())
         .unwrap();
     service.wait_started("/safe/2");
     let idle = connect(address);
-    stop.begin();
+    shutdown.start();
     assert_eq!(read_to_end(idle), "");
     service.release("/safe/1", "one");
     service.release("/safe/2", "two");
@@ -565,7 +566,7 @@
     assert!(answers.ends_with("two"), "{answers}");
     assert_eq!(answers.matches("connection: close").count(), 1, "{answers}");
     let begun = Instant::now();
-    task::block_on(stop.ended());
+    task::block_on(shutdown.wait_closed());
     assert!(begun.elapsed() < LIMIT);
 }
 
@@ -573,7 +574,7 @@
 fn no_body_is_the_body_of_204() {
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
-    let server = Server::new(Limits::default(), Stop::default());
+    let server = Server::new(ServerLimits::default(), ShutdownHandle::default());
     let service = |_request: Request<RequestBody>, _peer| async {
         let mut response = Response::new(empty());
         *response.status_mut() = http::StatusCode::NO_CONTENT;
--- a/crates/rampthread-http/tests/pipeline_properties.rs
+++ b/crates/rampthread-http/tests/pipeline_properties.rs
@@ -7,7 +7,9 @@
 use http::request::Parts;
 use http::{Request, Response};
 use proptest::prelude::*;
-use rampthread_http::{Body, Limits, RequestBody, Server, Service, Stop, bind, full};
+use rampthread_http::{
+    Body, RequestBody, Server, ServerLimits, Service, ShutdownHandle, bind, full,
+};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -112,7 +114,7 @@
         let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let service = Numbered::default();
-        let server = Server::new(Limits::default(), Stop::default());
+        let server = Server::new(ServerLimits::default(), ShutdownHandle::default());
         let serving = task::spawn(server.serve(listener, service.clone()));
         let mut stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
--- a/crates/rampthread-http/tests/suspension.rs
+++ b/crates/rampthread-http/tests/suspension.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Request, Response};
 use rampthread_http::{
-    BootInstant, ConnectionReuse, Limits, Pool, PoolSettings, Server, Stop,
+    BootInstant, ConnectionReuse, Pool, PoolSettings, Server, ServerLimits, ShutdownHandle,
     advance_clock_for_tests, bind, full, read_limited, sleep, timeout,
 };
 use std::collections::BTreeSet;
@@ -71,7 +71,7 @@
     let address = listener.local_addr().unwrap();
     let peers: Arc<Mutex<BTreeSet<SocketAddr>>> = Arc::default();
     let seen = peers.clone();
-    let server = Server::new(Limits::default(), Stop::default());
+    let server = Server::new(ServerLimits::default(), ShutdownHandle::default());
     spawn(server.serve(listener, move |_, peer| {
         seen.lock().unwrap().insert(peer);
         async { Response::new(full("answer")) }
--- a/crates/rampthread-lab/src/commands.rs
+++ b/crates/rampthread-lab/src/commands.rs
@@ -1,7 +1,7 @@
 //! The command line of the lab.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use rampthread_http::{Stop, bind};
+use rampthread_http::{ShutdownHandle, bind};
 use rampthread_lab::demo::demo;
 use rampthread_lab::experiments::{self, Options};
 use rampthread_lab::standins::backend::{BackendBehaviour, BackendStandIn};
@@ -177,7 +177,7 @@
         ..BackendBehaviour::default()
     };
     BackendStandIn::new(behaviour)
-        .serve(listener, Stop::default())
+        .serve(listener, ShutdownHandle::default())
         .await;
     ExitCode::SUCCESS
 }
--- a/crates/rampthread-lab/src/fleet.rs
+++ b/crates/rampthread-lab/src/fleet.rs
@@ -9,7 +9,7 @@
 use base64::engine::general_purpose::STANDARD;
 use rampthread_core::fleet::Machine;
 use rampthread_core::ids::{InvalidName, NodeId, Region, Zone};
-use rampthread_http::{Stop, bind};
+use rampthread_http::{ShutdownHandle, bind};
 use rampthread_node::calls::entry::EntryMode;
 use rampthread_node::control::Control;
 use rampthread_node::settings::load_text;
@@ -168,7 +168,7 @@
     pub address: SocketAddr,
     /// The stand-in.
     pub standin: BackendStandIn,
-    stop: Stop,
+    stop: ShutdownHandle,
 }
 
 /// A fleet with its platform.
@@ -255,7 +255,7 @@
             mean_service_us: service.mean_service.as_micros() as u64,
             ..BackendBehaviour::default()
         });
-        let stop = Stop::default();
+        let stop = ShutdownHandle::default();
         let serving = standin.clone().serve(listener(address)?, stop.clone());
         async_std::task::spawn(serving);
         Ok(BackendMember {
@@ -325,7 +325,7 @@
         }
         for member in &self.members {
             let backend = &member.backend;
-            backend.stop.begin();
+            backend.stop.start();
         }
         for task in std::mem::take(&mut self._platform) {
             task.cancel().await;
--- a/crates/rampthread-lab/src/standins/backend.rs
+++ b/crates/rampthread-lab/src/standins/backend.rs
@@ -8,8 +8,8 @@
 use http::{Request, Response, StatusCode};
 use rampthread_core::call::headers::{DEADLINE_MS, HOPS, OUTCOME};
 use rampthread_http::{
-    Body, ConnectionReuse, Limits, Pool, PoolSettings, RequestBody, Server, Stop, full,
-    read_limited,
+    Body, ConnectionReuse, Pool, PoolSettings, RequestBody, Server, ServerLimits, ShutdownHandle,
+    full, read_limited,
 };
 use rampthread_platform::{BackendReport, paths};
 use serde::{Deserialize, Serialize};
@@ -168,10 +168,10 @@
     }
 
     /// Serves until the task is dropped or `stop` begins.
-    pub async fn serve(self, listener: TcpListener, stop: Stop) {
-        let limits = Limits {
-            connections: self.state().behaviour.connections,
-            ..Limits::default()
+    pub async fn serve(self, listener: TcpListener, stop: ShutdownHandle) {
+        let limits = ServerLimits {
+            max_connections: self.state().behaviour.connections,
+            ..ServerLimits::default()
         };
         let server = Server::new(limits, stop);
         server
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -19,7 +19,8 @@
 use rampthread_core::fleet::{AgentIdentity, FleetSettings};
 use rampthread_core::ids::NodeId;
 use rampthread_http::{
-    Body, BootInstant, Limits, LimitsProvider, RequestBody, Server, Stop, bind, serve_tide, sleep,
+    Body, BootInstant, LimitsProvider, RequestBody, Server, ServerLimits, ShutdownHandle, bind,
+    serve_tide, sleep,
 };
 use rampthread_platform::{
     BackendHealth, HttpBackendHealth, HttpClient, HttpMachineList, HttpStore, LogStore,
@@ -73,8 +74,8 @@
     /// As the node started.
     settings: NodeSettings,
     live: LiveSettings,
-    callers_stop: Stop,
-    peers_stop: Stop,
+    callers_stop: ShutdownHandle,
+    peers_stop: ShutdownHandle,
     tasks: TaskGroup,
 }
 
@@ -103,8 +104,8 @@
             gate: path.gate.clone(),
             settings,
             live,
-            callers_stop: Stop::default(),
-            peers_stop: Stop::default(),
+            callers_stop: ShutdownHandle::default(),
+            peers_stop: ShutdownHandle::default(),
             tasks: TaskGroup::default(),
         });
         node.serve_callers(listeners.callers, path.entry.clone());
@@ -130,7 +131,7 @@
         reports: Option<TcpListener>,
         adapter: &PlatformAdapter,
     ) {
-        let server = || Server::new(Limits::default(), Stop::default());
+        let server = || Server::new(ServerLimits::default(), ShutdownHandle::default());
         if let Some(listener) = ready {
             let control = self.control.clone();
             let path = adapter.reports.readiness_path();
@@ -152,7 +153,7 @@
     fn serve_callers(&self, listener: TcpListener, entry: Arc<Entry>) {
         let server = Server {
             limits: self.caller_limits(),
-            stop: self.callers_stop.clone(),
+            shutdown: self.callers_stop.clone(),
         };
         self.tasks
             .spawn(server.serve(listener, CallerService(entry)));
@@ -161,11 +162,11 @@
     /// What the configuration in force allows callers, else the settings.
     fn caller_limits(&self) -> LimitsProvider {
         let own = &self.settings.limits;
-        let by_settings = Limits {
-            connections: own.connections,
-            head_bytes: own.head_size.as_u64() as usize,
-            head_wait: own.head_time,
-            ..Limits::default()
+        let by_settings = ServerLimits {
+            max_connections: own.connections,
+            max_head_bytes: own.head_size.as_u64() as usize,
+            head_timeout: own.head_time,
+            ..ServerLimits::default()
         };
         let control = self.control.clone();
         Arc::new(move || {
@@ -173,20 +174,20 @@
             let Some(limits) = active.state.caller_limits() else {
                 return by_settings;
             };
-            Limits {
-                head_bytes: limits.head_bytes,
-                head_wait: Duration::from_millis(limits.head_wait_ms),
-                idle: Duration::from_millis(limits.idle_ms),
+            ServerLimits {
+                max_head_bytes: limits.head_bytes,
+                head_timeout: Duration::from_millis(limits.head_wait_ms),
+                idle_timeout: Duration::from_millis(limits.idle_ms),
                 ..by_settings
             }
         })
     }
 
     fn serve_peers(&self, listener: TcpListener, service: Arc<PeerService>) {
-        let limits = Limits {
-            connections: PEER_CONNECTIONS,
-            dated: false,
-            ..Limits::default()
+        let limits = ServerLimits {
+            max_connections: PEER_CONNECTIONS,
+            send_date: false,
+            ..ServerLimits::default()
         };
         let server = Server::new(limits, self.peers_stop.clone());
         self.tasks
@@ -239,7 +240,7 @@
         sleep(last_work).await;
         self.control.drain("signal");
         sleep(drain.notice - last_work).await;
-        self.callers_stop.begin();
+        self.callers_stop.start();
         let begun = BootInstant::now();
         let mut cut = 0;
         while self.callers_stop.open_connections() > 0 || self.gate.load() > 0 {
@@ -253,7 +254,7 @@
         }
         // A store that does not answer must not hold the stop up.
         self.control.leave();
-        self.peers_stop.begin();
+        self.peers_stop.start();
         // Lets the farewell and the lease's release go out.
         async_std::task::sleep(DRAIN_POLL * 5).await;
         cut
@@ -281,8 +282,8 @@
     /// Ends at once, as the end of the process would.
     pub async fn kill(&self) {
         self.tasks.cancel().await;
-        self.callers_stop.begin();
-        self.peers_stop.begin();
+        self.callers_stop.start();
+        self.peers_stop.start();
         self.control.stop().await;
     }
 }
