--- a/crates/rampthread-http/src/body.rs
+++ b/crates/rampthread-http/src/body.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// No data arrived for the given time.
-    #[error("no byte for {waited:?}")]
+    #[error("no data received for {waited:?}")]
     Stalled {
         /// The stall timeout.
         waited: Duration,
@@ -92,7 +92,7 @@
             continue;
         };
         if whole.len() + data.len() > limit {
-            return Err("the body is too long".into());
+            return Err("body exceeds the size limit".into());
         }
         if whole.is_empty() && body.is_end_stream() {
             return Ok(data);
--- a/crates/rampthread-http/src/pool.rs
+++ b/crates/rampthread-http/src/pool.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
     /// No part of the request was sent; a retry is safe.
-    #[error("not sent: {reason}")]
+    #[error("request not sent: {reason}")]
     NotSent {
         /// Description of the error.
         reason: String,
@@ -70,7 +70,7 @@
         unreachable: bool,
     },
     /// The request was sent, but no response arrived; it may have run.
-    #[error("sent, then lost: {reason}")]
+    #[error("request sent, but no response received: {reason}")]
     ResponseLost {
         /// Description of the error.
         reason: String,
--- a/crates/rampthread-http/src/server/connection.rs
+++ b/crates/rampthread-http/src/server/connection.rs
@@ -5,12 +5,12 @@
 //! their handlers, and the writer writes the responses. A disconnect of the client ends all
 //! three and drops the handlers.
 
-use super::answer_head::{CONTINUE, Delimited, LAST_CHUNK, delimited, encode};
 use super::framing::{BodyDecoder, Framing, Piece};
-use super::head::{Head, Rejection, skip_empty_lines, take_head};
-use super::pipeline::{AnswerTo, Output, Pipeline, Room};
-use super::request_body::{BodyFeed, RequestBody, UnreadBody};
-use super::socket::{Input, ReadEnd, end_writing, write};
+use super::head::{Head, Rejection, parse_head, skip_empty_lines};
+use super::pipeline::{ConcurrencyLimits, Output, Pipeline, RequestInfo};
+use super::request_body::{BodySender, RequestBody, UnreadBody};
+use super::response_head::{BodyFraming, CONTINUE, LAST_CHUNK, body_framing, encode};
+use super::socket::{Input, ReadEnd, shutdown_write, write};
 use super::{ReceivedAt, Server, ServerLimits, Service};
 use crate::body::{Body, BodyError};
 use crate::time::{BootInstant, timeout};
@@ -28,27 +28,27 @@
 
 /// Maximum number of concurrent requests per connection. Browsers open six connections with one
 /// request each; pipelining clients may send a few more.
-const OVERLAPPING_REQUESTS: usize = 16;
+const MAX_CONCURRENT_REQUESTS: usize = 16;
 /// Size of the responses queued behind earlier ones above which no further request is started
 /// concurrently, in bytes.
-const WAITING_ANSWER_BYTES: u64 = 256 * 1024;
+const MAX_QUEUED_RESPONSE_BYTES: u64 = 256 * 1024;
 /// Maximum unread part of a request body that is discarded after an early response, in bytes.
 /// With more, closing the connection is cheaper.
-const PASSED_OVER_BYTES: u64 = 64 * 1024;
+const MAX_DISCARDED_BYTES: u64 = 64 * 1024;
 /// Time for which input is still read after the response side was closed. Closing with unread
 /// input would send a reset, which can destroy the response before the client reads it.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum number of bytes discarded during that time.
-const LINGER_BYTES: usize = 1024 * 1024;
+const MAX_LINGER_BYTES: usize = 1024 * 1024;
 /// Data up to this size is collected and written together with the head, in bytes.
-const JOINED_BYTES: usize = 16 * 1024;
+const COALESCED_BYTES: usize = 16 * 1024;
 
 /// Reason why the reader ended.
 enum ReaderEnd {
     /// The client disconnected; responses are no longer needed.
-    Left(ReadEnd),
+    Disconnected(ReadEnd),
     /// No further request is read; responses to started requests are still written.
-    NoMore,
+    Finished,
 }
 
 /// State of one server connection.
@@ -64,30 +64,30 @@
     /// Serves requests until either side closes the connection.
     pub(super) async fn run(self) {
         if let Err(error) = self.stream.set_nodelay(true) {
-            tracing::debug!(peer = %self.peer, %error, "TCP_NODELAY cannot be set");
+            tracing::debug!(peer = %self.peer, %error, "failed to set TCP_NODELAY");
         }
         let mut input = Input::new(&self.stream);
         let reader = self.read(&mut input);
         let driver = self.pipeline.drive();
         let working = future::or(reader, async {
             driver.await;
-            ReaderEnd::NoMore
+            ReaderEnd::Finished
         });
-        let writer = async { Some(self.write_answers().await) };
+        let writer = async { Some(self.write_responses().await) };
         let reader = async {
-            if let ReaderEnd::Left(ReadEnd::Broken(error)) = working.await {
-                tracing::trace!(peer = %self.peer, %error, "the caller's connection broke");
+            if let ReaderEnd::Disconnected(ReadEnd::Failed(error)) = working.await {
+                tracing::trace!(peer = %self.peer, %error, "client connection failed");
                 return None;
             }
             // A half-close cannot be told from a disconnect, so running handlers are dropped.
             // Responses that are ready are still written.
-            self.pipeline.leave();
+            self.pipeline.disconnect();
             std::future::pending().await
         };
         match future::or(reader, writer).await {
             None => {}
             Some(Ok(())) => self.linger(&mut input).await,
-            Some(Err(error)) => self.break_off(&error),
+            Some(Err(error)) => self.reset_connection(&error),
         }
     }
 
@@ -96,13 +96,13 @@
         loop {
             match self.read_request(input).await {
                 Ok(true) => {}
-                Ok(false) | Err(ReaderEnd::NoMore) => break,
+                Ok(false) | Err(ReaderEnd::Finished) => break,
                 Err(left) => return left,
             }
         }
         self.pipeline.close();
         let limit = (self.server.limits)().max_head_bytes;
-        ReaderEnd::Left(input.until_left(limit).await)
+        ReaderEnd::Disconnected(input.until_disconnected(limit).await)
     }
 
     /// Reads and starts one request; returns false if it is the last one.
@@ -118,7 +118,7 @@
         };
         let empty = head.framing == Framing::Empty;
         let overlaps = empty && self.service.may_overlap(&head.parts);
-        self.wait_for_room(input, overlaps, &limits).await?;
+        self.wait_for_capacity(input, overlaps, &limits).await?;
         let keeps_connection = head.keeps_connection;
         self.start(input, head, received).await?;
         Ok(keeps_connection && !self.pipeline.is_closing())
@@ -131,7 +131,7 @@
             skip_empty_lines(&mut input.buffer);
             let idle = input.buffer.is_empty() || !self.pipeline.is_empty();
             if idle && self.server.shutdown.has_started() {
-                return Err(ReaderEnd::NoMore);
+                return Err(ReaderEnd::Finished);
             }
             if !input.buffer.is_empty() {
                 return Ok(limits);
@@ -145,9 +145,9 @@
             let filled = async_std::future::timeout(limits.idle_timeout, input.fill());
             match future::or(filled, stopped).await {
                 Ok(Ok(())) => {}
-                Ok(Err(end)) => return Err(ReaderEnd::Left(end)),
-                Err(_) if self.pipeline.has_rested(limits.idle_timeout) => {
-                    return Err(ReaderEnd::NoMore);
+                Ok(Err(end)) => return Err(ReaderEnd::Disconnected(end)),
+                Err(_) if self.pipeline.is_idle_for(limits.idle_timeout) => {
+                    return Err(ReaderEnd::Finished);
                 }
                 Err(_) => {}
             }
@@ -161,9 +161,9 @@
     ) -> Result<Result<Head, Rejection>, ReaderEnd> {
         let reading = async {
             loop {
-                match take_head(&mut input.buffer, limits.max_head_bytes) {
+                match parse_head(&mut input.buffer, limits.max_head_bytes) {
                     Ok(Some(head)) => return Ok(Ok(head)),
-                    Ok(None) => input.fill().await.map_err(ReaderEnd::Left)?,
+                    Ok(None) => input.fill().await.map_err(ReaderEnd::Disconnected)?,
                     Err(rejection) => return Ok(Err(rejection)),
                 }
             }
@@ -177,23 +177,23 @@
     }
 
     /// Waits until the request may start or the client disconnects.
-    async fn wait_for_room(
+    async fn wait_for_capacity(
         &self,
         input: &mut Input<'_>,
         overlaps: bool,
         limits: &ServerLimits,
     ) -> Result<(), ReaderEnd> {
-        let room = Room {
-            requests: OVERLAPPING_REQUESTS,
-            answer_bytes: WAITING_ANSWER_BYTES,
+        let concurrency = ConcurrencyLimits {
+            requests: MAX_CONCURRENT_REQUESTS,
+            response_bytes: MAX_QUEUED_RESPONSE_BYTES,
         };
-        let free = self.pipeline.room(overlaps, room);
-        unless_left(input, limits.max_head_bytes, free).await?;
+        let free = self.pipeline.wait_for_capacity(overlaps, concurrency);
+        unless_disconnected(input, limits.max_head_bytes, free).await?;
         // If an earlier response closes the connection or the server shuts down, requests that
         // were read but not started are never run.
         let stopping = self.server.shutdown.has_started() && !self.pipeline.is_empty();
         if stopping || self.pipeline.is_closing() {
-            return Err(ReaderEnd::NoMore);
+            return Err(ReaderEnd::Finished);
         }
         Ok(())
     }
@@ -206,105 +206,110 @@
         received: BootInstant,
     ) -> Result<(), ReaderEnd> {
         let mut decoder = BodyDecoder::new(head.framing);
-        let (feed, body) = match head.framing {
+        let (sender, body) = match head.framing {
             Framing::Empty => (None, RequestBody::empty()),
             _ => {
-                let (feed, body) = BodyFeed::new(decoder.remaining());
-                (Some(feed), body)
+                let (sender, body) = BodySender::new(decoder.remaining());
+                (Some(sender), body)
             }
         };
-        let to = AnswerTo {
+        let info = RequestInfo {
             method: head.parts.method.clone(),
             version: head.parts.version,
             keeps_connection: head.keeps_connection,
-            unread: feed
+            unread: sender
                 .as_ref()
-                .map_or_else(UnreadBody::none, BodyFeed::unread),
+                .map_or_else(UnreadBody::none, BodySender::unread),
         };
         if head.expects_continue
-            && let Some(feed) = &feed
+            && let Some(sender) = &sender
         {
             // The client may send the body before it is asked for, so its unread size is
             // unknown.
-            feed.left(None);
+            sender.set_unread(None);
         }
         let mut request = Request::from_parts(head.parts, body);
         request.extensions_mut().insert(ReceivedAt(received));
         let handler = self.service.handle(request, self.peer);
-        self.pipeline.start(to, handler);
-        let Some(feed) = feed else {
+        self.pipeline.start(info, handler);
+        let Some(sender) = sender else {
             return Ok(());
         };
         if head.expects_continue {
             let limit = (self.server.limits)().max_head_bytes;
-            if !unless_left(input, limit, feed.wanted()).await? {
-                return Err(ReaderEnd::NoMore);
+            if !unless_disconnected(input, limit, sender.wait_requested()).await? {
+                return Err(ReaderEnd::Finished);
             }
-            self.pipeline.want_continue();
+            self.pipeline.request_continue();
         }
-        self.feed_body(input, &mut decoder, &feed).await
+        self.forward_body(input, &mut decoder, &sender).await
     }
 
     /// Passes the body to the handler as it arrives.
-    async fn feed_body(
+    async fn forward_body(
         &self,
         input: &mut Input<'_>,
         decoder: &mut BodyDecoder,
-        feed: &BodyFeed,
+        sender: &BodySender,
     ) -> Result<(), ReaderEnd> {
         loop {
             let piece = match decoder.next(&mut input.buffer) {
                 Ok(piece) => piece,
                 Err(malformed) => {
-                    feed.hand_on(Err(malformed)).await;
-                    return Err(ReaderEnd::NoMore);
+                    sender.send_piece(Err(malformed)).await;
+                    return Err(ReaderEnd::Finished);
                 }
             };
-            feed.left(decoder.remaining());
+            sender.set_unread(decoder.remaining());
             match piece {
                 Piece::End => {
-                    feed.hand_on(Ok(None)).await;
+                    sender.send_piece(Ok(None)).await;
                     return Ok(());
                 }
                 Piece::Data(bytes) => {
-                    let handing_on = feed.hand_on(Ok(Some(bytes)));
-                    let taken = unless_left(input, JOINED_BYTES, handing_on).await?;
-                    if !taken && !passes_over(decoder.remaining()) {
-                        return Err(ReaderEnd::NoMore);
+                    let sending = sender.send_piece(Ok(Some(bytes)));
+                    let taken = unless_disconnected(input, COALESCED_BYTES, sending).await?;
+                    if !taken && !discards_unread(decoder.remaining()) {
+                        return Err(ReaderEnd::Finished);
                     }
                 }
-                Piece::Incomplete => input.fill().await.map_err(ReaderEnd::Left)?,
+                Piece::Incomplete => input.fill().await.map_err(ReaderEnd::Disconnected)?,
             }
         }
     }
 
     fn reject(&self, rejection: &Rejection) {
-        let to = AnswerTo {
+        let info = RequestInfo {
             method: Method::GET,
             version: Version::HTTP_11,
             keeps_connection: false,
             unread: UnreadBody::none(),
         };
         let response = self.service.reject(self.peer, rejection);
-        self.pipeline.answer(to, response);
+        self.pipeline.queue_response(info, response);
     }
 
     /// Writes responses until the last one.
-    async fn write_answers(&self) -> io::Result<()> {
+    async fn write_responses(&self) -> io::Result<()> {
         loop {
             match self.pipeline.output().await {
                 Output::Continue => write(&self.stream, CONTINUE).await?,
-                Output::Answer { to, response, last } => {
-                    let keeps =
-                        !last && to.keeps_connection && passes_over(Some(to.unread.bytes()));
-                    if !keeps {
+                Output::Response {
+                    info,
+                    response,
+                    last,
+                } => {
+                    let keep_alive = !last
+                        && info.keeps_connection
+                        && discards_unread(Some(info.unread.bytes()));
+                    if !keep_alive {
                         self.pipeline.close();
                     }
-                    let keeps = self.write_answer(&to, response, keeps).await?;
-                    if !keeps {
+                    let keep_alive = self.write_response(&info, response, keep_alive).await?;
+                    if !keep_alive {
                         return Ok(());
                     }
-                    self.pipeline.written().await;
+                    self.pipeline.mark_written().await;
                 }
                 Output::Finished => return Ok(()),
             }
@@ -312,48 +317,52 @@
     }
 
     /// Writes one response; returns whether the connection is kept open.
-    async fn write_answer(
+    async fn write_response(
         &self,
-        to: &AnswerTo,
+        info: &RequestInfo,
         response: Response<Body>,
-        keeps: bool,
+        keep_alive: bool,
     ) -> io::Result<bool> {
         let (parts, mut body) = response.into_parts();
-        let delimited = delimited(to, &parts, &body);
-        let keeps = keeps && delimited != Delimited::Close;
+        let framing = body_framing(info, &parts, &body);
+        let keep_alive = keep_alive && framing != BodyFraming::Close;
         let send_date = (self.server.limits)().send_date;
-        let mut bytes = encode(to, &parts, delimited, keeps, send_date);
+        let mut bytes = encode(info, &parts, framing, keep_alive, send_date);
         drop(parts);
         let mut written = 0;
-        if delimited != Delimited::NoBody {
+        if framing != BodyFraming::NoBody {
             while let Some(frame) = self.next_frame(&mut body, &mut bytes).await? {
                 let frame = frame.map_err(io::Error::other)?;
                 let Ok(data) = frame.into_data() else {
                     continue;
                 };
                 written += data.len() as u64;
-                if let Delimited::Length(length) = delimited
+                if let BodyFraming::Length(length) = framing
                     && written > length
                 {
-                    return Err(io::Error::other("the answer is longer than declared"));
+                    return Err(io::Error::other(
+                        "response body exceeds its declared length",
+                    ));
                 }
-                put_piece(&mut bytes, &data, delimited);
-                if bytes.len() > JOINED_BYTES {
+                put_frame(&mut bytes, &data, framing);
+                if bytes.len() > COALESCED_BYTES {
                     write(&self.stream, &bytes).await?;
                     bytes.clear();
                 }
             }
         }
-        match delimited {
-            Delimited::Length(length) if written < length => {
+        match framing {
+            BodyFraming::Length(length) if written < length => {
                 write(&self.stream, &bytes).await?;
-                return Err(io::Error::other("the answer is shorter than declared"));
+                return Err(io::Error::other(
+                    "response body is shorter than its declared length",
+                ));
             }
-            Delimited::Chunks => bytes.put_slice(LAST_CHUNK),
+            BodyFraming::Chunks => bytes.put_slice(LAST_CHUNK),
             _ => {}
         }
         write(&self.stream, &bytes).await?;
-        Ok(keeps)
+        Ok(keep_alive)
     }
 
     /// Returns the next frame of a response body. Data that is ready is flushed before waiting.
@@ -372,43 +381,47 @@
 
     /// Discards input for a short time after the last response.
     async fn linger(&self, input: &mut Input<'_>) {
-        if let Err(error) = end_writing(&self.stream) {
-            tracing::trace!(peer = %self.peer, %error, "the connection has ended already");
+        if let Err(error) = shutdown_write(&self.stream) {
+            tracing::trace!(peer = %self.peer, %error, "failed to shut down the sending side");
             return;
         }
         // After the timeout, the connection is closed anyway.
-        let _ = timeout(LINGER, input.pass_over(LINGER_BYTES)).await;
+        let _ = timeout(LINGER_TIMEOUT, input.discard(MAX_LINGER_BYTES)).await;
     }
 
     /// Resets the connection after a truncated response, so that the client notices even if the
     /// response is delimited by the end of the connection.
-    fn break_off(&self, error: &io::Error) {
-        tracing::debug!(peer = %self.peer, %error, "an answer broke off");
+    fn reset_connection(&self, error: &io::Error) {
+        tracing::debug!(peer = %self.peer, %error, "response truncated; resetting the connection");
         if let Err(error) = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)) {
-            tracing::debug!(peer = %self.peer, %error, "the connection cannot be reset");
+            tracing::debug!(peer = %self.peer, %error, "failed to set SO_LINGER for a reset");
         }
     }
 }
 
 /// Waits for `wait`, unless the client disconnects first. Meanwhile up to `limit` bytes are
 /// read ahead.
-async fn unless_left<T>(
+async fn unless_disconnected<T>(
     input: &mut Input<'_>,
     limit: usize,
     wait: impl Future<Output = T>,
 ) -> Result<T, ReaderEnd> {
     let done = async { Ok(wait.await) };
-    let left = async { Err(ReaderEnd::Left(input.until_left(limit).await)) };
+    let left = async {
+        Err(ReaderEnd::Disconnected(
+            input.until_disconnected(limit).await,
+        ))
+    };
     future::or(done, left).await
 }
 
 /// Whether the unread part of a body is discarded and the connection kept.
-fn passes_over(unread: Option<u64>) -> bool {
-    unread.is_some_and(|bytes| bytes <= PASSED_OVER_BYTES)
+fn discards_unread(unread: Option<u64>) -> bool {
+    unread.is_some_and(|bytes| bytes <= MAX_DISCARDED_BYTES)
 }
 
-fn put_piece(bytes: &mut BytesMut, data: &[u8], delimited: Delimited) {
-    if delimited != Delimited::Chunks {
+fn put_frame(bytes: &mut BytesMut, data: &[u8], framing: BodyFraming) {
+    if framing != BodyFraming::Chunks {
         bytes.put_slice(data);
         return;
     }
--- a/crates/rampthread-http/src/server/framing.rs
+++ b/crates/rampthread-http/src/server/framing.rs
@@ -3,9 +3,9 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Maximum length of a chunk size line including its extensions, in bytes.
-const MAX_CHUNK_LINE: usize = 256;
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// Maximum total length of the trailers, in bytes; they are discarded.
-const MAX_TRAILERS: usize = 4_096;
+const MAX_TRAILER_BYTES: usize = 4_096;
 
 /// Framing of a request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,11 +31,11 @@
 
 /// The chunked coding of a body is malformed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the chunks of the body are malformed")]
+#[error("malformed chunked coding in the request body")]
 pub struct MalformedChunks;
 
 #[derive(Debug, Clone, Copy)]
-enum Expected {
+enum DecoderState {
     Data(u64),
     ChunkSize,
     ChunkData(u64),
@@ -47,25 +47,25 @@
 /// Incremental decoder of a request body.
 #[derive(Debug)]
 pub(super) struct BodyDecoder {
-    expected: Expected,
+    state: DecoderState,
 }
 
 impl BodyDecoder {
     /// Creates a decoder at the start of a body.
     pub(super) fn new(framing: Framing) -> Self {
-        let expected = match framing {
-            Framing::Empty => Expected::Nothing,
-            Framing::Length(length) => Expected::Data(length),
-            Framing::Chunked => Expected::ChunkSize,
+        let state = match framing {
+            Framing::Empty => DecoderState::Nothing,
+            Framing::Length(length) => DecoderState::Data(length),
+            Framing::Chunked => DecoderState::ChunkSize,
         };
-        Self { expected }
+        Self { state }
     }
 
     /// Number of body bytes still to be read; `None` for a chunked body before its end.
     pub(super) fn remaining(&self) -> Option<u64> {
-        match self.expected {
-            Expected::Data(left) => Some(left),
-            Expected::Nothing => Some(0),
+        match self.state {
+            DecoderState::Data(left) => Some(left),
+            DecoderState::Nothing => Some(0),
             _ => None,
         }
     }
@@ -73,36 +73,36 @@
     /// Decodes the next part from the front of `buffer`.
     pub(super) fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, MalformedChunks> {
         loop {
-            match self.expected {
-                Expected::Nothing | Expected::Data(0) => {
-                    self.expected = Expected::Nothing;
+            match self.state {
+                DecoderState::Nothing | DecoderState::Data(0) => {
+                    self.state = DecoderState::Nothing;
                     return Ok(Piece::End);
                 }
-                Expected::Data(left) => {
+                DecoderState::Data(left) => {
                     let Some((data, left)) = take_data(buffer, left) else {
                         return Ok(Piece::Incomplete);
                     };
-                    self.expected = Expected::Data(left);
+                    self.state = DecoderState::Data(left);
                     return Ok(Piece::Data(data));
                 }
-                Expected::ChunkSize => {
+                DecoderState::ChunkSize => {
                     let Some(size) = take_chunk_size(buffer)? else {
                         return Ok(Piece::Incomplete);
                     };
-                    self.expected = match size {
-                        0 => Expected::Trailers { read: 0 },
-                        size => Expected::ChunkData(size),
+                    self.state = match size {
+                        0 => DecoderState::Trailers { read: 0 },
+                        size => DecoderState::ChunkData(size),
                     };
                 }
-                Expected::ChunkData(0) => self.expected = Expected::ChunkEnd,
-                Expected::ChunkData(left) => {
+                DecoderState::ChunkData(0) => self.state = DecoderState::ChunkEnd,
+                DecoderState::ChunkData(left) => {
                     let Some((data, left)) = take_data(buffer, left) else {
                         return Ok(Piece::Incomplete);
                     };
-                    self.expected = Expected::ChunkData(left);
+                    self.state = DecoderState::ChunkData(left);
                     return Ok(Piece::Data(data));
                 }
-                Expected::ChunkEnd => {
+                DecoderState::ChunkEnd => {
                     if buffer.len() < 2 {
                         return Ok(Piece::Incomplete);
                     }
@@ -110,16 +110,18 @@
                         return Err(MalformedChunks);
                     }
                     buffer.advance(2);
-                    self.expected = Expected::ChunkSize;
+                    self.state = DecoderState::ChunkSize;
                 }
-                Expected::Trailers { read } => match take_line(buffer, MAX_TRAILERS - read)? {
-                    None => return Ok(Piece::Incomplete),
-                    Some(0) => self.expected = Expected::Nothing,
-                    Some(length) => {
-                        let read = read + length;
-                        self.expected = Expected::Trailers { read };
+                DecoderState::Trailers { read } => {
+                    match skip_line(buffer, MAX_TRAILER_BYTES - read)? {
+                        None => return Ok(Piece::Incomplete),
+                        Some(0) => self.state = DecoderState::Nothing,
+                        Some(length) => {
+                            let read = read + length;
+                            self.state = DecoderState::Trailers { read };
+                        }
                     }
-                },
+                }
             }
         }
     }
@@ -140,13 +142,13 @@
             buffer.advance(length);
             Ok(Some(size))
         }
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_CHUNK_LINE => Ok(None),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_CHUNK_LINE_BYTES => Ok(None),
         _ => Err(MalformedChunks),
     }
 }
 
 /// Skips one line; returns its length without the line ending.
-fn take_line(buffer: &mut BytesMut, limit: usize) -> Result<Option<usize>, MalformedChunks> {
+fn skip_line(buffer: &mut BytesMut, limit: usize) -> Result<Option<usize>, MalformedChunks> {
     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
         return if buffer.len() > limit {
             Err(MalformedChunks)
--- a/crates/rampthread-http/src/server/head.rs
+++ b/crates/rampthread-http/src/server/head.rs
@@ -17,13 +17,13 @@
     #[error("{0}")]
     Malformed(String),
     /// The head exceeds the size limit or has too many headers.
-    #[error("the head is larger than {limit} bytes or {MAX_HEADERS} headers")]
+    #[error("request head exceeds {limit} bytes or {MAX_HEADERS} headers")]
     HeadTooLarge {
         /// Maximum size, in bytes.
         limit: usize,
     },
     /// The head did not arrive in time.
-    #[error("the head did not arrive within {wait:?}")]
+    #[error("request head not received within {wait:?}")]
     HeadTimeout {
         /// The timeout.
         wait: Duration,
@@ -57,7 +57,7 @@
 }
 
 /// Parses a head from the front of `buffer`; `None` if it is incomplete.
-pub(super) fn take_head(buffer: &mut BytesMut, limit: usize) -> Result<Option<Head>, Rejection> {
+pub(super) fn parse_head(buffer: &mut BytesMut, limit: usize) -> Result<Option<Head>, Rejection> {
     skip_empty_lines(buffer);
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut raw = httparse::Request::new(&mut headers);
@@ -69,7 +69,7 @@
         }
         Err(error) => return Err(malformed(error.to_string())),
     };
-    let head = read_head(&raw)?;
+    let head = build_head(&raw)?;
     buffer.advance(length);
     Ok(Some(head))
 }
@@ -83,7 +83,7 @@
     buffer.advance(empty);
 }
 
-fn read_head(raw: &httparse::Request) -> Result<Head, Rejection> {
+fn build_head(raw: &httparse::Request) -> Result<Head, Rejection> {
     let mut request = Request::new(());
     let method = raw.method.unwrap_or_default().as_bytes();
     *request.method_mut() =
@@ -100,10 +100,7 @@
         let name = HeaderName::from_bytes(header.name.as_bytes());
         let value = HeaderValue::from_bytes(header.value);
         let (Ok(name), Ok(value)) = (name, value) else {
-            return Err(malformed(format!(
-                "the header {:?} is malformed",
-                header.name
-            )));
+            return Err(malformed(format!("malformed header {:?}", header.name)));
         };
         request.headers_mut().append(name, value);
     }
@@ -121,7 +118,7 @@
 fn check_host(parts: &Parts) -> Result<(), Rejection> {
     let hosts = parts.headers.get_all(HOST).iter().count();
     if parts.version == Version::HTTP_11 && hosts != 1 {
-        let reason = format!("{hosts} Host headers; exactly one is allowed");
+        let reason = format!("expected exactly one Host header, found {hosts}");
         return Err(malformed(reason));
     }
     Ok(())
@@ -135,16 +132,20 @@
     let encodings = parts.headers.get_all(TRANSFER_ENCODING);
     let Some(encoding) = encodings.iter().next() else {
         if lengths.iter().count() > 1 {
-            return Err(malformed("more than one Content-Length"));
+            return Err(malformed("multiple Content-Length headers"));
         }
         return length.map_or(Ok(Framing::Empty), declared_length);
     };
     if length.is_some() {
-        return Err(malformed("Content-Length beside Transfer-Encoding"));
+        return Err(malformed(
+            "both Content-Length and Transfer-Encoding are present",
+        ));
     }
     let chunked = encoding.as_bytes().eq_ignore_ascii_case(b"chunked");
     if !chunked || encodings.iter().count() > 1 || parts.version == Version::HTTP_10 {
-        return Err(malformed("a Transfer-Encoding other than chunked"));
+        return Err(malformed(
+            "unsupported Transfer-Encoding; only chunked is accepted, and only in HTTP/1.1",
+        ));
     }
     Ok(Framing::Chunked)
 }
@@ -156,19 +157,19 @@
     match length.filter(|_| digits) {
         Some(0) => Ok(Framing::Empty),
         Some(length) => Ok(Framing::Length(length)),
-        None => Err(malformed("a Content-Length that is no number")),
+        None => Err(malformed("invalid Content-Length")),
     }
 }
 
 fn keeps_connection(parts: &Parts) -> bool {
     if parts.version == Version::HTTP_10 {
-        return lists(&parts.headers, "keep-alive");
+        return connection_lists(&parts.headers, "keep-alive");
     }
-    !lists(&parts.headers, "close")
+    !connection_lists(&parts.headers, "close")
 }
 
 /// Whether `Connection` lists `option`.
-fn lists(headers: &HeaderMap, option: &str) -> bool {
+fn connection_lists(headers: &HeaderMap, option: &str) -> bool {
     headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/rampthread-http/src/server/mod.rs
+++ b/crates/rampthread-http/src/server/mod.rs
@@ -1,11 +1,11 @@
 //! HTTP/1.1 server with connection limits and graceful shutdown.
 
-mod answer_head;
 mod connection;
 mod framing;
 mod head;
 mod pipeline;
 mod request_body;
+mod response_head;
 mod service;
 mod socket;
 
@@ -23,9 +23,9 @@
 use std::time::Duration;
 
 /// Delay after a failed accept, for example for lack of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Interval at which the shutdown polls the number of open connections.
-const IDLE_POLL: Duration = Duration::from_millis(10);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Limits of one listener.
 #[derive(Debug, Clone, Copy)]
@@ -99,7 +99,7 @@
     /// Waits until all connections have ended.
     pub async fn wait_closed(&self) {
         while self.open.load(Ordering::Acquire) > 0 {
-            async_std::task::sleep(IDLE_POLL).await;
+            async_std::task::sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
     }
 
@@ -154,17 +154,17 @@
             let (stream, peer) = match accepted {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    tracing::warn!(%error, "a connection cannot be accepted");
-                    async_std::task::sleep(ACCEPT_PAUSE).await;
+                    tracing::warn!(%error, "failed to accept a connection");
+                    async_std::task::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             let limits = (self.limits)();
             if self.shutdown.open_connections() >= limits.max_connections {
-                tracing::warn!(%peer, "connection limit reached");
+                tracing::warn!(%peer, "connection limit reached; closing the connection");
                 continue;
             }
-            let guard = OpenGuard::new(self.shutdown.open.clone());
+            let guard = ConnectionGuard::new(self.shutdown.open.clone());
             let connection = Connection {
                 stream,
                 peer,
@@ -181,16 +181,16 @@
     }
 }
 
-struct OpenGuard(Arc<AtomicUsize>);
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl OpenGuard {
+impl ConnectionGuard {
     fn new(count: Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::AcqRel);
         Self(count)
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/rampthread-http/src/server/pipeline.rs
+++ b/crates/rampthread-http/src/server/pipeline.rs
@@ -15,7 +15,7 @@
 
 /// Properties of a request that its response depends on.
 #[derive(Debug, Clone)]
-pub(super) struct AnswerTo {
+pub(super) struct RequestInfo {
     pub(super) method: Method,
     pub(super) version: Version,
     /// The client allows the connection to be reused.
@@ -23,19 +23,19 @@
     pub(super) unread: UnreadBody,
 }
 
-enum Progress {
+enum HandlerState {
     Running(BoxFuture<'static, Response<Body>>),
-    Answered(Response<Body>),
+    Responded(Response<Body>),
 }
 
-struct Started {
-    to: AnswerTo,
-    progress: Progress,
+struct PipelinedRequest {
+    info: RequestInfo,
+    handler_state: HandlerState,
 }
 
-impl Started {
-    fn is_answered(&self) -> bool {
-        matches!(self.progress, Progress::Answered(_))
+impl PipelinedRequest {
+    fn has_response(&self) -> bool {
+        matches!(self.handler_state, HandlerState::Responded(_))
     }
 }
 
@@ -44,8 +44,8 @@
     /// An interim response that requests the body.
     Continue,
     /// The response to the oldest request; `last` if no other follows.
-    Answer {
-        to: AnswerTo,
+    Response {
+        info: RequestInfo,
         response: Response<Body>,
         last: bool,
     },
@@ -55,23 +55,23 @@
 
 #[derive(Default)]
 struct State {
-    started: VecDeque<Started>,
+    started: VecDeque<PipelinedRequest>,
     /// The response to the oldest request is being written.
     writing: bool,
-    continue_wanted: bool,
+    continue_requested: bool,
     /// When the last response was written.
-    answered_at: Option<BootInstant>,
+    last_response_at: Option<BootInstant>,
     /// No further request is started.
     closing: bool,
 }
 
-/// ServerLimits on starting a request concurrently with others.
+/// Limits on starting a request concurrently with others.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Room {
+pub(super) struct ConcurrencyLimits {
     /// Maximum number of requests without a written response.
     pub(super) requests: usize,
     /// Maximum size of the responses queued behind earlier ones, in bytes.
-    pub(super) answer_bytes: u64,
+    pub(super) response_bytes: u64,
 }
 
 /// Shared by the reader, driver and writer of one connection. They are parts of one task, which
@@ -89,15 +89,21 @@
     }
 
     /// Starts a request.
-    pub(super) fn start(&self, to: AnswerTo, handler: BoxFuture<'static, Response<Body>>) {
-        let progress = Progress::Running(handler);
-        self.state().started.push_back(Started { to, progress });
+    pub(super) fn start(&self, info: RequestInfo, handler: BoxFuture<'static, Response<Body>>) {
+        let handler_state = HandlerState::Running(handler);
+        self.state().started.push_back(PipelinedRequest {
+            info,
+            handler_state,
+        });
     }
 
     /// Queues a response that needs no handler.
-    pub(super) fn answer(&self, to: AnswerTo, response: Response<Body>) {
-        let progress = Progress::Answered(response);
-        self.state().started.push_back(Started { to, progress });
+    pub(super) fn queue_response(&self, info: RequestInfo, response: Response<Body>) {
+        let handler_state = HandlerState::Responded(response);
+        self.state().started.push_back(PipelinedRequest {
+            info,
+            handler_state,
+        });
     }
 
     /// Whether all responses are written.
@@ -106,10 +112,10 @@
     }
 
     /// Whether no request was in progress for at least `time`.
-    pub(super) fn has_rested(&self, time: Duration) -> bool {
+    pub(super) fn is_idle_for(&self, time: Duration) -> bool {
         let state = self.state();
-        let answered = state.answered_at.map(|at| at.elapsed());
-        state.started.is_empty() && answered.is_none_or(|rested| rested >= time)
+        let responded = state.last_response_at.map(|at| at.elapsed());
+        state.started.is_empty() && responded.is_none_or(|rested| rested >= time)
     }
 
     /// Stops starting requests.
@@ -118,15 +124,15 @@
     }
 
     /// The client disconnected: drops running handlers and all responses behind them.
-    pub(super) fn leave(&self) {
+    pub(super) fn disconnect(&self) {
         let mut state = self.state();
         state.closing = true;
-        let answered = state
+        let responded = state
             .started
             .iter()
-            .take_while(|started| started.is_answered());
-        let answered = answered.count();
-        state.started.truncate(answered);
+            .take_while(|started| started.has_response());
+        let responded = responded.count();
+        state.started.truncate(responded);
     }
 
     /// Whether starting requests has stopped.
@@ -135,17 +141,17 @@
     }
 
     /// Requests an interim 100 (Continue) response.
-    pub(super) fn want_continue(&self) {
-        self.state().continue_wanted = true;
+    pub(super) fn request_continue(&self) {
+        self.state().continue_requested = true;
     }
 
-    /// Waits until a request may start: concurrently within `room`, or after all earlier
+    /// Waits until a request may start: concurrently within `limits`, or after all earlier
     /// responses are written.
-    pub(super) async fn room(&self, overlaps: bool, room: Room) {
+    pub(super) async fn wait_for_capacity(&self, overlaps: bool, limits: ConcurrencyLimits) {
         poll_fn(|_| {
             let state = self.state();
             let free = if overlaps {
-                state.has_room(room)
+                state.has_capacity(limits)
             } else {
                 state.started.is_empty()
             };
@@ -177,11 +183,11 @@
     }
 
     /// Marks the response that was taken last as written.
-    pub(super) async fn written(&self) {
+    pub(super) async fn mark_written(&self) {
         poll_fn(|context| {
             let mut state = self.state();
             state.writing = false;
-            state.answered_at = Some(BootInstant::now());
+            state.last_response_at = Some(BootInstant::now());
             state.started.pop_front();
             // The reader may be waiting for a free place.
             context.waker().wake_by_ref();
@@ -192,25 +198,25 @@
 }
 
 impl State {
-    fn has_room(&self, room: Room) -> bool {
+    fn has_capacity(&self, limits: ConcurrencyLimits) -> bool {
         let waiting: u64 = self
             .started
             .iter()
-            .map(|started| match &started.progress {
-                Progress::Running(_) => 0,
-                Progress::Answered(response) => response.body().size_hint().lower(),
+            .map(|started| match &started.handler_state {
+                HandlerState::Running(_) => 0,
+                HandlerState::Responded(response) => response.body().size_hint().lower(),
             })
             .sum();
-        self.started.len() < room.requests && waiting <= room.answer_bytes
+        self.started.len() < limits.requests && waiting <= limits.response_bytes
     }
 
     fn poll_running(&mut self, context: &mut Context<'_>) {
         for started in &mut self.started {
-            let Progress::Running(handler) = &mut started.progress else {
+            let HandlerState::Running(handler) = &mut started.handler_state else {
                 continue;
             };
             if let Poll::Ready(response) = handler.as_mut().poll(context) {
-                started.progress = Progress::Answered(response);
+                started.handler_state = HandlerState::Responded(response);
                 // The reader may be waiting for the handler to drop the body.
                 context.waker().wake_by_ref();
             }
@@ -225,18 +231,24 @@
         let Some(oldest) = self.started.front_mut() else {
             return self.closing.then_some(Output::Finished);
         };
-        if matches!(oldest.progress, Progress::Running(_)) {
-            return std::mem::take(&mut self.continue_wanted).then_some(Output::Continue);
+        if matches!(oldest.handler_state, HandlerState::Running(_)) {
+            return std::mem::take(&mut self.continue_requested).then_some(Output::Continue);
         }
-        self.continue_wanted = false;
-        let to = oldest.to.clone();
+        self.continue_requested = false;
+        let info = oldest.info.clone();
         // The entry stays in the queue until the response is written, since a request that must
         // not run concurrently waits for an empty queue.
-        let taken = Progress::Answered(Response::new(crate::body::empty()));
-        let Progress::Answered(response) = std::mem::replace(&mut oldest.progress, taken) else {
+        let placeholder = HandlerState::Responded(Response::new(crate::body::empty()));
+        let HandlerState::Responded(response) =
+            std::mem::replace(&mut oldest.handler_state, placeholder)
+        else {
             return None;
         };
         self.writing = true;
-        Some(Output::Answer { to, response, last })
+        Some(Output::Response {
+            info,
+            response,
+            last,
+        })
     }
 }
--- a/crates/rampthread-http/src/server/request_body.rs
+++ b/crates/rampthread-http/src/server/request_body.rs
@@ -11,10 +11,10 @@
 
 /// Buffered pieces between connection and handler. The connection reads on only after the
 /// handler has taken the previous piece.
-const WAITING_PIECES: usize = 1;
+const MAX_BUFFERED_PIECES: usize = 1;
 
 /// Value for an unknown number of unread bytes.
-const UNKNOWN: u64 = u64::MAX;
+const UNKNOWN_BYTES: u64 = u64::MAX;
 
 /// Error of a request body that ended early.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -23,19 +23,19 @@
     #[error(transparent)]
     Malformed(#[from] MalformedChunks),
     /// The connection ended within the body.
-    #[error("the connection ended within the body")]
+    #[error("connection closed before the end of the request body")]
     ConnectionLost,
 }
 
 /// A piece of the body; `None` at its end.
-type Handed = Result<Option<Bytes>, MalformedChunks>;
+type BodyMessage = Result<Option<Bytes>, MalformedChunks>;
 
 /// Body of a request. If it is dropped early, the connection discards the rest or closes after
 /// the response.
 pub struct RequestBody {
-    pieces: Option<Pin<Box<async_channel::Receiver<Handed>>>>,
+    pieces: Option<Pin<Box<async_channel::Receiver<BodyMessage>>>>,
     /// Signals the connection that the handler reads the body; taken at the first poll.
-    wanted: Option<async_channel::Sender<()>>,
+    requested: Option<async_channel::Sender<()>>,
     declared: Option<u64>,
 }
 
@@ -44,7 +44,7 @@
     pub(super) fn empty() -> Self {
         Self {
             pieces: None,
-            wanted: None,
+            requested: None,
             declared: Some(0),
         }
     }
@@ -58,20 +58,20 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, RequestBodyError>>> {
-        if let Some(wanted) = self.wanted.take() {
+        if let Some(requested) = self.requested.take() {
             // A full or closed channel means that the connection was already signalled, or has
             // ended.
-            let _ = wanted.try_send(());
+            let _ = requested.try_send(());
         }
         let Some(pieces) = &mut self.pieces else {
             return Poll::Ready(None);
         };
-        let handed = std::task::ready!(pieces.as_mut().poll_next(context));
-        if let Some(Ok(Some(bytes))) = handed {
+        let message = std::task::ready!(pieces.as_mut().poll_next(context));
+        if let Some(Ok(Some(bytes))) = message {
             return Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
         self.pieces = None;
-        Poll::Ready(match handed {
+        Poll::Ready(match message {
             Some(Ok(_)) => None,
             Some(Err(malformed)) => Some(Err(malformed.into())),
             None => Some(Err(RequestBodyError::ConnectionLost)),
@@ -89,9 +89,9 @@
 }
 
 /// Sending half of a request body, held by the connection.
-pub(super) struct BodyFeed {
-    pieces: async_channel::Sender<Handed>,
-    wanted: async_channel::Receiver<()>,
+pub(super) struct BodySender {
+    pieces: async_channel::Sender<BodyMessage>,
+    requested: async_channel::Receiver<()>,
     unread: UnreadBody,
 }
 
@@ -109,28 +109,29 @@
     }
 
     pub(super) fn set(&self, bytes: Option<u64>) {
-        self.0.store(bytes.unwrap_or(UNKNOWN), Ordering::Relaxed);
+        self.0
+            .store(bytes.unwrap_or(UNKNOWN_BYTES), Ordering::Relaxed);
     }
 }
 
-impl BodyFeed {
+impl BodySender {
     /// Creates both halves for a body of `declared` bytes; `None` if the length is unknown.
     pub(super) fn new(declared: Option<u64>) -> (Self, RequestBody) {
-        let (pieces, taken) = async_channel::bounded(WAITING_PIECES);
-        let (wants, wanted) = async_channel::bounded(1);
+        let (pieces, taken) = async_channel::bounded(MAX_BUFFERED_PIECES);
+        let (request, requested) = async_channel::bounded(1);
         let unread = UnreadBody::none();
         unread.set(declared);
         let body = RequestBody {
             pieces: Some(Box::pin(taken)),
-            wanted: Some(wants),
+            requested: Some(request),
             declared,
         };
-        let feed = Self {
+        let sender = Self {
             pieces,
-            wanted,
+            requested,
             unread,
         };
-        (feed, body)
+        (sender, body)
     }
 
     /// Shared counter of unread bytes, for the writer of the response.
@@ -139,17 +140,17 @@
     }
 
     /// Waits until the handler reads the body; false if it dropped the body unread.
-    pub(super) async fn wanted(&self) -> bool {
-        self.wanted.recv().await.is_ok()
+    pub(super) async fn wait_requested(&self) -> bool {
+        self.requested.recv().await.is_ok()
     }
 
     /// Passes a piece to the handler; false if the handler dropped the body.
-    pub(super) async fn hand_on(&self, piece: Handed) -> bool {
+    pub(super) async fn send_piece(&self, piece: BodyMessage) -> bool {
         self.pieces.send(piece).await.is_ok()
     }
 
     /// Updates the number of unread bytes; `None` if it is unknown.
-    pub(super) fn left(&self, bytes: Option<u64>) {
+    pub(super) fn set_unread(&self, bytes: Option<u64>) {
         self.unread.set(bytes);
     }
 }
--- a/crates/rampthread-http/src/server/answer_head.rs
+++ b/crates/rampthread-http/src/server/response_head.rs
@@ -1,6 +1,6 @@
 //! Encoding of response heads and framing of response bodies.
 
-use super::pipeline::AnswerTo;
+use super::pipeline::RequestInfo;
 use crate::body::Body;
 use bytes::{BufMut, BytesMut};
 use http::header::{CONNECTION, CONTENT_LENGTH, DATE, TRANSFER_ENCODING};
@@ -10,7 +10,7 @@
 use std::time::SystemTime;
 
 /// Initial capacity for a head, in bytes.
-const USUAL_HEAD: usize = 512;
+const HEAD_CAPACITY: usize = 512;
 
 /// Interim response that requests the body.
 pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
@@ -19,7 +19,7 @@
 
 /// Framing of a response body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Delimited {
+pub(super) enum BodyFraming {
     /// No body, even if the head announces a length.
     NoBody,
     /// A body of this number of bytes.
@@ -30,33 +30,33 @@
     Close,
 }
 
-/// Framing of the body of the response to `to`.
-pub(super) fn delimited(to: &AnswerTo, parts: &Parts, body: &Body) -> Delimited {
-    let no_body = to.method == Method::HEAD
+/// Framing of the body of the response to `info`.
+pub(super) fn body_framing(info: &RequestInfo, parts: &Parts, body: &Body) -> BodyFraming {
+    let no_body = info.method == Method::HEAD
         || parts.status.is_informational()
         || parts.status == StatusCode::NO_CONTENT
         || parts.status == StatusCode::NOT_MODIFIED;
     if no_body {
-        return Delimited::NoBody;
+        return BodyFraming::NoBody;
     }
     let declared = parts.headers.get(CONTENT_LENGTH);
     let declared = declared.and_then(|value| value.to_str().ok()?.parse().ok());
     match body.size_hint().exact().or(declared) {
-        Some(length) => Delimited::Length(length),
-        None if to.version == Version::HTTP_10 => Delimited::Close,
-        None => Delimited::Chunks,
+        Some(length) => BodyFraming::Length(length),
+        None if info.version == Version::HTTP_10 => BodyFraming::Close,
+        None => BodyFraming::Chunks,
     }
 }
 
-/// Encodes the head. `keeps` tells the client whether the connection is kept open.
+/// Encodes the head. `keep_alive` tells the client whether the connection is kept open.
 pub(super) fn encode(
-    to: &AnswerTo,
+    info: &RequestInfo,
     parts: &Parts,
-    delimited: Delimited,
-    keeps: bool,
+    framing: BodyFraming,
+    keep_alive: bool,
     send_date: bool,
 ) -> BytesMut {
-    let mut head = BytesMut::with_capacity(USUAL_HEAD);
+    let mut head = BytesMut::with_capacity(HEAD_CAPACITY);
     head.put_slice(b"HTTP/1.1 ");
     head.put_slice(parts.status.as_str().as_bytes());
     head.put_u8(b' ');
@@ -67,23 +67,23 @@
         let replaced = match *name {
             CONNECTION | TRANSFER_ENCODING => true,
             // In response to HEAD, it is the length of the corresponding GET response.
-            CONTENT_LENGTH => delimited != Delimited::NoBody,
+            CONTENT_LENGTH => framing != BodyFraming::NoBody,
             _ => false,
         };
         if !replaced {
             put_header(&mut head, name.as_str(), value.as_bytes());
         }
     }
-    match delimited {
-        Delimited::Length(length) => {
+    match framing {
+        BodyFraming::Length(length) => {
             put_header(&mut head, "content-length", length.to_string().as_bytes());
         }
-        Delimited::Chunks => put_header(&mut head, "transfer-encoding", b"chunked"),
-        Delimited::NoBody | Delimited::Close => {}
+        BodyFraming::Chunks => put_header(&mut head, "transfer-encoding", b"chunked"),
+        BodyFraming::NoBody | BodyFraming::Close => {}
     }
-    if !keeps {
+    if !keep_alive {
         put_header(&mut head, "connection", b"close");
-    } else if to.version == Version::HTTP_10 {
+    } else if info.version == Version::HTTP_10 {
         put_header(&mut head, "connection", b"keep-alive");
     }
     if send_date && !parts.headers.contains_key(DATE) {
--- a/crates/rampthread-http/src/server/socket.rs
+++ b/crates/rampthread-http/src/server/socket.rs
@@ -12,10 +12,10 @@
 
 /// Size of a read, in bytes. The buffer is on the stack, so that a waiting connection holds
 /// none.
-const READ_BYTES: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Time after which a write without progress fails. Longer than the deadlines of callers, so
 /// that it only ends stuck connections.
-const WRITE_STALL: Duration = Duration::from_secs(30);
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Reason why reading ended.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     /// The client closed its sending side.
     Closed,
     /// The connection failed.
-    Broken(io::Error),
+    Failed(io::Error),
 }
 
 /// Received bytes that are not yet processed.
@@ -48,7 +48,7 @@
         }
         let (mut stream, buffer) = (self.stream, &mut self.buffer);
         let read = poll_fn(|context| {
-            let mut bytes = [0; READ_BYTES];
+            let mut bytes = [0; READ_BUFFER_BYTES];
             match Pin::new(&mut stream).poll_read(context, &mut bytes) {
                 Poll::Ready(Ok(length)) => {
                     buffer.extend_from_slice(&bytes[..length]);
@@ -61,13 +61,13 @@
         match read.await {
             Ok(0) => Err(ReadEnd::Closed),
             Ok(_) => Ok(()),
-            Err(error) => Err(ReadEnd::Broken(error)),
+            Err(error) => Err(ReadEnd::Failed(error)),
         }
     }
 
     /// Reads ahead until the client disconnects. Once `limit` bytes are buffered, it stops
     /// reading and never completes.
-    pub(super) async fn until_left(&mut self, limit: usize) -> ReadEnd {
+    pub(super) async fn until_disconnected(&mut self, limit: usize) -> ReadEnd {
         while self.buffer.len() < limit {
             if let Err(end) = self.fill().await {
                 return end;
@@ -77,7 +77,7 @@
     }
 
     /// Discards input until the client closes, up to about `limit` bytes.
-    pub(super) async fn pass_over(&mut self, limit: usize) {
+    pub(super) async fn discard(&mut self, limit: usize) {
         let mut passed = 0;
         while passed < limit {
             self.buffer.clear();
@@ -89,12 +89,12 @@
     }
 }
 
-/// Writes all bytes; fails if the client accepts none for [`WRITE_STALL`].
+/// Writes all bytes; fails if the client accepts none for [`WRITE_STALL_TIMEOUT`].
 pub(super) async fn write(mut stream: &TcpStream, bytes: &[u8]) -> io::Result<()> {
     let mut left = bytes;
     while !left.is_empty() {
         let writing = stream.write(left);
-        match crate::time::timeout(WRITE_STALL, writing).await {
+        match crate::time::timeout(WRITE_STALL_TIMEOUT, writing).await {
             Ok(Ok(0)) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(Ok(length)) => left = &left[length..],
             Ok(Err(error)) => return Err(error),
@@ -105,6 +105,6 @@
 }
 
 /// Closes the sending side of the connection.
-pub(super) fn end_writing(stream: &TcpStream) -> io::Result<()> {
+pub(super) fn shutdown_write(stream: &TcpStream) -> io::Result<()> {
     stream.shutdown(Shutdown::Write)
 }
--- a/crates/rampthread-http/src/tide_server.rs
+++ b/crates/rampthread-http/src/tide_server.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 const MAX_CONNECTIONS: usize = 1_024;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const BAD_REQUEST: &[u8] =
     b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
@@ -22,7 +22,7 @@
     let open = Arc::new(AtomicUsize::new(0));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            async_std::task::sleep(ACCEPT_PAUSE).await;
+            async_std::task::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if open.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
--- a/crates/rampthread-http/src/time.rs
+++ b/crates/rampthread-http/src/time.rs
@@ -12,10 +12,10 @@
 
 /// Maximum duration of a single timer of the runtime. A wait that spans a suspension ends at
 /// most this late. Most calls take less, so that one timer is enough.
-const TIMER_SLICE: Duration = Duration::from_millis(500);
+const MAX_TIMER_DURATION: Duration = Duration::from_millis(500);
 
 /// Offset added to the clock by tests, in nanoseconds.
-static SUSPENDED_NANOS: AtomicU64 = AtomicU64::new(0);
+static TEST_OFFSET_NANOS: AtomicU64 = AtomicU64::new(0);
 
 /// A point in time of `CLOCK_BOOTTIME`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,7 +26,7 @@
     pub fn now() -> Self {
         let read = clock_gettime(ClockId::Boottime);
         let seconds = Duration::from_secs(read.tv_sec.unsigned_abs());
-        let nanos = read.tv_nsec.unsigned_abs() + SUSPENDED_NANOS.load(Ordering::Relaxed);
+        let nanos = read.tv_nsec.unsigned_abs() + TEST_OFFSET_NANOS.load(Ordering::Relaxed);
         Self(seconds + Duration::from_nanos(nanos))
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Time until this instant; zero once it has passed.
-    fn left(self) -> Duration {
+    fn remaining(self) -> Duration {
         self.0.saturating_sub(Self::now().0)
     }
 
@@ -47,7 +47,7 @@
 
 /// The future did not complete within its timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the wait ended first")]
+#[error("timed out")]
 pub struct TimeoutError;
 
 /// Waits for `future` for at most `wait`, including suspensions.
@@ -55,10 +55,10 @@
     let end = BootInstant::after(wait);
     let mut future = pin!(future);
     loop {
-        let slice = end.left().min(TIMER_SLICE);
+        let slice = end.remaining().min(MAX_TIMER_DURATION);
         match async_std::future::timeout(slice, &mut future).await {
             Ok(output) => return Ok(output),
-            Err(_) if end.left().is_zero() => return Err(TimeoutError),
+            Err(_) if end.remaining().is_zero() => return Err(TimeoutError),
             Err(_) => {}
         }
     }
@@ -68,11 +68,11 @@
 pub async fn sleep(wait: Duration) {
     let end = BootInstant::after(wait);
     loop {
-        let left = end.left();
-        if left.is_zero() {
+        let remaining = end.remaining();
+        if remaining.is_zero() {
             return;
         }
-        async_std::task::sleep(left.min(TIMER_SLICE)).await;
+        async_std::task::sleep(remaining.min(MAX_TIMER_DURATION)).await;
     }
 }
 
@@ -80,5 +80,5 @@
 /// tests.
 #[doc(hidden)]
 pub fn advance_clock_for_tests(time: Duration) {
-    SUSPENDED_NANOS.fetch_add(time.as_nanos() as u64, Ordering::Relaxed);
+    TEST_OFFSET_NANOS.fetch_add(time.as_nanos() as u64, Ordering::Relaxed);
 }
--- a/crates/rampthread-http/tests/connections.rs
+++ b/crates/rampthread-http/tests/connections.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of conditions that must become true.
-const LIMIT: Duration = Duration::from_secs(20);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What the handlers of a test observed, and the responses that they may give.
 #[derive(Default)]
@@ -31,7 +31,7 @@
 
 /// Service whose handlers wait until the test releases their responses.
 #[derive(Clone, Default)]
-struct Scripted {
+struct ControlledService {
     progress: Arc<(Mutex<Progress>, Condvar)>,
     released: Arc<event::Event>,
 }
@@ -57,9 +57,9 @@
 }
 
 /// Records a handler that was dropped before it responded.
-struct DropNote(Scripted, Option<String>);
+struct DropRecorder(ControlledService, Option<String>);
 
-impl Drop for DropNote {
+impl Drop for DropRecorder {
     fn drop(&mut self) {
         if let Some(path) = self.1.take() {
             self.0.change(|progress| progress.dropped.push(path));
@@ -67,7 +67,7 @@
     }
 }
 
-impl Scripted {
+impl ControlledService {
     fn change<T>(&self, change: impl FnOnce(&mut Progress) -> T) -> T {
         let changed = change(&mut self.progress.0.lock().unwrap());
         self.progress.1.notify_all();
@@ -85,9 +85,12 @@
         let (lock, changed) = &*self.progress;
         let guard = lock.lock().unwrap();
         let waited = changed
-            .wait_timeout_while(guard, LIMIT, |progress| !done(progress))
+            .wait_timeout_while(guard, CONDITION_TIMEOUT, |progress| !done(progress))
             .unwrap();
-        assert!(!waited.1.timed_out(), "{what} within {LIMIT:?}");
+        assert!(
+            !waited.1.timed_out(),
+            "not reached within {CONDITION_TIMEOUT:?}: {what}"
+        );
     }
 
     fn wait_started(&self, path: &str) {
@@ -100,9 +103,9 @@
         self.change(|progress| progress.started.clone())
     }
 
-    async fn answer(self, request: Request<RequestBody>) -> Response<Body> {
+    async fn respond(self, request: Request<RequestBody>) -> Response<Body> {
         let path = request.uri().path().to_string();
-        let mut note = DropNote(self.clone(), Some(path.clone()));
+        let mut recorder = DropRecorder(self.clone(), Some(path.clone()));
         if path.starts_with("/read") {
             let body = read_limited(request.into_body(), 1 << 20).await;
             let read = body
@@ -112,17 +115,17 @@
         }
         self.change(|progress| progress.started.push(path.clone()));
         if path.starts_with("/broken") {
-            note.1 = None;
+            recorder.1 = None;
             let frames = futures_util::stream::iter([
                 Ok(hyper::body::Frame::data(bytes::Bytes::from_static(b"abc"))),
-                Err(std::io::Error::other("broken off")),
+                Err(std::io::Error::other("truncated")),
             ]);
             return Response::new(boxed(http_body_util::StreamBody::new(frames)));
         }
         loop {
             let next = self.released.listen();
             if let Some(response) = self.change(|progress| progress.released.remove(&path)) {
-                note.1 = None;
+                recorder.1 = None;
                 return response.map(full);
             }
             let _ = next.recv().await;
@@ -130,13 +133,13 @@
     }
 }
 
-impl Service for Scripted {
+impl Service for ControlledService {
     fn handle(
         &self,
         request: Request<RequestBody>,
         _peer: SocketAddr,
     ) -> BoxFuture<'static, Response<Body>> {
-        self.clone().answer(request).boxed()
+        self.clone().respond(request).boxed()
     }
 
     fn may_overlap(&self, head: &Parts) -> bool {
@@ -144,17 +147,17 @@
     }
 }
 
-fn serve(limits: ServerLimits) -> (SocketAddr, Scripted, ShutdownHandle) {
+fn serve(limits: ServerLimits) -> (SocketAddr, ControlledService, ShutdownHandle) {
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
-    let (service, shutdown) = (Scripted::default(), ShutdownHandle::default());
+    let (service, shutdown) = (ControlledService::default(), ShutdownHandle::default());
     task::spawn(Server::new(limits, shutdown.clone()).serve(listener, service.clone()));
     (address, service, shutdown)
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(LIMIT)).unwrap();
+    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).unwrap();
     stream
 }
 
@@ -163,23 +166,23 @@
 }
 
 /// Reads `count` responses with a `content-length`.
-fn read_answers(stream: &mut TcpStream, count: usize) -> Vec<String> {
+fn read_responses(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut bytes = Vec::new();
-    let mut answers = Vec::new();
-    while answers.len() < count {
+    let mut responses = Vec::new();
+    while responses.len() < count {
         let mut piece = [0; 4_096];
         let length = stream.read(&mut piece).unwrap();
-        assert_ne!(length, 0, "closed after {answers:?}, {bytes:?}");
+        assert_ne!(length, 0, "closed after {responses:?}, {bytes:?}");
         bytes.extend_from_slice(&piece[..length]);
-        while let Some((answer, rest)) = first_answer(&bytes) {
-            answers.push(answer);
+        while let Some((response, rest)) = parse_first_response(&bytes) {
+            responses.push(response);
             bytes = rest;
         }
     }
-    answers
+    responses
 }
 
-fn first_answer(bytes: &[u8]) -> Option<(String, Vec<u8>)> {
+fn parse_first_response(bytes: &[u8]) -> Option<(String, Vec<u8>)> {
     let text = String::from_utf8_lossy(bytes).to_string();
     let (head, _) = text.split_once("\r\n\r\n")?;
     let length: usize = head
@@ -192,14 +195,14 @@
 }
 
 fn read_to_end(mut stream: TcpStream) -> String {
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     // A reset ends the response as well.
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).to_string()
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).to_string()
 }
 
 #[test]
-fn requests_of_a_pipeline_run_at_the_same_time_and_are_answered_in_order() {
+fn pipelined_requests_run_concurrently_with_responses_in_order() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let pipeline = [get("/safe/1"), get("/safe/2"), get("/safe/3")].concat();
@@ -210,19 +213,19 @@
     service.release("/safe/3", "three");
     service.release("/safe/1", "one");
     service.release("/safe/2", "two");
-    let answers = read_answers(&mut stream, 3);
+    let responses = read_responses(&mut stream, 3);
     let bodies = ["one", "two", "three"];
     assert!(
-        answers
+        responses
             .iter()
             .zip(bodies)
-            .all(|(answer, body)| answer.ends_with(body)),
-        "{answers:?}"
+            .all(|(response, body)| response.ends_with(body)),
+        "{responses:?}"
     );
 }
 
 #[test]
-fn a_request_that_may_not_overlap_waits_for_those_before_it() {
+fn non_overlapping_request_waits_for_earlier_requests() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let pipeline = [get("/safe/1"), get("/once/2")].concat();
@@ -233,11 +236,11 @@
     service.release("/safe/1", "one");
     service.wait_started("/once/2");
     service.release("/once/2", "two");
-    assert_eq!(read_answers(&mut stream, 2).len(), 2);
+    assert_eq!(read_responses(&mut stream, 2).len(), 2);
 }
 
 #[test]
-fn what_follows_an_answer_that_closes_is_never_started() {
+fn requests_after_connection_close_are_not_started() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let closing = "GET /safe/1 HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
@@ -246,16 +249,16 @@
         .unwrap();
     service.wait_started("/safe/1");
     service.release("/safe/1", "one");
-    let answer = read_to_end(stream);
+    let response = read_to_end(stream);
     assert!(
-        answer.contains("connection: close") && answer.ends_with("one"),
-        "{answer}"
+        response.contains("connection: close") && response.ends_with("one"),
+        "{response}"
     );
     assert_eq!(service.started(), ["/safe/1"]);
 }
 
 #[test]
-fn no_more_than_a_bounded_number_of_requests_of_one_connection_run() {
+fn concurrent_requests_per_connection_are_bounded() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let pipeline: String = (0..40)
@@ -268,11 +271,11 @@
     for number in 0..40 {
         service.release(&format!("/safe/{number}"), "done");
     }
-    assert_eq!(read_answers(&mut stream, 40).len(), 40);
+    assert_eq!(read_responses(&mut stream, 40).len(), 40);
 }
 
 #[test]
-fn a_caller_that_leaves_ends_all_its_requests() {
+fn disconnect_drops_all_handlers() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let pipeline = [get("/safe/1"), get("/safe/2"), get("/once/3")].concat();
@@ -284,15 +287,18 @@
 }
 
 #[test]
-fn an_answer_that_is_ready_reaches_a_caller_that_closed_only_its_sending_side() {
+fn ready_response_reaches_a_half_closed_client() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/safe/1", "one");
     let mut stream = connect(address);
     stream.write_all(get("/safe/1").as_bytes()).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
     // The server may see the close before or after the handler has run.
-    let answer = read_to_end(stream);
-    assert!(answer.is_empty() || answer.ends_with("one"), "{answer}");
+    let response = read_to_end(stream);
+    assert!(
+        response.is_empty() || response.ends_with("one"),
+        "{response}"
+    );
 }
 
 #[rstest]
@@ -310,23 +316,23 @@
 )]
 #[case::no_host("GET /x HTTP/1.1\r\n\r\n")]
 #[case::two_hosts("GET /x HTTP/1.1\r\nhost: a\r\nhost: b\r\n\r\n")]
-#[case::no_http("this is not http\r\n\r\n")]
-#[case::blank_before_the_colon("GET /x HTTP/1.1\r\nhost : a\r\n\r\n")]
+#[case::not_http("this is not http\r\n\r\n")]
+#[case::space_before_colon("GET /x HTTP/1.1\r\nhost : a\r\n\r\n")]
 #[case::folded_header("GET /x HTTP/1.1\r\nhost: a\r\nx: 1\r\n 2\r\n\r\n")]
-fn a_contradiction_gets_400_and_a_close(#[case] request: &str) {
+fn malformed_request_gets_400_and_close(#[case] request: &str) {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     stream
         .write_all([request, &get("/safe/1")].concat().as_bytes())
         .unwrap();
-    let answer = read_to_end(stream);
-    assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
-    assert!(answer.contains("connection: close"), "{answer}");
+    let response = read_to_end(stream);
+    assert!(response.starts_with("HTTP/1.1 400"), "{response}");
+    assert!(response.contains("connection: close"), "{response}");
     assert!(service.started().is_empty());
 }
 
 #[test]
-fn a_head_that_does_not_end_gets_408_and_a_close() {
+fn incomplete_head_gets_408_and_close() {
     let head_timeout = Duration::from_millis(100);
     let (address, service, _shutdown) = serve(ServerLimits {
         head_timeout,
@@ -334,13 +340,13 @@
     });
     let mut stream = connect(address);
     stream.write_all(b"GET /safe/1 HTTP/1.1\r\n").unwrap();
-    let answer = read_to_end(stream);
-    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
+    let response = read_to_end(stream);
+    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
     assert!(service.started().is_empty());
 }
 
 #[test]
-fn a_connection_that_rests_too_long_is_closed_without_an_answer() {
+fn idle_connection_is_closed_without_response() {
     let idle_timeout = Duration::from_millis(100);
     let (address, _service, _shutdown) = serve(ServerLimits {
         idle_timeout,
@@ -350,7 +356,7 @@
 }
 
 #[test]
-fn a_connection_rests_from_its_last_answer_on() {
+fn idle_timeout_starts_at_the_last_response() {
     let idle_timeout = Duration::from_millis(600);
     let (address, service, _shutdown) = serve(ServerLimits {
         idle_timeout,
@@ -361,15 +367,15 @@
     service.wait_started("/safe/1");
     std::thread::sleep(idle_timeout.mul_f64(0.8));
     service.release("/safe/1", "one");
-    read_answers(&mut stream, 1);
+    read_responses(&mut stream, 1);
     std::thread::sleep(idle_timeout.mul_f64(0.6));
     service.release("/safe/2", "two");
     stream.write_all(get("/safe/2").as_bytes()).unwrap();
-    assert!(read_answers(&mut stream, 1)[0].ends_with("two"));
+    assert!(read_responses(&mut stream, 1)[0].ends_with("two"));
 }
 
 #[test]
-fn a_head_that_is_too_large_gets_431() {
+fn oversized_head_gets_431() {
     let (address, service, _shutdown) = serve(ServerLimits {
         max_head_bytes: 1_000,
         ..ServerLimits::default()
@@ -380,8 +386,8 @@
         "x".repeat(2_000)
     );
     stream.write_all(large.as_bytes()).unwrap();
-    let answer = read_to_end(stream);
-    assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
+    let response = read_to_end(stream);
+    assert!(response.starts_with("HTTP/1.1 431"), "{response}");
     assert!(service.started().is_empty());
 }
 
@@ -393,19 +399,19 @@
 )]
 #[case::bad_chunk("transfer-encoding: chunked\r\n\r\n5\r\nhelloworld\r\n0\r\n\r\n", Err(()))]
 #[case::bad_size("transfer-encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", Err(()))]
-fn bodies_come_with_a_length_or_in_chunks(#[case] rest: &str, #[case] read: Result<usize, ()>) {
+fn body_framing_is_decoded(#[case] rest: &str, #[case] read: Result<usize, ()>) {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/read", "done");
     let mut stream = connect(address);
     let request = format!("POST /read HTTP/1.1\r\nhost: a\r\n{rest}");
     stream.write_all(request.as_bytes()).unwrap();
-    assert!(read_answers(&mut stream, 1)[0].ends_with("done"));
+    assert!(read_responses(&mut stream, 1)[0].ends_with("done"));
     let seen = service.change(|progress| progress.bodies["/read"].clone());
     assert_eq!(seen.map_err(|_| ()), read);
 }
 
 #[test]
-fn a_body_of_the_largest_size_arrives_whole_and_the_next_request_after_it() {
+fn large_body_is_followed_by_the_next_request() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/read", "first");
     service.release("/safe/2", "second");
@@ -414,14 +420,14 @@
     stream.write_all(head.as_bytes()).unwrap();
     stream.write_all(&vec![b'x'; 360_000]).unwrap();
     stream.write_all(get("/safe/2").as_bytes()).unwrap();
-    let answers = read_answers(&mut stream, 2);
-    assert!(answers[1].ends_with("second"), "{answers:?}");
+    let responses = read_responses(&mut stream, 2);
+    assert!(responses[1].ends_with("second"), "{responses:?}");
     let seen = service.change(|progress| progress.bodies["/read"].clone());
     assert_eq!(seen, Ok(360_000));
 }
 
 #[test]
-fn a_body_that_breaks_off_never_counts_as_whole() {
+fn truncated_request_body_is_never_complete() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let request = "POST /read HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\nabc";
@@ -437,7 +443,7 @@
 }
 
 #[test]
-fn the_body_is_asked_for_when_it_is_wanted() {
+fn continue_is_sent_when_the_body_is_read() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/read", "done");
     let mut stream = connect(address);
@@ -448,39 +454,39 @@
     stream.read_exact(&mut interim).unwrap();
     assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
     stream.write_all(b"abc").unwrap();
-    assert!(read_answers(&mut stream, 1)[0].ends_with("done"));
+    assert!(read_responses(&mut stream, 1)[0].ends_with("done"));
 }
 
 #[test]
-fn a_body_that_nobody_wants_is_not_asked_for() {
+fn continue_is_not_sent_for_an_unread_body() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/once/1", "no");
     let mut stream = connect(address);
     let head =
         "POST /once/1 HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 3\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
-    let answer = read_to_end(stream);
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    assert!(answer.contains("connection: close"), "{answer}");
+    let response = read_to_end(stream);
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    assert!(response.contains("connection: close"), "{response}");
 }
 
 #[test]
-fn an_early_answer_to_a_large_body_arrives_and_ends_the_connection() {
+fn early_response_to_a_large_body_closes_the_connection() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/once/1", "no");
     let mut stream = connect(address);
     let head = "POST /once/1 HTTP/1.1\r\nhost: a\r\ncontent-length: 360000\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
     let _ = stream.write_all(&vec![b'x'; 360_000]);
-    let answer = read_to_end(stream);
+    let response = read_to_end(stream);
     assert!(
-        answer.starts_with("HTTP/1.1 200") && answer.ends_with("no"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 200") && response.ends_with("no"),
+        "{response}"
     );
 }
 
 #[test]
-fn an_early_answer_to_a_small_body_keeps_the_connection() {
+fn early_response_to_a_small_body_keeps_the_connection() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/once/1", "no");
     service.release("/safe/2", "two");
@@ -489,26 +495,26 @@
     stream
         .write_all([request, &get("/safe/2")].concat().as_bytes())
         .unwrap();
-    assert!(read_answers(&mut stream, 2)[1].ends_with("two"));
+    assert!(read_responses(&mut stream, 2)[1].ends_with("two"));
 }
 
 #[rstest]
 #[case::chunks("HTTP/1.1")]
 #[case::close("HTTP/1.0")]
-fn an_answer_that_breaks_off_never_looks_complete(#[case] version: &str) {
+fn truncated_response_is_never_complete(#[case] version: &str) {
     let (address, _service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let request = format!("GET /broken {version}\r\nhost: a\r\n\r\n");
     stream.write_all(request.as_bytes()).unwrap();
-    let mut answer = Vec::new();
-    let ended = stream.read_to_end(&mut answer);
+    let mut response = Vec::new();
+    let ended = stream.read_to_end(&mut response);
     let reset = ended.is_err();
-    let cut = !answer.ends_with(b"0\r\n\r\n") && version == "HTTP/1.1";
-    assert!(reset || cut, "{}", String::from_utf8_lossy(&answer));
+    let cut = !response.ends_with(b"0\r\n\r\n") && version == "HTTP/1.1";
+    assert!(reset || cut, "{}", String::from_utf8_lossy(&response));
 }
 
 #[test]
-fn an_old_client_is_answered_and_closed_unless_it_asks() {
+fn http_1_0_closes_unless_keep_alive_is_requested() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/safe/1", "one");
     let mut stream = connect(address);
@@ -520,13 +526,16 @@
     for number in [2, 3] {
         let request = format!("GET /safe/{number} HTTP/1.0\r\nconnection: keep-alive\r\n\r\n");
         stream.write_all(request.as_bytes()).unwrap();
-        let answer = read_answers(&mut stream, 1);
-        assert!(answer[0].contains("connection: keep-alive"), "{answer:?}");
+        let response = read_responses(&mut stream, 1);
+        assert!(
+            response[0].contains("connection: keep-alive"),
+            "{response:?}"
+        );
     }
 }
 
 #[test]
-fn the_answer_to_head_has_no_body() {
+fn head_response_has_no_body() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/safe/1", "");
     service.release("/safe/2", "two");
@@ -550,7 +559,7 @@
 }
 
 #[test]
-fn a_stop_answers_what_was_started_and_closes() {
+fn shutdown_completes_started_requests_and_closes() {
     let (address, service, shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     stream
@@ -562,16 +571,20 @@
     assert_eq!(read_to_end(idle), "");
     service.release("/safe/1", "one");
     service.release("/safe/2", "two");
-    let answers = read_to_end(stream);
-    assert!(answers.ends_with("two"), "{answers}");
-    assert_eq!(answers.matches("connection: close").count(), 1, "{answers}");
+    let responses = read_to_end(stream);
+    assert!(responses.ends_with("two"), "{responses}");
+    assert_eq!(
+        responses.matches("connection: close").count(),
+        1,
+        "{responses}"
+    );
     let begun = Instant::now();
     task::block_on(shutdown.wait_closed());
-    assert!(begun.elapsed() < LIMIT);
+    assert!(begun.elapsed() < CONDITION_TIMEOUT);
 }
 
 #[test]
-fn no_body_is_the_body_of_204() {
+fn status_204_has_no_body() {
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     let server = Server::new(ServerLimits::default(), ShutdownHandle::default());
@@ -585,7 +598,7 @@
     stream
         .write_all(b"GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
         .unwrap();
-    let answer = read_to_end(stream);
-    assert!(answer.starts_with("HTTP/1.1 204"), "{answer}");
-    assert!(!answer.contains("content-length"), "{answer}");
+    let response = read_to_end(stream);
+    assert!(response.starts_with("HTTP/1.1 204"), "{response}");
+    assert!(!response.contains("content-length"), "{response}");
 }
--- a/crates/rampthread-http/tests/one_clock.rs
+++ b/crates/rampthread-http/tests/one_clock.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 /// Crates that serve calls or run the control plane.
-const PRODUCT: &[&str] = &[
+const PRODUCT_CRATES: &[&str] = &[
     "rampthread",
     "rampthread-core",
     "rampthread-http",
@@ -13,11 +13,11 @@
     "rampthread-wire",
 ];
 /// The clock itself, and the one timer that may be late.
-const ALLOWED: &[&str] = &[
+const ALLOWED_FILES: &[&str] = &[
     "rampthread-http/src/time.rs",
     "rampthread-http/src/server/connection.rs",
 ];
-const OTHER_CLOCKS: &[&str] = &[
+const FORBIDDEN_PATTERNS: &[&str] = &[
     "std::time::Instant",
     "{Duration, Instant",
     "async_std::future::timeout",
@@ -35,25 +35,25 @@
 }
 
 #[test]
-fn product_code_reads_one_clock() {
+fn product_code_uses_the_boot_time_clock() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut files = Vec::new();
-    for name in PRODUCT {
+    for name in PRODUCT_CRATES {
         sources(&crates.join(name).join("src"), &mut files);
     }
-    assert!(files.len() > 100, "the sources were not found");
-    let mut findings = Vec::new();
+    assert!(files.len() > 100, "source files not found");
+    let mut violations = Vec::new();
     for file in files {
         let path = file.display().to_string();
-        if ALLOWED.iter().any(|allowed| path.ends_with(allowed)) {
+        if ALLOWED_FILES.iter().any(|allowed| path.ends_with(allowed)) {
             continue;
         }
         let text = std::fs::read_to_string(&file).unwrap();
         for (number, line) in text.lines().enumerate() {
-            if OTHER_CLOCKS.iter().any(|clock| line.contains(clock)) {
-                findings.push(format!("{path}:{}: {line}", number + 1));
+            if FORBIDDEN_PATTERNS.iter().any(|clock| line.contains(clock)) {
+                violations.push(format!("{path}:{}: {line}", number + 1));
             }
         }
     }
-    assert!(findings.is_empty(), "{}", findings.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
--- a/crates/rampthread-http/tests/pipeline_properties.rs
+++ b/crates/rampthread-http/tests/pipeline_properties.rs
@@ -18,19 +18,19 @@
 
 /// One request of a pipeline.
 #[derive(Debug, Clone)]
-struct Planned {
+struct PlannedRequest {
     overlaps: bool,
     work_ms: u64,
-    answer_bytes: usize,
+    response_bytes: usize,
     closes: bool,
 }
 
-fn planned() -> impl Strategy<Value = Planned> {
+fn planned() -> impl Strategy<Value = PlannedRequest> {
     (any::<bool>(), 0_u64..12, 0_usize..40_000, 0_u8..12).prop_map(
-        |(overlaps, work_ms, answer_bytes, closes)| Planned {
+        |(overlaps, work_ms, response_bytes, closes)| PlannedRequest {
             overlaps,
             work_ms,
-            answer_bytes,
+            response_bytes,
             closes: closes == 0,
         },
     )
@@ -39,13 +39,13 @@
 /// Responds to `/overlap|alone/NUMBER/WORK_MS/BYTES` with the number and padding of the given
 /// size.
 #[derive(Clone, Default)]
-struct Numbered {
+struct NumberedService {
     running: Arc<AtomicUsize>,
     /// Number of requests that ran concurrently although they must not.
-    beside_others: Arc<AtomicUsize>,
+    overlap_violations: Arc<AtomicUsize>,
 }
 
-impl Service for Numbered {
+impl Service for NumberedService {
     fn handle(
         &self,
         request: Request<RequestBody>,
@@ -57,7 +57,7 @@
             let parts: Vec<&str> = path.split('/').collect();
             let before = service.running.fetch_add(1, Ordering::SeqCst);
             if parts[1] == "alone" && before > 0 {
-                service.beside_others.fetch_add(1, Ordering::SeqCst);
+                service.overlap_violations.fetch_add(1, Ordering::SeqCst);
             }
             task::sleep(Duration::from_millis(parts[3].parse().unwrap())).await;
             service.running.fetch_sub(1, Ordering::SeqCst);
@@ -72,10 +72,10 @@
     }
 }
 
-fn text_of(pipeline: &[Planned]) -> String {
-    let text = |(number, planned): (usize, &Planned)| {
+fn encode_pipeline(pipeline: &[PlannedRequest]) -> String {
+    let text = |(number, planned): (usize, &PlannedRequest)| {
         let kind = if planned.overlaps { "overlap" } else { "alone" };
-        let (work, bytes) = (planned.work_ms, planned.answer_bytes);
+        let (work, bytes) = (planned.work_ms, planned.response_bytes);
         let close = if planned.closes {
             "connection: close\r\n"
         } else {
@@ -87,12 +87,12 @@
 }
 
 /// Reads one response; `None` at the end of the connection.
-fn read_answer(stream: &mut TcpStream) -> Option<String> {
+fn read_response(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
         if stream.read(&mut byte).ok()? == 0 {
-            assert!(head.is_empty(), "the head of an answer is cut");
+            assert!(head.is_empty(), "truncated response head");
             return None;
         }
         head.push(byte[0]);
@@ -110,28 +110,28 @@
     #![proptest_config(ProptestConfig::with_cases(48))]
 
     #[test]
-    fn every_answer_is_to_its_own_request(pipeline in prop::collection::vec(planned(), 1..24)) {
+    fn responses_match_requests_in_order(pipeline in prop::collection::vec(planned(), 1..24)) {
         let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
-        let service = Numbered::default();
+        let service = NumberedService::default();
         let server = Server::new(ServerLimits::default(), ShutdownHandle::default());
         let serving = task::spawn(server.serve(listener, service.clone()));
         let mut stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-        stream.write_all(text_of(&pipeline).as_bytes()).unwrap();
-        let answered = match pipeline.iter().position(|planned| planned.closes) {
+        stream.write_all(encode_pipeline(&pipeline).as_bytes()).unwrap();
+        let response_count = match pipeline.iter().position(|planned| planned.closes) {
             Some(last) => last + 1,
             None => pipeline.len(),
         };
-        for (number, planned) in pipeline.iter().enumerate().take(answered) {
-            let answer = read_answer(&mut stream);
-            let expected = format!("{number}:{}", "x".repeat(planned.answer_bytes));
-            prop_assert_eq!(answer, Some(expected), "answer {}", number);
+        for (number, planned) in pipeline.iter().enumerate().take(response_count) {
+            let response = read_response(&mut stream);
+            let expected = format!("{number}:{}", "x".repeat(planned.response_bytes));
+            prop_assert_eq!(response, Some(expected), "response {}", number);
         }
-        if answered < pipeline.len() {
-            prop_assert_eq!(read_answer(&mut stream), None);
+        if response_count < pipeline.len() {
+            prop_assert_eq!(read_response(&mut stream), None);
         }
-        prop_assert_eq!(service.beside_others.load(Ordering::SeqCst), 0);
+        prop_assert_eq!(service.overlap_violations.load(Ordering::SeqCst), 0);
         task::block_on(serving.cancel());
     }
 }
--- a/crates/rampthread-http/tests/suspension.rs
+++ b/crates/rampthread-http/tests/suspension.rs
@@ -15,24 +15,24 @@
 
 const SUSPENSION: Duration = Duration::from_secs(30);
 /// Much shorter than the waits that span the suspension, and longer than one timer slice.
-const SOON: Duration = Duration::from_secs(2);
+const MAX_WAKE_DELAY: Duration = Duration::from_secs(2);
 
 /// Simulates a suspension 50 ms from now.
-fn suspend_soon() {
+fn suspend_shortly() {
     spawn(async {
         async_std::task::sleep(Duration::from_millis(50)).await;
         advance_clock_for_tests(SUSPENSION);
     });
 }
 
-async fn waits_end_on_waking() {
+async fn timeouts_and_sleeps_end_after_suspension() {
     let (began, steady) = (BootInstant::now(), Instant::now());
-    suspend_soon();
+    suspend_shortly();
     let ended = timeout(SUSPENSION / 2, std::future::pending::<()>()).await;
     assert!(ended.is_err());
     assert!(
-        steady.elapsed() < SOON,
-        "it ended after {:?}",
+        steady.elapsed() < MAX_WAKE_DELAY,
+        "timeout ended after {:?}",
         steady.elapsed()
     );
     assert!(
@@ -41,21 +41,21 @@
     );
 
     let steady = Instant::now();
-    suspend_soon();
+    suspend_shortly();
     sleep(SUSPENSION / 2).await;
     assert!(
-        steady.elapsed() < SOON,
-        "it slept for {:?}",
+        steady.elapsed() < MAX_WAKE_DELAY,
+        "sleep ended after {:?}",
         steady.elapsed()
     );
 }
 
-async fn an_answer_in_time_is_taken() {
-    let answered = timeout(SUSPENSION, async { 7 }).await;
-    assert_eq!(answered, Ok(7));
+async fn completed_future_is_returned() {
+    let completed = timeout(SUSPENSION, async { 7 }).await;
+    assert_eq!(completed, Ok(7));
 }
 
-async fn ask(pool: &Pool, address: SocketAddr) {
+async fn send_request(pool: &Pool, address: SocketAddr) {
     let request = Request::builder()
         .uri("/")
         .header("host", "h")
@@ -66,7 +66,7 @@
     read_limited(sent.unwrap().into_body(), 100).await.unwrap();
 }
 
-async fn a_connection_that_rested_meanwhile_is_not_used() {
+async fn stale_pooled_connection_is_not_reused() {
     let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let address = listener.local_addr().unwrap();
     let peers: Arc<Mutex<BTreeSet<SocketAddr>>> = Arc::default();
@@ -80,23 +80,27 @@
         idle_timeout: SUSPENSION / 2,
         ..PoolSettings::default()
     });
-    ask(&pool, address).await;
-    ask(&pool, address).await;
-    assert_eq!(peers.lock().unwrap().len(), 1, "it was used again");
+    send_request(&pool, address).await;
+    send_request(&pool, address).await;
+    assert_eq!(
+        peers.lock().unwrap().len(),
+        1,
+        "idle connection was not reused"
+    );
     advance_clock_for_tests(SUSPENSION);
-    ask(&pool, address).await;
+    send_request(&pool, address).await;
     assert_eq!(
         peers.lock().unwrap().len(),
         2,
-        "it was used although too old"
+        "stale connection was reused"
     );
 }
 
 #[test]
-fn a_suspension_counts() {
+fn suspension_counts_as_elapsed_time() {
     block_on(async {
-        waits_end_on_waking().await;
-        an_answer_in_time_is_taken().await;
-        a_connection_that_rested_meanwhile_is_not_used().await;
+        timeouts_and_sleeps_end_after_suspension().await;
+        completed_future_is_returned().await;
+        stale_pooled_connection_is_not_reused().await;
     });
 }
