--- a/crates/rampthread-core/src/call/log_budget.rs
+++ b/crates/rampthread-core/src/call/log_rate_limit.rs
@@ -36,7 +36,7 @@
 
 /// Lines that were left out for one cause since the last summary.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct SuppressedLines {
     /// The cause.
     pub cause: &'static str,
     /// How many.
@@ -45,14 +45,14 @@
 
 /// The allowance of every cause.
 #[derive(Debug, Default)]
-pub struct LogBudget {
+pub struct LogRateLimiter {
     allowances: BTreeMap<&'static str, Allowance>,
     next_summary: Moment,
 }
 
-impl LogBudget {
+impl LogRateLimiter {
     /// True when a line of `cause` may be written now.
-    pub fn take(&mut self, cause: &'static str, now: Moment) -> bool {
+    pub fn allow(&mut self, cause: &'static str, now: Moment) -> bool {
         let allowance = self.allowances.entry(cause).or_insert(Allowance {
             tokens: BURST,
             filled: now,
@@ -70,7 +70,7 @@
     }
 
     /// What was left out since the last summary, if one is due.
-    pub fn summary(&mut self, now: Moment) -> Vec<LeftOut> {
+    pub fn summary(&mut self, now: Moment) -> Vec<SuppressedLines> {
         if now < self.next_summary {
             return Vec::new();
         }
@@ -79,7 +79,7 @@
         for (cause, allowance) in &mut self.allowances {
             let lines = std::mem::take(&mut allowance.left_out);
             if lines > 0 {
-                left_out.push(LeftOut { cause, lines });
+                left_out.push(SuppressedLines { cause, lines });
             }
         }
         left_out
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -29,7 +29,7 @@
 //! | [`response_check`] | whether what came back is the back end's answer to the call |
 //! | [`cause`] | why there is no answer |
 //! | [`dialect`] | how callers and back ends name what a call carries |
-//! | [`log_budget`] | which lines about calls are written |
+//! | [`log_rate_limit`] | which lines about calls are written |
 //! | [`attempt_age`] | how long ago the caller made its first attempt |
 //! | [`dependency`] | which calls back ends make in the middle of their own work |
 //! | [`nested_routes`] | the same at an entry, as gates have told it |
@@ -65,7 +65,7 @@
 pub mod headers;
 pub mod identity;
 pub mod load_average;
-pub mod log_budget;
+pub mod log_rate_limit;
 pub mod nested_routes;
 pub mod path_delay;
 pub mod peer_crash_watch;
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -14,7 +14,7 @@
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::QueueingLimit;
-use rampthread_core::call::log_budget::{LogBudget, is_sampled};
+use rampthread_core::call::log_rate_limit::{LogRateLimiter, is_sampled};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::route_table::{CallHead, RouteTable};
 use rampthread_core::call::service_times::ServiceTimes;
@@ -239,12 +239,12 @@
     /// Lines of one cause stay within burst and rate, and all others are told.
     #[test]
     fn log_lines_are_bounded_and_counted(pauses in prop::collection::vec(0_u64..50, 1..2_000)) {
-        let mut budget = LogBudget::default();
+        let mut budget = LogRateLimiter::default();
         let mut now = Moment(1);
         let (mut written, mut told) = (0_u64, 0_u64);
         for pause in &pauses {
             now = now + Duration::from_millis(*pause);
-            written += u64::from(budget.take("full", now));
+            written += u64::from(budget.allow("full", now));
             told += budget.summary(now).iter().map(|one| one.lines).sum::<u64>();
         }
         let seconds = now.since(Moment(1)).as_secs_f64();
--- a/crates/rampthread-node/src/call_log.rs
+++ b/crates/rampthread-node/src/call_log.rs
@@ -10,7 +10,7 @@
 use rampthread_core::call::fence_outcome::{FenceOutcome, FenceReply};
 use rampthread_core::call::headers::QueueingLimit;
 use rampthread_core::call::identity::RequestIdentity;
-use rampthread_core::call::log_budget::{LogBudget, is_sampled};
+use rampthread_core::call::log_rate_limit::{LogRateLimiter, is_sampled};
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::fleet::CrashReport;
 use std::net::SocketAddr;
@@ -141,7 +141,7 @@
 pub struct CallLog {
     clock: Clock,
     metrics: Arc<Metrics>,
-    budget: Mutex<LogBudget>,
+    budget: Mutex<LogRateLimiter>,
 }
 
 impl CallLog {
@@ -154,7 +154,7 @@
         }
     }
 
-    fn budget(&self) -> MutexGuard<'_, LogBudget> {
+    fn budget(&self) -> MutexGuard<'_, LogRateLimiter> {
         self.budget
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
@@ -164,7 +164,7 @@
         let now = self.clock.now();
         let (allowed, left_out) = {
             let mut budget = self.budget();
-            (budget.take(cause, now), budget.summary(now))
+            (budget.allow(cause, now), budget.summary(now))
         };
         for one in left_out {
             tracing::info!(cause = one.cause, lines = one.lines, "lines left out");
--- a/crates/rampthread-node/src/control/backend_reports.rs
+++ b/crates/rampthread-node/src/control/backend_reports.rs
@@ -6,7 +6,7 @@
 
 use super::Control;
 use http::{Request, Response, StatusCode};
-use rampthread_core::call::log_budget::LogBudget;
+use rampthread_core::call::log_rate_limit::LogRateLimiter;
 use rampthread_core::ids::InstanceId;
 use rampthread_http::{Body, RequestBody, full, read_limited};
 use rampthread_platform::{ReportError, ReportReader};
@@ -19,7 +19,7 @@
 pub struct ReportService {
     control: Arc<Control>,
     reader: Arc<dyn ReportReader>,
-    log_budget: Mutex<LogBudget>,
+    log_budget: Mutex<LogRateLimiter>,
 }
 
 impl ReportService {
@@ -95,7 +95,7 @@
                 "lines left out"
             );
         }
-        budget.take(cause, now)
+        budget.allow(cause, now)
     }
 }
 
--- a/crates/rampthread-node/src/journal.rs
+++ b/crates/rampthread-node/src/journal.rs
@@ -1,7 +1,7 @@
 //! The latest decisions of this node, kept for `explain`.
 
 use crate::clock::{Clock, wall_clock_micros};
-use rampthread_core::call::log_budget::{LeftOut, LogBudget};
+use rampthread_core::call::log_rate_limit::{LogRateLimiter, SuppressedLines};
 use rampthread_core::fleet::{Decision, Status};
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -27,7 +27,7 @@
     clock: Clock,
     entries: Mutex<VecDeque<JournalEntry>>,
     /// Lines about members, watches and refused versions, by cause.
-    lines: Mutex<LogBudget>,
+    lines: Mutex<LogRateLimiter>,
 }
 
 impl Journal {
@@ -64,13 +64,13 @@
             Decision::VersionRefused { .. } => "version-refused",
             _ => return true,
         };
-        lock(&self.lines).take(cause, self.clock.now())
+        lock(&self.lines).allow(cause, self.clock.now())
     }
 
     /// Logs how many changes of members had no line of their own, when due.
     pub fn tell_left_out(&self) {
         let left_out = lock(&self.lines).summary(self.clock.now());
-        for LeftOut { cause, lines } in left_out {
+        for SuppressedLines { cause, lines } in left_out {
             tracing::info!(cause, lines, "decisions, lines left out");
         }
     }
