--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -31,7 +31,7 @@
 //! | [`dialect`] | how callers and back ends name what a call carries |
 //! | [`log_rate_limit`] | which lines about calls are written |
 //! | [`attempt_age`] | how long ago the caller made its first attempt |
-//! | [`dependency`] | which calls back ends make in the middle of their own work |
+//! | [`nested_call_detector`] | which calls back ends make in the middle of their own work |
 //! | [`nested_routes`] | the same at an entry, as gates have told it |
 //! | [`precedence`] | which calls go before others of their rank |
 //! | [`attempts`] | whether a second try is safe and affordable |
@@ -57,7 +57,6 @@
 pub mod crash_watch;
 pub mod demand;
 pub mod demand_trend;
-pub mod dependency;
 pub mod dialect;
 pub mod fair_queue;
 pub mod fence;
@@ -66,6 +65,7 @@
 pub mod identity;
 pub mod load_average;
 pub mod log_rate_limit;
+pub mod nested_call_detector;
 pub mod nested_routes;
 pub mod path_delay;
 pub mod peer_crash_watch;
--- a/crates/rampthread-core/src/call/dependency.rs
+++ b/crates/rampthread-core/src/call/nested_call_detector.rs
@@ -44,24 +44,24 @@
 
 /// Learns at one gate who calls which route.
 #[derive(Debug, Default)]
-pub struct Dependencies {
+pub struct NestedCallDetector {
     routes: HashMap<ResourceName, Callers>,
 }
 
-impl Dependencies {
+impl NestedCallDetector {
     /// A node beside `caller` passes on a call of `route`. True when it is most
     /// likely the call of a back end.
-    pub fn is_dependency(&mut self, route: &ResourceName, caller: &str) -> bool {
+    pub fn observe(&mut self, route: &ResourceName, caller: &str) -> bool {
         let callers = match self.routes.get_mut(route) {
             Some(callers) => callers,
             None => self.routes.entry(route.clone()).or_default(),
         };
         callers.note(caller);
-        self.is_known(route)
+        self.is_nested(route)
     }
 
     /// True when the calls of `route` are most likely a back end's, by those seen so far.
-    pub fn is_known(&self, route: &ResourceName) -> bool {
+    pub fn is_nested(&self, route: &ResourceName) -> bool {
         let one_caller = |callers: &Callers| callers.main_share().map(|share| share >= ONE_CALLER);
         self.routes.get(route).and_then(one_caller) == Some(true)
             && self
--- a/crates/rampthread-core/src/call/nested_routes.rs
+++ b/crates/rampthread-core/src/call/nested_routes.rs
@@ -2,7 +2,7 @@
 //!
 //! An entry sees the calls of one node only, where clients and the back end beside it look
 //! alike. The gates see the calls of many nodes and find it out (see
-//! [`dependency`](super::dependency)); they tell it with their answers.
+//! [`dependency`](super::nested_call_detector)); they tell it with their answers.
 
 use crate::ids::ResourceName;
 use crate::time::Moment;
--- a/crates/rampthread-core/src/call/precedence.rs
+++ b/crates/rampthread-core/src/call/precedence.rs
@@ -5,7 +5,7 @@
 pub enum Precedence {
     /// The call of a back end that holds a slot for it: if it fails, the work
     /// done for its parent is lost.
-    Dependency,
+    Nested,
     /// The first attempt of its caller, or a later one whose answer can still be in time.
     #[default]
     FirstAttempt,
@@ -19,7 +19,7 @@
     /// The word between nodes.
     pub fn as_str(self) -> &'static str {
         match self {
-            Precedence::Dependency => "dependency",
+            Precedence::Nested => "dependency",
             Precedence::FirstAttempt => "first-attempt",
             Precedence::Retry => "retry",
         }
--- a/crates/rampthread-core/src/call/service_times.rs
+++ b/crates/rampthread-core/src/call/service_times.rs
@@ -55,7 +55,7 @@
         left: Duration,
     ) -> Duration {
         match precedence {
-            Precedence::Dependency => return left.mul_f64(DEPENDENCY_SHARE),
+            Precedence::Nested => return left.mul_f64(DEPENDENCY_SHARE),
             Precedence::Retry => return target.mul_f64(SHORTEST_SHARE),
             Precedence::FirstAttempt => {}
         }
--- a/crates/rampthread-core/tests/precedence_properties.rs
+++ b/crates/rampthread-core/tests/precedence_properties.rs
@@ -6,7 +6,7 @@
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
 };
 use rampthread_core::call::attempt_age::AttemptAges;
-use rampthread_core::call::dependency::Dependencies;
+use rampthread_core::call::nested_call_detector::NestedCallDetector;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::ids::ResourceName;
@@ -138,20 +138,20 @@
 }
 
 /// Calls of a dependency and of callers from outside, mixed.
-fn learn(dependencies: &mut Dependencies, calls: u32) -> bool {
+fn learn(dependencies: &mut NestedCallDetector, calls: u32) -> bool {
     let (inner, outer) = (name("inner"), name("outer"));
     let mut last = false;
     for call in 0..calls {
         let caller = ["shop", "orders", "images"][call as usize % 3];
-        assert!(!dependencies.is_dependency(&outer, caller));
-        last = dependencies.is_dependency(&inner, "shop");
+        assert!(!dependencies.observe(&outer, caller));
+        last = dependencies.observe(&inner, "shop");
     }
     last
 }
 
 #[test]
 fn a_route_that_one_service_calls_beside_others_is_a_dependency() {
-    let mut dependencies = Dependencies::default();
+    let mut dependencies = NestedCallDetector::default();
     assert!(!learn(&mut dependencies, 5), "too few calls");
     assert!(learn(&mut dependencies, 100));
     dependencies.clear();
@@ -160,10 +160,10 @@
 
 #[test]
 fn a_gate_that_only_one_service_calls_has_no_dependencies() {
-    let mut dependencies = Dependencies::default();
+    let mut dependencies = NestedCallDetector::default();
     for _ in 0..500 {
-        assert!(!dependencies.is_dependency(&name("inner"), "shop"));
-        assert!(!dependencies.is_dependency(&name("other"), "shop"));
+        assert!(!dependencies.observe(&name("inner"), "shop"));
+        assert!(!dependencies.observe(&name("other"), "shop"));
     }
 }
 
@@ -172,13 +172,13 @@
     let calls = [
         arrival(1, Precedence::Retry, 10),
         arrival(2, Precedence::FirstAttempt, 10),
-        arrival(3, Precedence::Dependency, 500),
+        arrival(3, Precedence::Nested, 500),
     ];
     assert_eq!(order(full_gate(calls)), [3, 2, 1]);
     let (times, target) = (ServiceTimes::default(), Duration::from_millis(100));
     for (left_ms, wait_ms) in [(600, 90), (2_000, 300)] {
         let left = Duration::from_millis(left_ms);
-        let wait = times.max_wait(&name("r"), target, Precedence::Dependency, left);
+        let wait = times.max_wait(&name("r"), target, Precedence::Nested, left);
         assert_eq!(wait, Duration::from_millis(wait_ms));
     }
 }
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -215,7 +215,7 @@
 #[test]
 fn a_ring_of_services_never_stands_still() {
     for seed in 0..5 {
-        let (ring, last) = Ring::new(Precedence::Dependency, seed).play();
+        let (ring, last) = Ring::new(Precedence::Nested, seed).play();
         let end_of_load = Moment(1) + Duration::from_secs(LOAD_SECONDS);
         assert!(last <= end_of_load + DEADLINE + WORK * MAX_DEPTH);
         assert!(
@@ -235,7 +235,7 @@
 fn fewer_parents_lose_their_work_where_nested_calls_go_first() {
     for seed in 0..5 {
         let (equal, _) = Ring::new(Precedence::FirstAttempt, seed).play();
-        let (first, _) = Ring::new(Precedence::Dependency, seed).play();
+        let (first, _) = Ring::new(Precedence::Nested, seed).play();
         println!("seed {seed}: as others {:?}", equal.outcome);
         println!("seed {seed}: nested first {:?}", first.outcome);
         assert!(first.outcome.work_lost < equal.outcome.work_lost);
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -10,7 +10,7 @@
 impl Call {
     /// Whether the caller is a backend that holds a slot until this call ends.
     pub(super) fn is_nested(&self) -> bool {
-        self.precedence == Precedence::Dependency
+        self.precedence == Precedence::Nested
     }
 
     pub(super) fn retry_claim(&self) -> RetryClaim {
@@ -26,7 +26,7 @@
     /// with the response.
     pub(super) fn note_nested(&self, call: &Call, answer: &HeaderMap) {
         let word = header_filter::header_str(answer, headers::PRECEDENCE);
-        if word == Some(Precedence::Dependency.as_str()) {
+        if word == Some(Precedence::Nested.as_str()) {
             let now = self.now();
             self.state().nested.told(&call.route.name, now);
         }
--- a/crates/rampthread-node/src/calls/entry/plan.rs
+++ b/crates/rampthread-node/src/calls/entry/plan.rs
@@ -119,7 +119,7 @@
     fn precedence(&self, route: &Route, age: Duration) -> Precedence {
         let state = self.state();
         if state.nested.is_nested(&route.name, self.now()) {
-            return Precedence::Dependency;
+            return Precedence::Nested;
         }
         if age.is_zero() {
             return Precedence::FirstAttempt;
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -26,12 +26,12 @@
 use rampthread_core::call::balance::UNAVAILABLE_LOAD;
 use rampthread_core::call::body_transfers::BodyTransfers;
 use rampthread_core::call::crash_watch::CrashWatch;
-use rampthread_core::call::dependency::Dependencies;
 use rampthread_core::call::dialect::CallDialect;
 use rampthread_core::call::fence::{FenceAnswer, FenceTable};
 use rampthread_core::call::headers::{self, QueueingLimit};
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::load_average::LoadAverage;
+use rampthread_core::call::nested_call_detector::NestedCallDetector;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::call::speed_meter::SpeedMeter;
@@ -64,7 +64,7 @@
     admission: AdmissionController,
     fences: FenceTable,
     work_times: ServiceTimes,
-    dependencies: Dependencies,
+    dependencies: NestedCallDetector,
     transfers: BodyTransfers,
     /// Large bodies that are queued for a transfer permit.
     body_turns: HashMap<CallNumber, async_channel::Sender<()>>,
@@ -173,7 +173,7 @@
                 admission: AdmissionController::new(limits),
                 fences: FenceTable::new(now),
                 work_times: ServiceTimes::default(),
-                dependencies: Dependencies::default(),
+                dependencies: NestedCallDetector::default(),
                 transfers: BodyTransfers::default(),
                 body_turns: HashMap::new(),
                 permits: HashMap::new(),
@@ -262,8 +262,8 @@
 
     /// Tells the entry that `route` carries nested calls, which only the gate can see.
     fn tell_nested(&self, route: &ResourceName, response: &mut Response<Body>) {
-        if self.state().dependencies.is_known(route) {
-            let word = Precedence::Dependency.as_str();
+        if self.state().dependencies.is_nested(route) {
+            let word = Precedence::Nested.as_str();
             set_response_header(response, headers::PRECEDENCE, word);
         }
     }
--- a/crates/rampthread-node/src/calls/gate/admit.rs
+++ b/crates/rampthread-node/src/calls/gate/admit.rs
@@ -7,9 +7,9 @@
 use crate::control::LocalBackend;
 use rampthread_core::call::admission::{AdmissionDecision, AdmissionLimits, Arrival, CallNumber};
 use rampthread_core::call::cause::Cause;
-use rampthread_core::call::dependency::Dependencies;
 use rampthread_core::call::fence::StartError;
 use rampthread_core::call::headers::{Outcome, QueueingLimit};
+use rampthread_core::call::nested_call_detector::NestedCallDetector;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::speed_meter::SpeedMeter;
 use rampthread_core::time::Moment;
@@ -180,17 +180,17 @@
 
 /// Effective precedence. Calls of other backends rank as dependencies; only the gate sees who
 /// calls a route.
-fn precedence(dependencies: &mut Dependencies, hop: &Hop) -> Precedence {
-    if dependencies.is_dependency(&hop.route, &hop.caller) {
-        return Precedence::Dependency;
+fn precedence(dependencies: &mut NestedCallDetector, hop: &Hop) -> Precedence {
+    if dependencies.observe(&hop.route, &hop.caller) {
+        return Precedence::Nested;
     }
     hop.precedence
 }
 
 /// Like [`precedence`], without counting the hop among the route's callers. For reservations.
-pub(super) fn known_precedence(dependencies: &Dependencies, hop: &Hop) -> Precedence {
-    match dependencies.is_known(&hop.route) {
-        true => Precedence::Dependency,
+pub(super) fn known_precedence(dependencies: &NestedCallDetector, hop: &Hop) -> Precedence {
+    match dependencies.is_nested(&hop.route) {
+        true => Precedence::Nested,
         false => hop.precedence,
     }
 }
