--- a/crates/rampthread-core/src/call/attempts.rs
+++ b/crates/rampthread-core/src/call/attempts.rs
@@ -6,7 +6,7 @@
 //! that a gate refused reached no back end and costs nothing.
 
 use super::headers::{Outcome, Reach};
-pub use super::retry_budget::{RetryBudget, RetryClaim, RetryShare};
+pub use super::retry_budget::{RetryBudget, RetryClass, RetryLimit};
 use crate::time::Moment;
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
 
 /// What to do after a try without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Try another back end.
-    TryElsewhere,
+    Retry,
     /// Another try is still under way.
     AwaitOther,
     /// Answer the caller now, with this outcome.
@@ -34,7 +34,7 @@
     /// When its answer is worthless.
     pub deadline: Moment,
     /// On whose behalf second tries are asked for.
-    pub claim: RetryClaim,
+    pub class: RetryClass,
     max_arrivals: u32,
     arrivals: u32,
     tries: u32,
@@ -52,7 +52,7 @@
         Self {
             repeatable,
             deadline,
-            claim: RetryClaim::default(),
+            class: RetryClass::default(),
             max_arrivals,
             arrivals: 0,
             tries: 0,
@@ -84,7 +84,7 @@
         reach: Reach,
         now: Moment,
         budget: &mut RetryBudget,
-    ) -> Next {
+    ) -> NextStep {
         self.tries += 1;
         self.under_way = self.under_way.saturating_sub(1);
         if reach == Reach::Backend {
@@ -96,20 +96,20 @@
             if reach == Reach::Gate {
                 self.end(budget);
             }
-            return Next::AwaitOther;
+            return NextStep::AwaitOther;
         }
         let safe = self.repeatable || !self.tainted;
         let in_time = now + LEAST_TIME < self.deadline;
         let room = self.tries < MAX_TRIES && self.arrivals < self.max_arrivals;
         let free = self.arrivals == 0 || reach == Reach::Gate;
         if safe && in_time && room && (free || self.take_second_try(now, budget)) {
-            return Next::TryElsewhere;
+            return NextStep::Retry;
         }
-        Next::GiveUp(self.outcome())
+        NextStep::GiveUp(self.outcome())
     }
 
     fn take_second_try(&mut self, now: Moment, budget: &mut RetryBudget) -> bool {
-        let taken = budget.take(self.claim, now);
+        let taken = budget.take(self.class, now);
         if taken {
             self.second_try = Some(now);
         }
@@ -120,7 +120,7 @@
     /// has got is another call's.
     pub fn end(&mut self, budget: &mut RetryBudget) {
         if let Some(taken_at) = self.second_try.take() {
-            budget.give_back(self.claim, taken_at);
+            budget.give_back(self.class, taken_at);
         }
     }
 
--- a/crates/rampthread-core/src/call/retry_budget.rs
+++ b/crates/rampthread-core/src/call/retry_budget.rs
@@ -23,7 +23,7 @@
 
 /// How many second arrivals a service's back ends may get from this node.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryShare {
+pub struct RetryLimit {
     /// Second arrivals for each call.
     pub ratio: f64,
     /// Second arrivals in a window besides.
@@ -32,7 +32,7 @@
     pub window: Duration,
 }
 
-impl RetryShare {
+impl RetryLimit {
     /// `percent` second tries for each hundred calls.
     pub fn percent(percent: u8) -> Self {
         Self {
@@ -45,7 +45,7 @@
 
 /// Who asks for a second try.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum RetryClaim {
+pub enum RetryClass {
     /// The call of a back end: if it fails, the work done for its parent is lost.
     Nested,
     /// A caller's call, which has lost nothing but time.
@@ -53,12 +53,12 @@
     Caller,
 }
 
-impl RetryClaim {
+impl RetryClass {
     /// The word in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            RetryClaim::Nested => "nested",
-            RetryClaim::Caller => "caller",
+            RetryClass::Nested => "nested",
+            RetryClass::Caller => "caller",
         }
     }
 }
@@ -78,14 +78,14 @@
 /// A service's allowance of second tries, over a sliding window.
 #[derive(Debug)]
 pub struct RetryBudget {
-    share: RetryShare,
+    share: RetryLimit,
     unlimited: bool,
     parts: VecDeque<WindowPart>,
 }
 
 impl RetryBudget {
     /// An allowance of `share`.
-    pub fn new(share: RetryShare) -> Self {
+    pub fn new(share: RetryLimit) -> Self {
         Self {
             share,
             unlimited: false,
@@ -97,12 +97,12 @@
     pub fn unlimited() -> Self {
         Self {
             unlimited: true,
-            ..Self::new(RetryShare::percent(100))
+            ..Self::new(RetryLimit::percent(100))
         }
     }
 
     /// Changes the share.
-    pub fn set_share(&mut self, share: RetryShare) {
+    pub fn set_limit(&mut self, share: RetryLimit) {
         self.share = share;
     }
 
@@ -112,30 +112,30 @@
     }
 
     /// Takes one second try for `claim`, if there is one for it.
-    pub fn take(&mut self, claim: RetryClaim, now: Moment) -> bool {
+    pub fn take(&mut self, claim: RetryClass, now: Moment) -> bool {
         let allowed = self.has_room_for(claim, now);
         let unlimited = self.unlimited;
         let part = self.part(now);
-        part.nested_claims += u32::from(claim == RetryClaim::Nested);
+        part.nested_claims += u32::from(claim == RetryClass::Nested);
         if allowed && !unlimited {
             part.retries += 1;
-            part.retries_of_callers += u32::from(claim == RetryClaim::Caller);
+            part.retries_of_callers += u32::from(claim == RetryClass::Caller);
         }
         allowed
     }
 
     /// Gives back a second try, taken at `taken_at`, that no back end got.
-    pub fn give_back(&mut self, claim: RetryClaim, taken_at: Moment) {
+    pub fn give_back(&mut self, claim: RetryClass, taken_at: Moment) {
         let number = self.part_number(taken_at);
         let Some(part) = self.parts.iter_mut().find(|part| part.number == number) else {
             return;
         };
         part.retries = part.retries.saturating_sub(1);
-        let of_caller = u32::from(claim == RetryClaim::Caller);
+        let of_caller = u32::from(claim == RetryClass::Caller);
         part.retries_of_callers = part.retries_of_callers.saturating_sub(of_caller);
     }
 
-    fn has_room_for(&mut self, claim: RetryClaim, now: Moment) -> bool {
+    fn has_room_for(&mut self, claim: RetryClass, now: Moment) -> bool {
         if self.unlimited {
             return true;
         }
@@ -150,7 +150,7 @@
         let of_callers = sum(|part| part.retries_of_callers);
         let left_by_nested = allowed - sum(|part| part.nested_claims);
         let for_callers = left_by_nested.max(allowed * LEAST_SHARE_OF_OTHERS);
-        claim == RetryClaim::Nested || fits(of_callers, for_callers)
+        claim == RetryClass::Nested || fits(of_callers, for_callers)
     }
 
     fn part_number(&self, at: Moment) -> u64 {
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -5,7 +5,7 @@
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
 };
 use rampthread_core::call::attempts::{
-    Attempts, MAX_TRIES, Next, RetryBudget, RetryClaim, RetryShare,
+    Attempts, MAX_TRIES, NextStep, RetryBudget, RetryClass, RetryLimit,
 };
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint, UNAVAILABLE_LOAD};
 use rampthread_core::call::claims::{ClaimAnswer, ClaimDecision, ClaimTable, ClaimVote};
@@ -175,20 +175,20 @@
         reach in prop_oneof![Just(Reach::Gate), Just(Reach::Backend)],
         max_arrivals in 1_u32..5,
     ) {
-        let mut budget = RetryBudget::new(RetryShare::percent(percent));
+        let mut budget = RetryBudget::new(RetryLimit::percent(percent));
         budget.call_made(Moment(1));
         let mut attempts = Attempts::new(repeatable, Moment(10_000_000), max_arrivals);
         let mut tainted = false;
         for (number, outcome) in outcomes.into_iter().enumerate() {
             tainted |= outcome == Outcome::Unknown;
             match attempts.after(outcome, reach, Moment(1), &mut budget) {
-                Next::TryElsewhere => {
+                NextStep::Retry => {
                     prop_assert!(repeatable || !tainted, "an unsafe second try");
                     prop_assert!((number as u32) + 1 < MAX_TRIES);
                     prop_assert!(attempts.arrivals() < max_arrivals, "one back end too many");
                 }
-                Next::AwaitOther => prop_assert!(false, "no other try is under way"),
-                Next::GiveUp(told) => {
+                NextStep::AwaitOther => prop_assert!(false, "no other try is under way"),
+                NextStep::GiveUp(told) => {
                     prop_assert_eq!(told == Outcome::NotRun, !tainted);
                     break;
                 }
@@ -206,7 +206,7 @@
         max_arrivals in 1_u32..5,
     ) {
         let now = Moment(1);
-        let mut budget = RetryBudget::new(RetryShare::percent(100));
+        let mut budget = RetryBudget::new(RetryLimit::percent(100));
         for _ in 0..50 {
             budget.call_made(now);
         }
@@ -224,13 +224,13 @@
             let reach = if ran || reached { Reach::Backend } else { Reach::Gate };
             under_way -= 1;
             match attempts.after(outcome, reach, now, &mut budget) {
-                Next::AwaitOther => prop_assert_eq!(under_way, 1),
-                Next::TryElsewhere => {
+                NextStep::AwaitOther => prop_assert_eq!(under_way, 1),
+                NextStep::Retry => {
                     prop_assert_eq!(under_way, 0);
                     attempts.begin();
                     under_way = 1;
                 }
-                Next::GiveUp(_) => {
+                NextStep::GiveUp(_) => {
                     prop_assert_eq!(under_way, 0, "given up with a try under way");
                     break;
                 }
@@ -242,12 +242,12 @@
     #[test]
     fn retries_stay_within_the_budget(percent in 0_u8..=100, calls in 1_usize..2_000) {
         let now = Moment(1);
-        let mut budget = RetryBudget::new(RetryShare::percent(percent));
+        let mut budget = RetryBudget::new(RetryLimit::percent(percent));
         let mut retries = 0_usize;
         for _ in 0..calls {
             budget.call_made(now);
-            retries += usize::from(budget.take(RetryClaim::Nested, now));
-            retries += usize::from(budget.take(RetryClaim::Nested, now));
+            retries += usize::from(budget.take(RetryClass::Nested, now));
+            retries += usize::from(budget.take(RetryClass::Nested, now));
         }
         let allowed = calls as f64 * f64::from(percent) / 100.0 + 6.0;
         prop_assert!(retries as f64 <= allowed, "{} second tries of {} calls", retries, calls);
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -10,7 +10,7 @@
 use rampthread_core::call::admission::{
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
 };
-use rampthread_core::call::attempts::{RetryBudget, RetryClaim, RetryShare};
+use rampthread_core::call::attempts::{RetryBudget, RetryClass, RetryLimit};
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::QueueingLimit;
@@ -190,13 +190,13 @@
         slack in 0.0_f64..20.0,
     ) {
         let window = Duration::from_secs(10);
-        let mut budget = RetryBudget::new(RetryShare { ratio, slack, window });
+        let mut budget = RetryBudget::new(RetryLimit { ratio, slack, window });
         let mut now = Moment(1);
         let mut made: Vec<(Moment, u32, u32)> = Vec::new();
         for (pause, calls, tries) in steps {
             now = now + Duration::from_millis(pause);
             (0..calls).for_each(|_| budget.call_made(now));
-            let taken = (0..tries).filter(|_| budget.take(RetryClaim::Nested, now)).count() as u32;
+            let taken = (0..tries).filter(|_| budget.take(RetryClass::Nested, now)).count() as u32;
             made.push((now, calls, taken));
             if taken == 0 {
                 continue;
--- a/crates/rampthread-core/tests/second_tries.rs
+++ b/crates/rampthread-core/tests/second_tries.rs
@@ -2,7 +2,7 @@
 //! parents lose their work with a nested call, and bounds that hold whoever asks.
 
 use proptest::prelude::*;
-use rampthread_core::call::attempts::{Attempts, Next, RetryBudget, RetryClaim, RetryShare};
+use rampthread_core::call::attempts::{Attempts, NextStep, RetryBudget, RetryClass, RetryLimit};
 use rampthread_core::call::headers::{Outcome, Reach};
 use rampthread_core::call::nested_routes::NestedRoutes;
 use rampthread_core::call::return_advice;
@@ -23,8 +23,8 @@
 /// For how long the back ends shed: most of one window.
 const SHED_SECONDS: u64 = 8;
 
-fn share() -> RetryShare {
-    RetryShare {
+fn share() -> RetryLimit {
+    RetryLimit {
         ratio: RATIO,
         slack: 2.0,
         window: WINDOW,
@@ -32,16 +32,16 @@
 }
 
 /// True when one call is answered, with second tries as `claim` may have them.
-fn is_answered(budget: &mut RetryBudget, claim: RetryClaim, now: Moment, rng: &mut StdRng) -> bool {
+fn is_answered(budget: &mut RetryBudget, claim: RetryClass, now: Moment, rng: &mut StdRng) -> bool {
     budget.call_made(now);
     let mut attempts = Attempts::new(true, now + Duration::from_secs(1), 3);
-    attempts.claim = claim;
+    attempts.class = claim;
     loop {
         if !rng.random_bool(SHED) {
             return true;
         }
         let next = attempts.after(Outcome::NotRun, Reach::Backend, now, budget);
-        if next != Next::TryElsewhere {
+        if next != NextStep::Retry {
             return false;
         }
     }
@@ -49,7 +49,7 @@
 
 /// Parents answered while the service sheds, of how many, with nested calls that claim
 /// second tries as `nested`.
-fn parents_answered(nested: RetryClaim, seed: u64) -> (u64, u64) {
+fn parents_answered(nested: RetryClass, seed: u64) -> (u64, u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut budget = RetryBudget::new(share());
     let (mut answered, mut parents) = (0, 0);
@@ -57,7 +57,7 @@
     for call in 0..each_second * SHED_SECONDS {
         let now = Moment(1) + Duration::from_micros(call * 1_000_000 / each_second);
         if call % each_second < CALLERS_PER_SECOND {
-            is_answered(&mut budget, RetryClaim::Caller, now, &mut rng);
+            is_answered(&mut budget, RetryClass::Caller, now, &mut rng);
             continue;
         }
         parents += 1;
@@ -74,8 +74,8 @@
 fn nested_calls_first_loses_fewer_parents() {
     let (mut first_come, mut nested_first) = (0, 0);
     for seed in 0..100 {
-        first_come += parents_answered(RetryClaim::Caller, seed).0;
-        nested_first += parents_answered(RetryClaim::Nested, seed).0;
+        first_come += parents_answered(RetryClass::Caller, seed).0;
+        nested_first += parents_answered(RetryClass::Nested, seed).0;
     }
     println!("parents answered: {first_come} first come, {nested_first} nested first");
     assert!(nested_first > first_come, "{nested_first} of {first_come}");
@@ -89,8 +89,8 @@
     (0..1_000).for_each(|_| budget.call_made(now));
     let mut of_callers = 0;
     for _ in 0..1_000 {
-        budget.take(RetryClaim::Nested, now);
-        of_callers += u32::from(budget.take(RetryClaim::Caller, now));
+        budget.take(RetryClass::Nested, now);
+        of_callers += u32::from(budget.take(RetryClass::Caller, now));
     }
     assert!(of_callers >= 40, "{of_callers} of about 200");
 }
@@ -102,7 +102,7 @@
     let now = Moment(1);
     (0..1_000).for_each(|_| budget.call_made(now));
     let taken = (0..1_000)
-        .filter(|_| budget.take(RetryClaim::Caller, now))
+        .filter(|_| budget.take(RetryClass::Caller, now))
         .count();
     assert_eq!(taken, 201);
 }
@@ -111,19 +111,19 @@
 #[test]
 fn a_second_try_that_no_back_end_got_is_given_back() {
     let now = Moment(1);
-    let mut budget = RetryBudget::new(RetryShare {
+    let mut budget = RetryBudget::new(RetryLimit {
         ratio: 0.0,
         slack: 1.0,
         window: WINDOW,
     });
     let mut attempts = Attempts::new(true, now + WINDOW, 3);
     let shed = attempts.after(Outcome::NotRun, Reach::Backend, now, &mut budget);
-    assert_eq!(shed, Next::TryElsewhere);
-    assert!(!budget.take(RetryClaim::Nested, now), "it is taken");
+    assert_eq!(shed, NextStep::Retry);
+    assert!(!budget.take(RetryClass::Nested, now), "it is taken");
     let full = attempts.after(Outcome::NotRun, Reach::Gate, now, &mut budget);
-    assert_eq!(full, Next::TryElsewhere);
+    assert_eq!(full, NextStep::Retry);
     attempts.end(&mut budget);
-    assert!(budget.take(RetryClaim::Nested, now), "it is free again");
+    assert!(budget.take(RetryClass::Nested, now), "it is free again");
 }
 
 proptest! {
@@ -136,9 +136,9 @@
         ratio in 0.0_f64..0.5,
         slack in 0.0_f64..20.0,
     ) {
-        let mut budget = RetryBudget::new(RetryShare { ratio, slack, window: WINDOW });
+        let mut budget = RetryBudget::new(RetryLimit { ratio, slack, window: WINDOW });
         let mut now = Moment(1);
-        let mut held: Vec<(RetryClaim, Moment)> = Vec::new();
+        let mut held: Vec<(RetryClass, Moment)> = Vec::new();
         let mut made: Vec<(Moment, u32, u32)> = Vec::new();
         for (pause, calls, nested, tries, kept) in steps {
             now = now + Duration::from_millis(pause);
@@ -146,7 +146,7 @@
                 budget.give_back(claim, taken_at);
             }
             (0..calls).for_each(|_| budget.call_made(now));
-            let claim = if nested { RetryClaim::Nested } else { RetryClaim::Caller };
+            let claim = if nested { RetryClass::Nested } else { RetryClass::Caller };
             let taken = (0..tries).filter(|_| budget.take(claim, now)).count() as u32;
             let kept = kept.min(taken);
             held.extend((0..kept).map(|_| (claim, now)));
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -34,7 +34,7 @@
 use progress::Progress;
 use rampthread_core::call::acceptance::AcceptanceEstimator;
 use rampthread_core::call::attempt_age::AttemptAges;
-use rampthread_core::call::attempts::{RetryBudget, RetryShare};
+use rampthread_core::call::attempts::{RetryBudget, RetryLimit};
 use rampthread_core::call::balance::{BalanceMode, Balancer};
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::dialect::CallDialect;
@@ -345,20 +345,20 @@
                     RetryBudget::unlimited()
                 }
             });
-        budget.set_share(share);
+        budget.set_limit(share);
         act(budget)
     }
 
     /// This node's share of the fleet-wide retry limit. The ratio applies to the node's own
     /// calls; the slack is divided by the number of live nodes.
-    fn retry_share(&self, call: &Call) -> RetryShare {
+    fn retry_share(&self, call: &Call) -> RetryLimit {
         let Some(fleet) = self.options.live.get().retry_share else {
             let service = call.config.state.service(&call.service);
             let percent = service.map_or(0, |service| service.retry_percent);
-            return RetryShare::percent(percent);
+            return RetryLimit::percent(percent);
         };
         let nodes = self.control().endpoints().alive.max(1) as f64;
-        RetryShare {
+        RetryLimit {
             slack: (fleet.slack * USED_SLACK / nodes).max(1.0),
             ratio: fleet.ratio * USED_SLACK,
             ..fleet
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -3,7 +3,7 @@
 use super::{Call, Entry};
 use crate::calls::header_filter;
 use http::HeaderMap;
-use rampthread_core::call::attempts::RetryClaim;
+use rampthread_core::call::attempts::RetryClass;
 use rampthread_core::call::headers;
 use rampthread_core::call::precedence::Precedence;
 
@@ -13,10 +13,10 @@
         self.precedence == Precedence::Nested
     }
 
-    pub(super) fn retry_claim(&self) -> RetryClaim {
+    pub(super) fn retry_claim(&self) -> RetryClass {
         match self.is_nested() {
-            true => RetryClaim::Nested,
-            false => RetryClaim::Caller,
+            true => RetryClass::Nested,
+            false => RetryClass::Caller,
         }
     }
 }
--- a/crates/rampthread-node/src/calls/entry/tries.rs
+++ b/crates/rampthread-node/src/calls/entry/tries.rs
@@ -12,7 +12,7 @@
 use futures_util::future::BoxFuture;
 use futures_util::stream::FuturesUnordered;
 use http::{Request, Response, StatusCode};
-use rampthread_core::call::attempts::{Attempts, Next};
+use rampthread_core::call::attempts::{Attempts, NextStep};
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::{Outcome, implies_not_run};
 use rampthread_core::call::identity::RequestIdentity;
@@ -50,7 +50,7 @@
 /// Then the call itself is probably long, and would be long at another backend as well.
 const EXTENSION: u32 = 2;
 
-/// Next step of a call.
+/// NextStep step of a call.
 enum Event {
     Ended(Box<EndedTry>),
     /// The only attempt in progress exceeded its expected time.
@@ -79,7 +79,7 @@
         template: &'call Request<Bytes>,
     ) -> Self {
         let mut attempts = Attempts::new(call.repeatable, call.deadline, call.route.max_attempts);
-        attempts.claim = call.retry_claim();
+        attempts.class = call.retry_claim();
         Self {
             entry,
             call,
@@ -260,7 +260,7 @@
         let full = call_error.cause == Cause::QueueFull;
         let call_error = sooner(call_error, self.last.take());
         match next {
-            Next::AwaitOther => {
+            NextStep::AwaitOther => {
                 self.overdue = None;
                 self.last = Some(call_error);
                 Ok(())
@@ -268,19 +268,19 @@
             // The call was allowed to queue and the queue was too long. Other backends are no
             // better, and asking them costs traffic between zones. A nested call still tries
             // them, since failing it would waste the work of its parent.
-            Next::TryElsewhere if full && !tried.choice.others_free && !self.call.is_nested() => {
+            NextStep::Retry if full && !tried.choice.others_free && !self.call.is_nested() => {
                 Err(final_answer(call_error, self.attempts.outcome()))
             }
             // Retrying would risk another backend.
-            Next::TryElsewhere if quarantined => {
+            NextStep::Retry if quarantined => {
                 Err(final_answer(call_error, self.attempts.outcome()))
             }
-            Next::TryElsewhere => {
+            NextStep::Retry => {
                 self.count_second_try();
                 self.last = Some(call_error);
                 self.begin_next()
             }
-            Next::GiveUp(outcome) => Err(final_answer(call_error, outcome)),
+            NextStep::GiveUp(outcome) => Err(final_answer(call_error, outcome)),
         }
     }
 
--- a/crates/rampthread-node/src/settings/live.rs
+++ b/crates/rampthread-node/src/settings/live.rs
@@ -3,7 +3,7 @@
 
 use super::node_settings::{DrainSettings, NodeSettings, RetrySettings};
 use arc_swap::ArcSwap;
-use rampthread_core::call::attempts::RetryShare;
+use rampthread_core::call::attempts::RetryLimit;
 use std::sync::Arc;
 
 /// What may change while a node runs.
@@ -12,7 +12,7 @@
     /// A planned stop.
     pub drain: DrainSettings,
     /// Second tries of the whole fleet; none: each service's own percentage.
-    pub retry_share: Option<RetryShare>,
+    pub retry_share: Option<RetryLimit>,
     /// Largest body of a request where the configuration names none, in bytes.
     pub body_limit: usize,
     /// Calls that may wait at the back end, in percent of its slots.
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -1,7 +1,7 @@
 //! What a node can be told.
 
 use bytesize::ByteSize;
-use rampthread_core::call::attempts::RetryShare;
+use rampthread_core::call::attempts::RetryLimit;
 use rampthread_core::call::quota::QuotaTerms;
 use rampthread_core::fleet::{DistributionMode, FleetSettings, Machine};
 use rampthread_core::ids::{NodeId, Region, ResourceName, Zone};
@@ -124,8 +124,8 @@
 
 impl RetrySettings {
     /// As the decisions on calls take it.
-    pub fn to_retry_share(self) -> RetryShare {
-        RetryShare {
+    pub fn to_retry_share(self) -> RetryLimit {
+        RetryLimit {
             ratio: self.ratio,
             slack: self.slack,
             window: self.window,
