--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -36,7 +36,7 @@
 //! | [`precedence`] | which calls go before others of their rank |
 //! | [`attempts`] | whether a second try is safe and affordable |
 //! | [`retry_budget`] | how many second tries there are, and who gets them |
-//! | [`return_advice`] | when the caller of a shed call should come back |
+//! | [`retry_after`] | when the caller of a shed call should come back |
 //! | [`crash_watch`] | which lost answers a crash explains |
 //! | [`unnamed_starts`] | which start of a back end it was, where reports name none |
 //! | [`peer_crash_watch`] | the same, for back ends beside other nodes |
@@ -75,8 +75,8 @@
 pub mod rank_queue;
 pub mod recent_answers;
 pub mod response_check;
+pub mod retry_after;
 pub mod retry_budget;
-pub mod return_advice;
 pub mod route_table;
 pub mod service_times;
 pub mod speed_meter;
--- a/crates/rampthread-core/tests/second_tries.rs
+++ b/crates/rampthread-core/tests/second_tries.rs
@@ -5,7 +5,7 @@
 use rampthread_core::call::attempts::{Attempts, NextStep, RetryBudget, RetryClass, RetryLimit};
 use rampthread_core::call::headers::{Outcome, Reach};
 use rampthread_core::call::nested_routes::NestedRoutes;
-use rampthread_core::call::return_advice;
+use rampthread_core::call::retry_after;
 use rampthread_core::ids::ResourceName;
 use rampthread_core::time::Moment;
 use rand::rngs::StdRng;
@@ -172,7 +172,7 @@
         chance in 0.0_f64..1.0,
     ) {
         let (target, answer) = (Duration::from_millis(target_ms), Duration::from_millis(answer_ms));
-        match return_advice::after_shed(target, answer, chance) {
+        match retry_after::after_shed(target, answer, chance) {
             Some(wait) => prop_assert!(wait + answer < target),
             None => prop_assert!(target_ms < answer_ms + 20),
         }
--- a/crates/rampthread-node/src/calls/entry/returns.rs
+++ b/crates/rampthread-node/src/calls/entry/returns.rs
@@ -4,7 +4,7 @@
 use crate::calls::response::CallError;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::Outcome;
-use rampthread_core::call::return_advice;
+use rampthread_core::call::retry_after;
 use std::time::Duration;
 
 impl Entry {
@@ -24,7 +24,7 @@
         }
         let answer_time = self.state().balancer.mean_time(&call.route.name);
         let advice = self.target_left(call).and_then(|left| {
-            return_advice::after_shed(left, answer_time.unwrap_or_default(), rand::random())
+            retry_after::after_shed(left, answer_time.unwrap_or_default(), rand::random())
         });
         match advice {
             Some(wait) => call_error.retry_after(wait),
