--- a/crates/rampthread-core/src/call/crash_watch.rs
+++ b/crates/rampthread-core/src/call/crash_detector.rs
@@ -58,7 +58,7 @@
 
 /// A request and the incarnation that it is, or was, reported for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Suspicion {
+pub struct CrashSuspect {
     /// The request.
     pub identity: RequestIdentity,
     /// The incarnation.
@@ -72,19 +72,19 @@
 /// The lost answers of one back end: of that beside a gate, or of one that an entry
 /// sends calls to.
 #[derive(Debug)]
-pub struct CrashWatch {
+pub struct CrashDetector {
     losses: Vec<Loss>,
     /// Time for which a loss may be a crash after a call was answered.
     answered_memory: Duration,
 }
 
-impl Default for CrashWatch {
+impl Default for CrashDetector {
     fn default() -> Self {
         Self::with_heartbeat(Duration::ZERO)
     }
 }
 
-impl CrashWatch {
+impl CrashDetector {
     /// Nothing was lost; the back end reports each `heartbeat`.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
         Self {
@@ -95,7 +95,7 @@
 
     /// An answer was lost; `refuses`: the back end's port refuses connections, so
     /// that it is reported as a crash.
-    pub fn lost(&mut self, lost: &Suspicion, refuses: bool) {
+    pub fn record_loss(&mut self, lost: &CrashSuspect, refuses: bool) {
         self.forget_old(lost.at);
         let known = self
             .losses
@@ -126,7 +126,7 @@
     /// remembered: what is lost after the crash was sent to a back end that had ended,
     /// and must not push out what ended it (soak behind proxies: over 128 losses in 0.6 s
     /// hid the request on trial, and it ended two back ends more).
-    fn make_room(&mut self, lost: &Suspicion) -> bool {
+    fn make_room(&mut self, lost: &CrashSuspect) -> bool {
         let newest = self.losses.iter().rposition(|loss| !loss.on_trial);
         let Some(newest) = newest.filter(|_| lost.on_trial) else {
             return false;
@@ -137,7 +137,7 @@
 
     /// A call for `instance` that began at `begun` was answered: it lives, unless its next
     /// start may have answered. Returns what must be withdrawn.
-    pub fn answered(&mut self, instance: &InstanceId, begun: Moment) -> Vec<Suspicion> {
+    pub fn record_response(&mut self, instance: &InstanceId, begun: Moment) -> Vec<CrashSuspect> {
         let names_start = BackendIncarnation::named(instance).born().is_some();
         if names_start {
             self.note_answer(instance, begun);
@@ -158,7 +158,7 @@
 
     /// `instance` reported last at `heard`: it has outlived what was lost well before.
     /// Returns what must be withdrawn.
-    pub fn reported_alive(&mut self, instance: &InstanceId, heard: Moment) -> Vec<Suspicion> {
+    pub fn reported_alive(&mut self, instance: &InstanceId, heard: Moment) -> Vec<CrashSuspect> {
         let outlived =
             |loss: &Loss| loss.instance == *instance && loss.last + HEARTBEAT_LATENESS < heard;
         let withdrawn = self.suspicions(|loss| outlived(loss) && loss.reported);
@@ -168,7 +168,7 @@
 
     /// `present` reports at the address. Returns the losses of other incarnations
     /// that are explained by it, and were not reported yet.
-    pub fn replaced(&mut self, present: &InstanceId, now: Moment) -> Vec<Suspicion> {
+    pub fn record_replacement(&mut self, present: &InstanceId, now: Moment) -> Vec<CrashSuspect> {
         let gone = |loss: &Loss| loss.instance != *present;
         let memory = self.answered_memory;
         let counts = |loss: &Loss| loss.may_be_a_crash(now, memory) && !loss.reported;
@@ -179,7 +179,7 @@
 
     /// The port was found closed a moment after the loss, and nobody has answered
     /// meanwhile: returns the crash that is to be reported, if it was not.
-    pub fn port_closed(&mut self, lost: &Suspicion) -> Option<Suspicion> {
+    pub fn port_closed(&mut self, lost: &CrashSuspect) -> Option<CrashSuspect> {
         let is_meant = |loss: &&mut Loss| {
             loss.identity == lost.identity && loss.instance == lost.instance && !loss.reported
         };
@@ -191,7 +191,7 @@
     /// The port of `instance` has stayed closed since a crash was reported: nothing
     /// withdraws that any more. Returns the losses that this explains besides; none where
     /// no report stands, since it has answered meanwhile.
-    pub fn ended(&mut self, instance: &InstanceId) -> Option<Vec<Suspicion>> {
+    pub fn ended(&mut self, instance: &InstanceId) -> Option<Vec<CrashSuspect>> {
         let of_it = |loss: &Loss| loss.instance == *instance;
         let stands = self.losses.iter().any(|loss| of_it(loss) && loss.reported);
         if !stands {
@@ -204,7 +204,7 @@
 
     /// `instance` has taken its leave: it ends as planned, with calls under way at
     /// times.
-    pub fn left(&mut self, instance: &InstanceId) {
+    pub fn record_departure(&mut self, instance: &InstanceId) {
         self.losses.retain(|loss| loss.instance != *instance);
     }
 
@@ -228,10 +228,10 @@
         self.losses.is_empty()
     }
 
-    fn suspicions(&self, wanted: impl Fn(&Loss) -> bool) -> Vec<Suspicion> {
+    fn suspicions(&self, wanted: impl Fn(&Loss) -> bool) -> Vec<CrashSuspect> {
         let losses = self.losses.iter().filter(|loss| wanted(loss));
         losses
-            .map(|loss| Suspicion {
+            .map(|loss| CrashSuspect {
                 identity: loss.identity,
                 instance: loss.instance.clone(),
                 at: loss.at,
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -37,9 +37,9 @@
 //! | [`attempts`] | whether a second try is safe and affordable |
 //! | [`retry_budget`] | how many second tries there are, and who gets them |
 //! | [`retry_after`] | when the caller of a shed call should come back |
-//! | [`crash_watch`] | which lost answers a crash explains |
+//! | [`crash_detector`] | which lost answers a crash explains |
 //! | [`unnamed_starts`] | which start of a back end it was, where reports name none |
-//! | [`peer_crash_watch`] | the same, for back ends beside other nodes |
+//! | [`peer_crash_detector`] | the same, for back ends beside other nodes |
 //! | [`recent_answers`] | which requests were answered since a crash |
 //! | [`quarantine`] | what becomes of a request under which back ends crash |
 
@@ -54,7 +54,7 @@
 pub mod body_transfers;
 pub mod cause;
 pub mod claims;
-pub mod crash_watch;
+pub mod crash_detector;
 pub mod demand;
 pub mod demand_trend;
 pub mod dialect;
@@ -68,7 +68,7 @@
 pub mod nested_call_detector;
 pub mod nested_routes;
 pub mod path_delay;
-pub mod peer_crash_watch;
+pub mod peer_crash_detector;
 pub mod precedence;
 pub mod quarantine;
 pub mod quota;
--- a/crates/rampthread-core/tests/crash_watch.rs
+++ b/crates/rampthread-core/tests/crash_detector.rs
@@ -6,15 +6,15 @@
 use crash_cases::{HOUR, NOW, identity, instance};
 use proptest::prelude::*;
 use rampthread_core::backend_incarnation::{BackendIncarnation, BornAt};
-use rampthread_core::call::crash_watch::{CrashWatch, Suspicion};
-use rampthread_core::call::peer_crash_watch::{PeerCrashWatch, PresentBackEnd};
+use rampthread_core::call::crash_detector::{CrashDetector, CrashSuspect};
+use rampthread_core::call::peer_crash_detector::{CurrentBackend, PeerCrashDetector};
 use rampthread_core::call::unnamed_starts::UnnamedStarts;
 use rampthread_core::ids::{InstanceId, NodeId};
 use rstest::rstest;
 use std::time::Duration;
 
-fn lost(request: u16, back_end: u32) -> Suspicion {
-    Suspicion {
+fn lost(request: u16, back_end: u32) -> CrashSuspect {
+    CrashSuspect {
         identity: identity(request),
         instance: instance(back_end),
         at: NOW,
@@ -24,44 +24,47 @@
 
 #[test]
 fn a_lost_answer_alone_is_no_crash() {
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost(1, 1), false);
-    assert_eq!(watch.replaced(&instance(1), NOW), Vec::new());
-    assert_eq!(watch.answered(&instance(1), NOW + HOUR), Vec::new());
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost(1, 1), false);
+    assert_eq!(watch.record_replacement(&instance(1), NOW), Vec::new());
+    assert_eq!(watch.record_response(&instance(1), NOW + HOUR), Vec::new());
     assert!(watch.is_empty(), "an answer explains it");
 }
 
 #[test]
 fn another_incarnation_soon_after_explains_a_lost_answer() {
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost(1, 1), false);
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost(1, 1), false);
     let seconds = NOW + Duration::from_secs(4);
-    let explained = watch.replaced(&instance(2), seconds);
+    let explained = watch.record_replacement(&instance(2), seconds);
     assert_eq!(explained.len(), 1);
     assert_eq!((explained[0].identity, explained[0].at), (identity(1), NOW));
     assert!(watch.is_empty());
 
-    watch.lost(&lost(1, 2), false);
-    assert_eq!(watch.replaced(&instance(3), NOW + HOUR), Vec::new());
+    watch.record_loss(&lost(1, 2), false);
+    assert_eq!(
+        watch.record_replacement(&instance(3), NOW + HOUR),
+        Vec::new()
+    );
 }
 
 #[test]
 fn an_answer_to_a_call_that_began_later_withdraws_a_crash() {
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost(1, 1), true);
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost(1, 1), true);
     let before = NOW - Duration::from_millis(5);
-    assert_eq!(watch.answered(&instance(1), before), Vec::new());
+    assert_eq!(watch.record_response(&instance(1), before), Vec::new());
     let after = NOW + Duration::from_millis(5);
-    let withdrawn = watch.answered(&instance(1), after);
+    let withdrawn = watch.record_response(&instance(1), after);
     assert_eq!(withdrawn.len(), 1);
     assert_eq!(withdrawn[0].identity, identity(1));
 }
 
 #[test]
 fn a_reported_crash_is_not_reported_again_by_the_next_incarnation() {
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost(1, 1), true);
-    assert_eq!(watch.replaced(&instance(2), NOW), Vec::new());
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost(1, 1), true);
+    assert_eq!(watch.record_replacement(&instance(2), NOW), Vec::new());
 }
 
 /// What users saw: a request that ends back ends reached one after another, far more often
@@ -73,8 +76,8 @@
     BackendIncarnation::new("i-1", born).unwrap().name()
 }
 
-fn lost_at_start(request: u16, number: u32) -> Suspicion {
-    Suspicion {
+fn lost_at_start(request: u16, number: u32) -> CrashSuspect {
+    CrashSuspect {
         instance: start(number),
         ..lost(request, 1)
     }
@@ -84,20 +87,20 @@
 #[case::port_stays_open(false)]
 #[case::port_refuses_connections(true)]
 fn an_answer_of_the_next_start_under_the_id_hides_no_crash(#[case] refuses: bool) {
-    let mut watch = CrashWatch::default();
-    let mut peers = PeerCrashWatch::default();
+    let mut watch = CrashDetector::default();
+    let mut peers = PeerCrashDetector::default();
     let node = NodeId::new("node-1").unwrap();
-    watch.lost(&lost_at_start(1, 1), refuses);
-    peers.lost(&node, &lost_at_start(1, 1));
+    watch.record_loss(&lost_at_start(1, 1), refuses);
+    peers.record_loss(&node, &lost_at_start(1, 1));
     let second = NOW + Duration::from_secs(1);
     // It is known under the name of the last one until it reports.
-    assert_eq!(watch.answered(&start(1), second), Vec::new());
-    peers.answered(&node, &start(1), second);
+    assert_eq!(watch.record_response(&start(1), second), Vec::new());
+    peers.record_response(&node, &start(1), second);
     assert!(!watch.may_have_ended(&start(1), second), "trials go on");
     let reported = second + Duration::from_secs(1);
-    let explained = watch.replaced(&start(2), reported);
+    let explained = watch.record_replacement(&start(2), reported);
     assert_eq!(explained.len(), usize::from(!refuses));
-    let present = PresentBackEnd {
+    let present = CurrentBackend {
         instance: start(2),
         leaving: false,
     };
@@ -107,8 +110,8 @@
 
 #[test]
 fn a_report_of_the_same_start_well_after_a_loss_withdraws_it() {
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost_at_start(1, 1), true);
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost_at_start(1, 1), true);
     let late = NOW + Duration::from_secs(2);
     // It may have been sent before the crash.
     assert_eq!(watch.reported_alive(&start(1), late), Vec::new());
@@ -121,11 +124,11 @@
 
 #[test]
 fn an_answer_long_before_the_next_start_explains_a_loss() {
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost_at_start(1, 1), false);
-    watch.answered(&start(1), NOW + Duration::from_millis(5));
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost_at_start(1, 1), false);
+    watch.record_response(&start(1), NOW + Duration::from_millis(5));
     let later = NOW + Duration::from_secs(5);
-    assert_eq!(watch.replaced(&start(2), later), Vec::new());
+    assert_eq!(watch.record_replacement(&start(2), later), Vec::new());
 }
 
 proptest! {
@@ -136,15 +139,15 @@
         later in prop::collection::vec(2_u16..500, 0..1_000),
         trial_after in 0_usize..1_000,
     ) {
-        let mut watch = CrashWatch::default();
-        watch.lost(&lost(1, 1), false);
+        let mut watch = CrashDetector::default();
+        watch.record_loss(&lost(1, 1), false);
         for (index, request) in later.iter().enumerate() {
             if index == trial_after {
-                watch.lost(&Suspicion { on_trial: true, ..lost(600, 1) }, false);
+                watch.record_loss(&CrashSuspect { on_trial: true, ..lost(600, 1) }, false);
             }
-            watch.lost(&lost(*request, 1), false);
+            watch.record_loss(&lost(*request, 1), false);
         }
-        let explained = watch.replaced(&instance(2), NOW);
+        let explained = watch.record_replacement(&instance(2), NOW);
         prop_assert!(explained.len() <= 128, "{} remembered", explained.len());
         let names = |request| explained.iter().any(|loss| loss.identity == identity(request));
         prop_assert!(names(1));
@@ -160,19 +163,19 @@
         NOW + Duration::from_millis(100),
         NOW + Duration::from_millis(200),
     );
-    let again = Suspicion {
+    let again = CrashSuspect {
         at: latest,
         on_trial: true,
         ..lost(1, 1)
     };
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost(1, 1), false);
-    watch.lost(&again, false);
-    watch.answered(&instance(1), later);
-    let explained = watch.replaced(&instance(2), latest);
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost(1, 1), false);
+    watch.record_loss(&again, false);
+    watch.record_response(&instance(1), later);
+    let explained = watch.record_replacement(&instance(2), latest);
     assert_eq!(
         explained,
-        vec![Suspicion {
+        vec![CrashSuspect {
             on_trial: true,
             ..lost(1, 1)
         }]
@@ -180,9 +183,9 @@
 }
 
 /// What an entry sees beside a node.
-fn present(back_end: u32, leaving: bool) -> Option<PresentBackEnd> {
+fn present(back_end: u32, leaving: bool) -> Option<CurrentBackend> {
     let instance = instance(back_end);
-    Some(PresentBackEnd { instance, leaving })
+    Some(CurrentBackend { instance, leaving })
 }
 
 #[rstest]
@@ -192,12 +195,12 @@
 #[case::another_one_that_leaves_already(present(2, true), true)]
 #[case::nothing_known(None, false)]
 fn an_entry_takes_another_incarnation_for_a_crash(
-    #[case] beside: Option<PresentBackEnd>,
+    #[case] beside: Option<CurrentBackend>,
     #[case] crashed: bool,
 ) {
     let node = NodeId::new("n-1").unwrap();
-    let mut watch = PeerCrashWatch::default();
-    watch.lost(&node, &lost(1, 1));
+    let mut watch = PeerCrashDetector::default();
+    watch.record_loss(&node, &lost(1, 1));
     let explained = watch.compare(|_| beside.clone(), NOW);
     assert_eq!(explained.len(), usize::from(crashed));
     // It is told once, and a planned end stays one.
@@ -211,11 +214,11 @@
 #[test]
 fn an_entry_forgets_a_lost_answer_that_nothing_explains() {
     let node = NodeId::new("n-1").unwrap();
-    let mut watch = PeerCrashWatch::default();
-    watch.lost(&node, &lost(1, 1));
-    watch.answered(&node, &instance(1), NOW + Duration::from_millis(1));
+    let mut watch = PeerCrashDetector::default();
+    watch.record_loss(&node, &lost(1, 1));
+    watch.record_response(&node, &instance(1), NOW + Duration::from_millis(1));
     assert_eq!(watch.compare(|_| present(2, false), NOW), Vec::new());
-    watch.lost(&node, &lost(1, 1));
+    watch.record_loss(&node, &lost(1, 1));
     assert_eq!(watch.compare(|_| present(2, false), NOW + HOUR), Vec::new());
     assert!(watch.is_empty());
 }
@@ -231,31 +234,31 @@
 #[test]
 fn a_start_that_reports_seldom_still_explains_a_loss() {
     let heartbeat = Duration::from_secs(5);
-    let mut watch = CrashWatch::with_heartbeat(heartbeat);
-    watch.lost(&lost_at_start(1, 1), false);
-    watch.answered(&start(1), NOW + Duration::from_millis(200));
-    let explained = watch.replaced(&start(2), NOW + heartbeat);
+    let mut watch = CrashDetector::with_heartbeat(heartbeat);
+    watch.record_loss(&lost_at_start(1, 1), false);
+    watch.record_response(&start(1), NOW + Duration::from_millis(200));
+    let explained = watch.record_replacement(&start(2), NOW + heartbeat);
     assert_eq!(explained.len(), 1);
 }
 
 /// Of a back end that names no start the next one answers under the same name.
 #[test]
 fn an_answer_withdraws_no_crash_after_the_port_has_stayed_closed() {
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost(1, 1), true);
-    watch.lost(&lost(2, 1), false);
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost(1, 1), true);
+    watch.record_loss(&lost(2, 1), false);
     let explained = watch.ended(&instance(1)).expect("a report stands");
     assert_eq!(explained.len(), 1, "{explained:?}");
     assert_eq!(explained[0].identity, identity(2));
-    assert_eq!(watch.answered(&instance(1), NOW + HOUR), Vec::new());
+    assert_eq!(watch.record_response(&instance(1), NOW + HOUR), Vec::new());
     assert_eq!(watch.reported_alive(&instance(1), NOW + HOUR), Vec::new());
 }
 
 /// Connections end before the port does: the first look may come in between.
 #[test]
 fn a_port_that_closes_just_after_the_loss_makes_it_a_crash() {
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost(1, 1), false);
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost(1, 1), false);
     assert_eq!(watch.port_closed(&lost(1, 1)), Some(lost(1, 1)));
     assert_eq!(watch.port_closed(&lost(1, 1)), None, "it was reported");
     assert_eq!(watch.port_closed(&lost(2, 1)), None, "it was not lost");
@@ -264,12 +267,12 @@
 
 #[test]
 fn a_back_end_that_has_answered_meanwhile_has_not_ended() {
-    let mut watch = CrashWatch::default();
-    watch.lost(&lost(1, 1), true);
+    let mut watch = CrashDetector::default();
+    watch.record_loss(&lost(1, 1), true);
     let later = NOW + Duration::from_millis(5);
-    assert_eq!(watch.answered(&instance(1), later).len(), 1);
+    assert_eq!(watch.record_response(&instance(1), later).len(), 1);
     assert_eq!(watch.ended(&instance(1)), None);
-    watch.lost(&lost(1, 1), false);
+    watch.record_loss(&lost(1, 1), false);
     assert_eq!(watch.ended(&instance(1)), None, "nothing was reported");
 }
 
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -40,7 +40,7 @@
 use rampthread_core::call::dialect::CallDialect;
 use rampthread_core::call::headers::{self, Outcome};
 use rampthread_core::call::nested_routes::NestedRoutes;
-use rampthread_core::call::peer_crash_watch::PeerCrashWatch;
+use rampthread_core::call::peer_crash_detector::PeerCrashDetector;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::quarantine::Standing;
 use rampthread_core::config::Route;
@@ -122,7 +122,7 @@
     rooms: HashMap<ResourceName, AcceptanceEstimator>,
     nested: NestedRoutes,
     /// Lost responses of backends at other nodes, kept until a new incarnation shows a crash.
-    losses: PeerCrashWatch,
+    losses: PeerCrashDetector,
     zones: ZoneKnowledge,
     versions: Versions,
 }
@@ -182,7 +182,7 @@
     /// Creates an entry without any load information.
     pub fn new(options: EntryOptions) -> Self {
         let balancer = Balancer::new(options.mode.balance, options.control.clock.now());
-        let losses = PeerCrashWatch::with_heartbeat(options.heartbeat);
+        let losses = PeerCrashDetector::with_heartbeat(options.heartbeat);
         Self {
             options,
             state: Mutex::new(EntryState {
--- a/crates/rampthread-node/src/calls/entry/suspicion.rs
+++ b/crates/rampthread-node/src/calls/entry/suspicion.rs
@@ -6,9 +6,9 @@
 use crate::calls::gate::quarantine_error;
 use crate::calls::response::CallError;
 use rampthread_core::call::balance::Endpoint;
-use rampthread_core::call::crash_watch::Suspicion;
+use rampthread_core::call::crash_detector::CrashSuspect;
 use rampthread_core::call::identity::RequestIdentity;
-use rampthread_core::call::peer_crash_watch::PresentBackEnd;
+use rampthread_core::call::peer_crash_detector::CurrentBackend;
 use rampthread_core::call::quarantine::Standing;
 use rampthread_core::fleet::{CrashReport, MemberRecord};
 use rampthread_core::ids::{InstanceId, NodeId};
@@ -51,13 +51,13 @@
         else {
             return;
         };
-        let lost = Suspicion {
+        let lost = CrashSuspect {
             identity: self.identity(call),
             instance,
             at: self.now(),
             on_trial: choice.on_trial,
         };
-        self.state().losses.lost(&choice.node, &lost);
+        self.state().losses.record_loss(&choice.node, &lost);
     }
 
     fn note_crash(&self, call: &Call, call_error: &CallError) {
@@ -82,7 +82,7 @@
         if !state.losses.is_empty()
             && let Some(instance) = incarnation(choice)
         {
-            state.losses.answered(&choice.node, &instance, begun);
+            state.losses.record_response(&choice.node, &instance, begun);
         }
     }
 
@@ -119,9 +119,9 @@
 }
 
 /// Present incarnation at a member. A draining node leaves its backend running.
-fn present_back_end(record: &MemberRecord) -> Option<PresentBackEnd> {
+fn present_back_end(record: &MemberRecord) -> Option<CurrentBackend> {
     let endpoint = record.endpoint.as_ref()?;
-    Some(PresentBackEnd {
+    Some(CurrentBackend {
         instance: endpoint.instance.clone(),
         leaving: endpoint.draining,
     })
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -25,7 +25,7 @@
 use rampthread_core::call::admission::{AdmissionController, AdmissionLimits, CallNumber};
 use rampthread_core::call::balance::UNAVAILABLE_LOAD;
 use rampthread_core::call::body_transfers::BodyTransfers;
-use rampthread_core::call::crash_watch::CrashWatch;
+use rampthread_core::call::crash_detector::CrashDetector;
 use rampthread_core::call::dialect::CallDialect;
 use rampthread_core::call::fence::{FenceAnswer, FenceTable};
 use rampthread_core::call::headers::{self, QueueingLimit};
@@ -71,7 +71,7 @@
     /// Transfer permits by call id, until the body starts to arrive.
     permits: HashMap<String, TransferPermit>,
     /// Responses that the backend lost, until it is known whether it crashed.
-    crash_watch: CrashWatch,
+    crash_watch: CrashDetector,
     /// Numbers the incarnations of a backend that does not report them itself.
     starts: UnnamedStarts,
     /// The request on trial, if any.
@@ -177,7 +177,7 @@
                 transfers: BodyTransfers::default(),
                 body_turns: HashMap::new(),
                 permits: HashMap::new(),
-                crash_watch: CrashWatch::with_heartbeat(options.heartbeat),
+                crash_watch: CrashDetector::with_heartbeat(options.heartbeat),
                 starts: UnnamedStarts::default(),
                 trial: None,
                 measured: None,
--- a/crates/rampthread-node/src/calls/gate/lost.rs
+++ b/crates/rampthread-node/src/calls/gate/lost.rs
@@ -9,7 +9,7 @@
 use hyper::body::{Frame, SizeHint};
 use rampthread_core::backend_incarnation::BackendIncarnation;
 use rampthread_core::call::cause::Cause;
-use rampthread_core::call::crash_watch::Suspicion;
+use rampthread_core::call::crash_detector::CrashSuspect;
 use rampthread_core::ids::InstanceId;
 use rampthread_core::time::Moment;
 use rampthread_http::{refuses_connections, sleep};
@@ -43,13 +43,13 @@
             return lost;
         }
         let refuses = refuses_connections(backend.address, REFUSAL_WAIT).await;
-        let suspicion = Suspicion {
+        let suspicion = CrashSuspect {
             identity: content.identity(&self.control.identity_key),
             instance: self.incarnation(backend),
             at: self.control.clock.now(),
             on_trial,
         };
-        self.state().crash_watch.lost(&suspicion, refuses);
+        self.state().crash_watch.record_loss(&suspicion, refuses);
         if BackendIncarnation::named(&suspicion.instance)
             .born()
             .is_none()
@@ -78,7 +78,7 @@
     async fn look_again(
         self: Arc<Self>,
         backend: LocalBackend,
-        lost: Suspicion,
+        lost: CrashSuspect,
         mut refused_before: bool,
     ) {
         loop {
@@ -119,7 +119,7 @@
         }
         let name = name_of(backend);
         let instance = state.starts.present(&name);
-        let withdrawn = state.crash_watch.answered(&instance, begun);
+        let withdrawn = state.crash_watch.record_response(&instance, begun);
         if backend.instance.is_none() && !withdrawn.is_empty() {
             // It does not report its incarnation; this is most likely the next one.
             state.starts.note_end(&name);
@@ -148,12 +148,12 @@
             let heard = heard.map(|(present, heard)| (state.starts.present(&present), heard));
             let watch = &mut state.crash_watch;
             if backend.draining {
-                watch.left(&instance);
+                watch.record_departure(&instance);
             }
             let withdrawn = heard
                 .map(|(present, heard)| watch.reported_alive(&present, heard))
                 .unwrap_or_default();
-            (watch.replaced(&instance, now), withdrawn)
+            (watch.record_replacement(&instance, now), withdrawn)
         };
         self.control.report_suspicions(&withdrawn, true);
         self.control.report_suspicions(&explained, false);
--- a/crates/rampthread-node/src/control/crashes.rs
+++ b/crates/rampthread-node/src/control/crashes.rs
@@ -1,7 +1,7 @@
 //! Reports of crashes, between the call path and the agent.
 
 use super::Control;
-use rampthread_core::call::crash_watch::Suspicion;
+use rampthread_core::call::crash_detector::CrashSuspect;
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::quarantine::Standing;
 use rampthread_core::call::recent_answers::RecentAnswers;
@@ -28,7 +28,7 @@
 
     /// Back ends have crashed under requests, as this node has seen; or they live, and
     /// what was reported of them is withdrawn.
-    pub fn report_suspicions(self: &Arc<Self>, suspicions: &[Suspicion], withdrawn: bool) {
+    pub fn report_suspicions(self: &Arc<Self>, suspicions: &[CrashSuspect], withdrawn: bool) {
         let now = self.clock.now();
         let reports: Vec<CrashReport> = suspicions
             .iter()
