--- a/crates/rampthread-core/src/call/quarantine.rs
+++ b/crates/rampthread-core/src/call/quarantine.rs
@@ -34,7 +34,7 @@
 
 /// What is known of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineState {
     /// No back end has crashed under it, or it was cleared.
     Unsuspected,
     /// One back end has: it may be tried again, and is not hedged.
@@ -55,14 +55,14 @@
 
 /// Crashes that count against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Evidence {
+pub struct CrashCounts {
     /// All of them.
     pub crashes: usize,
     /// Those in which it was on trial.
     pub in_trials: usize,
 }
 
-impl Evidence {
+impl CrashCounts {
     /// How long the request is kept from running after its last crash.
     pub fn quarantine(self) -> Duration {
         if self.crashes < QUARANTINE_CRASHES {
@@ -84,17 +84,17 @@
 /// Longest time for which any crash is remembered.
 pub const LONGEST_MEMORY: Duration = LONGEST_QUARANTINE.saturating_add(MEMORY);
 
-impl Standing {
+impl QuarantineState {
     /// The standing of a request with such evidence against it, the last crash so
     /// long ago.
-    pub fn after(evidence: Evidence, since_last: Duration) -> Self {
+    pub fn after(evidence: CrashCounts, since_last: Duration) -> Self {
         let crashes = evidence.crashes;
         match crashes {
-            0 => Standing::Unsuspected,
-            1 => Standing::Suspected,
+            0 => QuarantineState::Unsuspected,
+            1 => QuarantineState::Suspected,
             _ => match evidence.quarantine().saturating_sub(since_last) {
-                Duration::ZERO => Standing::OnTrial { crashes },
-                left => Standing::Quarantined { crashes, left },
+                Duration::ZERO => QuarantineState::OnTrial { crashes },
+                left => QuarantineState::Quarantined { crashes, left },
             },
         }
     }
--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -7,7 +7,7 @@
 
 use super::Agent;
 use crate::call::identity::RequestIdentity;
-use crate::call::quarantine::{QUARANTINE_CRASHES, Standing};
+use crate::call::quarantine::{QUARANTINE_CRASHES, QuarantineState};
 use crate::fleet::action::{Action, Decision, Outbox};
 use crate::fleet::crash_table::{CrashReport, CrashTable, ReportKey, Taken};
 use crate::fleet::message::{Message, ProbeBody};
@@ -313,7 +313,7 @@
                 self.schedule_repeats(clearings, CLEARING_GOSSIP_ROUNDS, true, now);
             }
             let standing = self.crashes.table.standing(&report.identity, now);
-            if let Standing::Quarantined { left, .. } = standing {
+            if let QuarantineState::Quarantined { left, .. } = standing {
                 let against = self.crashes.table.against(&report.identity, now);
                 outbox.explain(quarantined(report.identity, &against, left));
             }
--- a/crates/rampthread-core/src/fleet/crash_table.rs
+++ b/crates/rampthread-core/src/fleet/crash_table.rs
@@ -6,7 +6,7 @@
 //! tombstones that override late copies. Reports expire by their age, which is sent along.
 
 use crate::call::identity::RequestIdentity;
-use crate::call::quarantine::{Evidence, LONGEST_MEMORY, QUARANTINE_CRASHES, Standing};
+use crate::call::quarantine::{CrashCounts, LONGEST_MEMORY, QUARANTINE_CRASHES, QuarantineState};
 use crate::ids::InstanceId;
 use crate::time::Moment;
 use std::collections::BTreeMap;
@@ -132,13 +132,13 @@
     }
 
     /// Returns whether the request is suspected, quarantined or on trial.
-    pub fn standing(&self, identity: &RequestIdentity, now: Moment) -> Standing {
+    pub fn standing(&self, identity: &RequestIdentity, now: Moment) -> QuarantineState {
         let Some(crashes) = self.suspects.get(identity) else {
-            return Standing::Unsuspected;
+            return QuarantineState::Unsuspected;
         };
         let counted = crashes.values().filter(|crash| !crash.cleared);
         let last = counted.map(|crash| crash.at).max().unwrap_or_default();
-        Standing::after(evidence(crashes), now.since(last))
+        QuarantineState::after(evidence(crashes), now.since(last))
     }
 
     /// Returns the reports of a request that count, newest last.
@@ -308,9 +308,9 @@
     Taken::New
 }
 
-fn evidence(crashes: &Crashes) -> Evidence {
+fn evidence(crashes: &Crashes) -> CrashCounts {
     let counted = || crashes.values().filter(|crash| !crash.cleared);
-    Evidence {
+    CrashCounts {
         crashes: counted().count(),
         in_trials: counted().filter(|crash| crash.on_trial).count(),
     }
--- a/crates/rampthread-core/tests/crash_properties.rs
+++ b/crates/rampthread-core/tests/crash_properties.rs
@@ -6,7 +6,7 @@
 use crash_cases::{HOUR, NOW, identity, instance};
 use proptest::prelude::*;
 use rampthread_core::call::identity::{IdentityKey, RequestContent};
-use rampthread_core::call::quarantine::{Evidence, Standing};
+use rampthread_core::call::quarantine::{CrashCounts, QuarantineState};
 use rampthread_core::call::recent_answers::RecentAnswers;
 use rampthread_core::fleet::{
     Action, Agent, AgentIdentity, CrashReport, CrashTable, FleetSettings, MAX_SUSPECTS, Taken,
@@ -33,8 +33,8 @@
     }
 }
 
-fn evidence(crashes: usize, in_trials: usize) -> Evidence {
-    Evidence { crashes, in_trials }
+fn evidence(crashes: usize, in_trials: usize) -> CrashCounts {
+    CrashCounts { crashes, in_trials }
 }
 
 fn any_report() -> impl Strategy<Value = CrashReport> {
@@ -94,7 +94,7 @@
             prop_assert_eq!(table.take(&late, NOW), Taken::Outdated);
         }
         for request in 0..4 {
-            prop_assert_eq!(table.standing(&identity(request), NOW), Standing::Unsuspected);
+            prop_assert_eq!(table.standing(&identity(request), NOW), QuarantineState::Unsuspected);
         }
     }
 
@@ -111,7 +111,7 @@
         }
         prop_assert!(table.len() <= MAX_SUSPECTS);
         let crashes = back_ends as usize;
-        prop_assert!(!matches!(table.standing(&identity(0), NOW), Standing::Unsuspected | Standing::Suspected));
+        prop_assert!(!matches!(table.standing(&identity(0), NOW), QuarantineState::Unsuspected | QuarantineState::Suspected));
         prop_assert_eq!(table.against(&identity(0), NOW).len(), crashes);
     }
 
@@ -168,7 +168,7 @@
     let table = table_of(&reports);
     let short = evidence(2, 0).quarantine();
     let standing = table.standing(&identity(1), NOW + short);
-    assert_eq!(standing, Standing::OnTrial { crashes: 8 });
+    assert_eq!(standing, QuarantineState::OnTrial { crashes: 8 });
 }
 
 #[test]
@@ -179,11 +179,14 @@
     }
     let standing = |table: &CrashTable, after: Duration| table.standing(&identity(1), NOW + after);
     let left = evidence(2, 0).quarantine();
-    let quarantined = Standing::Quarantined { crashes: 2, left };
+    let quarantined = QuarantineState::Quarantined { crashes: 2, left };
     assert_eq!(standing(&table, Duration::ZERO), quarantined);
-    assert_eq!(standing(&table, left), Standing::OnTrial { crashes: 2 });
+    assert_eq!(
+        standing(&table, left),
+        QuarantineState::OnTrial { crashes: 2 }
+    );
     table.take(&trial_report(1, 3), NOW + left);
-    let again = Standing::Quarantined {
+    let again = QuarantineState::Quarantined {
         crashes: 3,
         left: evidence(3, 1).quarantine(),
     };
@@ -208,13 +211,16 @@
     );
     let left = evidence(2, 1).quarantine();
     let standing = table.standing(&identity(1), NOW);
-    assert_eq!(standing, Standing::Quarantined { crashes: 2, left });
+    assert_eq!(standing, QuarantineState::Quarantined { crashes: 2, left });
 }
 
 #[test]
 fn a_single_crash_makes_a_suspect_only() {
     let table = table_of(&[report(1, 1, Duration::ZERO, false)]);
-    assert_eq!(table.standing(&identity(1), NOW), Standing::Suspected);
+    assert_eq!(
+        table.standing(&identity(1), NOW),
+        QuarantineState::Suspected
+    );
     assert_eq!(table.digest(), 0, "suspects of one crash need no agreement");
 }
 
@@ -248,7 +254,10 @@
     let mut table = table_of(&[report(1, 1, early, false), report(1, 2, late, false)]);
     let answered = NOW - Duration::from_secs(3);
     assert_eq!(table.clear(&identity(1), answered, NOW).len(), 1);
-    assert_eq!(table.standing(&identity(1), NOW), Standing::Suspected);
+    assert_eq!(
+        table.standing(&identity(1), NOW),
+        QuarantineState::Suspected
+    );
 }
 
 proptest! {
--- a/crates/rampthread-node/src/api/quarantine.rs
+++ b/crates/rampthread-node/src/api/quarantine.rs
@@ -5,7 +5,7 @@
 use super::changes::{bad_input, json};
 use super::views::{CrashView, QuarantineView};
 use rampthread_core::call::identity::RequestIdentity;
-use rampthread_core::call::quarantine::Standing;
+use rampthread_core::call::quarantine::QuarantineState;
 use rampthread_core::findings::Findings;
 use tide::{Request, Response, StatusCode};
 
@@ -17,7 +17,7 @@
         .offenders()
         .map(|identity| {
             let left = match table.standing(identity, now) {
-                Standing::Quarantined { left, .. } => left.as_millis() as u64,
+                QuarantineState::Quarantined { left, .. } => left.as_millis() as u64,
                 _ => 0,
             };
             let crashes = table.against(identity, now);
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -42,7 +42,7 @@
 use rampthread_core::call::nested_routes::NestedRoutes;
 use rampthread_core::call::peer_crash_detector::PeerCrashDetector;
 use rampthread_core::call::precedence::Precedence;
-use rampthread_core::call::quarantine::Standing;
+use rampthread_core::call::quarantine::QuarantineState;
 use rampthread_core::config::Route;
 use rampthread_core::fleet::{Decision, TenantTag};
 use rampthread_core::ids::{NodeId, ResourceName, Zone};
@@ -368,7 +368,7 @@
     fn choose(&self, call: &Call, tried: &[NodeId]) -> Option<Choice> {
         let endpoints = self.control().endpoints();
         let service = endpoints.service(&call.service)?;
-        let on_trial = matches!(self.standing(call), Standing::OnTrial { .. });
+        let on_trial = matches!(self.standing(call), QuarantineState::OnTrial { .. });
         let candidates = match on_trial {
             true => Cow::Owned(self.trial_endpoints(call, &service.endpoints)),
             false => Cow::Borrowed(&service.endpoints),
--- a/crates/rampthread-node/src/calls/entry/suspicion.rs
+++ b/crates/rampthread-node/src/calls/entry/suspicion.rs
@@ -9,7 +9,7 @@
 use rampthread_core::call::crash_detector::CrashSuspect;
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::peer_crash_detector::CurrentBackend;
-use rampthread_core::call::quarantine::Standing;
+use rampthread_core::call::quarantine::QuarantineState;
 use rampthread_core::fleet::{CrashReport, MemberRecord};
 use rampthread_core::ids::{InstanceId, NodeId};
 use rampthread_core::rendezvous;
@@ -21,7 +21,7 @@
         call.content.identity(&self.control().identity_key)
     }
 
-    pub(super) fn standing(&self, call: &Call) -> Standing {
+    pub(super) fn standing(&self, call: &Call) -> QuarantineState {
         self.control().standing(|| self.identity(call))
     }
 
@@ -31,7 +31,7 @@
         call: &Call,
         progress: &mut Progress,
     ) -> Result<(), CallError> {
-        let Standing::Quarantined { crashes, left } = self.standing(call) else {
+        let QuarantineState::Quarantined { crashes, left } = self.standing(call) else {
             return Ok(());
         };
         progress.identity = Some(self.identity(call));
--- a/crates/rampthread-node/src/calls/entry/tries.rs
+++ b/crates/rampthread-node/src/calls/entry/tries.rs
@@ -16,7 +16,7 @@
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::headers::{Outcome, implies_not_run};
 use rampthread_core::call::identity::RequestIdentity;
-use rampthread_core::call::quarantine::Standing;
+use rampthread_core::call::quarantine::QuarantineState;
 use rampthread_core::ids::{NodeId, Zone};
 use rampthread_core::time::Moment;
 use rampthread_http::Body;
@@ -222,7 +222,7 @@
             return;
         }
         self.overdue = None;
-        if self.entry.standing(self.call) != Standing::Unsuspected {
+        if self.entry.standing(self.call) != QuarantineState::Unsuspected {
             return;
         }
         let (entry, call, now) = (self.entry, self.call, self.entry.now());
@@ -251,7 +251,10 @@
     /// Decides what follows a failed attempt; an error ends the call.
     fn after_failure(&mut self, tried: &Try, call_error: CallError) -> Result<(), CallError> {
         self.log(tried, &call_error);
-        let quarantined = matches!(self.entry.standing(self.call), Standing::Quarantined { .. });
+        let quarantined = matches!(
+            self.entry.standing(self.call),
+            QuarantineState::Quarantined { .. }
+        );
         let (entry, now) = (self.entry, self.entry.now());
         let attempts = &mut self.attempts;
         let next = entry.with_budget(self.call, |budget| {
--- a/crates/rampthread-node/src/calls/gate/trial.rs
+++ b/crates/rampthread-node/src/calls/gate/trial.rs
@@ -7,7 +7,7 @@
 use crate::control::LocalBackend;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::identity::RequestIdentity;
-use rampthread_core::call::quarantine::Standing;
+use rampthread_core::call::quarantine::QuarantineState;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     pub(super) fn check_quarantine(&self, content: &CallContent) -> Result<(), CallError> {
         let identity = || content.identity(&self.control.identity_key);
         match self.control.standing(identity) {
-            Standing::Quarantined { crashes, left } => Err(quarantine_error(crashes, left)),
+            QuarantineState::Quarantined { crashes, left } => Err(quarantine_error(crashes, left)),
             _ => Ok(()),
         }
     }
@@ -44,9 +44,9 @@
     ) -> Result<Option<Trial>, CallError> {
         let identity = || content.identity(&self.control.identity_key);
         match self.control.standing(identity) {
-            Standing::Quarantined { crashes, left } => Err(quarantine_error(crashes, left)),
-            Standing::OnTrial { .. } => self.take_trial(identity(), backend).map(Some),
-            Standing::Unsuspected | Standing::Suspected => Ok(None),
+            QuarantineState::Quarantined { crashes, left } => Err(quarantine_error(crashes, left)),
+            QuarantineState::OnTrial { .. } => self.take_trial(identity(), backend).map(Some),
+            QuarantineState::Unsuspected | QuarantineState::Suspected => Ok(None),
         }
     }
 
--- a/crates/rampthread-node/src/control/crashes.rs
+++ b/crates/rampthread-node/src/control/crashes.rs
@@ -3,7 +3,7 @@
 use super::Control;
 use rampthread_core::call::crash_detector::CrashSuspect;
 use rampthread_core::call::identity::RequestIdentity;
-use rampthread_core::call::quarantine::Standing;
+use rampthread_core::call::quarantine::QuarantineState;
 use rampthread_core::call::recent_answers::RecentAnswers;
 use rampthread_core::fleet::{CrashReport, CrashTable};
 use rampthread_core::time::Moment;
@@ -18,10 +18,10 @@
 
     /// What becomes of a request now. `identity` is made only where some request
     /// is suspected.
-    pub fn standing(&self, identity: impl FnOnce() -> RequestIdentity) -> Standing {
+    pub fn standing(&self, identity: impl FnOnce() -> RequestIdentity) -> QuarantineState {
         let table = self.crash_table.load();
         if table.is_empty() {
-            return Standing::Unsuspected;
+            return QuarantineState::Unsuspected;
         }
         table.standing(&identity(), self.clock.now())
     }
@@ -71,7 +71,7 @@
         self.answers().note(identity, now);
         let suspected = {
             let table = self.crash_table.load();
-            !table.is_empty() && table.standing(&identity, now) != Standing::Unsuspected
+            !table.is_empty() && table.standing(&identity, now) != QuarantineState::Unsuspected
         };
         if suspected {
             self.clear_request(&identity, now, "answered");
--- a/crates/rampthread-wire/tests/crash_news.rs
+++ b/crates/rampthread-wire/tests/crash_news.rs
@@ -6,7 +6,7 @@
 
 use fleet::Fleet;
 use rampthread_core::call::identity::RequestIdentity;
-use rampthread_core::call::quarantine::Standing;
+use rampthread_core::call::quarantine::QuarantineState;
 use rampthread_core::fleet::CrashReport;
 use rampthread_core::ids::InstanceId;
 use rstest::rstest;
@@ -190,7 +190,7 @@
         };
         let standings = fleet.running();
         let mut standings = standings.iter().map(standing);
-        standings.all(|known| known == Standing::Suspected)
+        standings.all(|known| known == QuarantineState::Suspected)
     });
     assert!(took.is_some_and(|took| took <= CONTACT), "{took:?}");
     crash(&mut fleet, 9);
