--- a/crates/rampthread-core/src/call/unnamed_starts.rs
+++ b/crates/rampthread-core/src/call/incarnation_names.rs
@@ -9,12 +9,12 @@
 
 /// The starts under the name that was counted last.
 #[derive(Debug, Default)]
-pub struct UnnamedStarts {
+pub struct IncarnationNames {
     name: Option<InstanceId>,
     ended: u64,
 }
 
-impl UnnamedStarts {
+impl IncarnationNames {
     /// The present start of the back end that calls itself `name`: the bare name until
     /// one is known to have ended.
     pub fn present(&self, name: &InstanceId) -> InstanceId {
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -38,9 +38,9 @@
 //! | [`retry_budget`] | how many second tries there are, and who gets them |
 //! | [`retry_after`] | when the caller of a shed call should come back |
 //! | [`crash_detector`] | which lost answers a crash explains |
-//! | [`unnamed_starts`] | which start of a back end it was, where reports name none |
+//! | [`incarnation_names`] | which start of a back end it was, where reports name none |
 //! | [`peer_crash_detector`] | the same, for back ends beside other nodes |
-//! | [`recent_answers`] | which requests were answered since a crash |
+//! | [`recent_responses`] | which requests were answered since a crash |
 //! | [`quarantine`] | what becomes of a request under which back ends crash |
 
 pub mod acceptance;
@@ -63,6 +63,7 @@
 pub mod fence_outcome;
 pub mod headers;
 pub mod identity;
+pub mod incarnation_names;
 pub mod load_average;
 pub mod log_rate_limit;
 pub mod nested_call_detector;
@@ -73,7 +74,7 @@
 pub mod quarantine;
 pub mod quota;
 pub mod rank_queue;
-pub mod recent_answers;
+pub mod recent_responses;
 pub mod response_check;
 pub mod retry_after;
 pub mod retry_budget;
@@ -81,5 +82,4 @@
 pub mod service_times;
 pub mod speed_meter;
 pub mod tenant_table;
-pub mod unnamed_starts;
 pub mod zone_spill;
--- a/crates/rampthread-core/src/call/recent_answers.rs
+++ b/crates/rampthread-core/src/call/recent_responses.rs
@@ -16,12 +16,12 @@
 
 /// The answers of one node's callers.
 #[derive(Debug, Default)]
-pub struct RecentAnswers {
+pub struct RecentResponses {
     last: HashMap<RequestIdentity, Moment>,
     order: VecDeque<(Moment, RequestIdentity)>,
 }
 
-impl RecentAnswers {
+impl RecentResponses {
     /// A back end has answered the request whole.
     pub fn note(&mut self, identity: RequestIdentity, now: Moment) {
         self.last.insert(identity, now);
--- a/crates/rampthread-core/tests/crash_detector.rs
+++ b/crates/rampthread-core/tests/crash_detector.rs
@@ -7,8 +7,8 @@
 use proptest::prelude::*;
 use rampthread_core::backend_incarnation::{BackendIncarnation, BornAt};
 use rampthread_core::call::crash_detector::{CrashDetector, CrashSuspect};
+use rampthread_core::call::incarnation_names::IncarnationNames;
 use rampthread_core::call::peer_crash_detector::{CurrentBackend, PeerCrashDetector};
-use rampthread_core::call::unnamed_starts::UnnamedStarts;
 use rampthread_core::ids::{InstanceId, NodeId};
 use rstest::rstest;
 use std::time::Duration;
@@ -279,7 +279,7 @@
 /// Two crashes under one name are two, and another name is no earlier start.
 #[test]
 fn starts_that_share_a_name_are_told_apart_by_the_ends_that_were_seen() {
-    let mut starts = UnnamedStarts::default();
+    let mut starts = IncarnationNames::default();
     let (name, other) = (instance(1), instance(2));
     let mut seen = vec![starts.present(&name)];
     assert_eq!(seen, std::slice::from_ref(&name), "nothing has ended");
--- a/crates/rampthread-core/tests/crash_properties.rs
+++ b/crates/rampthread-core/tests/crash_properties.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use rampthread_core::call::identity::{IdentityKey, RequestContent};
 use rampthread_core::call::quarantine::{CrashCounts, QuarantineState};
-use rampthread_core::call::recent_answers::RecentAnswers;
+use rampthread_core::call::recent_responses::RecentResponses;
 use rampthread_core::fleet::{
     Action, Agent, AgentIdentity, CrashReport, CrashTable, FleetSettings, MAX_SUSPECTS, Taken,
 };
@@ -264,7 +264,7 @@
     /// Answers are remembered for long enough, and never too many of them.
     #[test]
     fn recent_answers_are_remembered(gaps in prop::collection::vec(0_u64..20_000, 1..6_000)) {
-        let mut answers = RecentAnswers::default();
+        let mut answers = RecentResponses::default();
         let mut now = NOW;
         for (index, gap) in gaps.iter().enumerate() {
             now = now + Duration::from_micros(*gap);
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -30,12 +30,12 @@
 use rampthread_core::call::fence::{FenceAnswer, FenceTable};
 use rampthread_core::call::headers::{self, QueueingLimit};
 use rampthread_core::call::identity::RequestIdentity;
+use rampthread_core::call::incarnation_names::IncarnationNames;
 use rampthread_core::call::load_average::LoadAverage;
 use rampthread_core::call::nested_call_detector::NestedCallDetector;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::call::speed_meter::SpeedMeter;
-use rampthread_core::call::unnamed_starts::UnnamedStarts;
 use rampthread_core::ids::ResourceName;
 use rampthread_core::time::Moment;
 use rampthread_http::{Body, Pool, PoolSettings};
@@ -73,7 +73,7 @@
     /// Responses that the backend lost, until it is known whether it crashed.
     crash_watch: CrashDetector,
     /// Numbers the incarnations of a backend that does not report them itself.
-    starts: UnnamedStarts,
+    starts: IncarnationNames,
     /// The request on trial, if any.
     trial: Option<RequestIdentity>,
     /// The backend that the service times and speed were measured at.
@@ -178,7 +178,7 @@
                 body_turns: HashMap::new(),
                 permits: HashMap::new(),
                 crash_watch: CrashDetector::with_heartbeat(options.heartbeat),
-                starts: UnnamedStarts::default(),
+                starts: IncarnationNames::default(),
                 trial: None,
                 measured: None,
                 load_watch: LoadAverage::default(),
--- a/crates/rampthread-node/src/control/crashes.rs
+++ b/crates/rampthread-node/src/control/crashes.rs
@@ -4,7 +4,7 @@
 use rampthread_core::call::crash_detector::CrashSuspect;
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::quarantine::QuarantineState;
-use rampthread_core::call::recent_answers::RecentAnswers;
+use rampthread_core::call::recent_responses::RecentResponses;
 use rampthread_core::fleet::{CrashReport, CrashTable};
 use rampthread_core::time::Moment;
 use std::sync::{Arc, MutexGuard};
@@ -113,7 +113,7 @@
         }
     }
 
-    fn answers(&self) -> MutexGuard<'_, RecentAnswers> {
+    fn answers(&self) -> MutexGuard<'_, RecentResponses> {
         self.answers
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -18,7 +18,7 @@
 use async_std::net::UdpSocket;
 use rampthread_core::call::backend_speed::USUAL_PERCENT;
 use rampthread_core::call::identity::IdentityKey;
-use rampthread_core::call::recent_answers::RecentAnswers;
+use rampthread_core::call::recent_responses::RecentResponses;
 use rampthread_core::config::ConfigState;
 use rampthread_core::fleet::{
     Agent, BackendReport, CrashTable, EndpointRecord, LoadReport, Machine, ZoneLoad,
@@ -100,7 +100,7 @@
     /// The agent's reports of crashes, as of their last change.
     pub(super) crash_table: ArcSwap<CrashTable>,
     /// Requests of this node's callers that were answered lately.
-    pub(super) answers: Mutex<RecentAnswers>,
+    pub(super) answers: Mutex<RecentResponses>,
     /// When the endpoints were joined last, as a [`Moment`].
     endpoints_joined: AtomicU64,
     /// A join is due.
