--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -3,8 +3,8 @@
 
 use super::Agent;
 use crate::fleet::action::{Action, Decision, Outbox};
+use crate::fleet::backend_tracker::{BackendReport, BackendTracker, ReportStatus};
 use crate::fleet::member::EndpointRecord;
-use crate::fleet::reported_backend::{BackendReport, Reported, ReportedBackend};
 use crate::ids::InstanceId;
 use crate::time::Moment;
 /// Result of handling a report of the local backend.
@@ -24,7 +24,7 @@
             return;
         }
         self.restored_endpoint_expiry = None;
-        if self.reported.forget_unconfirmed() {
+        if self.reported.drop_unconfirmed() {
             self.set_endpoint(None, outbox);
         }
     }
@@ -68,10 +68,10 @@
     /// Handles a report of the local backend. A report with `acted_upon` false must not be
     /// acknowledged.
     pub fn on_backend_report(&mut self, report: BackendReport, now: Moment) -> TakenReport {
-        let (actions, acted_upon) = match self.reported.take(report, now) {
-            Reported::Changed(endpoint) => (self.apply_reported_endpoint(endpoint, now), true),
-            Reported::Known => (Vec::new(), true),
-            Reported::Doubtful => (Vec::new(), false),
+        let (actions, acted_upon) = match self.reported.apply_report(report, now) {
+            ReportStatus::Changed(endpoint) => (self.apply_reported_endpoint(endpoint, now), true),
+            ReportStatus::Unchanged => (Vec::new(), true),
+            ReportStatus::PossiblyStale => (Vec::new(), false),
         };
         TakenReport {
             actions,
@@ -89,17 +89,17 @@
     }
     /// Instance of the local backend that reported last, and when.
     pub fn backend_heard(&self) -> Option<(&InstanceId, Moment)> {
-        self.reported.heard()
+        self.reported.last_report()
     }
     /// Restores the backend that the store has recorded from before this node's restart.
     pub fn remember_backend(&mut self, endpoint: EndpointRecord, now: Moment) -> Vec<Action> {
-        self.restore_endpoint(now, |reported| reported.remember(endpoint))
+        self.restore_endpoint(now, |reported| reported.restore(endpoint))
     }
     /// Restores the backend as peers remember it from before this node's restart.
     pub(super) fn restore_backend_from_peer(&mut self, now: Moment) -> Vec<Action> {
         match self.membership.take_previous_backend() {
             Some(endpoint) => {
-                self.restore_endpoint(now, |reported| reported.remember_from_peer(endpoint))
+                self.restore_endpoint(now, |reported| reported.restore_from_peer(endpoint))
             }
             None => Vec::new(),
         }
@@ -109,7 +109,7 @@
     fn restore_endpoint(
         &mut self,
         now: Moment,
-        take_up: impl FnOnce(&mut ReportedBackend) -> Option<EndpointRecord>,
+        take_up: impl FnOnce(&mut BackendTracker) -> Option<EndpointRecord>,
     ) -> Vec<Action> {
         let until = self.started + self.settings.unconfirmed_backend_ttl;
         if now >= until {
@@ -125,7 +125,7 @@
     }
     /// Removes the endpoint when the backend at its address denies being `instance`.
     pub fn on_misdirected(&mut self, instance: &InstanceId, now: Moment) -> Vec<Action> {
-        if self.reported.misdirected(instance) {
+        if self.reported.on_instance_mismatch(instance) {
             return self.announce_endpoint(None, now);
         }
         Vec::new()
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -27,6 +27,7 @@
 use crate::fleet::action::{
     Action, Decision, Outbox, RequestId, StoreAnswer, StoreFailure, Ticket,
 };
+use crate::fleet::backend_tracker::BackendTracker;
 use crate::fleet::distribution::Distribution;
 use crate::fleet::document_history::DocumentHistory;
 use crate::fleet::holders::{HeldReports, Holders};
@@ -40,7 +41,6 @@
 use crate::fleet::proposals::Proposals;
 use crate::fleet::reader::Reader;
 use crate::fleet::replica::Replica;
-use crate::fleet::reported_backend::ReportedBackend;
 use crate::fleet::settings::{ConfigSource, FleetSettings};
 use crate::fleet::store_watch::StoreWatch;
 use crate::fleet::witness::{Adoption, FloorQuery, WitnessRecords};
@@ -150,7 +150,7 @@
     draining: bool,
     backend_up: bool,
     /// Reports received from the local backend.
-    reported: ReportedBackend,
+    reported: BackendTracker,
     /// Until when a restored backend is announced without a new report.
     restored_endpoint_expiry: Option<Moment>,
     /// Endpoint that this node currently announces.
@@ -221,7 +221,7 @@
                 .map(|bounds| rollouts::RolloutParticipant::new(identity.id.clone(), bounds)),
             draining: false,
             backend_up: true,
-            reported: ReportedBackend::with_heartbeat(settings.heartbeat_interval),
+            reported: BackendTracker::with_heartbeat(settings.heartbeat_interval),
             restored_endpoint_expiry: None,
             endpoint: None,
             started: now,
--- a/crates/rampthread-core/src/fleet/reported_backend.rs
+++ b/crates/rampthread-core/src/fleet/backend_tracker.rs
@@ -2,7 +2,7 @@
 //!
 //! Reports can arrive late: one of an ended incarnation may follow the first report of the next
 //! one. Incarnations are ordered by the backend's own clock, which may jump, and they may share
-//! the id. So a report that seems to be of an earlier incarnation is [`Reported::Doubtful`]: it
+//! the id. So a report that seems to be of an earlier incarnation is [`ReportStatus::PossiblyStale`]: it
 //! is neither applied nor acknowledged. Ended incarnations soon stop reporting. Therefore an
 //! incarnation that continues to report while the current one is silent is the newer one,
 //! whatever its clock says.
@@ -19,11 +19,11 @@
 /// Minimum time for which an apparently earlier incarnation must report, and the current one be
 /// silent, before it replaces the current one. Delayed reports arrive up to seconds late, but
 /// close to each other.
-pub const SUCCESSION_TIME: Duration = Duration::from_secs(5);
+pub const MIN_SUPERSEDE_TIME: Duration = Duration::from_secs(5);
 /// The same in heartbeat intervals, since a backend is always silent between two heartbeats.
-/// With an interval of 5 s, [`SUCCESSION_TIME`] alone would let a late report replace a live
+/// With an interval of 5 s, [`MIN_SUPERSEDE_TIME`] alone would let a late report replace a live
 /// backend.
-const SUCCESSION_HEARTBEATS: u32 = 3;
+const MIN_SUPERSEDE_HEARTBEATS: u32 = 3;
 
 /// Report of a backend to the local node.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -46,14 +46,14 @@
 
 /// Result of processing a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reported {
+pub enum ReportStatus {
     /// The report changed the state; this is the new record.
     Changed(EndpointRecord),
     /// The report contains nothing new.
-    Known,
+    Unchanged,
     /// The report seems to be of another incarnation than the current one. It was not applied
     /// and must not be acknowledged.
-    Doubtful,
+    PossiblyStale,
 }
 
 /// Incarnation that may replace the current one.
@@ -71,17 +71,17 @@
     /// matches all incarnations with this id.
     instance: InstanceId,
     /// True if it departed. Late heartbeats do not revoke a departure.
-    left: bool,
+    departed: bool,
 }
 
 /// The current incarnation and the previous ones, as far as reported.
 #[derive(Debug)]
-pub struct ReportedBackend {
+pub struct BackendTracker {
     /// Minimum silence of the current incarnation before another may replace it.
-    succession_time: Duration,
+    supersede_time: Duration,
     current: Option<EndpointRecord>,
     /// Time of the last report of the current incarnation.
-    heard: Moment,
+    last_report_at: Moment,
     /// True if the current record was restored and the backend has not reported to this process
     /// yet.
     unconfirmed: bool,
@@ -94,22 +94,22 @@
 enum Relation {
     Same,
     Newer,
-    Doubtful,
+    PossiblyStale,
 }
 
-impl Default for ReportedBackend {
+impl Default for BackendTracker {
     fn default() -> Self {
         Self::with_heartbeat(Duration::ZERO)
     }
 }
 
-impl ReportedBackend {
+impl BackendTracker {
     /// Creates a tracker without a backend. `heartbeat` is the interval between reports.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
         Self {
-            succession_time: SUCCESSION_TIME.max(heartbeat * SUCCESSION_HEARTBEATS),
+            supersede_time: MIN_SUPERSEDE_TIME.max(heartbeat * MIN_SUPERSEDE_HEARTBEATS),
             current: None,
-            heard: Moment::default(),
+            last_report_at: Moment::default(),
             unconfirmed: false,
             candidate: None,
             retired: VecDeque::new(),
@@ -117,32 +117,32 @@
     }
 
     /// Processes a report.
-    pub fn take(&mut self, report: BackendReport, now: Moment) -> Reported {
+    pub fn apply_report(&mut self, report: BackendReport, now: Moment) -> ReportStatus {
         match report {
-            BackendReport::Heartbeat(record) => self.take_heartbeat(record, now),
-            BackendReport::Departure(incarnation) => self.take_departure(&incarnation, now),
+            BackendReport::Heartbeat(record) => self.apply_heartbeat(record, now),
+            BackendReport::Departure(incarnation) => self.apply_departure(&incarnation, now),
         }
     }
 
     /// Restores the record known to an earlier run of this node. Returns it unless a record is
     /// known already. Any heartbeat of the same incarnation is newer.
-    pub fn remember(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
+    pub fn restore(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         match self.current {
-            None => self.take_up(record),
+            None => self.restore_record(record),
             Some(_) => None,
         }
     }
 
     /// Restores a record received from a peer. It replaces a record from the store, which lags
     /// by some seconds, if it contains a departure or a later incarnation.
-    pub fn remember_from_peer(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
-        match self.may_replace_memory(&record) {
-            true => self.take_up(record),
+    pub fn restore_from_peer(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
+        match self.supersedes_restored(&record) {
+            true => self.restore_record(record),
             false => None,
         }
     }
 
-    fn take_up(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
+    fn restore_record(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         if self.is_retired(&record.instance) {
             return None;
         }
@@ -154,32 +154,32 @@
         Some(record)
     }
 
-    fn may_replace_memory(&self, record: &EndpointRecord) -> bool {
+    fn supersedes_restored(&self, record: &EndpointRecord) -> bool {
         let Some(current) = &self.current else {
             return true;
         };
         let newer = match relation(current, record) {
             Relation::Same => record.draining && !current.draining,
             Relation::Newer => !current.draining,
-            Relation::Doubtful => false,
+            Relation::PossiblyStale => false,
         };
         self.unconfirmed && newer
     }
 
     /// Drops a restored record that no heartbeat has confirmed, since the backend may have
     /// departed at the end of the previous run. Returns true if there was one.
-    pub fn forget_unconfirmed(&mut self) -> bool {
-        let forgotten = self.unconfirmed && self.current.is_some();
-        if forgotten {
+    pub fn drop_unconfirmed(&mut self) -> bool {
+        let dropped = self.unconfirmed && self.current.is_some();
+        if dropped {
             self.drop_current();
             self.unconfirmed = false;
         }
-        forgotten
+        dropped
     }
 
     /// Handles a response of another incarnation at the backend's address. `instance` counts as
     /// gone until its next report. Returns true if it was the current one.
-    pub fn misdirected(&mut self, instance: &InstanceId) -> bool {
+    pub fn on_instance_mismatch(&mut self, instance: &InstanceId) -> bool {
         let is_current = self
             .current
             .as_ref()
@@ -194,105 +194,113 @@
     /// heartbeat does not revoke it. Otherwise the next heartbeat restores the backend.
     fn drop_current(&mut self) {
         let current = self.current.take();
-        if let Some(left) = current.filter(|current| current.draining) {
-            self.retire(left.instance, true);
+        if let Some(departed) = current.filter(|current| current.draining) {
+            self.retire(departed.instance, true);
         }
     }
 
     /// Returns the current incarnation and the time of its last report to this process.
-    pub fn heard(&self) -> Option<(&InstanceId, Moment)> {
+    pub fn last_report(&self) -> Option<(&InstanceId, Moment)> {
         let current = self.current.as_ref().filter(|_| !self.unconfirmed)?;
-        Some((&current.instance, self.heard))
+        Some((&current.instance, self.last_report_at))
     }
 
-    fn take_heartbeat(&mut self, record: EndpointRecord, now: Moment) -> Reported {
+    fn apply_heartbeat(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         let relation = match &self.current {
             Some(current) => relation(current, &record),
             None => Relation::Newer,
         };
         match relation {
             Relation::Same => self.update(record, now),
-            Relation::Newer if self.has_left(&record.instance) => self.take_departed(record, now),
-            Relation::Newer if !self.is_retired(&record.instance) => self.succeed(record, now),
-            Relation::Newer | Relation::Doubtful => self.doubt(record, now),
+            Relation::Newer if self.has_departed(&record.instance) => {
+                self.apply_heartbeat_after_departure(record, now)
+            }
+            Relation::Newer if !self.is_retired(&record.instance) => {
+                self.supersede_current(record, now)
+            }
+            Relation::Newer | Relation::PossiblyStale => self.track_candidate(record, now),
         }
     }
 
     /// Handles a heartbeat of an incarnation whose departure arrived earlier.
-    fn take_departed(&mut self, mut record: EndpointRecord, now: Moment) -> Reported {
+    fn apply_heartbeat_after_departure(
+        &mut self,
+        mut record: EndpointRecord,
+        now: Moment,
+    ) -> ReportStatus {
         let present = self.current.as_ref();
         let present = present.map(|present| BackendIncarnation::named(&present.instance).born());
         let born = BackendIncarnation::named(&record.instance).born();
         if present.is_some_and(|present| present.is_none() || born <= present) {
-            return self.doubt(record, now);
+            return self.track_candidate(record, now);
         }
         record.draining = true;
-        self.succeed(record, now)
+        self.supersede_current(record, now)
     }
 
     /// Handles a heartbeat of the current incarnation.
-    fn update(&mut self, mut record: EndpointRecord, now: Moment) -> Reported {
+    fn update(&mut self, mut record: EndpointRecord, now: Moment) -> ReportStatus {
         let Some(current) = &self.current else {
-            return self.succeed(record, now);
+            return self.supersede_current(record, now);
         };
         if record.sequence <= current.sequence {
-            return self.take_old_number(record, now);
+            return self.apply_repeated_sequence(record, now);
         }
-        let takes_work_again = current.draining && !record.draining;
-        if takes_work_again && BackendIncarnation::named(&record.instance).born().is_none() {
+        let accepts_work_again = current.draining && !record.draining;
+        if accepts_work_again && BackendIncarnation::named(&record.instance).born().is_none() {
             // This may be a new start with the same name, whose sequence numbers have passed
             // those of the previous one. The acknowledged departure stays and this heartbeat is
             // not acknowledged.
-            return Reported::Doubtful;
+            return ReportStatus::PossiblyStale;
         }
         self.unconfirmed = false;
-        self.heard = now;
+        self.last_report_at = now;
         self.candidate = None;
         // A departing backend does not return.
         record.draining |= current.draining;
-        let changed = says_other(&record, current) || record.instance != current.instance;
+        let changed = differs(&record, current) || record.instance != current.instance;
         self.current = Some(record.clone());
         match changed {
-            true => Reported::Changed(record),
-            false => Reported::Known,
+            true => ReportStatus::Changed(record),
+            false => ReportStatus::Unchanged,
         }
     }
 
     /// Handles a sequence number that is not above the last one: a late heartbeat, or one of
     /// another start in the same millisecond. It is acknowledged only if all of its content is
     /// already applied.
-    fn take_old_number(&mut self, record: EndpointRecord, now: Moment) -> Reported {
-        let done = self.current.as_ref().is_some_and(|current| {
+    fn apply_repeated_sequence(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
+        let applied = self.current.as_ref().is_some_and(|current| {
             // A copy of the last heartbeat, which was applied. The backend may have departed
             // since.
-            let names_start = BackendIncarnation::named(&record.instance).born().is_some();
-            let copy = names_start && record.sequence == current.sequence && !record.draining;
-            let left_since = EndpointRecord {
+            let has_start_time = BackendIncarnation::named(&record.instance).born().is_some();
+            let copy = has_start_time && record.sequence == current.sequence && !record.draining;
+            let departed_since = EndpointRecord {
                 draining: current.draining,
                 ..record.clone()
             };
-            !says_other(&record, current) || (copy && !says_other(&left_since, current))
+            !differs(&record, current) || (copy && !differs(&departed_since, current))
         });
-        match done {
-            true => Reported::Known,
-            false => self.doubt(record, now),
+        match applied {
+            true => ReportStatus::Unchanged,
+            false => self.track_candidate(record, now),
         }
     }
 
     /// Makes `record` the current incarnation.
-    fn succeed(&mut self, record: EndpointRecord, now: Moment) -> Reported {
+    fn supersede_current(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         self.retire_current();
         let id = BackendIncarnation::named(&record.instance).id().clone();
         self.retired
             .retain(|known| known.instance != record.instance && known.instance != id);
         self.unconfirmed = false;
-        self.heard = now;
+        self.last_report_at = now;
         self.candidate = None;
         self.current = Some(record.clone());
-        Reported::Changed(record)
+        ReportStatus::Changed(record)
     }
 
-    fn doubt(&mut self, record: EndpointRecord, now: Moment) -> Reported {
+    fn track_candidate(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         let known = self.candidate.take();
         let known = known.filter(|candidate| candidate.incarnation == record.instance);
         let candidate = match known {
@@ -308,47 +316,53 @@
                 sequence: record.sequence,
             },
         };
-        let silent_since = self.heard.max(candidate.since);
-        if now.since(silent_since) >= self.succession_time {
-            return self.succeed(record, now);
+        let silent_since = self.last_report_at.max(candidate.since);
+        if now.since(silent_since) >= self.supersede_time {
+            return self.supersede_current(record, now);
         }
         self.candidate = Some(candidate);
-        Reported::Doubtful
+        ReportStatus::PossiblyStale
     }
 
-    fn take_departure(&mut self, departed: &BackendIncarnation, now: Moment) -> Reported {
+    fn apply_departure(&mut self, departed: &BackendIncarnation, now: Moment) -> ReportStatus {
         let is_candidate = |candidate: &Candidate| candidate.incarnation == departed.name();
         if self.candidate.as_ref().is_some_and(is_candidate) {
             // The candidate may be the current incarnation, which is still announced.
-            return Reported::Doubtful;
+            return ReportStatus::PossiblyStale;
         }
         let Some(current) = self.current.as_mut() else {
             self.retire(departed.name(), true);
-            return Reported::Known;
+            return ReportStatus::Unchanged;
         };
         let present = BackendIncarnation::named(&current.instance);
         if present.id() != departed.id()
-            || departed.born().is_some_and(|at| is_earlier(at, &present))
+            || departed
+                .born()
+                .is_some_and(|at| started_earlier(at, &present))
         {
             // Heartbeats of this incarnation may still arrive.
             self.retire(departed.name(), true);
-            return Reported::Known;
+            return ReportStatus::Unchanged;
         }
         if departed.born().is_some() && departed.born() != present.born() {
-            return self.take_departure_of_next(departed, now);
+            return self.apply_departure_of_next(departed, now);
         }
         if current.draining {
-            return Reported::Known;
+            return ReportStatus::Unchanged;
         }
         current.draining = true;
-        Reported::Changed(current.clone())
+        ReportStatus::Changed(current.clone())
     }
 
     /// Handles the departure of a later incarnation that arrives before its first heartbeat.
     /// The current incarnation must have ended.
-    fn take_departure_of_next(&mut self, departed: &BackendIncarnation, now: Moment) -> Reported {
+    fn apply_departure_of_next(
+        &mut self,
+        departed: &BackendIncarnation,
+        now: Moment,
+    ) -> ReportStatus {
         let Some(current) = &self.current else {
-            return Reported::Known;
+            return ReportStatus::Unchanged;
         };
         let gone = EndpointRecord {
             instance: departed.name(),
@@ -356,23 +370,23 @@
             sequence: 0,
             ..current.clone()
         };
-        self.succeed(gone, now)
+        self.supersede_current(gone, now)
     }
 
     /// Returns true if the incarnation has departed or was replaced. A recorded departure
     /// without a start time matches every incarnation with its id.
     fn is_retired(&self, instance: &InstanceId) -> bool {
         let incarnation = BackendIncarnation::named(instance);
-        let names =
+        let matches_instance =
             |known: &Retired| known.instance == *instance || known.instance == *incarnation.id();
-        self.retired.iter().any(names)
+        self.retired.iter().any(matches_instance)
     }
 
     /// Returns true if exactly this incarnation has departed.
-    fn has_left(&self, instance: &InstanceId) -> bool {
-        let of_it = |known: &Retired| known.instance == *instance && known.left;
-        let names_start = BackendIncarnation::named(instance).born().is_some();
-        names_start && self.retired.iter().any(of_it)
+    fn has_departed(&self, instance: &InstanceId) -> bool {
+        let departed_as_this = |known: &Retired| known.instance == *instance && known.departed;
+        let has_start_time = BackendIncarnation::named(instance).born().is_some();
+        has_start_time && self.retired.iter().any(departed_as_this)
     }
 
     fn retire_current(&mut self) {
@@ -381,29 +395,29 @@
         }
     }
 
-    fn retire(&mut self, instance: InstanceId, left: bool) {
+    fn retire(&mut self, instance: InstanceId, departed: bool) {
         let known = self
             .retired
             .iter_mut()
             .find(|known| known.instance == instance);
         if let Some(known) = known {
-            known.left |= left;
+            known.departed |= departed;
             return;
         }
-        self.retired.push_back(Retired { instance, left });
+        self.retired.push_back(Retired { instance, departed });
         if self.retired.len() > MAX_RETIRED {
             self.retired.pop_front();
         }
     }
 }
 
-fn is_earlier(born: BornAt, present: &BackendIncarnation) -> bool {
+fn started_earlier(born: BornAt, present: &BackendIncarnation) -> bool {
     present.born().is_some_and(|present| born < present)
 }
 
 /// Returns true if other nodes must learn of the difference. The warm-up time is left out,
 /// since it runs down by itself.
-fn says_other(record: &EndpointRecord, current: &EndpointRecord) -> bool {
+fn differs(record: &EndpointRecord, current: &EndpointRecord) -> bool {
     record.draining != current.draining
         || record.slots != current.slots
         || record.service != current.service
@@ -420,13 +434,13 @@
     match (present.born(), reported.born()) {
         (Some(present), Some(reported)) if reported >= present => Relation::Newer,
         // A backend that reports its start time always does so.
-        (Some(_), _) => Relation::Doubtful,
+        (Some(_), _) => Relation::PossiblyStale,
         // The current record comes from a node that ignores start times: it is the same
         // incarnation, unless it accepts work again after its departure.
         (None, Some(_)) if present.id() == reported.id() => {
             match record.sequence > current.sequence && (record.draining || !current.draining) {
                 true => Relation::Same,
-                false => Relation::Doubtful,
+                false => Relation::PossiblyStale,
             }
         }
         // Only the order of arrival tells which one is later.
--- a/crates/rampthread-core/src/fleet/mod.rs
+++ b/crates/rampthread-core/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 //! | `writer` | appending proposals to the log |
 //! | `holders` | which node holds which version |
 //! | `proposals` | forwarding an operator's change to a reader |
-//! | `reported_backend` | current incarnation of the local backend |
+//! | `backend_tracker` | current incarnation of the local backend |
 //! | `crash_table` | backend crashes by request |
 //! | `store_watch` | which nodes watch the store for a new document |
 //! | `load_exchange` | aggregation and exchange of zone loads |
@@ -19,6 +19,7 @@
 
 mod action;
 mod agent;
+mod backend_tracker;
 mod crash_table;
 mod distribution;
 mod document_history;
@@ -32,7 +33,6 @@
 mod proposals;
 mod reader;
 mod replica;
-mod reported_backend;
 mod settings;
 mod store_watch;
 mod witness;
@@ -44,6 +44,7 @@
     StoreRequest, Ticket,
 };
 pub use agent::{Agent, AgentIdentity, Defect, TakenReport};
+pub use backend_tracker::{BackendReport, BackendTracker, MIN_SUPERSEDE_TIME, ReportStatus};
 pub use crash_table::{CrashReport, CrashTable, MAX_SUSPECTS, Taken};
 pub use learnt_from::LearntFrom;
 pub use load::{LoadReport, MILLI_SLOTS, MilliSlots, ServiceLoad, TenantLoad, TenantTag, ZoneLoad};
@@ -53,7 +54,6 @@
     Envelope, LaggingNode, Message, ProbeBody, ProcessEpoch, PropagationStatus, ProposalReply,
     SharedBytes, WitnessRecord,
 };
-pub use reported_backend::{BackendReport, Reported, ReportedBackend, SUCCESSION_TIME};
 pub use settings::{ConfigSource, DistributionMode, FleetSettings};
 pub use zone_directory::{
     LeaveId, ZoneDirectory, ZoneSnapshot, ZoneStep, ZoneWrite, recorded_backend,
--- a/crates/rampthread-core/tests/backend_incarnations.rs
+++ b/crates/rampthread-core/tests/backend_incarnations.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use rampthread_core::backend_incarnation::{BackendIncarnation, BornAt, MAX_ID_LENGTH};
 use rampthread_core::fleet::{
-    BackendReport, EndpointRecord, Reported, ReportedBackend, SUCCESSION_TIME,
+    BackendReport, BackendTracker, EndpointRecord, MIN_SUPERSEDE_TIME, ReportStatus,
 };
 use rampthread_core::ids::InstanceId;
 use rampthread_core::time::Moment;
@@ -36,7 +36,7 @@
 
 /// A back end whose reports arrive every second, and what is in force here.
 struct World {
-    reported: ReportedBackend,
+    reported: BackendTracker,
     in_force: Option<EndpointRecord>,
     now: Moment,
 }
@@ -44,15 +44,15 @@
 impl World {
     fn new() -> Self {
         Self {
-            reported: ReportedBackend::default(),
+            reported: BackendTracker::default(),
             in_force: None,
             now: START,
         }
     }
 
-    fn take(&mut self, report: BackendReport) -> Reported {
-        let reported = self.reported.take(report, self.now);
-        if let Reported::Changed(record) = &reported {
+    fn take(&mut self, report: BackendReport) -> ReportStatus {
+        let reported = self.reported.apply_report(report, self.now);
+        if let ReportStatus::Changed(record) = &reported {
             self.in_force = Some(record.clone());
         }
         reported
@@ -72,7 +72,7 @@
     fn beats_until_taken(&mut self, of: &BackendIncarnation, first: u64, draining: bool) -> u32 {
         for beats in 0..20_u32 {
             let taken = self.take(beat(of, first + u64::from(beats), draining));
-            if taken != Reported::Doubtful {
+            if taken != ReportStatus::PossiblyStale {
                 return beats;
             }
             self.wait(BEAT);
@@ -123,7 +123,7 @@
                     let report = beat(&present, sequence, drains);
                     sent.push(report.clone());
                     let taken = world.take(report);
-                    prop_assert!(taken != Reported::Doubtful);
+                    prop_assert!(taken != ReportStatus::PossiblyStale);
                     has_reported = true;
                     prop_assert!(world.holds(&present, drains), "{present} {:?}", world.in_force);
                 }
@@ -183,7 +183,7 @@
                 if born.is_none() && world.holds(&present, true) {
                     world.wait(BEAT);
                     let taken = world.take(beat(&present, beats, false));
-                    prop_assert!(taken == Reported::Doubtful || world.holds(&present, false));
+                    prop_assert!(taken == ReportStatus::PossiblyStale || world.holds(&present, false));
                 }
                 continue;
             }
@@ -194,7 +194,7 @@
             }
             world.wait(BEAT);
             let waited = world.beats_until_taken(&present, 1, false);
-            let bound = SUCCESSION_TIME.as_secs() as u32 + 1;
+            let bound = MIN_SUPERSEDE_TIME.as_secs() as u32 + 1;
             prop_assert!(waited <= bound, "{present} was taken after {waited} reports");
             prop_assert!(world.holds(&present, false), "{present} {:?}", world.in_force);
             let mut sequence = u64::from(waited) + 1;
@@ -203,7 +203,7 @@
                 world.wait(BEAT);
                 let report = beat(&present, sequence, false);
                 sent.push(report.clone());
-                prop_assert!(world.take(report) != Reported::Doubtful);
+                prop_assert!(world.take(report) != ReportStatus::PossiblyStale);
             }
             if drains {
                 world.wait(BEAT);
@@ -215,7 +215,7 @@
             if departs {
                 world.wait(BEAT);
                 let report = BackendReport::Departure(present.clone());
-                prop_assert!(world.take(report) != Reported::Doubtful);
+                prop_assert!(world.take(report) != ReportStatus::PossiblyStale);
                 prop_assert!(world.holds(&present, true));
                 left.insert(present.clone());
             }
@@ -278,7 +278,7 @@
     assert!(world.holds(&second, false));
     // Its word counts at once from now on.
     let drains = beat(&second, 100, true);
-    assert!(matches!(world.take(drains), Reported::Changed(_)));
+    assert!(matches!(world.take(drains), ReportStatus::Changed(_)));
 }
 
 #[test]
@@ -290,9 +290,12 @@
         world.wait(BEAT);
         assert_eq!(
             world.take(beat(&first, 40 + round, true)),
-            Reported::Doubtful
+            ReportStatus::PossiblyStale
+        );
+        assert_eq!(
+            world.take(beat(&second, 2 + round, false)),
+            ReportStatus::Unchanged
         );
-        assert_eq!(world.take(beat(&second, 2 + round, false)), Reported::Known);
     }
     assert!(world.holds(&second, false));
 }
@@ -324,14 +327,14 @@
     world.take(beat(&first, 7, false));
     world.take(beat(&second, 1, false));
     let leave = BackendReport::Departure(second.clone());
-    assert_eq!(world.take(leave), Reported::Doubtful);
+    assert_eq!(world.take(leave), ReportStatus::PossiblyStale);
 }
 
 #[test]
 fn a_start_from_a_node_that_reads_none_is_learnt_from_the_next_report() {
     let mut world = World::new();
     let (unknown, known) = (incarnation("i-0", None), incarnation("i-0", Some(3)));
-    let remembered = world.reported.remember(record(&unknown, 40, true));
+    let remembered = world.reported.restore(record(&unknown, 40, true));
     world.in_force = remembered;
     // What its last life had acknowledged stays in force.
     world.take(beat(&known, 41, true));
@@ -342,7 +345,7 @@
 fn a_start_after_the_remembered_one_has_left_takes_work_at_once() {
     let mut world = World::new();
     let (first, second) = (incarnation("i-0", Some(1)), incarnation("i-0", Some(2)));
-    world.in_force = world.reported.remember(record(&first, 40, true));
+    world.in_force = world.reported.restore(record(&first, 40, true));
     assert!(world.holds(&first, true));
     world.take(beat(&second, 1, false));
     assert!(world.holds(&second, false));
@@ -360,33 +363,36 @@
 fn late_reports_do_not_displace_a_start_between_two_of_its_own() {
     let heartbeat = Duration::from_secs(5);
     let mut world = World::new();
-    world.reported = ReportedBackend::with_heartbeat(heartbeat);
+    world.reported = BackendTracker::with_heartbeat(heartbeat);
     let (earlier, present) = (incarnation("i-0", Some(1)), incarnation("i-0", Some(2)));
     world.take(beat(&present, 1, false));
     world.wait(Duration::from_millis(100));
     world.take(beat(&earlier, 8, false));
     world.wait(heartbeat);
-    assert_eq!(world.take(beat(&earlier, 9, false)), Reported::Doubtful);
+    assert_eq!(
+        world.take(beat(&earlier, 9, false)),
+        ReportStatus::PossiblyStale
+    );
     assert!(world.holds(&present, false));
 }
 
 /// Of two memories of an earlier life the one of a peer is newer, if it tells more.
 #[test]
 fn a_peer_that_knows_of_a_leave_is_believed_over_the_store() {
-    let mut reported = ReportedBackend::default();
+    let mut reported = BackendTracker::default();
     let known = incarnation("i-0", Some(1));
-    assert!(reported.remember(record(&known, 4, false)).is_some());
+    assert!(reported.restore(record(&known, 4, false)).is_some());
     assert!(
         reported
-            .remember_from_peer(record(&known, 5, true))
+            .restore_from_peer(record(&known, 5, true))
             .is_some()
     );
     assert!(
         reported
-            .remember_from_peer(record(&known, 4, false))
+            .restore_from_peer(record(&known, 4, false))
             .is_none()
     );
-    assert!(reported.remember(record(&known, 4, false)).is_none());
+    assert!(reported.restore(record(&known, 4, false)).is_none());
 }
 
 /// A back end that has reported to this life is known better than any memory.
@@ -395,7 +401,7 @@
     let mut world = World::new();
     let (first, second) = (incarnation("i-0", Some(1)), incarnation("i-0", Some(2)));
     world.take(beat(&first, 1, false));
-    let told = world.reported.remember_from_peer(record(&second, 1, true));
+    let told = world.reported.restore_from_peer(record(&second, 1, true));
     assert_eq!(told, None);
     assert!(world.holds(&first, false));
 }
--- a/crates/rampthread-core/tests/backend_leaves.rs
+++ b/crates/rampthread-core/tests/backend_leaves.rs
@@ -17,7 +17,7 @@
 
 use mesh::endpoint_record;
 use rampthread_core::backend_incarnation::{BackendIncarnation, BornAt};
-use rampthread_core::fleet::{BackendReport, Reported, ReportedBackend};
+use rampthread_core::fleet::{BackendReport, BackendTracker, ReportStatus};
 use rampthread_core::time::Moment;
 use rstest::rstest;
 use std::time::Duration;
@@ -30,29 +30,29 @@
 }
 
 /// What becomes of a heartbeat that was sent before the leave.
-fn take_late_heartbeat(reported: &mut ReportedBackend, born: Option<u64>, now: Moment) {
+fn take_late_heartbeat(reported: &mut BackendTracker, born: Option<u64>, now: Moment) {
     let late = endpoint_record(&name(born), 5, false);
-    let taken = reported.take(BackendReport::Heartbeat(late), now);
-    let takes_work = matches!(&taken, Reported::Changed(record) if !record.draining);
+    let taken = reported.apply_report(BackendReport::Heartbeat(late), now);
+    let takes_work = matches!(&taken, ReportStatus::Changed(record) if !record.draining);
     assert!(!takes_work, "{taken:?}");
 }
 
 #[rstest]
 fn a_remembered_leave_outlasts_what_is_remembered(#[values(None, Some(100))] born: Option<u64>) {
-    let mut reported = ReportedBackend::default();
-    reported.remember(endpoint_record(&name(born), 9, true));
-    assert!(reported.forget_unconfirmed());
+    let mut reported = BackendTracker::default();
+    reported.restore(endpoint_record(&name(born), 9, true));
+    assert!(reported.drop_unconfirmed());
     take_late_heartbeat(&mut reported, born, START + Duration::from_secs(2));
 }
 
 #[rstest]
 fn a_leave_outlasts_an_answer_of_another_back_end(#[values(None, Some(100))] born: Option<u64>) {
-    let mut reported = ReportedBackend::default();
+    let mut reported = BackendTracker::default();
     for (sequence, draining) in [(8, false), (9, true)] {
         let beat = endpoint_record(&name(born), sequence, draining);
-        reported.take(BackendReport::Heartbeat(beat), START);
+        reported.apply_report(BackendReport::Heartbeat(beat), START);
     }
     let instance = endpoint_record(&name(born), 9, true).instance;
-    assert!(reported.misdirected(&instance));
+    assert!(reported.on_instance_mismatch(&instance));
     take_late_heartbeat(&mut reported, born, START + Duration::from_secs(2));
 }
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -19,7 +19,7 @@
 use rampthread_core::call::route_table::{CallHead, RouteTable};
 use rampthread_core::call::service_times::ServiceTimes;
 use rampthread_core::config::ConfigState;
-use rampthread_core::fleet::{BackendReport, Machine, Reported, ReportedBackend};
+use rampthread_core::fleet::{BackendReport, BackendTracker, Machine, ReportStatus};
 use rampthread_core::ids::{NodeId, Version, Zone};
 use rampthread_core::time::Moment;
 use rand::SeedableRng;
@@ -216,7 +216,7 @@
     fn a_back_end_that_leaves_does_not_come_back(
         reports in prop::collection::vec((0_u8..3, 0_u64..20, any::<bool>(), any::<bool>()), 1..60),
     ) {
-        let mut reported = ReportedBackend::default();
+        let mut reported = BackendTracker::default();
         let mut left = std::collections::BTreeSet::new();
         for (instance, sequence, draining, departs) in reports {
             let instance = format!("i-{instance}");
@@ -226,7 +226,7 @@
             } else {
                 BackendReport::Heartbeat(endpoint_record(&instance, sequence, draining))
             };
-            if let Reported::Changed(endpoint) = reported.take(report, Moment(1)) {
+            if let ReportStatus::Changed(endpoint) = reported.apply_report(report, Moment(1)) {
                 let again = left.contains(endpoint.instance.as_str()) && !endpoint.draining;
                 prop_assert!(!again, "{:?} came back", endpoint.instance);
                 if endpoint.draining {
