--- a/crates/rampthread-core/src/backend_incarnation.rs
+++ b/crates/rampthread-core/src/backend_incarnation.rs
@@ -1,5 +1,5 @@
 //! Which start of a back end is meant. A back end may keep its id over a restart; then
-//! only the time of its start, `born`, tells the two apart.
+//! only the time of its start, `started_at`, tells the two apart.
 
 use crate::ids::{InstanceId, InvalidName};
 use serde::{Deserialize, Serialize};
@@ -9,14 +9,14 @@
 const SEPARATOR: &str = "..";
 /// Longest id that a back end may give itself, in bytes: with the separator and the
 /// most digits of a start it still makes a name.
-pub const MAX_ID_LENGTH: usize = InstanceId::MAX_LENGTH - SEPARATOR.len() - MAX_BORN_DIGITS;
+pub const MAX_ID_LENGTH: usize = InstanceId::MAX_LENGTH - SEPARATOR.len() - MAX_START_DIGITS;
 /// Decimal digits of the largest `u64`.
-const MAX_BORN_DIGITS: usize = 20;
+const MAX_START_DIGITS: usize = 20;
 
 /// When a back end started, in Unix milliseconds by its own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct BornAt(pub u64);
+pub struct StartedAt(pub u64);
 
 /// One start of a back end. Nodes pass it on under [`BackendIncarnation::name`], which
 /// nodes that know nothing of starts take for an id like any other: to them every start
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendIncarnation {
     id: InstanceId,
-    born: Option<BornAt>,
+    started_at: Option<StartedAt>,
 }
 
 /// Why an id cannot be one of a back end.
@@ -39,34 +39,37 @@
 }
 
 impl BackendIncarnation {
-    /// The back end that calls itself `id` and started at `born`, if it says so.
-    pub fn new(id: &str, born: Option<BornAt>) -> Result<Self, InvalidIncarnation> {
+    /// The back end that calls itself `id` and started at `started_at`, if it says so.
+    pub fn new(id: &str, started_at: Option<StartedAt>) -> Result<Self, InvalidIncarnation> {
         let id = InstanceId::new(id)?;
         if id.as_str().len() > MAX_ID_LENGTH || id.as_str().contains(SEPARATOR) {
             return Err(InvalidIncarnation::Reserved);
         }
-        Ok(Self { id, born })
+        Ok(Self { id, started_at })
     }
 
     /// The incarnation of this name. A name without a start is an id whose start is
     /// unknown.
-    pub fn named(name: &InstanceId) -> Self {
-        let with_start = name.as_str().rsplit_once(SEPARATOR).and_then(|(id, born)| {
-            let born = BornAt(born.parse().ok()?);
-            Self::new(id, Some(born)).ok()
-        });
+    pub fn from_name(name: &InstanceId) -> Self {
+        let with_start = name
+            .as_str()
+            .rsplit_once(SEPARATOR)
+            .and_then(|(id, started_at)| {
+                let started_at = StartedAt(started_at.parse().ok()?);
+                Self::new(id, Some(started_at)).ok()
+            });
         with_start.unwrap_or_else(|| Self {
             id: name.clone(),
-            born: None,
+            started_at: None,
         })
     }
 
     /// One name for both, different for any two incarnations that can be told apart.
     pub fn name(&self) -> InstanceId {
-        let Some(BornAt(born)) = self.born else {
+        let Some(StartedAt(started_at)) = self.started_at else {
             return self.id.clone();
         };
-        InstanceId::new(&format!("{}{SEPARATOR}{born}", self.id))
+        InstanceId::new(&format!("{}{SEPARATOR}{started_at}", self.id))
             .expect("a checked id and a number make a name")
     }
 
@@ -76,8 +79,8 @@
     }
 
     /// When it started, if it says so.
-    pub fn born(&self) -> Option<BornAt> {
-        self.born
+    pub fn started_at(&self) -> Option<StartedAt> {
+        self.started_at
     }
 }
 
--- a/crates/rampthread-core/src/call/crash_detector.rs
+++ b/crates/rampthread-core/src/call/crash_detector.rs
@@ -15,13 +15,11 @@
 use crate::ids::InstanceId;
 use crate::time::Moment;
 use std::time::Duration;
-
 /// Different requests remembered at most: four times the slots of a large back end.
 const MAX_LOSSES: usize = 128;
 /// Time for which a lost answer may turn out to be a crash: a back end that
 /// crashed is back within seconds.
 const LOSS_MEMORY: Duration = Duration::from_secs(10);
-
 /// Least time for which a loss at a back end that names its start may turn out to be a
 /// crash after a call was answered there: a start takes so long to report.
 const LEAST_ANSWERED_MEMORY: Duration = Duration::from_secs(3);
@@ -30,7 +28,6 @@
 /// A heartbeat may arrive so much later than it was sent: one that comes sooner after a
 /// loss does not show that its sender outlived it.
 const HEARTBEAT_LATENESS: Duration = Duration::from_secs(3);
-
 #[derive(Debug, Clone)]
 struct Loss {
     identity: RequestIdentity,
@@ -46,7 +43,6 @@
     /// When a call that began later was answered, by this start or by the next one.
     answered: Option<Moment>,
 }
-
 impl Loss {
     fn may_be_a_crash(&self, now: Moment, answered_memory: Duration) -> bool {
         let answered_long_ago = self
@@ -55,7 +51,6 @@
         now.since(self.last) < LOSS_MEMORY && !answered_long_ago
     }
 }
-
 /// A request and the incarnation that it is, or was, reported for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashSuspect {
@@ -68,7 +63,6 @@
     /// The request was on trial.
     pub on_trial: bool,
 }
-
 /// The lost answers of one back end: of that beside a gate, or of one that an entry
 /// sends calls to.
 #[derive(Debug)]
@@ -77,13 +71,11 @@
     /// Time for which a loss may be a crash after a call was answered.
     answered_memory: Duration,
 }
-
 impl Default for CrashDetector {
     fn default() -> Self {
         Self::with_heartbeat(Duration::ZERO)
     }
 }
-
 impl CrashDetector {
     /// Nothing was lost; the back end reports each `heartbeat`.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
@@ -92,7 +84,6 @@
             answered_memory: LEAST_ANSWERED_MEMORY.max(heartbeat * HEARTBEATS_TO_REPORT),
         }
     }
-
     /// An answer was lost; `refuses`: the back end's port refuses connections, so
     /// that it is reported as a crash.
     pub fn record_loss(&mut self, lost: &CrashSuspect, refuses: bool) {
@@ -121,7 +112,6 @@
             answered: None,
         });
     }
-
     /// Makes room for a request that was on trial. Any other that comes late is not
     /// remembered: what is lost after the crash was sent to a back end that had ended,
     /// and must not push out what ended it (soak behind proxies: over 128 losses in 0.6 s
@@ -134,11 +124,12 @@
         self.losses.remove(newest);
         true
     }
-
     /// A call for `instance` that began at `begun` was answered: it lives, unless its next
     /// start may have answered. Returns what must be withdrawn.
     pub fn record_response(&mut self, instance: &InstanceId, begun: Moment) -> Vec<CrashSuspect> {
-        let names_start = BackendIncarnation::named(instance).born().is_some();
+        let names_start = BackendIncarnation::from_name(instance)
+            .started_at()
+            .is_some();
         if names_start {
             self.note_answer(instance, begun);
             return Vec::new();
@@ -148,14 +139,12 @@
         self.losses.retain(|loss| !disproved(loss));
         withdrawn
     }
-
     fn note_answer(&mut self, instance: &InstanceId, begun: Moment) {
         let losses = self.losses.iter_mut();
         for loss in losses.filter(|loss| loss.instance == *instance && loss.last < begun) {
             loss.answered.get_or_insert(begun);
         }
     }
-
     /// `instance` reported last at `heard`: it has outlived what was lost well before.
     /// Returns what must be withdrawn.
     pub fn reported_alive(&mut self, instance: &InstanceId, heard: Moment) -> Vec<CrashSuspect> {
@@ -165,7 +154,6 @@
         self.losses.retain(|loss| !outlived(loss));
         withdrawn
     }
-
     /// `present` reports at the address. Returns the losses of other incarnations
     /// that are explained by it, and were not reported yet.
     pub fn record_replacement(&mut self, present: &InstanceId, now: Moment) -> Vec<CrashSuspect> {
@@ -176,7 +164,6 @@
         self.losses.retain(|loss| !gone(loss));
         explained
     }
-
     /// The port was found closed a moment after the loss, and nobody has answered
     /// meanwhile: returns the crash that is to be reported, if it was not.
     pub fn port_closed(&mut self, lost: &CrashSuspect) -> Option<CrashSuspect> {
@@ -187,7 +174,6 @@
         loss.reported = true;
         Some(lost.clone())
     }
-
     /// The port of `instance` has stayed closed since a crash was reported: nothing
     /// withdraws that any more. Returns the losses that this explains besides; none where
     /// no report stands, since it has answered meanwhile.
@@ -201,13 +187,11 @@
         self.losses.retain(|loss| !of_it(loss));
         Some(explained)
     }
-
     /// `instance` has taken its leave: it ends as planned, with calls under way at
     /// times.
     pub fn record_departure(&mut self, instance: &InstanceId) {
         self.losses.retain(|loss| loss.instance != *instance);
     }
-
     /// True when `instance` has lost answers lately and given none since.
     pub fn may_have_ended(&self, instance: &InstanceId, now: Moment) -> bool {
         let memory = self.answered_memory;
@@ -216,18 +200,15 @@
             .iter()
             .any(|loss| loss.instance == *instance && unanswered(loss))
     }
-
     /// Forgets what no crash explains any more.
     pub fn forget_old(&mut self, now: Moment) {
         self.losses
             .retain(|loss| now.since(loss.last) < LOSS_MEMORY);
     }
-
     /// True when nothing was lost lately.
     pub fn is_empty(&self) -> bool {
         self.losses.is_empty()
     }
-
     fn suspicions(&self, wanted: impl Fn(&Loss) -> bool) -> Vec<CrashSuspect> {
         let losses = self.losses.iter().filter(|loss| wanted(loss));
         losses
--- a/crates/rampthread-core/src/fleet/backend_tracker.rs
+++ b/crates/rampthread-core/src/fleet/backend_tracker.rs
@@ -8,12 +8,11 @@
 //! whatever its clock says.
 
 use super::member::EndpointRecord;
-use crate::backend_incarnation::{BackendIncarnation, BornAt};
+use crate::backend_incarnation::{BackendIncarnation, StartedAt};
 use crate::ids::InstanceId;
 use crate::time::Moment;
 use std::collections::VecDeque;
 use std::time::Duration;
-
 /// Maximum number of earlier incarnations kept, to detect their late reports.
 const MAX_RETIRED: usize = 64;
 /// Minimum time for which an apparently earlier incarnation must report, and the current one be
@@ -24,7 +23,6 @@
 /// With an interval of 5 s, [`MIN_SUPERSEDE_TIME`] alone would let a late report replace a live
 /// backend.
 const MIN_SUPERSEDE_HEARTBEATS: u32 = 3;
-
 /// Report of a backend to the local node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BackendReport {
@@ -33,7 +31,6 @@
     /// The backend is departing or has departed.
     Departure(BackendIncarnation),
 }
-
 impl BackendReport {
     /// Returns the name of the reporting incarnation.
     pub fn incarnation(&self) -> InstanceId {
@@ -43,7 +40,6 @@
         }
     }
 }
-
 /// Result of processing a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReportStatus {
@@ -55,7 +51,6 @@
     /// and must not be acknowledged.
     PossiblyStale,
 }
-
 /// Incarnation that may replace the current one.
 #[derive(Debug, Clone)]
 struct Candidate {
@@ -63,7 +58,6 @@
     since: Moment,
     sequence: u64,
 }
-
 /// A previous incarnation.
 #[derive(Debug)]
 struct Retired {
@@ -73,7 +67,6 @@
     /// True if it departed. Late heartbeats do not revoke a departure.
     departed: bool,
 }
-
 /// The current incarnation and the previous ones, as far as reported.
 #[derive(Debug)]
 pub struct BackendTracker {
@@ -88,7 +81,6 @@
     candidate: Option<Candidate>,
     retired: VecDeque<Retired>,
 }
-
 /// Relation of a heartbeat to the current incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Relation {
@@ -96,13 +88,11 @@
     Newer,
     PossiblyStale,
 }
-
 impl Default for BackendTracker {
     fn default() -> Self {
         Self::with_heartbeat(Duration::ZERO)
     }
 }
-
 impl BackendTracker {
     /// Creates a tracker without a backend. `heartbeat` is the interval between reports.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
@@ -115,7 +105,6 @@
             retired: VecDeque::new(),
         }
     }
-
     /// Processes a report.
     pub fn apply_report(&mut self, report: BackendReport, now: Moment) -> ReportStatus {
         match report {
@@ -123,7 +112,6 @@
             BackendReport::Departure(incarnation) => self.apply_departure(&incarnation, now),
         }
     }
-
     /// Restores the record known to an earlier run of this node. Returns it unless a record is
     /// known already. Any heartbeat of the same incarnation is newer.
     pub fn restore(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
@@ -132,7 +120,6 @@
             Some(_) => None,
         }
     }
-
     /// Restores a record received from a peer. It replaces a record from the store, which lags
     /// by some seconds, if it contains a departure or a later incarnation.
     pub fn restore_from_peer(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
@@ -141,7 +128,6 @@
             false => None,
         }
     }
-
     fn restore_record(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         if self.is_retired(&record.instance) {
             return None;
@@ -153,7 +139,6 @@
         });
         Some(record)
     }
-
     fn supersedes_restored(&self, record: &EndpointRecord) -> bool {
         let Some(current) = &self.current else {
             return true;
@@ -165,7 +150,6 @@
         };
         self.unconfirmed && newer
     }
-
     /// Drops a restored record that no heartbeat has confirmed, since the backend may have
     /// departed at the end of the previous run. Returns true if there was one.
     pub fn drop_unconfirmed(&mut self) -> bool {
@@ -176,7 +160,6 @@
         }
         dropped
     }
-
     /// Handles a response of another incarnation at the backend's address. `instance` counts as
     /// gone until its next report. Returns true if it was the current one.
     pub fn on_instance_mismatch(&mut self, instance: &InstanceId) -> bool {
@@ -189,7 +172,6 @@
         }
         is_current
     }
-
     /// Clears the current record. An acknowledged departure is remembered, so that a delayed
     /// heartbeat does not revoke it. Otherwise the next heartbeat restores the backend.
     fn drop_current(&mut self) {
@@ -198,13 +180,11 @@
             self.retire(departed.instance, true);
         }
     }
-
     /// Returns the current incarnation and the time of its last report to this process.
     pub fn last_report(&self) -> Option<(&InstanceId, Moment)> {
         let current = self.current.as_ref().filter(|_| !self.unconfirmed)?;
         Some((&current.instance, self.last_report_at))
     }
-
     fn apply_heartbeat(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         let relation = match &self.current {
             Some(current) => relation(current, &record),
@@ -221,7 +201,6 @@
             Relation::Newer | Relation::PossiblyStale => self.track_candidate(record, now),
         }
     }
-
     /// Handles a heartbeat of an incarnation whose departure arrived earlier.
     fn apply_heartbeat_after_departure(
         &mut self,
@@ -229,15 +208,15 @@
         now: Moment,
     ) -> ReportStatus {
         let present = self.current.as_ref();
-        let present = present.map(|present| BackendIncarnation::named(&present.instance).born());
-        let born = BackendIncarnation::named(&record.instance).born();
+        let present =
+            present.map(|present| BackendIncarnation::from_name(&present.instance).started_at());
+        let born = BackendIncarnation::from_name(&record.instance).started_at();
         if present.is_some_and(|present| present.is_none() || born <= present) {
             return self.track_candidate(record, now);
         }
         record.draining = true;
         self.supersede_current(record, now)
     }
-
     /// Handles a heartbeat of the current incarnation.
     fn update(&mut self, mut record: EndpointRecord, now: Moment) -> ReportStatus {
         let Some(current) = &self.current else {
@@ -247,7 +226,11 @@
             return self.apply_repeated_sequence(record, now);
         }
         let accepts_work_again = current.draining && !record.draining;
-        if accepts_work_again && BackendIncarnation::named(&record.instance).born().is_none() {
+        if accepts_work_again
+            && BackendIncarnation::from_name(&record.instance)
+                .started_at()
+                .is_none()
+        {
             // This may be a new start with the same name, whose sequence numbers have passed
             // those of the previous one. The acknowledged departure stays and this heartbeat is
             // not acknowledged.
@@ -265,7 +248,6 @@
             false => ReportStatus::Unchanged,
         }
     }
-
     /// Handles a sequence number that is not above the last one: a late heartbeat, or one of
     /// another start in the same millisecond. It is acknowledged only if all of its content is
     /// already applied.
@@ -273,7 +255,9 @@
         let applied = self.current.as_ref().is_some_and(|current| {
             // A copy of the last heartbeat, which was applied. The backend may have departed
             // since.
-            let has_start_time = BackendIncarnation::named(&record.instance).born().is_some();
+            let has_start_time = BackendIncarnation::from_name(&record.instance)
+                .started_at()
+                .is_some();
             let copy = has_start_time && record.sequence == current.sequence && !record.draining;
             let departed_since = EndpointRecord {
                 draining: current.draining,
@@ -286,11 +270,10 @@
             false => self.track_candidate(record, now),
         }
     }
-
     /// Makes `record` the current incarnation.
     fn supersede_current(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         self.retire_current();
-        let id = BackendIncarnation::named(&record.instance).id().clone();
+        let id = BackendIncarnation::from_name(&record.instance).id().clone();
         self.retired
             .retain(|known| known.instance != record.instance && known.instance != id);
         self.unconfirmed = false;
@@ -299,7 +282,6 @@
         self.current = Some(record.clone());
         ReportStatus::Changed(record)
     }
-
     fn track_candidate(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         let known = self.candidate.take();
         let known = known.filter(|candidate| candidate.incarnation == record.instance);
@@ -323,7 +305,6 @@
         self.candidate = Some(candidate);
         ReportStatus::PossiblyStale
     }
-
     fn apply_departure(&mut self, departed: &BackendIncarnation, now: Moment) -> ReportStatus {
         let is_candidate = |candidate: &Candidate| candidate.incarnation == departed.name();
         if self.candidate.as_ref().is_some_and(is_candidate) {
@@ -334,17 +315,17 @@
             self.retire(departed.name(), true);
             return ReportStatus::Unchanged;
         };
-        let present = BackendIncarnation::named(&current.instance);
+        let present = BackendIncarnation::from_name(&current.instance);
         if present.id() != departed.id()
             || departed
-                .born()
+                .started_at()
                 .is_some_and(|at| started_earlier(at, &present))
         {
             // Heartbeats of this incarnation may still arrive.
             self.retire(departed.name(), true);
             return ReportStatus::Unchanged;
         }
-        if departed.born().is_some() && departed.born() != present.born() {
+        if departed.started_at().is_some() && departed.started_at() != present.started_at() {
             return self.apply_departure_of_next(departed, now);
         }
         if current.draining {
@@ -353,7 +334,6 @@
         current.draining = true;
         ReportStatus::Changed(current.clone())
     }
-
     /// Handles the departure of a later incarnation that arrives before its first heartbeat.
     /// The current incarnation must have ended.
     fn apply_departure_of_next(
@@ -372,29 +352,27 @@
         };
         self.supersede_current(gone, now)
     }
-
     /// Returns true if the incarnation has departed or was replaced. A recorded departure
     /// without a start time matches every incarnation with its id.
     fn is_retired(&self, instance: &InstanceId) -> bool {
-        let incarnation = BackendIncarnation::named(instance);
+        let incarnation = BackendIncarnation::from_name(instance);
         let matches_instance =
             |known: &Retired| known.instance == *instance || known.instance == *incarnation.id();
         self.retired.iter().any(matches_instance)
     }
-
     /// Returns true if exactly this incarnation has departed.
     fn has_departed(&self, instance: &InstanceId) -> bool {
         let departed_as_this = |known: &Retired| known.instance == *instance && known.departed;
-        let has_start_time = BackendIncarnation::named(instance).born().is_some();
+        let has_start_time = BackendIncarnation::from_name(instance)
+            .started_at()
+            .is_some();
         has_start_time && self.retired.iter().any(departed_as_this)
     }
-
     fn retire_current(&mut self) {
         if let Some(current) = self.current.take() {
             self.retire(current.instance, current.draining);
         }
     }
-
     fn retire(&mut self, instance: InstanceId, departed: bool) {
         let known = self
             .retired
@@ -410,11 +388,9 @@
         }
     }
 }
-
-fn started_earlier(born: BornAt, present: &BackendIncarnation) -> bool {
-    present.born().is_some_and(|present| born < present)
+fn started_earlier(born: StartedAt, present: &BackendIncarnation) -> bool {
+    present.started_at().is_some_and(|present| born < present)
 }
-
 /// Returns true if other nodes must learn of the difference. The warm-up time is left out,
 /// since it runs down by itself.
 fn differs(record: &EndpointRecord, current: &EndpointRecord) -> bool {
@@ -424,14 +400,13 @@
         || record.address != current.address
         || record.version != current.version
 }
-
 fn relation(current: &EndpointRecord, record: &EndpointRecord) -> Relation {
     if current.instance == record.instance {
         return Relation::Same;
     }
-    let present = BackendIncarnation::named(&current.instance);
-    let reported = BackendIncarnation::named(&record.instance);
-    match (present.born(), reported.born()) {
+    let present = BackendIncarnation::from_name(&current.instance);
+    let reported = BackendIncarnation::from_name(&record.instance);
+    match (present.started_at(), reported.started_at()) {
         (Some(present), Some(reported)) if reported >= present => Relation::Newer,
         // A backend that reports its start time always does so.
         (Some(_), _) => Relation::PossiblyStale,
--- a/crates/rampthread-node/src/calls/gate/lost.rs
+++ b/crates/rampthread-node/src/calls/gate/lost.rs
@@ -17,14 +17,12 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 use std::time::Duration;
-
 /// Time limit for a local connection attempt to be refused.
 const REFUSAL_WAIT: Duration = Duration::from_millis(50);
 /// Interval between checks of the backend's port after a lost response. A port that refused
 /// connections only because its backlog was full accepts them again by then; that of a
 /// terminating process may close only then.
 const STAYS_CLOSED: Duration = Duration::from_millis(200);
-
 impl Gate {
     /// Checks whether the backend's port still accepts connections. A draining backend may
     /// end with calls in progress; that does not count as a crash.
@@ -50,8 +48,8 @@
             on_trial,
         };
         self.state().crash_watch.record_loss(&suspicion, refuses);
-        if BackendIncarnation::named(&suspicion.instance)
-            .born()
+        if BackendIncarnation::from_name(&suspicion.instance)
+            .started_at()
             .is_none()
         {
             let looking = self.clone();
@@ -71,7 +69,6 @@
             ..lost
         }
     }
-
     /// Polls the port of a backend whose reports carry no incarnation, since a restart cannot
     /// be seen in its reports. A port that is closed shortly after the loss means a crash;
     /// closed at two checks in a row, the incarnation has ended.
@@ -97,7 +94,6 @@
             refused_before = true;
         }
     }
-
     fn note_end(&self, backend: &LocalBackend, instance: &InstanceId) {
         let explained = {
             let mut state = self.state();
@@ -109,7 +105,6 @@
         };
         self.control.report_suspicions(&explained, false);
     }
-
     /// Records a response to a call that started at `begun`, which shows that the backend is
     /// alive.
     pub(super) fn back_end_answered(&self, backend: &LocalBackend, begun: Moment) {
@@ -128,7 +123,6 @@
         drop(state);
         self.control.report_suspicions(&withdrawn, true);
     }
-
     /// Checks whether a new incarnation of the backend explains lost responses.
     pub fn check_incarnation(&self) {
         if self.state().crash_watch.is_empty() {
@@ -158,12 +152,10 @@
         self.control.report_suspicions(&withdrawn, true);
         self.control.report_suspicions(&explained, false);
     }
-
     pub(super) fn incarnation(&self, backend: &LocalBackend) -> InstanceId {
         self.state().starts.present(&name_of(backend))
     }
 }
-
 /// The incarnation reported by the backend, or else its name in the configuration.
 fn name_of(backend: &LocalBackend) -> InstanceId {
     let named = backend.instance.clone();
@@ -171,14 +163,12 @@
         InstanceId::new(backend.name.as_str()).expect("names of both kinds are of one form")
     })
 }
-
 /// A response body that is streamed; if it is truncated, the loss is investigated like that of
 /// a whole response.
 pub(super) struct WatchedBody<B> {
     inner: B,
     loss: Option<Loss>,
 }
-
 /// Arguments for investigating a loss.
 struct Loss {
     gate: Arc<Gate>,
@@ -186,7 +176,6 @@
     content: CallContent,
     on_trial: bool,
 }
-
 impl<B> WatchedBody<B> {
     pub(super) fn new(
         inner: B,
@@ -204,14 +193,12 @@
         Self { inner, loss }
     }
 }
-
 impl<B> hyper::body::Body for WatchedBody<B>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
 {
     type Data = Bytes;
     type Error = B::Error;
-
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -229,11 +216,9 @@
         }
         polled
     }
-
     fn is_end_stream(&self) -> bool {
         self.inner.is_end_stream()
     }
-
     fn size_hint(&self) -> SizeHint {
         self.inner.size_hint()
     }
--- a/crates/rampthread-node/src/calls/gate/request.rs
+++ b/crates/rampthread-node/src/calls/gate/request.rs
@@ -52,7 +52,7 @@
         }
         if let (Some(header), Some(instance)) = (&self.dialect.target_instance, &backend.instance) {
             // Any incarnation with this id may take the call, which is sent at most once.
-            let incarnation = BackendIncarnation::named(instance);
+            let incarnation = BackendIncarnation::from_name(instance);
             header_filter::set_header(to, header, incarnation.id().as_str());
         }
         if let Some(header) = &self.dialect.request_id {
--- a/crates/rampthread-wire/tests/backend_incarnations.rs
+++ b/crates/rampthread-wire/tests/backend_incarnations.rs
@@ -1,7 +1,7 @@
 //! Incarnations of back ends on the wire: nodes that know nothing of starts read the
 //! name of one as they read an id, and the start costs few bytes.
 
-use rampthread_core::backend_incarnation::{BackendIncarnation, BornAt};
+use rampthread_core::backend_incarnation::{BackendIncarnation, StartedAt};
 use rampthread_core::fleet::{
     Conditions, EndpointRecord, Envelope, MemberRecord, Message, ProbeBody, Status,
 };
@@ -45,7 +45,7 @@
 #[test]
 fn a_start_reaches_the_other_node_and_adds_few_bytes() {
     let without = BackendIncarnation::new("i-7f3a91c2", None).unwrap();
-    let with = BackendIncarnation::new("i-7f3a91c2", Some(BornAt(1_764_722_643_123))).unwrap();
+    let with = BackendIncarnation::new("i-7f3a91c2", Some(StartedAt(1_764_722_643_123))).unwrap();
     let sent = envelope(with.name());
     assert_eq!(decode(&encode(&sent)).unwrap(), sent);
     let sizes = [without, with].map(|one| encode(&envelope(one.name())).len());
--- a/crates/rampthread/tests/platform_calls.rs
+++ b/crates/rampthread/tests/platform_calls.rs
@@ -5,7 +5,7 @@
 
 use platform_support::{PlatformFleet, SERVICE, request, status_of};
 use rampthread_adapter_standin::{Availability, BackendBehaviour, DocumentSpec, RouteSpec};
-use rampthread_core::backend_incarnation::{BackendIncarnation, BornAt};
+use rampthread_core::backend_incarnation::{BackendIncarnation, StartedAt};
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
 
@@ -48,7 +48,7 @@
 fn two_bodies_of_one_id_hold_the_gate_up_for_nobody() {
     let fleet = PlatformFleet::start(1, &shop(1));
     let backend = &fleet.backends[0];
-    let born = Some(BornAt(backend.born_ms()));
+    let born = Some(StartedAt(backend.born_ms()));
     let incarnation = BackendIncarnation::new(&backend.instance(), born).unwrap();
     for _ in 0..2 {
         let question = format!(
