--- a/crates/rampthread-core/src/backend_incarnation.rs
+++ b/crates/rampthread-core/src/backend_incarnation.rs
@@ -9,7 +9,7 @@
 const SEPARATOR: &str = "..";
 /// Longest id that a back end may give itself, in bytes: with the separator and the
 /// most digits of a start it still makes a name.
-pub const MAX_ID_LENGTH: usize = InstanceId::MAX_LENGTH - SEPARATOR.len() - MAX_START_DIGITS;
+pub const MAX_BACKEND_ID_BYTES: usize = InstanceId::MAX_BYTES - SEPARATOR.len() - MAX_START_DIGITS;
 /// Decimal digits of the largest `u64`.
 const MAX_START_DIGITS: usize = 20;
 
@@ -34,7 +34,7 @@
     #[error(transparent)]
     Name(#[from] InvalidName),
     /// It could not be told from an id with a start.
-    #[error("an id has at most {MAX_ID_LENGTH} bytes and no {SEPARATOR:?} in it")]
+    #[error("an id has at most {MAX_BACKEND_ID_BYTES} bytes and no {SEPARATOR:?} in it")]
     Reserved,
 }
 
@@ -42,7 +42,7 @@
     /// The back end that calls itself `id` and started at `started_at`, if it says so.
     pub fn new(id: &str, started_at: Option<StartedAt>) -> Result<Self, InvalidIncarnation> {
         let id = InstanceId::new(id)?;
-        if id.as_str().len() > MAX_ID_LENGTH || id.as_str().contains(SEPARATOR) {
+        if id.as_str().len() > MAX_BACKEND_ID_BYTES || id.as_str().contains(SEPARATOR) {
             return Err(InvalidIncarnation::Reserved);
         }
         Ok(Self { id, started_at })
--- a/crates/rampthread-core/src/call/incarnation_names.rs
+++ b/crates/rampthread-core/src/call/incarnation_names.rs
@@ -3,17 +3,14 @@
 //! the one that has ended.
 
 use crate::ids::InstanceId;
-
 /// Stands between the name and the number of the start.
 const SEPARATOR: &str = ".start-";
-
 /// The starts under the name that was counted last.
 #[derive(Debug, Default)]
 pub struct IncarnationNames {
     name: Option<InstanceId>,
     ended: u64,
 }
-
 impl IncarnationNames {
     /// The present start of the back end that calls itself `name`: the bare name until
     /// one is known to have ended.
@@ -25,11 +22,10 @@
         let kept = name
             .as_str()
             .len()
-            .min(InstanceId::MAX_LENGTH - suffix.len());
+            .min(InstanceId::MAX_BYTES - suffix.len());
         let start = format!("{}{suffix}", &name.as_str()[..kept]);
         InstanceId::new(&start).expect("the beginning of a name and a number make a name")
     }
-
     /// The present start of the back end that calls itself `name` has ended.
     pub fn note_end(&mut self, name: &InstanceId) {
         if self.name.as_ref() != Some(name) {
--- a/crates/rampthread-core/src/ids.rs
+++ b/crates/rampthread-core/src/ids.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 /// Longest accepted name, in bytes (the limit of a DNS label, RFC 1035).
-pub const MAX_NAME_LENGTH: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 
 /// Why a text is not a name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -16,7 +16,7 @@
 }
 
 fn check_name(text: &str) -> Result<(), InvalidName> {
-    let length_fits = (1..=MAX_NAME_LENGTH).contains(&text.len());
+    let length_fits = (1..=MAX_NAME_BYTES).contains(&text.len());
     let alphabet_fits = text
         .bytes()
         .all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.'));
@@ -24,7 +24,7 @@
         return Ok(());
     }
     Err(InvalidName {
-        text: text.chars().take(MAX_NAME_LENGTH).collect(),
+        text: text.chars().take(MAX_NAME_BYTES).collect(),
     })
 }
 
@@ -37,7 +37,7 @@
 
         impl $name {
             /// Longest name, in bytes.
-            pub const MAX_LENGTH: usize = MAX_NAME_LENGTH;
+            pub const MAX_BYTES: usize = MAX_NAME_BYTES;
 
             /// Checks `text` and wraps it.
             pub fn new(text: &str) -> Result<Self, InvalidName> {
--- a/crates/rampthread-core/tests/backend_incarnations.rs
+++ b/crates/rampthread-core/tests/backend_incarnations.rs
@@ -7,7 +7,7 @@
 mod mesh;
 use mesh::endpoint_record;
 use proptest::prelude::*;
-use rampthread_core::backend_incarnation::{BackendIncarnation, MAX_ID_LENGTH, StartedAt};
+use rampthread_core::backend_incarnation::{BackendIncarnation, MAX_BACKEND_ID_BYTES, StartedAt};
 use rampthread_core::fleet::{
     BackendReport, BackendTracker, EndpointRecord, MIN_SUPERSEDE_TIME, ReportStatus,
 };
@@ -224,7 +224,7 @@
 }
 }
 #[rstest]
-#[case::too_long(&"i".repeat(MAX_ID_LENGTH + 1))]
+#[case::too_long(&"i".repeat(MAX_BACKEND_ID_BYTES + 1))]
 #[case::like_a_name_with_a_start("i-1..5")]
 #[case::no_name("i 1")]
 fn an_id_that_cannot_be_told_from_a_name_is_refused(#[case] id: &str) {
@@ -232,7 +232,7 @@
 }
 #[test]
 fn a_name_of_an_older_node_is_an_id_without_a_start() {
-    let name = InstanceId::new(&"i".repeat(InstanceId::MAX_LENGTH)).unwrap();
+    let name = InstanceId::new(&"i".repeat(InstanceId::MAX_BYTES)).unwrap();
     let incarnation = BackendIncarnation::from_name(&name);
     assert_eq!((incarnation.id(), incarnation.started_at()), (&name, None));
 }
--- a/crates/rampthread-core/tests/crash_detector.rs
+++ b/crates/rampthread-core/tests/crash_detector.rs
@@ -268,7 +268,7 @@
     assert!(seen[0] != seen[1] && seen[1] != seen[2], "{seen:?}");
     assert_eq!(starts.present(&other), other);
     assert_eq!(BackendIncarnation::from_name(&seen[2]).started_at(), None);
-    let longest = InstanceId::new(&"x".repeat(InstanceId::MAX_LENGTH)).unwrap();
+    let longest = InstanceId::new(&"x".repeat(InstanceId::MAX_BYTES)).unwrap();
     starts.note_end(&longest);
     assert_ne!(starts.present(&longest), longest);
 }
