--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -457,7 +457,7 @@
         .records()
         .filter(|record| record.reachable() && !record.conditions.draining)
         .map(|record| (record.id.clone(), record.zone.clone()));
-    rendezvous::spread(CANDIDATE_KEY, candidates, count)
+    rendezvous::select_across_zones(CANDIDATE_KEY, candidates, count)
         .iter()
         .position(|candidate| candidate == me)
 }
--- a/crates/rampthread-core/src/fleet/store_watch.rs
+++ b/crates/rampthread-core/src/fleet/store_watch.rs
@@ -288,8 +288,12 @@
             .map(|record| (record.id.clone(), record.zone.clone()))
     };
     let count = settings.document_watchers;
-    let mut watchers = rendezvous::spread(WATCHERS_KEY, candidates(true), count);
+    let mut watchers = rendezvous::select_across_zones(WATCHERS_KEY, candidates(true), count);
     let missing = LEAST_WATCHERS.min(count).saturating_sub(watchers.len());
-    watchers.extend(rendezvous::spread(WATCHERS_KEY, candidates(false), missing));
+    watchers.extend(rendezvous::select_across_zones(
+        WATCHERS_KEY,
+        candidates(false),
+        missing,
+    ));
     watchers
 }
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -42,7 +42,7 @@
             .backends()
             .filter(|backend| backend.node != *id && backend.region == *region)
             .map(|backend| (backend.node.clone(), backend.zone.clone()));
-        let members = rendezvous::spread(id.as_str(), candidates, count);
+        let members = rendezvous::select_across_zones(id.as_str(), candidates, count);
         if members.len() < LEAST_WITNESSES {
             return Self::default();
         }
--- a/crates/rampthread-core/src/rendezvous.rs
+++ b/crates/rampthread-core/src/rendezvous.rs
@@ -42,7 +42,7 @@
 
 /// The first `count` candidates in rendezvous order, taking each zone once
 /// before any zone is taken again.
-pub fn spread(
+pub fn select_across_zones(
     key: &str,
     candidates: impl IntoIterator<Item = (NodeId, Zone)>,
     count: usize,
