--- a/crates/rampthread-core/src/config/delta.rs
+++ b/crates/rampthread-core/src/config/delta.rs
@@ -2,7 +2,7 @@
 //! the earlier one need not be sent everything.
 
 use super::resource::{CallerLimits, Resource, ResourceKey};
-use super::state::{ConfigState, Stored};
+use super::state::{ConfigState, StoredResource};
 use crate::compression::{DecompressError, compress, decompress};
 use crate::findings::Findings;
 use crate::ids::Version;
@@ -41,10 +41,10 @@
     },
     /// The bytes cannot be unpacked.
     #[error("unreadable delta: {0}")]
-    Damaged(#[from] DecompressError),
+    Decompress(#[from] DecompressError),
     /// It applies to another version.
     #[error("the delta applies to version {base}, not to {held}")]
-    OtherBase {
+    BaseMismatch {
         /// What it applies to.
         base: Version,
         /// What is held.
@@ -52,7 +52,7 @@
     },
     /// The result has another number of resources than the sender's.
     #[error("the delta leads to {found} resources in place of {expected}")]
-    WrongCount {
+    ResourceCountMismatch {
         /// Resources after it.
         found: usize,
         /// Resources that the sender has.
@@ -60,7 +60,7 @@
     },
     /// The base has another content here than at the sender.
     #[error("the delta applies to another state of version {base}")]
-    OtherContent {
+    ContentMismatch {
         /// Version of the base.
         base: Version,
     },
@@ -119,7 +119,7 @@
     /// The later state, whole, or the reason why there is none.
     pub fn apply_to(&self, base: &ConfigState) -> Result<ConfigState, DeltaError> {
         if self.base != base.version() {
-            return Err(DeltaError::OtherBase {
+            return Err(DeltaError::BaseMismatch {
                 base: self.base,
                 held: base.version(),
             });
@@ -129,20 +129,20 @@
             .map_err(|findings| DeltaError::Invalid { findings })?;
         let found = later.resources().count();
         if found != self.resources {
-            return Err(DeltaError::WrongCount {
+            return Err(DeltaError::ResourceCountMismatch {
                 found,
                 expected: self.resources,
             });
         }
         let digest = self.digest.as_ref();
         if digest.is_some_and(|digest| *digest != later.content_digest()) {
-            return Err(DeltaError::OtherContent { base: self.base });
+            return Err(DeltaError::ContentMismatch { base: self.base });
         }
         Ok(later)
     }
 }
 
-fn holds(state: &ConfigState, stored: &Stored) -> bool {
+fn holds(state: &ConfigState, stored: &StoredResource) -> bool {
     state.get(&stored.resource.key()).is_some_and(|known| {
         Arc::ptr_eq(&known.resource, &stored.resource) || known.resource == stored.resource
     })
--- a/crates/rampthread-core/src/config/mod.rs
+++ b/crates/rampthread-core/src/config/mod.rs
@@ -22,7 +22,7 @@
     default_priority, default_retry_percent, default_secret_header, default_slow_start_ms,
 };
 pub use secret::SealedValue;
-pub use state::{ConfigState, Outcome, RecordedOperation, SnapshotError, Stored};
+pub use state::{ConfigState, Outcome, RecordedOperation, SnapshotError, StoredResource};
 pub use tenant::{
     InvalidKeyDigest, InvalidRequestCount, KeyDigest, RateLimit, RequestCount, Tenant,
 };
--- a/crates/rampthread-core/src/config/state.rs
+++ b/crates/rampthread-core/src/config/state.rs
@@ -19,7 +19,7 @@
 
 /// A resource and the version that last changed it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredResource {
     /// Version of the last change (`ETag` of the API).
     pub generation: Version,
     /// The resource.
@@ -58,7 +58,7 @@
 pub struct ConfigState {
     version: Version,
     #[serde(with = "resource_list")]
-    resources: BTreeMap<ResourceKey, Stored>,
+    resources: BTreeMap<ResourceKey, StoredResource>,
     recent: VecDeque<RecordedOperation>,
     /// Limits that came with a document; none where the settings rule.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -76,10 +76,10 @@
     },
     /// The bytes cannot be unpacked.
     #[error("unreadable snapshot: {0}")]
-    Damaged(#[from] DecompressError),
+    Decompress(#[from] DecompressError),
     /// The digest does not fit the content.
     #[error("the snapshot's digest does not fit its content")]
-    WrongDigest,
+    DigestMismatch,
     /// The content breaks a rule of the configuration.
     #[error("the snapshot breaks a rule: {findings}")]
     Invalid {
@@ -107,7 +107,7 @@
             let key = resource.key();
             validate_resource(&resource, &key.to_string(), &mut findings);
             let resource = Arc::new(resource);
-            let one = Stored {
+            let one = StoredResource {
                 generation: version,
                 resource,
             };
@@ -142,7 +142,7 @@
         for resource in put {
             let key = resource.key();
             validate_resource(resource, &key.to_string(), &mut findings);
-            let stored = Stored {
+            let stored = StoredResource {
                 generation: version,
                 resource: resource.clone(),
             };
@@ -160,7 +160,7 @@
 
     /// This state, sharing with `older` the memory of all resources that are
     /// the same there.
-    pub fn sharing_with(mut self, older: &ConfigState) -> ConfigState {
+    pub fn share_unchanged_resources(mut self, older: &ConfigState) -> ConfigState {
         for (key, stored) in &mut self.resources {
             if let Some(known) = older.resources.get(key)
                 && known.resource == stored.resource
@@ -236,12 +236,12 @@
     }
 
     /// One resource.
-    pub fn get(&self, key: &ResourceKey) -> Option<&Stored> {
+    pub fn get(&self, key: &ResourceKey) -> Option<&StoredResource> {
         self.resources.get(key)
     }
 
     /// All resources, by kind and name.
-    pub fn resources(&self) -> impl Iterator<Item = &Stored> {
+    pub fn resources(&self) -> impl Iterator<Item = &StoredResource> {
         self.resources.values()
     }
 
@@ -288,7 +288,7 @@
         }
     }
 
-    fn named(&self, kind: ResourceKind, name: &ResourceName) -> Option<&Stored> {
+    fn named(&self, kind: ResourceKind, name: &ResourceName) -> Option<&StoredResource> {
         self.resources.get(&ResourceKey {
             kind,
             name: name.clone(),
@@ -311,7 +311,7 @@
     }
 
     /// Encodes the state for a peer, compressed.
-    pub fn encode_packed_snapshot(&self) -> Vec<u8> {
+    pub fn encode_compressed_snapshot(&self) -> Vec<u8> {
         compress(&self.encode_snapshot())
     }
 
@@ -319,11 +319,11 @@
     pub fn decode_snapshot(bytes: &[u8]) -> Result<ConfigState, SnapshotError> {
         let bytes = decompress(bytes)?;
         if bytes.len() < blake3::OUT_LEN {
-            return Err(SnapshotError::WrongDigest);
+            return Err(SnapshotError::DigestMismatch);
         }
         let (digest, content) = bytes.split_at(blake3::OUT_LEN);
         if blake3::hash(content).as_bytes() != digest {
-            return Err(SnapshotError::WrongDigest);
+            return Err(SnapshotError::DigestMismatch);
         }
         let state: ConfigState =
             serde_json::from_slice(content).map_err(|error| SnapshotError::Unreadable {
@@ -342,10 +342,10 @@
 }
 
 fn changed_resources(
-    current: &BTreeMap<ResourceKey, Stored>,
+    current: &BTreeMap<ResourceKey, StoredResource>,
     entry: &LogEntry,
     version: Version,
-) -> Result<BTreeMap<ResourceKey, Stored>, Outcome> {
+) -> Result<BTreeMap<ResourceKey, StoredResource>, Outcome> {
     let mut resources = current.clone();
     let mut conflicts = Findings::new();
     let mut faults = Findings::new();
@@ -371,7 +371,7 @@
 }
 
 fn apply_operation(
-    resources: &mut BTreeMap<ResourceKey, Stored>,
+    resources: &mut BTreeMap<ResourceKey, StoredResource>,
     operation: &Operation,
     version: Version,
     place: &str,
@@ -396,7 +396,7 @@
     match operation {
         Operation::Put { resource, .. } => {
             validate_resource(resource, place, faults);
-            let stored = Stored {
+            let stored = StoredResource {
                 generation: version,
                 resource: Arc::new((**resource).clone()),
             };
@@ -420,14 +420,14 @@
     }
 }
 
-fn check_whole(resources: &BTreeMap<ResourceKey, Stored>, findings: &mut Findings) {
+fn check_whole(resources: &BTreeMap<ResourceKey, StoredResource>, findings: &mut Findings) {
     check_references(resources, findings);
     check_route_ties(resources, findings);
     check_nodes(resources, findings);
     check_keys(resources, findings);
 }
 
-fn check_references(resources: &BTreeMap<ResourceKey, Stored>, findings: &mut Findings) {
+fn check_references(resources: &BTreeMap<ResourceKey, StoredResource>, findings: &mut Findings) {
     let mut require = |place: String, kind: ResourceKind, name: &ResourceName| {
         let key = ResourceKey {
             kind,
@@ -461,7 +461,7 @@
     }
 }
 
-fn check_route_ties(resources: &BTreeMap<ResourceKey, Stored>, findings: &mut Findings) {
+fn check_route_ties(resources: &BTreeMap<ResourceKey, StoredResource>, findings: &mut Findings) {
     let mut seen = BTreeMap::new();
     for (key, stored) in resources {
         let Resource::Route(route) = &*stored.resource else {
@@ -493,7 +493,7 @@
     }
 }
 
-fn check_nodes(resources: &BTreeMap<ResourceKey, Stored>, findings: &mut Findings) {
+fn check_nodes(resources: &BTreeMap<ResourceKey, StoredResource>, findings: &mut Findings) {
     let mut seen = BTreeMap::new();
     for (key, stored) in resources {
         let Resource::Backend(backend) = &*stored.resource else {
@@ -510,7 +510,7 @@
 }
 
 /// Whose call it is must be known by its key alone.
-fn check_keys(resources: &BTreeMap<ResourceKey, Stored>, findings: &mut Findings) {
+fn check_keys(resources: &BTreeMap<ResourceKey, StoredResource>, findings: &mut Findings) {
     let mut seen = HashMap::new();
     for (key, stored) in resources {
         let Resource::Tenant(tenant) = &*stored.resource else {
@@ -532,12 +532,12 @@
 mod resource_list {
     //! The resource map as a JSON list, since JSON keys are texts.
 
-    use super::{ResourceKey, Stored};
+    use super::{ResourceKey, StoredResource};
     use serde::{Deserialize, Deserializer, Serializer};
     use std::collections::BTreeMap;
 
     pub fn serialize<S: Serializer>(
-        resources: &BTreeMap<ResourceKey, Stored>,
+        resources: &BTreeMap<ResourceKey, StoredResource>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
         serializer.collect_seq(resources.values())
@@ -545,8 +545,8 @@
 
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
-    ) -> Result<BTreeMap<ResourceKey, Stored>, D::Error> {
-        let list = Vec::<Stored>::deserialize(deserializer)?;
+    ) -> Result<BTreeMap<ResourceKey, StoredResource>, D::Error> {
+        let list = Vec::<StoredResource>::deserialize(deserializer)?;
         Ok(list
             .into_iter()
             .map(|stored| (stored.resource.key(), stored))
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -129,7 +129,7 @@
             match applied {
                 Ok(state) => self.apply_document(Arc::new(state), LearntFrom::Peer, now, outbox),
                 // Response to an earlier request; a newer state has arrived since.
-                Err(DeltaError::OtherBase { .. }) => {}
+                Err(DeltaError::BaseMismatch { .. }) => {}
                 Err(error) => {
                     outbox.explain(Decision::VersionRefused {
                         version: before,
--- a/crates/rampthread-core/src/fleet/document_history.rs
+++ b/crates/rampthread-core/src/fleet/document_history.rs
@@ -42,7 +42,7 @@
             return nothing_new(held);
         }
         if held == Version::ZERO {
-            let snapshot = self.shared(held, || newest.encode_packed_snapshot());
+            let snapshot = self.shared(held, || newest.encode_compressed_snapshot());
             return Message::PullSnapshot { snapshot };
         }
         let base = self.states.iter().find(|state| state.version() == held);
--- a/crates/rampthread-core/src/fleet/replica.rs
+++ b/crates/rampthread-core/src/fleet/replica.rs
@@ -89,7 +89,7 @@
             return None;
         }
         self.hear(state.version());
-        let state = Arc::unwrap_or_clone(state).sharing_with(&self.staged);
+        let state = Arc::unwrap_or_clone(state).share_unchanged_resources(&self.staged);
         self.staged = Arc::new(state);
         self.kept.clear();
         let version = self.version();
--- a/crates/rampthread-core/tests/document_properties.rs
+++ b/crates/rampthread-core/tests/document_properties.rs
@@ -68,7 +68,7 @@
     ) {
         let older = with_routes(3, before);
         let newer = with_routes(9, after);
-        let shared = newer.clone().sharing_with(&older);
+        let shared = newer.clone().share_unchanged_resources(&older);
         prop_assert_eq!(shared.version(), newer.version());
         prop_assert_eq!(resources(&shared), resources(&newer));
     }
@@ -294,7 +294,7 @@
     let base = with_routes(1, 0..10);
     let later = with_routes(2, 0..3_000);
     let whole = later.encode_snapshot().len();
-    let packed = later.encode_packed_snapshot();
+    let packed = later.encode_compressed_snapshot();
     assert!(
         packed.len() * 10 < whole,
         "{} of {whole} bytes",
@@ -324,7 +324,7 @@
     fn a_damaged_version_changes_nothing(at in any::<prop::sample::Index>(), bit in 0_u8..8) {
         let base = with_routes(1, 0..10);
         let later = with_routes(2, 5..40);
-        let mut packed = later.encode_packed_snapshot();
+        let mut packed = later.encode_compressed_snapshot();
         let at = at.index(packed.len());
         packed[at] ^= 1 << bit;
         if let Ok(restored) = ConfigState::decode_snapshot(&packed) {
--- a/crates/rampthread-core/tests/peers_documents.rs
+++ b/crates/rampthread-core/tests/peers_documents.rs
@@ -114,7 +114,7 @@
     agent.on_document(Arc::new(with_route(9, "/look/")), Moment(2));
     agent.on_document(Arc::new(with_route(8, "/see/")), Moment(3));
     assert_eq!(agent.active().version(), Version(9));
-    let snapshot = with_route(7, "/see/").encode_packed_snapshot().into();
+    let snapshot = with_route(7, "/see/").encode_compressed_snapshot().into();
     give(&mut agent, Message::PullSnapshot { snapshot });
     assert_eq!(agent.active().version(), Version(9));
     let delta = StateDelta::between(&with_route(9, "/look/"), &with_route(5, "/see/"));
@@ -159,7 +159,7 @@
     agents[0].on_document(Arc::new(one.clone()), Moment(2));
     agents[1].on_document(Arc::new(other.clone()), Moment(2));
     agents[0].on_document(Arc::new(other.clone()), Moment(3));
-    let snapshot = other.encode_packed_snapshot().into();
+    let snapshot = other.encode_compressed_snapshot().into();
     give(&mut agents[0], Message::PullSnapshot { snapshot });
     assert!(agents[0].active().routes().eq(one.routes()));
     for agent in &mut agents {
@@ -191,7 +191,7 @@
     let first = Version(10);
     give(&mut agent, Message::PullEntries { first, entries });
     assert_eq!(agent.active().version(), Version(9));
-    let snapshot = next.encode_packed_snapshot().into();
+    let snapshot = next.encode_compressed_snapshot().into();
     give(&mut agent, Message::PullSnapshot { snapshot });
     assert!(agent.active().routes().eq(next.routes()));
 }
--- a/crates/rampthread-core/tests/tenant_properties.rs
+++ b/crates/rampthread-core/tests/tenant_properties.rs
@@ -1,7 +1,6 @@
 //! Tenants in versions, and whose call it is.
 
 mod simulation;
-
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderValue};
 use proptest::prelude::*;
@@ -11,7 +10,6 @@
 use rampthread_core::ids::Version;
 use rstest::rstest;
 use simulation::{name, route, service};
-
 fn tenant(text: &str, keys: &[&str]) -> Resource {
     Resource::Tenant(Tenant {
         name: name(text),
@@ -21,25 +19,21 @@
         burst: RequestCount::default(),
     })
 }
-
 fn version(number: u64, tenants: Vec<Resource>) -> Result<ConfigState, Findings> {
     let mut resources = vec![service("shop"), route("look", "shop", None)];
     resources.extend(tenants);
     ConfigState::from_document(Version(number), resources, None)
 }
-
 fn with_key(value: &str) -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert(AUTHORIZATION, HeaderValue::from_str(value).unwrap());
     headers
 }
-
 fn found(state: &ConfigState, value: &str) -> Result<Option<String>, TenantKeyError> {
     let table = TenantTable::new(state);
     let tenant = table.identify(&with_key(value), false)?;
     Ok(tenant.map(|tenant| tenant.name.to_string()))
 }
-
 #[rstest]
 #[case::first_key("Bearer key-1", Ok(Some("first")))]
 #[case::second_key("bearer  key-2 ", Ok(Some("first")))]
@@ -62,7 +56,6 @@
     let expected = expected.map(|name| name.map(str::to_string));
     assert_eq!(found(&state, value), expected);
 }
-
 #[test]
 fn two_headers_or_a_long_key_tell_nothing() {
     let state = version(1, vec![tenant("first", &["key-1"])]).unwrap();
@@ -73,7 +66,6 @@
     let long = with_key(&format!("Bearer {}", "k".repeat(8_192)));
     assert_eq!(table.identify(&long, false), Err(TenantKeyError::NoKey));
 }
-
 #[test]
 fn a_public_route_needs_no_key_and_names_the_tenant_of_a_known_one() {
     let state = version(1, vec![tenant("first", &["key-1"])]).unwrap();
@@ -83,14 +75,12 @@
     let known = table.identify(&with_key("Bearer key-1"), true).unwrap();
     assert_eq!(known.unwrap().name, name("first"));
 }
-
 #[test]
 fn without_tenants_no_call_needs_a_key() {
     let state = version(1, Vec::new()).unwrap();
     assert_eq!(found(&state, "Bearer anything"), Ok(None));
     assert!(!TenantTable::new(&state).has_tenants());
 }
-
 /// The last tenant's last key is gone: nobody has one, and nothing is open for it.
 #[test]
 fn tenants_without_keys_let_nobody_in() {
@@ -100,7 +90,6 @@
         Err(TenantKeyError::UnknownKey)
     );
 }
-
 #[test]
 fn a_key_of_two_tenants_and_an_empty_one_are_found_together() {
     let tenants = vec![
@@ -111,7 +100,6 @@
     assert_eq!(findings.len(), 2, "{findings}");
     assert!(!findings.to_string().contains("key-1"), "{findings}");
 }
-
 /// Nothing that a version is written or shown as has a key in it.
 #[test]
 fn no_form_of_a_version_shows_a_key() {
@@ -135,7 +123,6 @@
     let digest = String::from(KeyDigest::of("secret-key"));
     assert!(!debug.contains(&digest));
 }
-
 fn tenants() -> impl Strategy<Value = Vec<Resource>> {
     let keys = prop::collection::btree_set(0_u32..200, 0..30);
     (keys, 1_usize..5).prop_map(|(keys, count)| {
@@ -150,23 +137,22 @@
         held.iter().enumerate().map(resource).collect()
     })
 }
-
 proptest! {
-    /// Keys that are added, moved and removed come with a delta as they come whole, and
+/// Keys that are added, moved and removed come with a delta as they come whole, and
     /// a snapshot keeps them.
-    #[test]
-    fn keys_travel_with_deltas_and_snapshots(before in tenants(), after in tenants()) {
-        let before = version(1, before).unwrap();
-        let after = version(2, after).unwrap();
-        let delta = StateDelta::decode(&StateDelta::between(&before, &after).encode()).unwrap();
-        let led_to = delta.apply_to(&before).unwrap();
-        let restored = ConfigState::decode_snapshot(&after.encode_packed_snapshot()).unwrap();
-        for state in [&led_to, &restored] {
-            prop_assert_eq!(state.content_digest(), after.content_digest());
-            for key in 0..200 {
-                let value = format!("Bearer key-{key}");
-                prop_assert_eq!(found(state, &value), found(&after, &value));
-            }
-        }
-    }
+ #[test]
+fn keys_travel_with_deltas_and_snapshots(before in tenants(), after in tenants()) {
+let before = version(1, before).unwrap();
+let after = version(2, after).unwrap();
+let delta = StateDelta::decode(&StateDelta::between(&before, &after).encode()).unwrap();
+let led_to = delta.apply_to(&before).unwrap();
+let restored = ConfigState::decode_snapshot(&after.encode_compressed_snapshot()).unwrap();
+for state in [&led_to, &restored] {
+prop_assert_eq!(state.content_digest(), after.content_digest());
+for key in 0..200 {
+let value = format!("Bearer key-{key}");
+prop_assert_eq!(found(state, &value), found(&after, &value));
+}
+}
+}
 }
--- a/crates/rampthread-node/src/api/views.rs
+++ b/crates/rampthread-node/src/api/views.rs
@@ -2,7 +2,7 @@
 
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::quota::{QuotaBasis, QuotaView};
-use rampthread_core::config::{Outcome, Resource, Stored};
+use rampthread_core::config::{Outcome, Resource, StoredResource};
 use rampthread_core::findings::Findings;
 use rampthread_core::fleet::{CrashReport, MemberRecord, PropagationStatus};
 use rampthread_core::ids::{
@@ -24,7 +24,7 @@
 
 impl ResourceView {
     /// The view of a stored resource.
-    pub fn new(stored: &Stored) -> Self {
+    pub fn new(stored: &StoredResource) -> Self {
         let content = match &*stored.resource {
             Resource::Secret(secret) => serde_json::json!({
                 "kind": "secret",
