--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -9,11 +9,11 @@
 use crate::time::Moment;
 /// Result of handling a report of the local backend.
 #[derive(Debug)]
-pub struct TakenReport {
+pub struct HandledReport {
     /// Actions to carry out.
     pub actions: Vec<Action>,
     /// True when the content of the report is in effect and may be acknowledged.
-    pub acted_upon: bool,
+    pub acknowledge: bool,
 }
 impl Agent {
     pub(super) fn drop_unconfirmed_backend(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -47,7 +47,7 @@
     }
     /// Records the steady-state speed that the gate of this node measured for `instance`,
     /// in percent.
-    pub fn note_backend_speed(
+    pub fn record_backend_speed(
         &mut self,
         instance: &InstanceId,
         speed_percent: u16,
@@ -65,17 +65,17 @@
         };
         self.announce_endpoint(Some(endpoint), now)
     }
-    /// Handles a report of the local backend. A report with `acted_upon` false must not be
+    /// Handles a report of the local backend. A report with `acknowledge` false must not be
     /// acknowledged.
-    pub fn on_backend_report(&mut self, report: BackendReport, now: Moment) -> TakenReport {
-        let (actions, acted_upon) = match self.reported.apply_report(report, now) {
+    pub fn on_backend_report(&mut self, report: BackendReport, now: Moment) -> HandledReport {
+        let (actions, acknowledge) = match self.reported.apply_report(report, now) {
             ReportStatus::Changed(endpoint) => (self.apply_reported_endpoint(endpoint, now), true),
             ReportStatus::Unchanged => (Vec::new(), true),
             ReportStatus::PossiblyStale => (Vec::new(), false),
         };
-        TakenReport {
+        HandledReport {
             actions,
-            acted_upon,
+            acknowledge,
         }
     }
     /// Records a departure in the store at once, so that it outlives all nodes that receive
@@ -88,11 +88,11 @@
         actions
     }
     /// Instance of the local backend that reported last, and when.
-    pub fn backend_heard(&self) -> Option<(&InstanceId, Moment)> {
+    pub fn last_backend_report(&self) -> Option<(&InstanceId, Moment)> {
         self.reported.last_report()
     }
     /// Restores the backend that the store has recorded from before this node's restart.
-    pub fn remember_backend(&mut self, endpoint: EndpointRecord, now: Moment) -> Vec<Action> {
+    pub fn restore_backend(&mut self, endpoint: EndpointRecord, now: Moment) -> Vec<Action> {
         self.restore_endpoint(now, |reported| reported.restore(endpoint))
     }
     /// Restores the backend as peers remember it from before this node's restart.
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -47,7 +47,7 @@
 use crate::fleet::writer::{Asker, Writer};
 use crate::ids::{NodeId, OperationId, Region, Version, Zone};
 use crate::time::Moment;
-pub use backend::TakenReport;
+pub use backend::HandledReport;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/rampthread-core/src/fleet/mod.rs
+++ b/crates/rampthread-core/src/fleet/mod.rs
@@ -38,12 +38,11 @@
 mod witness;
 mod writer;
 mod zone_directory;
-
 pub use action::{
     Action, Decision, FloorSource, LeaseId, Outbox, RequestId, StoreAnswer, StoreFailure,
     StoreRequest, Ticket,
 };
-pub use agent::{Agent, AgentIdentity, Defect, TakenReport};
+pub use agent::{Agent, AgentIdentity, Defect, HandledReport};
 pub use backend_tracker::{BackendReport, BackendTracker, MIN_SUPERSEDE_TIME, ReportStatus};
 pub use crash_table::{CrashReport, CrashTable, MAX_SUSPECTS, Taken};
 pub use learnt_from::LearntFrom;
--- a/crates/rampthread-node/src/calls/gate/lost.rs
+++ b/crates/rampthread-node/src/calls/gate/lost.rs
@@ -135,7 +135,7 @@
             return;
         };
         let now = self.control.clock.now();
-        let heard = self.control.backend_heard();
+        let heard = self.control.last_backend_report();
         let (explained, withdrawn) = {
             let mut state = self.state();
             let instance = state.starts.present(name);
--- a/crates/rampthread-node/src/calls/gate/pace.rs
+++ b/crates/rampthread-node/src/calls/gate/pace.rs
@@ -34,7 +34,7 @@
             known.then(|| state.pace.speed_percent())
         };
         if let Some(speed) = speed {
-            self.control.note_backend_speed(&instance, speed);
+            self.control.record_backend_speed(&instance, speed);
         }
     }
 
--- a/crates/rampthread-node/src/control/directory.rs
+++ b/crates/rampthread-node/src/control/directory.rs
@@ -309,7 +309,7 @@
         let leaves = read.leaves.iter().filter(|leave| leave.node == self.id);
         let leaves = leaves.map(|leave| leave.endpoint.clone());
         if let Some(endpoint) = recorded_backend(snapshot, leaves) {
-            control.remember_backend(endpoint);
+            control.restore_backend(endpoint);
         }
     }
 
--- a/crates/rampthread-node/src/control/operators.rs
+++ b/crates/rampthread-node/src/control/operators.rs
@@ -47,7 +47,7 @@
     }
 
     /// Notes whether the back end answers.
-    pub fn backend_answers(&self, up: bool) {
-        self.agent().backend_answers(up);
+    pub fn set_backend_up(&self, up: bool) {
+        self.agent().set_backend_up(up);
     }
 }
--- a/crates/rampthread-wire/tests/fleet/mod.rs
+++ b/crates/rampthread-wire/tests/fleet/mod.rs
@@ -508,7 +508,7 @@
         let mine = zones.get(&self.zone_name(index));
         let mine = mine.and_then(|zone| zone.members.get(&self.id(index)));
         if let Some(endpoint) = mine.and_then(|machine| machine.endpoint.clone()) {
-            let actions = self.agent_mut(index).remember_backend(endpoint, now);
+            let actions = self.agent_mut(index).restore_backend(endpoint, now);
             self.deliver(index, actions);
         }
     }
