--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -174,7 +174,7 @@
     }
     /// Records whether the store answered this node's last call. Announces at once that it
     /// no longer does, since other nodes rely on watchers for new versions.
-    pub fn store_answers(&mut self, answers: bool, now: Moment) -> Vec<Action> {
+    pub fn record_store_reachability(&mut self, answers: bool, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         let was_reader = self.membership.me().conditions.reader;
         if answers {
@@ -205,15 +205,15 @@
         self.store_watch.hedge(now, &mut self.watch_rng);
     }
     /// How long the next watch request may wait at the store for a change.
-    pub fn watch_wait(&mut self) -> Duration {
+    pub fn next_watch_wait(&mut self) -> Duration {
         self.store_watch.wait(&mut self.watch_rng)
     }
     /// Timeout of a store call, in addition to the wait that the call itself requests.
-    pub fn store_patience(&self) -> Duration {
+    pub fn store_call_timeout(&self) -> Duration {
         self.store_watch.patience()
     }
     /// Records the store's response time, excluding the wait that the call requested.
-    pub fn store_took(&mut self, took: Duration) {
+    pub fn record_store_latency(&mut self, took: Duration) {
         self.store_watch.took(took);
     }
     /// True when a full document read is fast enough for this node to be a watcher.
@@ -222,7 +222,7 @@
     }
     /// Records that a full document read of `bytes` took `time`. Only the highest rate
     /// counts: a link that was saturated for a moment is not a slow link.
-    pub fn document_took(&mut self, bytes: u64, time: Duration) {
+    pub fn record_document_transfer(&mut self, bytes: u64, time: Duration) {
         let rate = bytes as f64 / time.as_secs_f64().max(f64::EPSILON);
         self.link_bytes_per_second = self.link_bytes_per_second.max(rate);
         self.estimated_read_time =
@@ -231,14 +231,14 @@
             .set_least_patience(self.estimated_read_time.mul_f64(PEER_TIMEOUT_FRACTION));
     }
     /// True when this node has no document, or an older one than a peer.
-    pub fn lacks_document(&self) -> bool {
+    pub fn lacks_current_document(&self) -> bool {
         self.replica.version() == Version::ZERO || self.replica.lags()
     }
     /// Delay of the initial document read, which gives peers time to supply it. Zero for
     /// the first [`INITIAL_READERS_PER_STEP`] nodes of the zone in rendezvous order, and one step more
     /// for each further group: the load on the store does not grow with the fleet, and a
     /// node still reads when all nodes before it are down.
-    pub fn first_read_wait(&self) -> Duration {
+    pub fn initial_read_delay(&self) -> Duration {
         let me = &self.membership.me().id;
         let rank = rendezvous::rank(INITIAL_READERS_KEY, me, self.membership.same_zone_peers());
         INITIAL_READ_STEP * (rank / INITIAL_READERS_PER_STEP) as u32
@@ -246,7 +246,7 @@
     /// True when this node is one of the few that watch the document at the store. The
     /// others receive new versions from peers. Nodes that the store answers are preferred,
     /// distributed over the zones.
-    pub fn watches_document(&self) -> bool {
+    pub fn is_document_watcher(&self) -> bool {
         self.store_watch.watches()
     }
     /// Time since the store last answered a document request of this node.
@@ -255,7 +255,7 @@
     }
     /// True once the watcher selection is reliable: this node knows peers from their own
     /// messages. The machine list alone does not say whom the store answers.
-    pub fn knows_whether_to_watch(&self) -> bool {
+    pub fn watcher_selection_known(&self) -> bool {
         let mut peers = self.membership.reachable_peers().peekable();
         let judged = self.store_watch.is_current(&self.membership);
         judged && peers.peek().is_some() && peers.all(|peer| peer.incarnation > 0)
--- a/crates/rampthread-core/tests/document_properties.rs
+++ b/crates/rampthread-core/tests/document_properties.rs
@@ -103,7 +103,7 @@
     fn read(&mut self, index: usize) {
         let now = self.mesh.now;
         let answers = !self.refused.contains(&index);
-        let mut actions = self.mesh.agents[index].store_answers(answers, now);
+        let mut actions = self.mesh.agents[index].record_store_reachability(answers, now);
         if answers {
             self.reads += 1;
             let document = self.document.clone();
@@ -133,7 +133,7 @@
                 self.deliver(actions);
                 let agent = &self.mesh.agents[index];
                 let behind = agent.active().version() < self.document.version();
-                if behind && agent.watches_document() {
+                if behind && agent.is_document_watcher() {
                     self.read(index);
                 }
             }
@@ -218,7 +218,7 @@
 #[test]
 fn who_is_far_behind_gets_the_whole_state_from_a_peer() {
     let mut store = Store::new(20);
-    let frozen = (0..20).find(|index| !store.mesh.agents[*index].watches_document());
+    let frozen = (0..20).find(|index| !store.mesh.agents[*index].is_document_watcher());
     let frozen = frozen.expect("few watch");
     let mut kept = store.mesh.agents.remove(frozen);
     store
@@ -243,13 +243,14 @@
     let mut store = Store::new(30);
     let slow: BTreeSet<usize> = (0..30).filter(|index| index % 3 != 0).collect();
     for index in &slow {
-        store.mesh.agents[*index].document_took(DOCUMENT_BYTES, Duration::from_millis(1_800));
+        store.mesh.agents[*index]
+            .record_document_transfer(DOCUMENT_BYTES, Duration::from_millis(1_800));
         store.read(*index);
     }
     store.run(Duration::from_secs(2));
     let agents = store.mesh.agents.iter().enumerate();
     let watching: Vec<usize> = agents
-        .filter(|(_, agent)| agent.watches_document())
+        .filter(|(_, agent)| agent.is_document_watcher())
         .map(|(index, _)| index)
         .collect();
     assert_eq!(watching.len(), 8);
@@ -270,18 +271,18 @@
     let watching = |store: &Store| -> Vec<usize> {
         let agents = store.mesh.agents.iter().enumerate();
         agents
-            .filter(|(_, agent)| agent.watches_document())
+            .filter(|(_, agent)| agent.is_document_watcher())
             .map(|(index, _)| index)
             .collect()
     };
     for index in 0..30 {
         let fast = Duration::from_millis(80);
-        store.mesh.agents[index].document_took(DOCUMENT_BYTES, fast);
+        store.mesh.agents[index].record_document_transfer(DOCUMENT_BYTES, fast);
     }
     let before = watching(&store);
     for index in &before {
         let slow = Duration::from_secs(3);
-        store.mesh.agents[*index].document_took(DOCUMENT_BYTES, slow);
+        store.mesh.agents[*index].record_document_transfer(DOCUMENT_BYTES, slow);
         store.read(*index);
     }
     store.run(Duration::from_secs(2));
@@ -358,7 +359,7 @@
     let watching = |store: &Store| -> BTreeSet<usize> {
         let agents = store.mesh.agents.iter().enumerate();
         agents
-            .filter(|(_, agent)| agent.watches_document())
+            .filter(|(_, agent)| agent.is_document_watcher())
             .map(|(index, _)| index)
             .collect()
     };
@@ -383,16 +384,19 @@
     let mut mesh = Mesh::new(12);
     for index in 0..12 {
         let now = mesh.now;
-        let actions = mesh.agents[index].store_answers(true, now);
+        let actions = mesh.agents[index].record_store_reachability(true, now);
         mesh.deliver(actions);
-        assert!(!mesh.agents[index].knows_whether_to_watch());
+        assert!(!mesh.agents[index].watcher_selection_known());
     }
     mesh.run(Duration::from_secs(2));
-    let watchers = mesh.agents.iter().filter(|agent| agent.watches_document());
+    let watchers = mesh
+        .agents
+        .iter()
+        .filter(|agent| agent.is_document_watcher());
     assert_eq!(watchers.count(), 8);
     assert!(
         mesh.agents
             .iter()
-            .all(|agent| agent.knows_whether_to_watch())
+            .all(|agent| agent.watcher_selection_known())
     );
 }
--- a/crates/rampthread-core/tests/peers_documents.rs
+++ b/crates/rampthread-core/tests/peers_documents.rs
@@ -139,14 +139,14 @@
         },
     );
     agent.on_document(Arc::new(old.clone()), Moment(4));
-    assert!(agent.lacks_document());
+    assert!(agent.lacks_current_document());
     let entries = vec![StateDelta::between(&old, &new).encode().into()];
     let first = Version(9);
     give(&mut agent, Message::PullEntries { first, entries });
     assert_eq!(agent.active().version(), Version(9));
     agent.on_document(Arc::new(old), Moment(5));
     assert_eq!(agent.active().version(), Version(9));
-    assert!(!agent.lacks_document());
+    assert!(!agent.lacks_current_document());
 }
 
 /// Two writers used one number: what a node took first stays in force, from wherever the
--- a/crates/rampthread-node/src/control/document_watch.rs
+++ b/crates/rampthread-node/src/control/document_watch.rs
@@ -1,7 +1,7 @@
 //! Keeps up with the operators' document: reads it whole, then waits for
 //! changes, and reads again whenever the store has forgotten or lost something.
 //!
-//! Only a few nodes wait at the store (`Agent::watches_document`); the others
+//! Only a few nodes wait at the store (`Agent::is_document_watcher`); the others
 //! hear of a new version from their peers, get what has changed from them, and
 //! read the store where peers cannot help. How long a call may take is the agent's
 //! to say, so that a silent store is noticed and told in time.
@@ -122,7 +122,7 @@
     /// tell whether it is one of those that wait for it, it looks again now and then.
     async fn read_first(&mut self) -> Option<Revision> {
         self.wait_for_list().await;
-        let turn = self.control.with_agent(Agent::first_read_wait);
+        let turn = self.control.with_agent(Agent::initial_read_delay);
         let _ = timeout(turn, self.helped_to_first()).await;
         let mut pause = FIRST_READ_PAUSE;
         for _ in 0..FIRST_READS {
@@ -148,7 +148,7 @@
             let _ = timeout(jittered, self.wake.recv()).await;
             pause = (pause * 2).min(LONGEST_FIRST_READ_PAUSE);
             let helped = !self.control.needs_document();
-            if helped || self.control.knows_whether_to_watch() {
+            if helped || self.control.watcher_selection_known() {
                 return None;
             }
         }
@@ -168,7 +168,7 @@
 
     /// Ends when a peer has given the first document.
     async fn helped_to_first(&self) {
-        while self.control.lacks_document() {
+        while self.control.lacks_current_document() {
             sleep(HELP_INTERVAL).await;
         }
     }
@@ -181,7 +181,7 @@
     async fn wait_for_role(&self) -> bool {
         let begun = BootInstant::now();
         let mut peers_known = None;
-        while begun.elapsed() < PEERS_WAIT && !self.control.knows_whether_to_watch() {
+        while begun.elapsed() < PEERS_WAIT && !self.control.watcher_selection_known() {
             if self.control.knows_peers() {
                 let known: &BootInstant = peers_known.get_or_insert_with(BootInstant::now);
                 if known.elapsed() >= ROLE_WAIT {
@@ -189,7 +189,7 @@
                 }
             }
             let woken = timeout(ROLE_INTERVAL, self.wake.recv()).await.is_ok();
-            if woken && self.control.lacks_document() {
+            if woken && self.control.lacks_current_document() {
                 return true;
             }
         }
@@ -209,7 +209,7 @@
     /// Waits for changes after `at`, until the document must be read again.
     async fn follow(&mut self, mut at: Revision) {
         loop {
-            if !self.control.watches_document() {
+            if !self.control.is_document_watcher() {
                 self.wait_for_role_or_wake().await;
                 return;
             }
@@ -229,7 +229,7 @@
     async fn wait_for_role_or_wake(&self) {
         loop {
             let woken = timeout(ROLE_INTERVAL, self.wake.recv()).await.is_ok();
-            if woken || self.control.watches_document() {
+            if woken || self.control.is_document_watcher() {
                 return;
             }
         }
@@ -269,13 +269,13 @@
     /// Reads the document; how long its bytes took tells whether this node can
     /// watch it.
     async fn timed_read(&self, age: ReadAge) -> Result<DocumentRead, PlatformError> {
-        let patience = self.control.with_agent(Agent::store_patience);
+        let patience = self.control.with_agent(Agent::store_call_timeout);
         let begun = BootInstant::now();
         let read = self.source.read(age, patience).await?;
         let took = begun.elapsed().saturating_sub(read.transfer.time);
-        self.control.store_took(took);
+        self.control.record_store_latency(took);
         if read.document.is_some() {
-            self.control.document_took(read.transfer);
+            self.control.record_document_transfer(read.transfer);
         }
         Ok(read)
     }
@@ -311,7 +311,7 @@
             && orders.orders.is_empty()
         {
             let took = begun.elapsed().saturating_sub(wait);
-            self.control.store_took(took);
+            self.control.record_store_latency(took);
         }
         match news {
             Ok(DocumentNews::Changed {
@@ -320,7 +320,7 @@
                 at,
                 transfer,
             }) => {
-                self.control.document_took(transfer);
+                self.control.record_document_transfer(transfer);
                 self.answered();
                 self.take_orders(orders, OrderSource::NewWrite);
                 self.take(document);
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -245,30 +245,31 @@
     /// Notes whether the store answers this node.
     pub fn store_answers(self: &Arc<Self>, answers: bool) {
         let now = self.clock.now();
-        let actions = self.agent().store_answers(answers, now);
+        let actions = self.agent().record_store_reachability(answers, now);
         self.perform(actions);
     }
     /// How long the next watch at the store may wait, and how long its answer may
     /// take after that.
     pub(super) fn watch_terms(&self) -> (Duration, Duration) {
         let mut agent = self.agent();
-        (agent.watch_wait(), agent.store_patience())
+        (agent.next_watch_wait(), agent.store_call_timeout())
     }
     /// Notes how long the store took to answer.
-    pub(super) fn store_took(&self, time: Duration) {
-        self.agent().store_took(time);
+    pub(super) fn record_store_latency(&self, time: Duration) {
+        self.agent().record_store_latency(time);
     }
     /// Notes how long the whole document took over this node's link.
-    pub(super) fn document_took(&self, transfer: Transfer) {
-        self.agent().document_took(transfer.bytes, transfer.time);
+    pub(super) fn record_document_transfer(&self, transfer: Transfer) {
+        self.agent()
+            .record_document_transfer(transfer.bytes, transfer.time);
     }
     /// True when this node waits at the store for a new document.
-    pub fn watches_document(&self) -> bool {
-        self.with_agent(Agent::watches_document)
+    pub fn is_document_watcher(&self) -> bool {
+        self.with_agent(Agent::is_document_watcher)
     }
     /// True once this node can tell whether it must watch the document.
-    pub fn knows_whether_to_watch(&self) -> bool {
-        self.with_agent(Agent::knows_whether_to_watch)
+    pub fn watcher_selection_known(&self) -> bool {
+        self.with_agent(Agent::watcher_selection_known)
     }
     /// True when this node knows another one that may be reached.
     pub fn knows_peers(&self) -> bool {
@@ -277,7 +278,7 @@
     /// True when this node must read the document: it watches it, or lacks a
     /// version that others hold.
     pub fn needs_document(&self) -> bool {
-        self.with_agent(|agent| agent.watches_document() || agent.lacks_document())
+        self.with_agent(|agent| agent.is_document_watcher() || agent.lacks_current_document())
     }
     /// Takes what the back end beside this node reports; true when all of it is in force
     /// here, so that it may be acknowledged.
@@ -327,8 +328,8 @@
         directory.is_none_or(|directory| directory.is_listed())
     }
     /// True when this node holds no document, or an older one than a peer.
-    pub fn lacks_document(&self) -> bool {
-        self.with_agent(Agent::lacks_document)
+    pub fn lacks_current_document(&self) -> bool {
+        self.with_agent(Agent::lacks_current_document)
     }
     /// Takes what this node has to report of its load.
     pub fn note_load(&self, report: LoadReport) {
@@ -473,7 +474,7 @@
     /// Shows how old the store's last answer is, and who watches.
     fn show_store_watch(&self, now: Moment) {
         let (age, watches) =
-            self.with_agent(|agent| (agent.store_answer_age(now), agent.watches_document()));
+            self.with_agent(|agent| (agent.store_answer_age(now), agent.is_document_watcher()));
         let age = age.map_or(-1, |age| age.as_millis() as i64);
         self.metrics.store_answer_age.set(age);
         self.metrics.document_watcher.set(i64::from(watches));
--- a/crates/rampthread-wire/tests/fleet/mod.rs
+++ b/crates/rampthread-wire/tests/fleet/mod.rs
@@ -377,7 +377,7 @@
         self.store.wake(self.now);
         for index in self.running() {
             let hears = self.links.is_limited(index) || self.refused.contains(&index);
-            if hears && self.agent(index).watches_document() && !self.frozen.contains(&index) {
+            if hears && self.agent(index).is_document_watcher() && !self.frozen.contains(&index) {
                 self.read_document(index);
             }
         }
@@ -393,7 +393,7 @@
     pub fn watchers(&self) -> BTreeSet<usize> {
         let running = self.running().into_iter();
         running
-            .filter(|index| self.agent(*index).watches_document())
+            .filter(|index| self.agent(*index).is_document_watcher())
             .collect()
     }
 
@@ -407,7 +407,7 @@
             match self.store.ended(index, now) {
                 Some(Ended::Answered { took }) => self.on_store_answer(index, took),
                 Some(Ended::Silent) => {
-                    let actions = self.agent_mut(index).store_answers(false, now);
+                    let actions = self.agent_mut(index).record_store_reachability(false, now);
                     self.deliver(index, actions);
                 }
                 None => {}
@@ -417,7 +417,7 @@
     }
 
     fn begin_watch(&mut self, index: usize) {
-        if !self.agent(index).watches_document() {
+        if !self.agent(index).is_document_watcher() {
             self.store.drop_call(index);
             return;
         }
@@ -427,17 +427,17 @@
         let behind = self.agent(index).active().version() < self.document.version();
         let wait = match behind {
             true => Duration::ZERO,
-            false => self.agent_mut(index).watch_wait(),
+            false => self.agent_mut(index).next_watch_wait(),
         };
-        let patience = self.agent(index).store_patience();
+        let patience = self.agent(index).store_call_timeout();
         self.store.begin(index, wait, patience, self.now);
     }
 
     fn on_store_answer(&mut self, index: usize, took: Duration) {
         let now = self.now;
         let agent = self.agent_mut(index);
-        agent.store_took(took);
-        let mut actions = agent.store_answers(true, now);
+        agent.record_store_latency(took);
+        let mut actions = agent.record_store_reachability(true, now);
         if self.agent(index).active().version() < self.document.version() {
             self.reads += 1;
             let document = self.document.clone();
@@ -457,7 +457,7 @@
                 self.take_directory(index, &answer);
             }
             match self.directory.due(index, now) {
-                Some(Due::ReadDocument) if self.agent(index).lacks_document() => {
+                Some(Due::ReadDocument) if self.agent(index).lacks_current_document() => {
                     self.directory.read_document(index, now);
                 }
                 None | Some(Due::ReadDocument) => {}
@@ -500,7 +500,7 @@
     /// The node takes up its record, and reads the document when its turn has come.
     fn take_first_list(&mut self, index: usize, answer: &Answer) {
         let now = self.now;
-        let wait = self.agent(index).first_read_wait();
+        let wait = self.agent(index).initial_read_delay();
         self.directory.read_document_at(index, now + wait);
         let Answer::Directory(zones) = answer else {
             return;
@@ -522,12 +522,14 @@
         let answers = !self.refused.contains(&index);
         let waits = self.store.is_silent(index) || !self.store.delay.is_zero();
         if answers && waits && !self.links.is_limited(index) {
-            let patience = self.agent(index).store_patience();
+            let patience = self.agent(index).store_call_timeout();
             self.store.begin(index, Duration::ZERO, patience, now);
             return;
         }
         self.store.made += 1;
-        let mut actions = self.agent_mut(index).store_answers(answers, now);
+        let mut actions = self
+            .agent_mut(index)
+            .record_store_reachability(answers, now);
         if answers && self.links.is_limited(index) {
             self.links.begin_read(index, self.document_bytes, now);
         } else if answers {
@@ -546,7 +548,7 @@
     fn tend_reads(&mut self) {
         for index in self.running() {
             let agent = self.agent(index);
-            if !agent.watches_document() && !agent.lacks_document() {
+            if !agent.is_document_watcher() && !agent.lacks_current_document() {
                 self.links.stop_read(index, self.now);
             }
             let Some(took) = self.links.ended_read(index, self.now) else {
@@ -556,8 +558,8 @@
             let (now, document) = (self.now, self.document.clone());
             let document_bytes = self.document_bytes;
             let agent = self.agent_mut(index);
-            agent.document_took(document_bytes, took);
-            let mut actions = agent.store_answers(true, now);
+            agent.record_document_transfer(document_bytes, took);
+            let mut actions = agent.record_store_reachability(true, now);
             actions.extend(agent.on_document(document, now));
             self.deliver(index, actions);
         }
@@ -578,7 +580,7 @@
     pub fn refuse(&mut self, index: usize) {
         self.refused.insert(index);
         let now = self.now;
-        let actions = self.agent_mut(index).store_answers(false, now);
+        let actions = self.agent_mut(index).record_store_reachability(false, now);
         self.deliver(index, actions);
     }
 
