--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -111,7 +111,7 @@
     }
     /// Records reports that need no announcement: received with a peer's response, which
     /// other nodes get as well, or read from the store.
-    pub fn note_crashes(&mut self, reports: &[CrashReport], now: Moment) -> Vec<Action> {
+    pub fn merge_crash_reports(&mut self, reports: &[CrashReport], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.merge_reports(reports, now, &mut outbox);
         self.finish(outbox)
--- a/crates/rampthread-core/src/fleet/agent/loads.rs
+++ b/crates/rampthread-core/src/fleet/agent/loads.rs
@@ -6,7 +6,7 @@
 
 impl Agent {
     /// Records this node's load report; it is sent at the next load exchange.
-    pub fn note_load(&mut self, report: LoadReport, now: Moment) {
+    pub fn record_load(&mut self, report: LoadReport, now: Moment) {
         self.loads.note(report, now);
     }
 
--- a/crates/rampthread-core/src/fleet/agent/machines.rs
+++ b/crates/rampthread-core/src/fleet/agent/machines.rs
@@ -9,10 +9,10 @@
 impl Agent {
     /// Applies the platform's machine list; starts a drain when it marks this node as
     /// leaving.
-    pub fn list_machines(&mut self, machines: &[Machine], now: Moment) -> Vec<Action> {
+    pub fn set_machines(&mut self, machines: &[Machine], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.update_machines(now, &mut outbox, |membership| {
-            membership.list_machines(machines, now);
+            membership.set_machines(machines, now);
         });
         for machine in machines.iter().filter(|machine| machine.leaving) {
             if machine.id == self.identity.id {
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -183,7 +183,7 @@
         };
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ identity.process_epoch);
         let mut membership = Membership::new(me, settings.retransmit_multiplier, now);
-        membership.list_machines(machines, now);
+        membership.set_machines(machines, now);
         Self {
             membership,
             epochs: BTreeMap::new(),
@@ -262,7 +262,7 @@
         &self.membership
     }
     /// Number of node ids that this node is a witness of.
-    pub fn witnessed_ids(&self) -> usize {
+    pub fn witnessed_id_count(&self) -> usize {
         self.witness_records.len()
     }
     /// True while this node accepts no new work for its backend.
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -20,7 +20,6 @@
 use crate::time::Moment;
 use std::collections::BTreeMap;
 use std::time::Duration;
-
 /// Gossip targets per round in the node's own zone.
 const LOCAL_ZONE_FANOUT: usize = 3;
 /// Gossip targets per round in each other zone for changes that affect callers.
@@ -56,7 +55,6 @@
 const FAST_QUERY_COUNT: u32 = 8;
 /// Rendezvous key of the order in which watchers take over as decider.
 const DECIDERS_KEY: &str = "roll-out deciders";
-
 /// Rollout state of one node.
 #[derive(Debug)]
 pub(super) struct RolloutParticipant {
@@ -76,7 +74,6 @@
     next_query: Moment,
     unanswered_queries: u32,
 }
-
 impl RolloutParticipant {
     pub(super) fn new(me: NodeId, bounds: RolloutBounds) -> Self {
         Self {
@@ -95,7 +92,6 @@
         }
     }
 }
-
 impl Agent {
     /// Handles rollout orders from the store: just written, or already there when this node
     /// read it.
@@ -132,7 +128,6 @@
         self.tick_roll_outs(now, &mut outbox);
         self.finish(outbox)
     }
-
     /// Invalidates decision leases granted before the store was restored from an older
     /// copy.
     pub(super) fn invalidate_decision_lease(&mut self, now: Moment) {
@@ -140,9 +135,8 @@
             roll_outs.decider.on_store_restored(&roll_outs.table, now);
         }
     }
-
     /// Records the results that callers of this node got from versions in rollout.
-    pub fn note_evidence(&mut self, evidence: Vec<VersionEvidence>) {
+    pub fn record_version_evidence(&mut self, evidence: Vec<VersionEvidence>) {
         if let Some(roll_outs) = &mut self.roll_outs
             && roll_outs.evidence != evidence
         {
@@ -150,7 +144,6 @@
             roll_outs.evidence_is_new = true;
         }
     }
-
     /// Handles the store's response to a decider call.
     pub fn on_decider_answer(&mut self, answer: DeciderResponse, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
@@ -162,13 +155,11 @@
         self.tick_roll_outs(now, &mut outbox);
         self.finish(outbox)
     }
-
     /// All rollouts that this node knows.
     pub fn roll_outs(&self, now: Moment) -> Vec<RolloutState> {
         let roll_outs = self.roll_outs.as_ref();
         roll_outs.map_or_else(Vec::new, |roll_outs| roll_outs.table.states(now))
     }
-
     /// Routing rule of entry nodes for the versions of each service.
     pub fn version_rules(&self, now: Moment) -> BTreeMap<ResourceName, VersionRule> {
         let roll_outs = self.roll_outs.as_ref();
@@ -176,13 +167,11 @@
             roll_outs.table.rules(&roll_outs.bounds, now)
         })
     }
-
     /// True while this node is the decider.
     pub fn decides_roll_outs(&self, now: Moment) -> bool {
         let roll_outs = self.roll_outs.as_ref();
         roll_outs.is_some_and(|roll_outs| roll_outs.decider.holds_lease(now))
     }
-
     pub(super) fn tick_roll_outs(&mut self, now: Moment, outbox: &mut Outbox) {
         let idle = |roll_outs: &RolloutParticipant| roll_outs.table.is_empty();
         if self.roll_outs.as_ref().is_none_or(idle) {
@@ -225,7 +214,6 @@
         self.query_peers(now, outbox);
         self.report_evidence(now, outbox);
     }
-
     /// Queries a peer when this node may have missed updates: a known rollout has stalled,
     /// or backends of a service run different versions and no rollout of it is known.
     fn query_peers(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -261,7 +249,6 @@
             outbox.send(&peer, Message::Rollouts(queried));
         }
     }
-
     /// True when backends of a service run different versions and no rollout of it is
     /// known.
     fn has_unknown_versions(&self, now: Moment) -> bool {
@@ -282,7 +269,6 @@
         }
         false
     }
-
     fn decider_rank(&self) -> u32 {
         let me = &self.identity.id;
         let mine = rendezvous::weight(DECIDERS_KEY, me);
@@ -291,7 +277,6 @@
             .filter(|peer| *peer != me && rendezvous::weight(DECIDERS_KEY, peer) > mine)
             .count() as u32
     }
-
     fn apply_decider_step(&mut self, step: DeciderOutput, now: Moment, outbox: &mut Outbox) {
         for made in &step.decisions {
             outbox.explain(decision(&made.state, &made.reason));
@@ -308,7 +293,6 @@
         self.broadcast_states(changes, now, outbox);
         self.queue_gossip(&confirmations, 1, now);
     }
-
     /// Sends changes that affect callers to many members at once.
     fn broadcast_states(&mut self, states: Vec<RolloutState>, now: Moment, outbox: &mut Outbox) {
         if states.is_empty() {
@@ -325,7 +309,6 @@
             outbox.send(peer, Message::Rollouts(states.clone()));
         }
     }
-
     fn queue_gossip(&mut self, states: &[RolloutState], rounds: u32, now: Moment) {
         let Some(roll_outs) = &mut self.roll_outs else {
             return;
@@ -339,7 +322,6 @@
             roll_outs.next_gossip = now;
         }
     }
-
     fn gossip_states(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(roll_outs) = &mut self.roll_outs else {
             return;
@@ -371,7 +353,6 @@
             outbox.send(target, Message::Rollouts(states.clone()));
         }
     }
-
     /// Merges states from a peer, and sends back states that are newer here.
     pub(super) fn on_roll_outs(
         &mut self,
@@ -408,7 +389,6 @@
         }
         self.gossip_states(now, outbox);
     }
-
     /// Sends all known states to a peer that has restarted and lost them.
     pub(super) fn send_states_to_restarted_peer(
         &self,
@@ -421,7 +401,6 @@
             outbox.send(peer, Message::Rollouts(states));
         }
     }
-
     /// Records a peer's evidence; it is used only while this node is the decider.
     pub(super) fn on_version_evidence(
         &mut self,
@@ -433,7 +412,6 @@
             roll_outs.decider.on_evidence(from, process_epoch, evidence);
         }
     }
-
     fn report_evidence(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(roll_outs) = &mut self.roll_outs else {
             return;
@@ -479,12 +457,10 @@
         }
     }
 }
-
 /// Interval between evidence reports in a fleet of `members` nodes.
 fn report_interval(members: usize) -> Duration {
     MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_MEMBER * members as u32)
 }
-
 fn decision(state: &RolloutState, reason: &str) -> Decision {
     Decision::Rollout {
         service: state.service.clone(),
--- a/crates/rampthread-core/src/fleet/membership/machines.rs
+++ b/crates/rampthread-core/src/fleet/membership/machines.rs
@@ -7,26 +7,22 @@
 use crate::time::Moment;
 use std::collections::BTreeSet;
 use std::time::Duration;
-
 /// Time after which an unlisted dead member is removed from the table.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(600);
-
 impl Membership {
     /// Returns since when a member is unreachable, or `None` if it is reachable.
     pub fn unreachable_since(&self, id: &NodeId) -> Option<Moment> {
         let member = self.members.get(id)?;
         (!member.record.reachable()).then_some(member.since)
     }
-
     /// Replaces the set of machines named by the settings or the platform's list.
-    pub fn list_machines(&mut self, machines: &[Machine], now: Moment) {
+    pub fn set_machines(&mut self, machines: &[Machine], now: Moment) {
         let listed: BTreeSet<&NodeId> = machines.iter().map(|machine| &machine.id).collect();
         for (id, member) in &mut self.members {
             member.listed = listed.contains(id);
         }
         self.add_machines(machines, now);
     }
-
     /// Adds machines to the listed ones.
     pub fn add_machines(&mut self, machines: &[Machine], now: Moment) {
         for machine in machines {
@@ -40,7 +36,6 @@
         self.recount_zone();
         self.refresh_digest();
     }
-
     pub(super) fn remove_unlisted(&mut self, now: Moment) {
         self.members.retain(|_, member| {
             member.listed
--- a/crates/rampthread-core/tests/mesh/mod.rs
+++ b/crates/rampthread-core/tests/mesh/mod.rs
@@ -112,7 +112,7 @@
         };
         for index in 0..count {
             let now = mesh.now;
-            let actions = mesh.agents[index].list_machines(&machines, now);
+            let actions = mesh.agents[index].set_machines(&machines, now);
             mesh.deliver(actions);
         }
         mesh
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -413,7 +413,7 @@
         .map(|index| machine(&format!("node-{index}")))
         .collect();
     let now = mesh.now;
-    let actions = mesh.agents[1].list_machines(&machines, now);
+    let actions = mesh.agents[1].set_machines(&machines, now);
     mesh.deliver(actions);
     let record = BackendReport::Heartbeat(endpoint_record("i-2", 1, false));
     let actions = mesh.agents[1].on_backend_report(record, now).actions;
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -14,12 +14,10 @@
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::time::Duration;
-
 /// How long a version that differs from the others gets no calls while no rollout of it is
 /// known. The rollout order, or a peer's message to a node that has just started, may still be
 /// on its way.
 const UNKNOWN_VERSION_WAIT: Duration = Duration::from_secs(3);
-
 /// Rollout state of an entry.
 #[derive(Default)]
 pub(super) struct Versions {
@@ -30,22 +28,18 @@
     /// When each backend came into service.
     ready_since: HashMap<NodeId, Moment>,
 }
-
 impl Versions {
     /// Records when a backend came into service, since it is slow during its warm-up.
     pub(super) fn became_ready(&mut self, node: &NodeId, now: Moment) {
         self.ready_since.insert(node.clone(), now);
     }
-
     /// Drops backends that are out of service.
     pub(super) fn keep_serving<T>(&mut self, serving: &HashMap<NodeId, T>) {
         self.ready_since
             .retain(|node, _| serving.contains_key(node));
     }
 }
-
 type Candidates<'a> = Cow<'a, Vec<Endpoint>>;
-
 impl Entry {
     /// Restricts `candidates` to versions that the call may go to. The version being evaluated
     /// gets the call if its share allows that and one of its backends is untried.
@@ -88,7 +82,6 @@
             }
         }
     }
-
     /// Holds back versions that differ from the presumed one while no rollout is known, until
     /// a rollout would be known.
     fn of_known_version<'a>(
@@ -114,7 +107,6 @@
         });
         Cow::Owned(known)
     }
-
     fn with_limiter<T>(
         &self,
         call: &Call,
@@ -135,7 +127,6 @@
         }
         act(limiter)
     }
-
     /// Records a result for the rollout of the service, if one is in progress.
     pub(super) fn note_version_answer(&self, call: &Call, choice: &Choice, answer: VersionAnswer) {
         let Some(bounds) = self.options.roll_outs else {
@@ -172,14 +163,12 @@
         };
         self.state().versions.evidence.record(place, answer);
     }
-
     fn is_cold(&self, choice: &Choice) -> bool {
         let now = self.now();
         let state = self.state();
         let since = state.versions.ready_since.get(&choice.node);
         since.is_some_and(|since| now.since(*since) < choice.target.cold)
     }
-
     /// Hands the results of versions being evaluated to the control plane client.
     pub fn publish_version_evidence(&self) {
         if self.options.roll_outs.is_none() {
@@ -188,11 +177,10 @@
         let rules = self.control().version_rules();
         let evidence = self.state().open_evidence(&rules);
         if !rules.is_empty() {
-            self.control().note_evidence(evidence);
+            self.control().record_version_evidence(evidence);
         }
     }
 }
-
 impl EntryState {
     fn open_evidence(&mut self, rules: &VersionRules) -> Vec<VersionEvidence> {
         let evidence = &mut self.versions.evidence;
@@ -203,7 +191,6 @@
         evidence.all()
     }
 }
-
 /// Result of a call at one version.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum VersionAnswer {
--- a/crates/rampthread-node/src/control/crash_records.rs
+++ b/crates/rampthread-node/src/control/crash_records.rs
@@ -195,7 +195,7 @@
             })
             .collect();
         let now = self.clock.now();
-        let actions = self.agent().note_crashes(&reports, now);
+        let actions = self.agent().merge_crash_reports(&reports, now);
         self.perform(actions);
         self.refresh_crash_table();
     }
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -313,7 +313,7 @@
     /// Takes a list of nodes that exist.
     pub fn on_machines(self: &Arc<Self>, machines: &[Machine]) {
         let now = self.clock.now();
-        let actions = self.agent().list_machines(machines, now);
+        let actions = self.agent().set_machines(machines, now);
         self.perform(actions);
     }
     /// Takes nodes that exist besides those that are known.
@@ -332,9 +332,9 @@
         self.with_agent(Agent::lacks_current_document)
     }
     /// Takes what this node has to report of its load.
-    pub fn note_load(&self, report: LoadReport) {
+    pub fn record_load(&self, report: LoadReport) {
         let now = self.clock.now();
-        self.agent().note_load(report, now);
+        self.agent().record_load(report, now);
     }
     /// The gate beside the back end has measured its standing speed.
     pub fn record_backend_speed(self: &Arc<Self>, instance: &InstanceId, speed_percent: u16) {
--- a/crates/rampthread-node/src/control/rollouts.rs
+++ b/crates/rampthread-node/src/control/rollouts.rs
@@ -25,8 +25,8 @@
     }
 
     /// Takes what callers of this node got from versions that are being brought in.
-    pub fn note_evidence(&self, evidence: Vec<VersionEvidence>) {
-        self.agent().note_evidence(evidence);
+    pub fn record_version_evidence(&self, evidence: Vec<VersionEvidence>) {
+        self.agent().record_version_evidence(evidence);
     }
 
     /// What entries may do with versions.
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -303,7 +303,7 @@
         gate.expire_fences();
         gate.check_incarnation();
         if let Some(report) = load_report(&entry, &gate, CHANGE_INTERVAL) {
-            control.note_load(report);
+            control.record_load(report);
         }
         async_std::task::sleep(CHANGE_INTERVAL).await;
     }
--- a/crates/rampthread-wire/tests/fleet/mod.rs
+++ b/crates/rampthread-wire/tests/fleet/mod.rs
@@ -218,7 +218,7 @@
         self.begin_life(index);
         let machines = self.machines();
         let now = self.now;
-        let actions = self.agent_mut(index).list_machines(&machines, now);
+        let actions = self.agent_mut(index).set_machines(&machines, now);
         self.deliver(index, actions);
         self.read_document(index);
     }
@@ -334,14 +334,14 @@
     }
 
     /// Callers of the node `index` got this from versions.
-    pub fn note_evidence(&mut self, index: usize, evidence: Vec<VersionEvidence>) {
-        self.agent_mut(index).note_evidence(evidence);
+    pub fn record_version_evidence(&mut self, index: usize, evidence: Vec<VersionEvidence>) {
+        self.agent_mut(index).record_version_evidence(evidence);
     }
 
     /// The node `index` has this to tell of its load.
-    pub fn note_load(&mut self, index: usize, report: LoadReport) {
+    pub fn record_load(&mut self, index: usize, report: LoadReport) {
         let now = self.now;
-        self.agent_mut(index).note_load(report, now);
+        self.agent_mut(index).record_load(report, now);
     }
 
     /// The node `index` has seen back ends crash.
@@ -478,7 +478,7 @@
             Answer::Directory(zones) => {
                 let members = zones.values().flat_map(|zone| zone.members.values());
                 let machines: Vec<Machine> = members.cloned().collect();
-                self.agent_mut(index).list_machines(&machines, now)
+                self.agent_mut(index).set_machines(&machines, now)
             }
             Answer::Conflict(Some(snapshot)) => {
                 let machines: Vec<Machine> = snapshot.members.values().cloned().collect();
--- a/crates/rampthread-wire/tests/load_exchange.rs
+++ b/crates/rampthread-wire/tests/load_exchange.rs
@@ -48,7 +48,7 @@
     let step = Duration::from_millis(100);
     for _ in 0..time.as_millis() / step.as_millis() {
         for index in fleet.running() {
-            fleet.note_load(index, report());
+            fleet.record_load(index, report());
         }
         fleet.run(step);
     }
@@ -132,7 +132,7 @@
         };
         for _ in 0..20 {
             for index in fleet.running() {
-                fleet.note_load(index, report.clone());
+                fleet.record_load(index, report.clone());
             }
             fleet.run(Duration::from_millis(100));
         }
