--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -193,7 +193,7 @@
             Message::ZoneLoads(zones) => {
                 self.loads.on_zones(&from, zones, now, &self.membership);
             }
-            Message::Rollouts(states) => self.on_roll_outs(&from, states, now, outbox),
+            Message::Rollouts(states) => self.on_rollouts(&from, states, now, outbox),
             Message::VersionEvidence(evidence) => {
                 self.on_version_evidence(&from, process_epoch, &evidence);
             }
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -146,7 +146,7 @@
     crashes: crash_gossip::CrashGossip,
     loads: LoadExchange,
     /// `None` where rollouts are disabled.
-    roll_outs: Option<rollouts::RolloutParticipant>,
+    rollouts: Option<rollouts::RolloutParticipant>,
     draining: bool,
     backend_up: bool,
     /// Reports received from the local backend.
@@ -216,7 +216,7 @@
             propagation_queries: Vec::new(),
             crashes: crash_gossip::CrashGossip::new(),
             loads: LoadExchange::default(),
-            roll_outs: settings
+            rollouts: settings
                 .roll_outs
                 .map(|bounds| rollouts::RolloutParticipant::new(identity.id.clone(), bounds)),
             draining: false,
@@ -275,7 +275,7 @@
         self.detect_suspension(now, &mut outbox);
         self.tick_crash_gossip(now, &mut outbox);
         self.loads.tick(now, &self.membership, &mut outbox);
-        self.tick_roll_outs(now, &mut outbox);
+        self.tick_rollouts(now, &mut outbox);
         if self.settings.source == ConfigSource::Document {
             self.tick_with_document(now, &mut outbox);
             return self.finish(outbox);
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -95,23 +95,23 @@
 impl Agent {
     /// Handles rollout orders from the store: just written, or already there when this node
     /// read it.
-    pub fn on_orders(
+    pub fn on_rollout_orders(
         &mut self,
         orders: &[RolloutOrder],
         source: OrderSource,
         now: Moment,
     ) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        let Some(roll_outs) = &mut self.roll_outs else {
+        let Some(rollouts) = &mut self.rollouts else {
             return Vec::new();
         };
         let mut new = Vec::new();
         for order in orders {
-            if roll_outs.table.accept_order(order, source, now) {
-                new.extend(roll_outs.table.state(&order.service, now));
+            if rollouts.table.accept_order(order, source, now) {
+                new.extend(rollouts.table.state(&order.service, now));
             } else if source == OrderSource::NewWrite {
                 // Written again: the store may have lost its records of the decision.
-                roll_outs.decider.recheck(now);
+                rollouts.decider.recheck(now);
             }
         }
         for state in &new {
@@ -125,62 +125,62 @@
                 outbox.actions.push(Action::RolloutsChanged);
             }
         }
-        self.tick_roll_outs(now, &mut outbox);
+        self.tick_rollouts(now, &mut outbox);
         self.finish(outbox)
     }
     /// Invalidates decision leases granted before the store was restored from an older
     /// copy.
     pub(super) fn invalidate_decision_lease(&mut self, now: Moment) {
-        if let Some(roll_outs) = &mut self.roll_outs {
-            roll_outs.decider.on_store_restored(&roll_outs.table, now);
+        if let Some(rollouts) = &mut self.rollouts {
+            rollouts.decider.on_store_restored(&rollouts.table, now);
         }
     }
     /// Records the results that callers of this node got from versions in rollout.
     pub fn record_version_evidence(&mut self, evidence: Vec<VersionEvidence>) {
-        if let Some(roll_outs) = &mut self.roll_outs
-            && roll_outs.evidence != evidence
+        if let Some(rollouts) = &mut self.rollouts
+            && rollouts.evidence != evidence
         {
-            roll_outs.evidence = evidence;
-            roll_outs.evidence_is_new = true;
+            rollouts.evidence = evidence;
+            rollouts.evidence_is_new = true;
         }
     }
     /// Handles the store's response to a decider call.
-    pub fn on_decider_answer(&mut self, answer: DeciderResponse, now: Moment) -> Vec<Action> {
+    pub fn on_decider_response(&mut self, answer: DeciderResponse, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        if let Some(roll_outs) = &mut self.roll_outs {
-            let table = &mut roll_outs.table;
-            let step = roll_outs.decider.on_response(answer, table, now);
+        if let Some(rollouts) = &mut self.rollouts {
+            let table = &mut rollouts.table;
+            let step = rollouts.decider.on_response(answer, table, now);
             self.apply_decider_step(step, now, &mut outbox);
         }
-        self.tick_roll_outs(now, &mut outbox);
+        self.tick_rollouts(now, &mut outbox);
         self.finish(outbox)
     }
     /// All rollouts that this node knows.
-    pub fn roll_outs(&self, now: Moment) -> Vec<RolloutState> {
-        let roll_outs = self.roll_outs.as_ref();
-        roll_outs.map_or_else(Vec::new, |roll_outs| roll_outs.table.states(now))
+    pub fn rollouts(&self, now: Moment) -> Vec<RolloutState> {
+        let rollouts = self.rollouts.as_ref();
+        rollouts.map_or_else(Vec::new, |rollouts| rollouts.table.states(now))
     }
     /// Routing rule of entry nodes for the versions of each service.
     pub fn version_rules(&self, now: Moment) -> BTreeMap<ResourceName, VersionRule> {
-        let roll_outs = self.roll_outs.as_ref();
-        roll_outs.map_or_else(BTreeMap::new, |roll_outs| {
-            roll_outs.table.rules(&roll_outs.bounds, now)
+        let rollouts = self.rollouts.as_ref();
+        rollouts.map_or_else(BTreeMap::new, |rollouts| {
+            rollouts.table.rules(&rollouts.bounds, now)
         })
     }
     /// True while this node is the decider.
-    pub fn decides_roll_outs(&self, now: Moment) -> bool {
-        let roll_outs = self.roll_outs.as_ref();
-        roll_outs.is_some_and(|roll_outs| roll_outs.decider.holds_lease(now))
+    pub fn is_rollout_decider(&self, now: Moment) -> bool {
+        let rollouts = self.rollouts.as_ref();
+        rollouts.is_some_and(|rollouts| rollouts.decider.holds_lease(now))
     }
-    pub(super) fn tick_roll_outs(&mut self, now: Moment, outbox: &mut Outbox) {
-        let idle = |roll_outs: &RolloutParticipant| roll_outs.table.is_empty();
-        if self.roll_outs.as_ref().is_none_or(idle) {
+    pub(super) fn tick_rollouts(&mut self, now: Moment, outbox: &mut Outbox) {
+        let idle = |rollouts: &RolloutParticipant| rollouts.table.is_empty();
+        if self.rollouts.as_ref().is_none_or(idle) {
             self.query_peers(now, outbox);
             return;
         }
         let rank = self.decider_rank();
         let eligible = self.store_watch.watches();
-        let Some(roll_outs) = &mut self.roll_outs else {
+        let Some(rollouts) = &mut self.rollouts else {
             return;
         };
         let membership = &self.membership;
@@ -208,7 +208,7 @@
             evidence_collection_time: FULL_REPORT_INTERVAL
                 + report_interval(membership.records().count()),
         };
-        let step = roll_outs.decider.tick(&mut roll_outs.table, &context, now);
+        let step = rollouts.decider.tick(&mut rollouts.table, &context, now);
         self.apply_decider_step(step, now, outbox);
         self.gossip_states(now, outbox);
         self.query_peers(now, outbox);
@@ -217,34 +217,34 @@
     /// Queries a peer when this node may have missed updates: a known rollout has stalled,
     /// or backends of a service run different versions and no rollout of it is known.
     fn query_peers(&mut self, now: Moment, outbox: &mut Outbox) {
-        let Some(roll_outs) = &self.roll_outs else {
+        let Some(rollouts) = &self.rollouts else {
             return;
         };
-        if now < roll_outs.next_query {
+        if now < rollouts.next_query {
             return;
         }
-        let silence = roll_outs.table.longest_silence(now);
+        let silence = rollouts.table.longest_silence(now);
         let is_stalled = silence.is_some_and(|silence| silence >= STALL_TIMEOUT);
-        let known = roll_outs.table.states(now);
+        let known = rollouts.table.states(now);
         let versions_unknown = self.has_unknown_versions(now);
         let is_behind = is_stalled || versions_unknown;
         // A peer answers for the listed rollouts, or for all when the list is empty.
         let queried = if versions_unknown { Vec::new() } else { known };
         let peer = self.membership.random_peer_preferring_zone(&mut self.rng);
-        let Some(roll_outs) = &mut self.roll_outs else {
+        let Some(rollouts) = &mut self.rollouts else {
             return;
         };
-        roll_outs.unanswered_queries = if is_behind {
-            roll_outs.unanswered_queries + 1
+        rollouts.unanswered_queries = if is_behind {
+            rollouts.unanswered_queries + 1
         } else {
             0
         };
-        let pause = match roll_outs.unanswered_queries > FAST_QUERY_COUNT {
+        let pause = match rollouts.unanswered_queries > FAST_QUERY_COUNT {
             true if is_stalled => STALL_QUERY_INTERVAL,
             true => SLOW_QUERY_INTERVAL,
             false => QUERY_INTERVAL,
         };
-        roll_outs.next_query = now + pause;
+        rollouts.next_query = now + pause;
         if let Some(peer) = peer.filter(|_| is_behind) {
             outbox.send(&peer, Message::Rollouts(queried));
         }
@@ -310,34 +310,34 @@
         }
     }
     fn queue_gossip(&mut self, states: &[RolloutState], rounds: u32, now: Moment) {
-        let Some(roll_outs) = &mut self.roll_outs else {
+        let Some(rollouts) = &mut self.rollouts else {
             return;
         };
         for state in states {
-            let left = roll_outs
+            let left = rollouts
                 .pending_gossip
                 .entry(state.service.clone())
                 .or_default();
             *left = (*left).max(rounds);
-            roll_outs.next_gossip = now;
+            rollouts.next_gossip = now;
         }
     }
     fn gossip_states(&mut self, now: Moment, outbox: &mut Outbox) {
-        let Some(roll_outs) = &mut self.roll_outs else {
+        let Some(rollouts) = &mut self.rollouts else {
             return;
         };
-        if roll_outs.pending_gossip.is_empty() || now < roll_outs.next_gossip {
+        if rollouts.pending_gossip.is_empty() || now < rollouts.next_gossip {
             return;
         }
-        roll_outs.next_gossip = now + GOSSIP_INTERVAL;
-        let due = std::mem::take(&mut roll_outs.pending_gossip);
+        rollouts.next_gossip = now + GOSSIP_INTERVAL;
+        let due = std::mem::take(&mut rollouts.pending_gossip);
         let services = due.keys();
         let states: Vec<RolloutState> = services
-            .filter_map(|service| roll_outs.table.state(service, now))
+            .filter_map(|service| rollouts.table.state(service, now))
             .collect();
         let changes = due.values().any(|left| *left > 1);
         let further = due.into_iter().filter(|(_, left)| *left > 1);
-        roll_outs.pending_gossip = further.map(|(service, left)| (service, left - 1)).collect();
+        rollouts.pending_gossip = further.map(|(service, left)| (service, left - 1)).collect();
         let mut targets = self
             .membership
             .random_same_zone_peers(LOCAL_ZONE_FANOUT, &mut self.rng);
@@ -354,7 +354,7 @@
         }
     }
     /// Merges states from a peer, and sends back states that are newer here.
-    pub(super) fn on_roll_outs(
+    pub(super) fn on_rollouts(
         &mut self,
         from: &NodeId,
         states: Vec<RolloutState>,
@@ -363,15 +363,15 @@
     ) {
         let requests_all = states.is_empty();
         let mut newer_states = match requests_all {
-            true => self.roll_outs(now),
+            true => self.rollouts(now),
             false => Vec::new(),
         };
         for state in states {
-            let Some(roll_outs) = &mut self.roll_outs else {
+            let Some(rollouts) = &mut self.rollouts else {
                 return;
             };
-            let known = roll_outs.table.state(&state.service, now);
-            if roll_outs.table.merge(state.clone(), now) {
+            let known = rollouts.table.state(&state.service, now);
+            if rollouts.table.merge(state.clone(), now) {
                 let changed = known.is_none_or(|known| !state.has_same_decision(&known));
                 let rounds = if changed { CHANGE_GOSSIP_ROUNDS } else { 1 };
                 if changed {
@@ -396,7 +396,7 @@
         now: Moment,
         outbox: &mut Outbox,
     ) {
-        let states = self.roll_outs(now);
+        let states = self.rollouts(now);
         if !states.is_empty() {
             outbox.send(peer, Message::Rollouts(states));
         }
@@ -408,36 +408,36 @@
         process_epoch: ProcessEpoch,
         evidence: &[VersionEvidence],
     ) {
-        if let Some(roll_outs) = &mut self.roll_outs {
-            roll_outs.decider.on_evidence(from, process_epoch, evidence);
+        if let Some(rollouts) = &mut self.rollouts {
+            rollouts.decider.on_evidence(from, process_epoch, evidence);
         }
     }
     fn report_evidence(&mut self, now: Moment, outbox: &mut Outbox) {
-        let Some(roll_outs) = &mut self.roll_outs else {
+        let Some(rollouts) = &mut self.rollouts else {
             return;
         };
         // A full report is due even without traffic: the last rows may have been lost.
-        let is_open = !roll_outs.evidence.is_empty() && roll_outs.table.has_open();
-        let full_report_due = is_open && now >= roll_outs.next_full_report;
-        let due = roll_outs.evidence_is_new || full_report_due;
-        if !due || now < roll_outs.next_report {
+        let is_open = !rollouts.evidence.is_empty() && rollouts.table.has_open();
+        let full_report_due = is_open && now >= rollouts.next_full_report;
+        let due = rollouts.evidence_is_new || full_report_due;
+        if !due || now < rollouts.next_report {
             return;
         }
         let members = self.membership.records().count();
-        roll_outs.next_report = now + report_interval(members);
-        roll_outs.evidence_is_new = false;
-        if now >= roll_outs.next_full_report {
-            roll_outs.next_full_report = now + FULL_REPORT_INTERVAL;
-            roll_outs.reported.clear();
+        rollouts.next_report = now + report_interval(members);
+        rollouts.evidence_is_new = false;
+        if now >= rollouts.next_full_report {
+            rollouts.next_full_report = now + FULL_REPORT_INTERVAL;
+            rollouts.reported.clear();
         }
-        let reported = std::mem::replace(&mut roll_outs.reported, roll_outs.evidence.clone());
-        let changed_rows = roll_outs
+        let reported = std::mem::replace(&mut rollouts.reported, rollouts.evidence.clone());
+        let changed_rows = rollouts
             .evidence
             .iter()
             .filter(|seen| !reported.contains(seen));
         let mut by_decider: BTreeMap<NodeId, Vec<VersionEvidence>> = BTreeMap::new();
         for seen in changed_rows {
-            let state = roll_outs.table.state(&seen.service, now);
+            let state = rollouts.table.state(&seen.service, now);
             let open = state.filter(|state| !state.phase.is_ended() && state.order == seen.order);
             if let Some(decider) = open.and_then(|state| state.decider) {
                 by_decider.entry(decider).or_default().push(seen.clone());
@@ -446,7 +446,7 @@
         for (decider, evidence) in by_decider {
             if decider == self.identity.id {
                 let process_epoch = self.identity.process_epoch;
-                roll_outs
+                rollouts
                     .decider
                     .on_evidence(&decider, process_epoch, &evidence);
                 continue;
--- a/crates/rampthread-node/src/control/document_watch.rs
+++ b/crates/rampthread-node/src/control/document_watch.rs
@@ -358,7 +358,7 @@
             tracing::warn!(%findings, "orders to roll out cannot be carried out");
         }
         if !read.orders.is_empty() {
-            self.control.on_orders(&read.orders, source);
+            self.control.on_rollout_orders(&read.orders, source);
         }
     }
 
--- a/crates/rampthread-node/src/control/rollouts.rs
+++ b/crates/rampthread-node/src/control/rollouts.rs
@@ -18,9 +18,13 @@
 
 impl Control {
     /// Takes orders to roll out that stand in the store.
-    pub(super) fn on_orders(self: &Arc<Self>, orders: &[RolloutOrder], source: OrderSource) {
+    pub(super) fn on_rollout_orders(
+        self: &Arc<Self>,
+        orders: &[RolloutOrder],
+        source: OrderSource,
+    ) {
         let now = self.clock.now();
-        let actions = self.agent().on_orders(orders, source, now);
+        let actions = self.agent().on_rollout_orders(orders, source, now);
         self.perform(actions);
     }
 
@@ -35,9 +39,9 @@
     }
 
     /// All roll-outs that this node knows.
-    pub fn roll_outs(&self) -> Vec<RolloutState> {
+    pub fn rollouts(&self) -> Vec<RolloutState> {
         let now = self.clock.now();
-        self.with_agent(|agent| agent.roll_outs(now))
+        self.with_agent(|agent| agent.rollouts(now))
     }
 
     pub(super) fn refresh_version_rules(&self) {
@@ -45,7 +49,7 @@
         // place of a later one.
         self.with_agent(|agent| {
             let now = self.clock.now();
-            let decides = agent.decides_roll_outs(now);
+            let decides = agent.is_rollout_decider(now);
             self.metrics.roll_out_decider.set(i64::from(decides));
             let rules = agent.version_rules(now);
             if **self.version_rules.load() != rules {
@@ -72,7 +76,7 @@
                 DeciderResponse::Failed
             });
             let now = control.clock.now();
-            let actions = control.agent().on_decider_answer(answer, now);
+            let actions = control.agent().on_decider_response(answer, now);
             control.perform(actions);
             control.refresh_version_rules();
         });
--- a/crates/rampthread-wire/tests/fleet/mod.rs
+++ b/crates/rampthread-wire/tests/fleet/mod.rs
@@ -329,7 +329,7 @@
 
     fn tell_orders(&mut self, index: usize, orders: &[RolloutOrder], source: OrderSource) {
         let now = self.now;
-        let actions = self.agent_mut(index).on_orders(orders, source, now);
+        let actions = self.agent_mut(index).on_rollout_orders(orders, source, now);
         self.deliver(index, actions);
     }
 
@@ -635,7 +635,7 @@
                     let lost = self.rng.random_range(0..100) < self.roll_outs.lost_percent;
                     let now = self.now;
                     let answer = self.roll_outs.call(from, &call, lost, now);
-                    let actions = self.agent_mut(from).on_decider_answer(answer, now);
+                    let actions = self.agent_mut(from).on_decider_response(answer, now);
                     queue.extend(actions.into_iter().map(|action| (from, action)));
                     continue;
                 }
--- a/crates/rampthread-wire/tests/rollouts.rs
+++ b/crates/rampthread-wire/tests/rollouts.rs
@@ -175,7 +175,7 @@
         }
     }
     fn note_phase(&mut self, index: usize) {
-        let states = self.fleet.agent(index).roll_outs(self.fleet.now);
+        let states = self.fleet.agent(index).rollouts(self.fleet.now);
         let Some(state) = states.first() else {
             return;
         };
@@ -198,7 +198,7 @@
         let running = self.fleet.running().into_iter();
         running
             .filter(|index| !self.fleet.frozen.contains(index))
-            .find(|index| self.fleet.agent(*index).decides_roll_outs(now))
+            .find(|index| self.fleet.agent(*index).is_rollout_decider(now))
     }
     fn phase(&self) -> Option<Phase> {
         self.fleet.roll_outs.phase()
@@ -208,7 +208,7 @@
         running
             .filter(|index| !self.out_of_touch.contains(index))
             .all(|index| {
-                let states = self.fleet.agent(index).roll_outs(self.fleet.now);
+                let states = self.fleet.agent(index).rollouts(self.fleet.now);
                 states.first().is_some_and(|state| state.phase == phase)
             })
     }
