--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -9,7 +9,7 @@
 use crate::call::identity::RequestIdentity;
 use crate::call::quarantine::{QUARANTINE_CRASHES, QuarantineState};
 use crate::fleet::action::{Action, Decision, Outbox};
-use crate::fleet::crash_table::{CrashReport, CrashTable, ReportKey, Taken};
+use crate::fleet::crash_table::{CrashReport, CrashTable, MergeOutcome, ReportKey};
 use crate::fleet::message::{Message, ProbeBody};
 use crate::ids::{NodeId, Zone};
 use crate::rendezvous;
@@ -102,7 +102,7 @@
     /// Records crashes observed by this node, or corrections of them, and announces them.
     pub fn report_crashes(&mut self, reports: &[CrashReport], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        let recorded = self.crashes.table.against_offenders(now);
+        let recorded = self.crashes.table.poison_reports(now);
         let new = self.merge_reports(reports, now, &mut outbox);
         self.persist_poison_crashes(&new, now, &mut outbox);
         retract_recorded_crashes(&recorded, &new, &mut outbox);
@@ -125,7 +125,7 @@
             .map(|report| report.identity)
             .collect();
         for identity in identities {
-            let against = self.crashes.table.against(&identity, now);
+            let against = self.crashes.table.uncleared_reports(&identity, now);
             if against.len() >= QUARANTINE_CRASHES {
                 outbox.actions.push(Action::RecordCrashes(against));
             }
@@ -141,7 +141,7 @@
         now: Moment,
     ) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        let crashes = self.crashes.table.against(identity, now).len();
+        let crashes = self.crashes.table.uncleared_reports(identity, now).len();
         let cleared = self.crashes.table.clear(identity, until, now);
         if !cleared.is_empty() {
             outbox.explain(Decision::RequestCleared {
@@ -173,7 +173,7 @@
         let (mut same_zone, mut other_zones) = (Vec::new(), Vec::new());
         for (key, transmissions) in due {
             let (identity, instance) = &key;
-            let Some(report) = self.crashes.table.held(identity, instance, now) else {
+            let Some(report) = self.crashes.table.report(identity, instance, now) else {
                 continue;
             };
             if transmissions.other_zones {
@@ -204,7 +204,7 @@
         &mut self,
         from: &NodeId,
         reports: &[CrashReport],
-        all: bool,
+        complete: bool,
         now: Moment,
         outbox: &mut Outbox,
     ) {
@@ -212,13 +212,13 @@
         let outdated: Vec<CrashReport> = reports
             .iter()
             .filter(|report| !report.cleared)
-            .filter_map(|report| table.held(&report.identity, &report.instance, now))
+            .filter_map(|report| table.report(&report.identity, &report.instance, now))
             .filter(|held| held.cleared)
             .collect();
         let new = self.merge_reports(reports, now, outbox);
         self.forward_crash_reports(from, new, now, outbox);
         let mut answer = outdated;
-        if all {
+        if complete {
             let lacking = |held: &CrashReport| {
                 !reports
                     .iter()
@@ -275,13 +275,19 @@
     }
     fn begin_comparison(&mut self, peer: &NodeId, now: Moment, outbox: &mut Outbox) {
         let reports = self.compared_reports(now);
-        outbox.send(peer, Message::CrashReports { reports, all: true });
+        outbox.send(
+            peer,
+            Message::CrashReports {
+                reports,
+                complete: true,
+            },
+        );
     }
     /// Reports for a comparison: those on quarantined requests, and a sample of those of
     /// the last seconds.
     fn compared_reports(&mut self, now: Moment) -> Vec<CrashReport> {
         let table = &self.crashes.table;
-        let mut reports = table.against_offenders(now);
+        let mut reports = table.poison_reports(now);
         reports.truncate(POISON_REPORTS_PER_COMPARISON);
         let known: BTreeSet<ReportKey> = reports.iter().map(CrashReport::key).collect();
         let recent = table.recent(now).into_iter();
@@ -304,17 +310,17 @@
     ) -> Vec<CrashReport> {
         let mut new = Vec::new();
         for report in reports {
-            if self.crashes.table.take(report, now) != Taken::New {
+            if self.crashes.table.merge(report, now) != MergeOutcome::New {
                 continue;
             }
             new.push(report.clone());
             if !report.cleared {
-                let clearings = self.crashes.table.clearings(&report.identity, now);
+                let clearings = self.crashes.table.cleared_reports(&report.identity, now);
                 self.schedule_repeats(clearings, CLEARING_GOSSIP_ROUNDS, true, now);
             }
             let standing = self.crashes.table.standing(&report.identity, now);
             if let QuarantineState::Quarantined { left, .. } = standing {
-                let against = self.crashes.table.against(&report.identity, now);
+                let against = self.crashes.table.uncleared_reports(&report.identity, now);
                 outbox.explain(quarantined(report.identity, &against, left));
             }
         }
@@ -414,7 +420,7 @@
                 target,
                 Message::CrashReports {
                     reports,
-                    all: false,
+                    complete: false,
                 },
             );
         }
--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -184,8 +184,8 @@
                 }
             }
             Message::PropagationReply { nonce, status } => self.on_spread(nonce, status, outbox),
-            Message::CrashReports { reports, all } => {
-                self.on_crash_reports(&from, &reports, all, now, outbox);
+            Message::CrashReports { reports, complete } => {
+                self.on_crash_reports(&from, &reports, complete, now, outbox);
             }
             Message::LoadReport(report) => {
                 self.loads.on_report(&from, report, now, &self.membership);
--- a/crates/rampthread-core/src/fleet/crash_table.rs
+++ b/crates/rampthread-core/src/fleet/crash_table.rs
@@ -55,7 +55,7 @@
 
 /// Result of merging a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum MergeOutcome {
     /// The report changed the table.
     New,
     /// The report was already known.
@@ -97,18 +97,18 @@
     }
 
     /// Merges a report into the table.
-    pub fn take(&mut self, report: &CrashReport, now: Moment) -> Taken {
+    pub fn merge(&mut self, report: &CrashReport, now: Moment) -> MergeOutcome {
         if report.age >= LONGEST_MEMORY {
-            return Taken::Known;
+            return MergeOutcome::Known;
         }
         let at = now - report.age;
         let crashes = self.suspects.entry(report.identity).or_default();
-        let taken = take_crash(crashes, report, at);
-        if taken == Taken::New {
+        let outcome = merge_crash(crashes, report, at);
+        if outcome == MergeOutcome::New {
             self.revision += 1;
-            self.make_room();
+            self.evict_excess();
         }
-        taken
+        outcome
     }
 
     /// Clears the reports of a request for crashes up to `until`. Returns the changed reports.
@@ -122,10 +122,10 @@
             return Vec::new();
         };
         let mut changed = Vec::new();
-        let held = |crash: &Crash| !crash.cleared && crash.at <= until;
-        for (instance, crash) in crashes.iter_mut().filter(|(_, crash)| held(crash)) {
+        let counts = |crash: &Crash| !crash.cleared && crash.at <= until;
+        for (instance, crash) in crashes.iter_mut().filter(|(_, crash)| counts(crash)) {
             crash.cleared = true;
-            changed.push(report(*identity, instance, *crash, now));
+            changed.push(to_report(*identity, instance, *crash, now));
         }
         self.revision += u64::from(!changed.is_empty());
         changed
@@ -142,38 +142,38 @@
     }
 
     /// Returns the reports of a request that count, newest last.
-    pub fn against(&self, identity: &RequestIdentity, now: Moment) -> Vec<CrashReport> {
+    pub fn uncleared_reports(&self, identity: &RequestIdentity, now: Moment) -> Vec<CrashReport> {
         let crashes = self.suspects.get(identity).into_iter().flatten();
         let mut reports: Vec<CrashReport> = crashes
             .filter(|(_, crash)| !crash.cleared)
-            .map(|(instance, crash)| report(*identity, instance, *crash, now))
+            .map(|(instance, crash)| to_report(*identity, instance, *crash, now))
             .collect();
         reports.sort_by_key(|report| std::cmp::Reverse(report.age));
         reports
     }
 
     /// Returns the cleared reports of a request.
-    pub fn clearings(&self, identity: &RequestIdentity, now: Moment) -> Vec<CrashReport> {
+    pub fn cleared_reports(&self, identity: &RequestIdentity, now: Moment) -> Vec<CrashReport> {
         let crashes = self.suspects.get(identity).into_iter().flatten();
         crashes
             .filter(|(_, crash)| crash.cleared)
-            .map(|(instance, crash)| report(*identity, instance, *crash, now))
+            .map(|(instance, crash)| to_report(*identity, instance, *crash, now))
             .collect()
     }
 
     /// Returns the report with this key as the table holds it.
-    pub fn held(
+    pub fn report(
         &self,
         identity: &RequestIdentity,
         instance: &InstanceId,
         now: Moment,
     ) -> Option<CrashReport> {
         let crash = self.suspects.get(identity)?.get(instance)?;
-        Some(report(*identity, instance, *crash, now))
+        Some(to_report(*identity, instance, *crash, now))
     }
 
     /// Returns the requests with reports that count, and the time of the first crash of each.
-    pub fn suspected(&self) -> impl Iterator<Item = (&RequestIdentity, Moment)> {
+    pub fn suspects(&self) -> impl Iterator<Item = (&RequestIdentity, Moment)> {
         self.suspects.iter().filter_map(|(identity, crashes)| {
             let counted = crashes.values().filter(|crash| !crash.cleared);
             let first = counted.map(|crash| crash.at).min()?;
@@ -182,17 +182,17 @@
     }
 
     /// Returns the requests under which several backends have crashed.
-    pub fn offenders(&self) -> impl Iterator<Item = &RequestIdentity> {
+    pub fn poison_requests(&self) -> impl Iterator<Item = &RequestIdentity> {
         self.suspects
             .iter()
             .filter(|(_, crashes)| evidence(crashes).crashes >= QUARANTINE_CRASHES)
             .map(|(identity, _)| identity)
     }
 
-    /// Returns all reports on [`CrashTable::offenders`] that count. Peers reconcile them.
-    pub fn against_offenders(&self, now: Moment) -> Vec<CrashReport> {
-        self.offenders()
-            .flat_map(|identity| self.against(identity, now))
+    /// Returns all reports on [`CrashTable::poison_requests`] that count. Peers reconcile them.
+    pub fn poison_reports(&self, now: Moment) -> Vec<CrashReport> {
+        self.poison_requests()
+            .flat_map(|identity| self.uncleared_reports(identity, now))
             .collect()
     }
 
@@ -202,7 +202,7 @@
     pub fn recent(&self, now: Moment) -> Vec<CrashReport> {
         self.all()
             .filter(|(_, _, crash)| is_compared(crash, now))
-            .map(|(identity, instance, crash)| report(*identity, instance, *crash, now))
+            .map(|(identity, instance, crash)| to_report(*identity, instance, *crash, now))
             .collect()
     }
 
@@ -217,15 +217,15 @@
 
     fn all(&self) -> impl Iterator<Item = (&RequestIdentity, &InstanceId, &Crash)> {
         self.suspects.iter().flat_map(|(identity, crashes)| {
-            let of_request = crashes.iter();
-            of_request.map(move |(instance, crash)| (identity, instance, crash))
+            let reports = crashes.iter();
+            reports.map(move |(instance, crash)| (identity, instance, crash))
         })
     }
 
-    /// Returns a digest of [`CrashTable::against_offenders`] without ages; 0 if there are none.
+    /// Returns a digest of [`CrashTable::poison_reports`] without ages; 0 if there are none.
     pub fn digest(&self) -> u64 {
         let mut digest = 0;
-        for identity in self.offenders() {
+        for identity in self.poison_requests() {
             for (instance, crash) in &self.suspects[identity] {
                 if !crash.cleared {
                     digest ^= digest_of(&(identity, instance, crash.on_trial));
@@ -246,7 +246,7 @@
         self.revision += u64::from(self.suspects.len() != before);
     }
 
-    fn make_room(&mut self) {
+    fn evict_excess(&mut self) {
         if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
@@ -274,27 +274,27 @@
     hasher.finish()
 }
 
-fn take_crash(crashes: &mut Crashes, report: &CrashReport, at: Moment) -> Taken {
+fn merge_crash(crashes: &mut Crashes, report: &CrashReport, at: Moment) -> MergeOutcome {
     if let Some(known) = crashes.get_mut(&report.instance) {
         // Each hop adds to the age of a copy, so the earliest time is the most accurate.
         known.at = known.at.min(at);
         let newly_cleared = report.cleared && !known.cleared;
         known.cleared |= report.cleared;
-        let newly_tried = report.on_trial && !known.on_trial;
+        let newly_on_trial = report.on_trial && !known.on_trial;
         known.on_trial |= report.on_trial;
         return match (
-            newly_cleared || newly_tried,
+            newly_cleared || newly_on_trial,
             known.cleared && !report.cleared,
         ) {
-            (true, _) => Taken::New,
-            (false, true) => Taken::Outdated,
-            (false, false) => Taken::Known,
+            (true, _) => MergeOutcome::New,
+            (false, true) => MergeOutcome::Outdated,
+            (false, false) => MergeOutcome::Known,
         };
     }
     if crashes.len() >= MAX_CRASHES {
         let oldest = crashes.iter().min_by_key(|(_, crash)| crash.at);
         let Some((oldest, _)) = oldest.filter(|(_, crash)| crash.at < at) else {
-            return Taken::Known;
+            return MergeOutcome::Known;
         };
         let oldest = oldest.clone();
         crashes.remove(&oldest);
@@ -305,7 +305,7 @@
         cleared: report.cleared,
     };
     crashes.insert(report.instance.clone(), crash);
-    Taken::New
+    MergeOutcome::New
 }
 
 fn evidence(crashes: &Crashes) -> CrashCounts {
@@ -316,7 +316,7 @@
     }
 }
 
-fn report(
+fn to_report(
     identity: RequestIdentity,
     instance: &InstanceId,
     crash: Crash,
--- a/crates/rampthread-core/src/fleet/message.rs
+++ b/crates/rampthread-core/src/fleet/message.rs
@@ -246,7 +246,7 @@
         /// True if these are all reports that peers reconcile: those of requests with several
         /// crashes, and those of the last seconds. The sender expects the reports that it lacks
         /// in return.
-        all: bool,
+        complete: bool,
     },
     /// Load report to the zone's aggregator.
     LoadReport(LoadReport),
--- a/crates/rampthread-core/tests/crash_properties.rs
+++ b/crates/rampthread-core/tests/crash_properties.rs
@@ -9,7 +9,8 @@
 use rampthread_core::call::quarantine::{CrashCounts, QuarantineState};
 use rampthread_core::call::recent_responses::RecentResponses;
 use rampthread_core::fleet::{
-    Action, Agent, AgentIdentity, CrashReport, CrashTable, FleetSettings, MAX_SUSPECTS, Taken,
+    Action, Agent, AgentIdentity, CrashReport, CrashTable, FleetSettings, MAX_SUSPECTS,
+    MergeOutcome,
 };
 use rampthread_core::ids::{NodeId, Region, Zone};
 use rstest::rstest;
@@ -54,7 +55,7 @@
 fn table_of(reports: &[CrashReport]) -> CrashTable {
     let mut table = CrashTable::default();
     for report in reports {
-        table.take(report, NOW);
+        table.merge(report, NOW);
     }
     table
 }
@@ -91,7 +92,7 @@
         }
         for late in &reports {
             let late = CrashReport { cleared: false, ..late.clone() };
-            prop_assert_eq!(table.take(&late, NOW), Taken::Outdated);
+            prop_assert_eq!(table.merge(&late, NOW), MergeOutcome::Outdated);
         }
         for request in 0..4 {
             prop_assert_eq!(table.standing(&identity(request), NOW), QuarantineState::Unsuspected);
@@ -104,15 +105,15 @@
     fn a_flood_of_suspects_pushes_no_offender_out(back_ends in 2_u32..5, flood in 1_100_u16..3_000) {
         let mut table = CrashTable::default();
         for back_end in 0..back_ends {
-            table.take(&report(0, back_end, HOUR / 100, false), NOW);
+            table.merge(&report(0, back_end, HOUR / 100, false), NOW);
         }
         for request in 1..flood {
-            table.take(&report(request, u32::from(request), Duration::ZERO, false), NOW);
+            table.merge(&report(request, u32::from(request), Duration::ZERO, false), NOW);
         }
         prop_assert!(table.len() <= MAX_SUSPECTS);
         let crashes = back_ends as usize;
         prop_assert!(!matches!(table.standing(&identity(0), NOW), QuarantineState::Unsuspected | QuarantineState::Suspected));
-        prop_assert_eq!(table.against(&identity(0), NOW).len(), crashes);
+        prop_assert_eq!(table.uncleared_reports(&identity(0), NOW).len(), crashes);
     }
 
     /// Requests that differ in any part differ in their identity, however the
@@ -175,7 +176,7 @@
 fn a_quarantine_ends_by_itself_in_a_trial_and_is_forgotten_later() {
     let mut table = CrashTable::default();
     for back_end in 0..2 {
-        table.take(&report(1, back_end, Duration::ZERO, false), NOW);
+        table.merge(&report(1, back_end, Duration::ZERO, false), NOW);
     }
     let standing = |table: &CrashTable, after: Duration| table.standing(&identity(1), NOW + after);
     let left = evidence(2, 0).quarantine();
@@ -185,7 +186,7 @@
         standing(&table, left),
         QuarantineState::OnTrial { crashes: 2 }
     );
-    table.take(&trial_report(1, 3), NOW + left);
+    table.merge(&trial_report(1, 3), NOW + left);
     let again = QuarantineState::Quarantined {
         crashes: 3,
         left: evidence(3, 1).quarantine(),
@@ -203,11 +204,11 @@
         report(1, 2, Duration::ZERO, false),
     ]);
     let before = table.digest();
-    assert_eq!(table.take(&trial_report(1, 2), NOW), Taken::New);
+    assert_eq!(table.merge(&trial_report(1, 2), NOW), MergeOutcome::New);
     assert_ne!(table.digest(), before);
     assert_eq!(
-        table.take(&report(1, 2, Duration::ZERO, false), NOW),
-        Taken::Known
+        table.merge(&report(1, 2, Duration::ZERO, false), NOW),
+        MergeOutcome::Known
     );
     let left = evidence(2, 1).quarantine();
     let standing = table.standing(&identity(1), NOW);
--- a/crates/rampthread-node/src/api/quarantine.rs
+++ b/crates/rampthread-node/src/api/quarantine.rs
@@ -14,13 +14,13 @@
     let control = &request.state().control;
     let (table, now) = (control.crash_table(), control.clock.now());
     let views: Vec<QuarantineView> = table
-        .offenders()
+        .poison_requests()
         .map(|identity| {
             let left = match table.standing(identity, now) {
                 QuarantineState::Quarantined { left, .. } => left.as_millis() as u64,
                 _ => 0,
             };
-            let crashes = table.against(identity, now);
+            let crashes = table.uncleared_reports(identity, now);
             QuarantineView {
                 identity: *identity,
                 left_ms: left,
@@ -44,7 +44,11 @@
     };
     let control = &request.state().control;
     let now = control.clock.now();
-    if control.crash_table().against(&identity, now).is_empty() {
+    if control
+        .crash_table()
+        .uncleared_reports(&identity, now)
+        .is_empty()
+    {
         return Ok(Response::new(StatusCode::NotFound));
     }
     control.clear_request(&identity, now, "operator");
--- a/crates/rampthread-node/src/control/crashes.rs
+++ b/crates/rampthread-node/src/control/crashes.rs
@@ -95,7 +95,7 @@
         let answered: Vec<(RequestIdentity, Moment)> = {
             let answers = self.answers();
             table
-                .suspected()
+                .suspects()
                 .filter_map(|(identity, crashed)| {
                     let last = answers.last(identity)?;
                     (last >= crashed).then_some((*identity, last))
@@ -119,9 +119,11 @@
             if table.revision() == self.crash_table.load().revision() {
                 return false;
             }
-            let offenders = table.offenders().count();
+            let poison_requests = table.poison_requests().count();
             self.metrics.suspected_requests.set(table.len() as i64);
-            self.metrics.quarantined_requests.set(offenders as i64);
+            self.metrics
+                .quarantined_requests
+                .set(poison_requests as i64);
             self.crash_table.store(Arc::new(table.clone()));
             true
         })
--- a/crates/rampthread-wire/src/decode.rs
+++ b/crates/rampthread-wire/src/decode.rs
@@ -192,7 +192,7 @@
         },
         Which::CrashReports(from) => Message::CrashReports {
             reports: read_crash_reports(from.get_reports()?)?,
-            all: from.get_all(),
+            complete: from.get_all(),
         },
         Which::LoadReport(from) => Message::LoadReport(load_message::read_report(from)?),
         Which::ZoneLoads(from) => Message::ZoneLoads(load_message::read_zones(from.get_zones()?)?),
--- a/crates/rampthread-wire/src/encode.rs
+++ b/crates/rampthread-wire/src/encode.rs
@@ -135,9 +135,9 @@
             to.set_nonce(*nonce);
             write_spread(to.init_spread(), status);
         }
-        Message::CrashReports { reports, all } => {
+        Message::CrashReports { reports, complete } => {
             let mut to = to.init_crash_reports();
-            to.set_all(*all);
+            to.set_all(*complete);
             let mut list = to.init_reports(reports.len() as u32);
             for (index, report) in reports.iter().enumerate() {
                 write_crash_report(list.reborrow().get(index as u32), report);
--- a/crates/rampthread-wire/tests/crash_news.rs
+++ b/crates/rampthread-wire/tests/crash_news.rs
@@ -43,7 +43,7 @@
 /// True when `node` holds so many crashes against the guilty request.
 fn knows(fleet: &Fleet, node: usize, crashes: usize) -> bool {
     let table = fleet.agent(node).crash_table();
-    table.against(&identity(GUILTY), fleet.now).len() >= crashes
+    table.uncleared_reports(&identity(GUILTY), fleet.now).len() >= crashes
 }
 
 fn all_know(fleet: &Fleet, crashes: usize) -> bool {
--- a/crates/rampthread-wire/tests/wire_properties.rs
+++ b/crates/rampthread-wire/tests/wire_properties.rs
@@ -281,7 +281,7 @@
             .prop_map(|(sequence, target)| Message::PingRequest { sequence, target }),
         digests().prop_map(|digests| Message::TableSummary { digests }),
         (prop::collection::vec(crash_report(), 0..20), any::<bool>())
-            .prop_map(|(reports, all)| Message::CrashReports { reports, all }),
+            .prop_map(|(reports, complete)| Message::CrashReports { reports, complete }),
         (prop::collection::vec(member(), 0..20), digests())
             .prop_map(|(members, wanted)| Message::TableRecords { members, wanted }),
         (version(), prop::option::of(bytes()))
