--- a/crates/rampthread-core/src/call/quota/news.rs
+++ b/crates/rampthread-core/src/call/quota/fleet_load.rs
@@ -1,6 +1,6 @@
 //! What a node hears of the others, and whom it has lost sight of.
 
-use super::part;
+use super::limit_fraction;
 use crate::fleet::{MAX_TENANTS, TenantLoad, TenantTag, ZoneLoad, load_interval};
 use crate::ids::Zone;
 use crate::time::Moment;
@@ -24,17 +24,17 @@
 
 /// Nodes of each zone, as the membership knows them: those that answer and those that
 /// ended without a word, or are cut off.
-pub type ZoneMembers = BTreeMap<Zone, u32>;
+pub type ZoneMemberCounts = BTreeMap<Zone, u32>;
 
 /// What is known of the fleet now.
 #[derive(Debug, Clone, Copy)]
-pub struct QuotaNews<'a> {
+pub struct FleetLoadSnapshot<'a> {
     /// The zones with what they have told, and its age now.
     pub zones: &'a [ZoneLoad],
     /// The zone of this node.
     pub own_zone: &'a Zone,
     /// The nodes of every zone.
-    pub members: &'a ZoneMembers,
+    pub members: &'a ZoneMemberCounts,
 }
 
 /// Sums over some zones.
@@ -50,7 +50,7 @@
     pub(super) listed: bool,
 }
 
-impl QuotaNews<'_> {
+impl FleetLoadSnapshot<'_> {
     fn members_of(&self, zone: &Zone) -> u32 {
         self.members.get(zone).copied().unwrap_or(0)
     }
@@ -78,15 +78,15 @@
 }
 
 /// The news by tenant.
-pub(super) struct NewsOfTenants<'a> {
-    pub(super) news: &'a QuotaNews<'a>,
+pub(super) struct LoadByTenant<'a> {
+    pub(super) news: &'a FleetLoadSnapshot<'a>,
     loads: HashMap<TenantTag, Vec<(&'a ZoneLoad, &'a TenantLoad)>>,
     /// Mean age of the zones that are heard.
     age: Duration,
 }
 
-impl<'a> NewsOfTenants<'a> {
-    pub(super) fn new(news: &'a QuotaNews<'a>) -> Self {
+impl<'a> LoadByTenant<'a> {
+    pub(super) fn new(news: &'a FleetLoadSnapshot<'a>) -> Self {
         let mut loads: HashMap<TenantTag, Vec<_>> = HashMap::new();
         for zone in news.zones {
             for load in &zone.tenants {
@@ -190,11 +190,11 @@
     pub(super) fn is_whole(&self) -> bool {
         let heard = self.own && !self.awaited;
         let all = self.lost.is_empty() && self.unheard.is_empty();
-        heard && all && part::of_covered(self) >= 1.0
+        heard && all && limit_fraction::of_covered(self) >= 1.0
     }
 
     /// The reach by later news.
-    pub(super) fn next(&self, news: &QuotaNews<'_>, now: Moment) -> Self {
+    pub(super) fn next(&self, news: &FleetLoadSnapshot<'_>, now: Moment) -> Self {
         let known = || news.zones.iter().filter(|zone| zone.age < GONE);
         let heard = || known().filter(|zone| news.is_fresh(zone));
         let silent = known().filter(|zone| !news.is_fresh(zone));
@@ -228,7 +228,7 @@
     }
 
     /// The zones with members that are in no news, and when each counts as lost.
-    fn unheard_by(&self, news: &QuotaNews<'_>, now: Moment) -> BTreeMap<Zone, Moment> {
+    fn unheard_by(&self, news: &FleetLoadSnapshot<'_>, now: Moment) -> BTreeMap<Zone, Moment> {
         let starting = now.since(self.started) < FRESH;
         let due_of = |zone: &Zone| match starting {
             true => now + FIRST_NEWS,
--- a/crates/rampthread-core/src/call/quota/part.rs
+++ b/crates/rampthread-core/src/call/quota/limit_fraction.rs
@@ -5,7 +5,7 @@
 //! that the parts make up one limit, and that part stays what it is until they hear each
 //! other again. A node that hears nobody is a side of its own.
 
-use super::news::Reach;
+use super::fleet_load::Reach;
 
 /// Portion of a limit that is parted by number, whoever asked before: requests may move
 /// to another side while it is cut off.
--- a/crates/rampthread-core/src/call/quota/mod.rs
+++ b/crates/rampthread-core/src/call/quota/mod.rs
@@ -13,20 +13,20 @@
 //! the limit that they had when they last heard all.
 
 mod bucket;
-mod news;
-mod part;
-mod rate;
+mod decaying_rate;
+mod fleet_load;
+mod limit_fraction;
 mod tenant_quota;
-mod zone_track;
+mod zone_balance;
 
-pub use news::{QuotaNews, ZoneMembers};
+pub use fleet_load::{FleetLoadSnapshot, ZoneMemberCounts};
 pub use tenant_quota::{QuotaBasis, QuotaRefusal};
 
 use crate::call::tenant_table::TenantTable;
 use crate::config::{RateLimit, Tenant};
 use crate::fleet::{TenantLoad, TenantTag};
 use crate::time::Moment;
-use news::{NewsOfTenants, Reach};
+use fleet_load::{LoadByTenant, Reach};
 use rand::Rng;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -122,9 +122,9 @@
 
     /// Takes over what is known of the fleet; to be called often. `table` has the limits
     /// in force: a tenant that is gone leaves nothing behind.
-    pub fn learn(&mut self, news: &QuotaNews<'_>, table: &TenantTable, now: Moment) {
+    pub fn learn(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
         self.reach = self.reach.next(news, now);
-        let told = NewsOfTenants::new(news);
+        let told = LoadByTenant::new(news);
         for tag in told.tenants() {
             if let Some(limit) = table.limit(tag) {
                 self.quota(tag, limit, Duration::ZERO, now);
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -1,10 +1,10 @@
 //! One tenant's limit at one node.
 
 use super::bucket::Bucket;
-use super::news::{NewsOfTenants, Reach, Sum};
-use super::rate::{DecayingRate, weight_after};
-use super::zone_track::{USUAL, ZoneTrack};
-use super::{QuotaTerms, QuotaView, part};
+use super::decaying_rate::{DecayingRate, weight_after};
+use super::fleet_load::{LoadByTenant, Reach, Sum};
+use super::zone_balance::{USUAL, ZoneBalance};
+use super::{QuotaTerms, QuotaView, limit_fraction};
 use crate::config::RateLimit;
 use crate::fleet::{TenantLoad, TenantTag};
 use crate::ids::Zone;
@@ -92,7 +92,7 @@
     /// Requests that come in here, over a longer time.
     usual: DecayingRate,
     /// The zones that have told of it.
-    zones: Vec<ZoneTrack>,
+    zones: Vec<ZoneBalance>,
     last_asked: Moment,
     /// What this node told as asked, by the times of telling.
     told: VecDeque<(Moment, f64)>,
@@ -154,16 +154,16 @@
             run: 1.0,
             learnt_at: now,
             shares: VecDeque::new(),
-            part_of_zones: part::of_zones(0.0, 0.0, reach),
+            part_of_zones: limit_fraction::of_zones(0.0, 0.0, reach),
             part_for: reach.since,
             part: 1.0,
-            own_part: part::of_node(0.0, 0.0, reach),
-            alone: part::is_alone(reach),
+            own_part: limit_fraction::of_node(0.0, 0.0, reach),
+            alone: limit_fraction::is_alone(reach),
             most: Bucket::new(limit, 0.0, now),
             own: Bucket::new(limit, 0.0, now),
             refused: 0,
         };
-        quota.part = quota.part_of_zones * part::of_covered(reach);
+        quota.part = quota.part_of_zones * limit_fraction::of_covered(reach);
         let side = quota.part_of_limit(quota.part);
         let own = quota.part_of_limit(quota.own_part);
         let gained = |limit: RateLimit| match quiet >= terms.window {
@@ -282,7 +282,7 @@
     pub(super) fn learn(
         &mut self,
         tag: TenantTag,
-        told: &NewsOfTenants<'_>,
+        told: &LoadByTenant<'_>,
         reach: &Reach,
         now: Moment,
     ) {
@@ -307,8 +307,8 @@
         self.shares.push_back(ShareSince { at: now, share });
     }
 
-    fn track_zones(&mut self, tag: TenantTag, told: &NewsOfTenants<'_>, now: Moment) {
-        let is_told = |track: &ZoneTrack| {
+    fn track_zones(&mut self, tag: TenantTag, told: &LoadByTenant<'_>, now: Moment) {
+        let is_told = |track: &ZoneBalance| {
             let mut zones = told.news.zones.iter();
             zones.any(|zone| zone.zone == track.zone)
         };
@@ -324,7 +324,7 @@
             let told_at = now - zone.age;
             let of_zone = told.of_zone(tag, &zone.zone);
             let Some(index) = self.zones.iter().position(|track| track.zone == zone.zone) else {
-                let track = ZoneTrack::new(zone.zone.clone(), of_zone.0, told_at);
+                let track = ZoneBalance::new(zone.zone.clone(), of_zone.0, told_at);
                 self.zones.push(track);
                 continue;
             };
@@ -343,7 +343,7 @@
     }
 
     /// What the zones that `counts` were usually asked together.
-    fn usual_of(&self, counts: impl Fn(&ZoneTrack) -> bool) -> f64 {
+    fn usual_of(&self, counts: impl Fn(&ZoneBalance) -> bool) -> f64 {
         let zones = self.zones.iter().filter(|track| counts(track));
         zones.map(|track| track.usual).sum()
     }
@@ -355,15 +355,15 @@
             && self
                 .telling_since
                 .is_some_and(|since| now.since(since) > LEFT_OUT_AFTER);
-        self.alone = part::is_alone(reach) || left_out;
+        self.alone = limit_fraction::is_alone(reach) || left_out;
         if self.part_for != reach.since {
             self.part_for = reach.since;
-            let is_heard = |track: &ZoneTrack| !reach.lost.contains(&track.zone);
+            let is_heard = |track: &ZoneBalance| !reach.lost.contains(&track.zone);
             let (heard, all) = (self.usual_of(is_heard), self.usual_of(|_| true));
             // What a zone was asked that this record never heard of is not known.
             self.part_of_zones = match self.knows_all(&reach.lost) {
-                true => part::of_zones(heard, all, reach),
-                false => part::of_zones(0.0, 0.0, reach),
+                true => limit_fraction::of_zones(heard, all, reach),
+                false => limit_fraction::of_zones(0.0, 0.0, reach),
             };
             if !reach.lost.is_empty() {
                 let levels = self.zones.iter().filter(|track| is_heard(track));
@@ -371,12 +371,13 @@
                 self.level = self.level.min(kept);
             }
         }
-        self.part = self.part_of_zones * part::of_covered(reach);
+        self.part = self.part_of_zones * limit_fraction::of_covered(reach);
         let hears_all = !self.alone && reach.lost.is_empty();
         if left_out {
-            self.own_part = part::of_node(0.0, 0.0, reach);
+            self.own_part = limit_fraction::of_node(0.0, 0.0, reach);
         } else if hears_all {
-            self.own_part = part::of_node(self.usual.at(now), self.usual_of(|_| true), reach);
+            self.own_part =
+                limit_fraction::of_node(self.usual.at(now), self.usual_of(|_| true), reach);
         }
     }
 
@@ -462,7 +463,7 @@
     /// True while it keeps to less than a new record would: to forget it would give the
     /// side a part that the others already have.
     pub(super) fn holds_back(&self, reach: &Reach) -> bool {
-        self.part_of_zones < part::of_zones(0.0, 0.0, reach)
+        self.part_of_zones < limit_fraction::of_zones(0.0, 0.0, reach)
     }
 
     pub(super) fn idle(&self, now: Moment) -> Duration {
--- a/crates/rampthread-core/src/call/quota/zone_track.rs
+++ b/crates/rampthread-core/src/call/quota/zone_balance.rs
@@ -1,6 +1,6 @@
 //! What one zone is usually asked and has admitted of a tenant's requests.
 
-use super::rate::weight_after;
+use super::decaying_rate::weight_after;
 use crate::config::RateLimit;
 use crate::ids::Zone;
 use crate::time::Moment;
@@ -12,7 +12,7 @@
 /// One zone's part, kept at all times: when the zone is lost, the others know what they
 /// admitted beyond theirs before they noticed.
 #[derive(Debug, Clone)]
-pub(super) struct ZoneTrack {
+pub(super) struct ZoneBalance {
     pub(super) zone: Zone,
     /// Requests a second, over a longer time.
     pub(super) usual: f64,
@@ -21,7 +21,7 @@
     at: Moment,
 }
 
-impl ZoneTrack {
+impl ZoneBalance {
     pub(super) fn new(zone: Zone, asked: f64, at: Moment) -> Self {
         Self {
             zone,
--- a/crates/rampthread-core/tests/quota_fleet/mod.rs
+++ b/crates/rampthread-core/tests/quota_fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Entries of a fleet in memory, each with its quotas, and what they hear of each other:
 //! the times of the load exchange, without its messages.
 
-use rampthread_core::call::quota::{QuotaNews, QuotaTerms, Quotas, ZoneMembers};
+use rampthread_core::call::quota::{FleetLoadSnapshot, QuotaTerms, Quotas, ZoneMemberCounts};
 use rampthread_core::call::tenant_table::TenantTable;
 use rampthread_core::config::{ConfigState, RateLimit, RequestCount, Resource, Tenant};
 use rampthread_core::fleet::{TenantLoad, TenantTag, ZoneLoad};
@@ -28,7 +28,7 @@
 /// How an entry decides.
 pub trait Limiter {
     fn ask(&mut self, tenant: &Tenant, now: Moment, rng: &mut ChaCha8Rng) -> bool;
-    fn learn(&mut self, news: &QuotaNews<'_>, table: &TenantTable, now: Moment);
+    fn learn(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment);
     fn loads(&mut self, now: Moment) -> Vec<TenantLoad>;
     fn give_back(&mut self, tag: TenantTag, now: Moment);
 }
@@ -37,7 +37,7 @@
     fn ask(&mut self, tenant: &Tenant, now: Moment, rng: &mut ChaCha8Rng) -> bool {
         Quotas::ask(self, tenant, now, rng).is_ok()
     }
-    fn learn(&mut self, news: &QuotaNews<'_>, table: &TenantTable, now: Moment) {
+    fn learn(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
         Quotas::learn(self, news, table, now);
     }
     fn loads(&mut self, now: Moment) -> Vec<TenantLoad> {
@@ -77,7 +77,7 @@
         self.level -= f64::from(u8::from(admitted));
         admitted
     }
-    fn learn(&mut self, _: &QuotaNews<'_>, _: &TenantTable, _: Moment) {}
+    fn learn(&mut self, _: &FleetLoadSnapshot<'_>, _: &TenantTable, _: Moment) {}
     fn loads(&mut self, _: Moment) -> Vec<TenantLoad> {
         Vec::new()
     }
@@ -118,7 +118,7 @@
     pub not_run: f64,
     /// When the next entry ticks.
     due: Moment,
-    members: ZoneMembers,
+    members: ZoneMemberCounts,
     table: TenantTable,
     tenant: Tenant,
     pub asked: Vec<Moment>,
@@ -172,7 +172,7 @@
             reports: BTreeMap::new(),
         };
         let entries: Vec<Entry<L>> = (0..nodes).map(entry).collect();
-        let mut members = ZoneMembers::new();
+        let mut members = ZoneMemberCounts::new();
         for entry in &entries {
             *members.entry(zone_name(entry.zone)).or_default() += 1;
         }
@@ -318,7 +318,7 @@
                 tenants: told.loads.clone(),
             })
             .collect();
-        let news = QuotaNews {
+        let news = FleetLoadSnapshot {
             zones: &zones,
             own_zone: &zone_name(entry.zone),
             members: &self.members,
--- a/crates/rampthread-core/tests/quota_state.rs
+++ b/crates/rampthread-core/tests/quota_state.rs
@@ -2,7 +2,9 @@
 
 use http::header::AUTHORIZATION;
 use http::{HeaderMap, HeaderValue};
-use rampthread_core::call::quota::{QuotaBasis, QuotaNews, QuotaTerms, Quotas, ZoneMembers};
+use rampthread_core::call::quota::{
+    FleetLoadSnapshot, QuotaBasis, QuotaTerms, Quotas, ZoneMemberCounts,
+};
 use rampthread_core::call::tenant_table::TenantTable;
 use rampthread_core::config::{ConfigState, KeyDigest, RequestCount, Resource, StateDelta, Tenant};
 use rampthread_core::fleet::{TenantLoad, TenantTag, ZoneLoad};
@@ -59,10 +61,10 @@
 }
 
 fn learn(quotas: &mut Quotas, zones: &[ZoneLoad], table: &TenantTable, now: Moment) {
-    let news = QuotaNews {
+    let news = FleetLoadSnapshot {
         zones,
         own_zone: &zone(),
-        members: &ZoneMembers::from([(zone(), 1)]),
+        members: &ZoneMemberCounts::from([(zone(), 1)]),
     };
     quotas.learn(&news, table, now);
 }
@@ -133,10 +135,10 @@
         tenants: Vec::new(),
     };
     let zones = [told(zone(), own_age), told(far.clone(), far_age)];
-    let news = QuotaNews {
+    let news = FleetLoadSnapshot {
         zones: &zones,
         own_zone: &zone(),
-        members: &ZoneMembers::from([(zone(), members), (far, members)]),
+        members: &ZoneMemberCounts::from([(zone(), members), (far, members)]),
     };
     let now = Moment(10_000_000);
     let mut quotas = Quotas::new(terms, Moment(1_000_000));
@@ -191,10 +193,10 @@
         ..told().swap_remove(0)
     }];
     let zones: &[ZoneLoad] = if heard { &quiet } else { &[] };
-    let news = QuotaNews {
+    let news = FleetLoadSnapshot {
         zones,
         own_zone: &zone(),
-        members: &ZoneMembers::from([(zone(), 71)]),
+        members: &ZoneMemberCounts::from([(zone(), 71)]),
     };
     let mut now = Moment(1_000_000);
     let table = TenantTable::new(&version(1, 1));
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -6,7 +6,7 @@
 use crate::metrics::TenantLabel;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::quota::{
-    QuotaBasis, QuotaNews, QuotaRefusal, QuotaTerms, QuotaView, Quotas, ZoneMembers,
+    FleetLoadSnapshot, QuotaBasis, QuotaRefusal, QuotaTerms, QuotaView, Quotas, ZoneMemberCounts,
 };
 use rampthread_core::config::Tenant;
 use rampthread_core::fleet::{Status, TenantLoad, TenantTag};
@@ -86,7 +86,7 @@
         }
         let zones = self.control.zone_loads().at(now);
         let members = self.members(now);
-        let news = QuotaNews {
+        let news = FleetLoadSnapshot {
             zones: &zones,
             own_zone: &self.zone,
             members: &members,
@@ -99,9 +99,9 @@
         }
     }
 
-    fn members(&self, now: Moment) -> ZoneMembers {
+    fn members(&self, now: Moment) -> ZoneMemberCounts {
         self.control.with_agent(|agent| {
-            let mut members = ZoneMembers::new();
+            let mut members = ZoneMemberCounts::new();
             let membership = agent.membership();
             for record in membership.records() {
                 let missing = membership.unreachable_since(&record.id);
