--- a/crates/rampthread-core/src/call/quota/mod.rs
+++ b/crates/rampthread-core/src/call/quota/mod.rs
@@ -38,20 +38,20 @@
 
 /// What the fleet promises beyond the limits themselves.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct QuotaTerms {
+pub struct QuotaPolicy {
     /// Sliding window in which requests are counted.
     pub window: Duration,
     /// Part of a limit by which a window may exceed it.
-    pub overage: f64,
+    pub overage_ratio: f64,
     /// Requests by which a window may exceed its limit besides.
-    pub slack: f64,
+    pub slack_requests: f64,
 }
 
-impl QuotaTerms {
+impl QuotaPolicy {
     /// Most requests that may run in a window.
-    pub fn bound(&self, limit: RateLimit) -> f64 {
+    pub fn max_requests_in_window(&self, limit: RateLimit) -> f64 {
         let requests = limit.rate * self.window.as_secs_f64() + limit.burst;
-        requests * (1.0 + self.overage) + self.slack
+        requests * (1.0 + self.overage_ratio) + self.slack_requests
     }
 }
 
@@ -77,7 +77,7 @@
 /// The limits of all tenants, as one node keeps them.
 #[derive(Debug)]
 pub struct Quotas {
-    terms: QuotaTerms,
+    policy: QuotaPolicy,
     tenants: HashMap<TenantTag, TenantQuota>,
     reach: Reach,
     started: Moment,
@@ -87,9 +87,9 @@
 
 impl Quotas {
     /// Nothing is known of any tenant.
-    pub fn new(terms: QuotaTerms, now: Moment) -> Self {
+    pub fn new(policy: QuotaPolicy, now: Moment) -> Self {
         Self {
-            terms,
+            policy,
             tenants: HashMap::new(),
             reach: Reach::unknown(now),
             started: now,
@@ -174,13 +174,13 @@
         quiet: Duration,
         now: Moment,
     ) -> &mut TenantQuota {
-        let (terms, reach) = (self.terms, &self.reach);
+        let (policy, reach) = (self.policy, &self.reach);
         // After a whole window this node would have a record of any tenant that was admitted
         // much; before that, it does not know what ran before it started.
-        let rested = now.since(self.started) >= terms.window;
-        let quiet = if rested { terms.window } else { quiet };
+        let rested = now.since(self.started) >= policy.window;
+        let quiet = if rested { policy.window } else { quiet };
         self.tenants
             .entry(tag)
-            .or_insert_with(|| TenantQuota::new(terms, limit, reach, quiet, now))
+            .or_insert_with(|| TenantQuota::new(policy, limit, reach, quiet, now))
     }
 }
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -4,7 +4,7 @@
 use super::decaying_rate::{DecayingRate, weight_after};
 use super::fleet_load::{LoadByTenant, Reach, Sum};
 use super::zone_balance::{USUAL, ZoneBalance};
-use super::{QuotaTerms, QuotaView, limit_fraction};
+use super::{QuotaPolicy, QuotaView, limit_fraction};
 use crate::config::RateLimit;
 use crate::fleet::{TenantLoad, TenantTag};
 use crate::ids::Zone;
@@ -85,7 +85,7 @@
 /// One tenant's limit as one node keeps it.
 #[derive(Debug)]
 pub(super) struct TenantQuota {
-    terms: QuotaTerms,
+    policy: QuotaPolicy,
     limit: RateLimit,
     asked: DecayingRate,
     admitted: DecayingRate,
@@ -131,14 +131,14 @@
     /// The quota of a tenant that was not known here, and of which little was admitted for
     /// the time `quiet`; after a whole window it has its burst.
     pub(super) fn new(
-        terms: QuotaTerms,
+        policy: QuotaPolicy,
         limit: RateLimit,
         reach: &Reach,
         quiet: Duration,
         now: Moment,
     ) -> Self {
         let mut quota = Self {
-            terms,
+            policy,
             limit,
             asked: DecayingRate::new(DEMAND_WINDOW, now),
             admitted: DecayingRate::new(DEMAND_WINDOW, now),
@@ -166,7 +166,7 @@
         quota.part = quota.part_of_zones * limit_fraction::of_covered(reach);
         let side = quota.part_of_limit(quota.part);
         let own = quota.part_of_limit(quota.own_part);
-        let gained = |limit: RateLimit| match quiet >= terms.window {
+        let gained = |limit: RateLimit| match quiet >= policy.window {
             true => limit.burst,
             false => (limit.rate * (1.0 - UNTOLD) * quiet.as_secs_f64()).min(limit.burst),
         };
@@ -188,7 +188,8 @@
     fn part_of_limit(&self, part: f64) -> RateLimit {
         RateLimit {
             rate: self.limit.rate * part,
-            burst: (self.limit.burst * SPENT_BURST + self.terms.slack * SPENT_SLACK) * part,
+            burst: (self.limit.burst * SPENT_BURST + self.policy.slack_requests * SPENT_SLACK)
+                * part,
         }
     }
 
@@ -290,7 +291,7 @@
         self.track_zones(tag, told, now);
         self.find_parts(reach, now);
         let side = self.part_of_limit(self.part);
-        let window = self.terms.window.as_secs_f64();
+        let window = self.policy.window.as_secs_f64();
         self.most.set_limit(side, window, now);
         let own = self.part_of_limit(self.own_part);
         self.own.set_limit(own, window, now);
@@ -313,7 +314,7 @@
             zones.any(|zone| zone.zone == track.zone)
         };
         self.zones.retain(is_told);
-        let window = self.terms.window.as_secs_f64();
+        let window = self.policy.window.as_secs_f64();
         let all = self.usual_of(|_| true);
         let heard = told
             .news
@@ -390,7 +391,7 @@
         let passed = spoken_of.since(self.level_at).as_secs_f64();
         let gained = (side.rate - self.sum.admitted) * passed;
         // More than a window's requests cannot be owed: older ones do not count any more.
-        let most_owed = side.rate * self.terms.window.as_secs_f64() + side.burst;
+        let most_owed = side.rate * self.policy.window.as_secs_f64() + side.burst;
         self.level = (self.level + gained).clamp(-most_owed, side.burst);
         self.level_at = spoken_of;
         while self
--- a/crates/rampthread-core/tests/quota_fleet/mod.rs
+++ b/crates/rampthread-core/tests/quota_fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Entries of a fleet in memory, each with its quotas, and what they hear of each other:
 //! the times of the load exchange, without its messages.
 
-use rampthread_core::call::quota::{FleetLoadSnapshot, QuotaTerms, Quotas, ZoneMemberCounts};
+use rampthread_core::call::quota::{FleetLoadSnapshot, QuotaPolicy, Quotas, ZoneMemberCounts};
 use rampthread_core::call::tenant_table::TenantTable;
 use rampthread_core::config::{ConfigState, RateLimit, RequestCount, Resource, Tenant};
 use rampthread_core::fleet::{TenantLoad, TenantTag, ZoneLoad};
@@ -15,10 +15,10 @@
 /// Least number of zones, and most nodes of one: the fleet to design for has 54.
 const ZONES: usize = 3;
 const ZONE_NODES: usize = 54;
-pub const TERMS: QuotaTerms = QuotaTerms {
+pub const POLICY: QuotaPolicy = QuotaPolicy {
     window: Duration::from_secs(5),
-    overage: 0.1,
-    slack: 20.0,
+    overage_ratio: 0.1,
+    slack_requests: 20.0,
 };
 /// Time between two looks at the news.
 const TICK: Duration = Duration::from_millis(100);
@@ -132,7 +132,7 @@
 }
 
 pub fn quotas(_: &QuotaFleetSize, now: Moment) -> Quotas {
-    Quotas::new(TERMS, now)
+    Quotas::new(POLICY, now)
 }
 
 fn table(limit: RateLimit) -> (TenantTable, Tenant) {
@@ -407,12 +407,12 @@
         let mut first = 0;
         let mut most = 0;
         for (last, at) in self.admitted.iter().enumerate() {
-            while at.since(self.admitted[first]) > TERMS.window {
+            while at.since(self.admitted[first]) > POLICY.window {
                 first += 1;
             }
             most = most.max(last + 1 - first);
         }
-        most as f64 / TERMS.bound(limit)
+        most as f64 / POLICY.max_requests_in_window(limit)
     }
 
     /// Requests admitted from `begin` on, and those that one bucket for all would admit.
--- a/crates/rampthread-core/tests/quota_properties.rs
+++ b/crates/rampthread-core/tests/quota_properties.rs
@@ -3,7 +3,7 @@
 
 mod quota_fleet;
 
-use quota_fleet::{Limiter, QuotaFleet, QuotaFleetSize, TERMS, fixed_parts, quotas};
+use quota_fleet::{Limiter, POLICY, QuotaFleet, QuotaFleetSize, fixed_parts, quotas};
 use rampthread_core::config::RateLimit;
 use rampthread_core::time::Moment;
 use rand::Rng;
@@ -96,9 +96,9 @@
 #[rstest]
 fn a_changed_limit_holds(#[values(13, 71)] nodes: usize, #[values(40.0, 600.0)] rate: f64) {
     let mut fleet = settled(nodes, 2.0 * rate, 4, quotas);
-    fleet.run(TERMS.window, 3.0 * rate, everywhere(nodes));
+    fleet.run(POLICY.window, 3.0 * rate, everywhere(nodes));
     fleet.set_limit(limit(rate));
-    fleet.run(TERMS.window, 3.0 * rate, everywhere(nodes));
+    fleet.run(POLICY.window, 3.0 * rate, everywhere(nodes));
     fleet.admitted.clear();
     let lowered = fleet.now;
     fleet.run(SURGE_TIME, 3.0 * rate, everywhere(nodes));
@@ -110,7 +110,7 @@
     fleet.set_limit(limit(4.0 * rate));
     fleet.rest(Duration::from_millis(200));
     fleet.admitted.clear();
-    fleet.run(TERMS.window, 3.0 * rate, everywhere(nodes));
+    fleet.run(POLICY.window, 3.0 * rate, everywhere(nodes));
     let (given, asked) = (fleet.admitted.len() as f64, 3.0 * rate * 5.0);
     assert!(given >= 0.9 * asked, "{given} of {asked}");
 }
@@ -293,7 +293,7 @@
         for rate in [4.6, 40.0, 600.0] {
             for surge in [SURGE, 20.0, 100.0] {
                 let mut fleet = settled(nodes, rate, 9, quotas);
-                fleet.run(TERMS.window, rate * surge, everywhere(nodes));
+                fleet.run(POLICY.window, rate * surge, everywhere(nodes));
                 let worst = fleet.worst_window(limit(rate));
                 println!("SIZE {worst:.3} {nodes} nodes, {rate} a second, x {surge}");
                 if worst > 1.0 {
--- a/crates/rampthread-core/tests/quota_state.rs
+++ b/crates/rampthread-core/tests/quota_state.rs
@@ -3,7 +3,7 @@
 use http::header::AUTHORIZATION;
 use http::{HeaderMap, HeaderValue};
 use rampthread_core::call::quota::{
-    FleetLoadSnapshot, QuotaBasis, QuotaTerms, Quotas, ZoneMemberCounts,
+    FleetLoadSnapshot, QuotaBasis, QuotaPolicy, Quotas, ZoneMemberCounts,
 };
 use rampthread_core::call::tenant_table::TenantTable;
 use rampthread_core::config::{ConfigState, KeyDigest, RequestCount, Resource, StateDelta, Tenant};
@@ -71,10 +71,10 @@
 
 #[test]
 fn ten_thousand_tenants_are_bounded_and_leave_nothing_behind() {
-    let terms = QuotaTerms {
+    let policy = QuotaPolicy {
         window: Duration::from_secs(5),
-        overage: 0.1,
-        slack: 20.0,
+        overage_ratio: 0.1,
+        slack_requests: 20.0,
     };
     let state = version(2, TENANTS);
     let delta = StateDelta::between(&version(1, 0), &state).encode();
@@ -88,7 +88,7 @@
     }
     let looked_up = begun.elapsed();
     let mut now = Moment(1_000_000);
-    let mut quotas = Quotas::new(terms, now);
+    let mut quotas = Quotas::new(policy, now);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for number in 0..TENANTS {
         quotas.ask(&tenant(number), now, &mut rng).unwrap();
@@ -121,10 +121,10 @@
 /// What a node goes by that has heard its own zone and another one of `members` each, so
 /// long ago.
 fn basis_after(members: u32, own_age: Duration, far_age: Duration) -> QuotaBasis {
-    let terms = QuotaTerms {
+    let policy = QuotaPolicy {
         window: Duration::from_secs(5),
-        overage: 0.1,
-        slack: 20.0,
+        overage_ratio: 0.1,
+        slack_requests: 20.0,
     };
     let far = Zone::new("far").unwrap();
     let told = |zone: Zone, age: Duration| ZoneLoad {
@@ -141,7 +141,7 @@
         members: &ZoneMemberCounts::from([(zone(), members), (far, members)]),
     };
     let now = Moment(10_000_000);
-    let mut quotas = Quotas::new(terms, Moment(1_000_000));
+    let mut quotas = Quotas::new(policy, Moment(1_000_000));
     let table = TenantTable::new(&version(1, 1));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     quotas.learn(&news, &table, now);
@@ -182,10 +182,10 @@
 #[case::nobody_asks(true, 2)]
 #[case::nothing_heard(false, 0)]
 fn the_first_requests_after_a_start(#[case] heard: bool, #[case] admitted: usize) {
-    let terms = QuotaTerms {
+    let policy = QuotaPolicy {
         window: Duration::from_secs(5),
-        overage: 0.1,
-        slack: 20.0,
+        overage_ratio: 0.1,
+        slack_requests: 20.0,
     };
     let quiet = [ZoneLoad {
         nodes: 71,
@@ -200,7 +200,7 @@
     };
     let mut now = Moment(1_000_000);
     let table = TenantTable::new(&version(1, 1));
-    let mut quotas = Quotas::new(terms, now);
+    let mut quotas = Quotas::new(policy, now);
     for _ in 0..5 {
         now = now + Duration::from_millis(100);
         quotas.learn(&news, &table, now);
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -6,7 +6,7 @@
 use crate::metrics::TenantLabel;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::quota::{
-    FleetLoadSnapshot, QuotaBasis, QuotaRefusal, QuotaTerms, QuotaView, Quotas, ZoneMemberCounts,
+    FleetLoadSnapshot, QuotaBasis, QuotaPolicy, QuotaRefusal, QuotaView, Quotas, ZoneMemberCounts,
 };
 use rampthread_core::config::Tenant;
 use rampthread_core::fleet::{Status, TenantLoad, TenantTag};
@@ -38,8 +38,8 @@
 
 impl TenantLimits {
     /// Creates limits without any knowledge of demand; `zone` is that of this node.
-    pub fn new(control: Arc<Control>, zone: Zone, terms: QuotaTerms) -> Self {
-        let quotas = Mutex::new(Quotas::new(terms, control.clock.now()));
+    pub fn new(control: Arc<Control>, zone: Zone, policy: QuotaPolicy) -> Self {
+        let quotas = Mutex::new(Quotas::new(policy, control.clock.now()));
         Self {
             control,
             zone,
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -377,7 +377,7 @@
                 life,
             ))
         });
-        let terms = settings.quota.to_terms();
+        let terms = settings.quota.to_policy();
         let zone = settings.node.zone.clone();
         let limits = Arc::new(TenantLimits::new(control.clone(), zone, terms));
         let entry = Arc::new(Entry::new(EntryOptions {
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -2,7 +2,7 @@
 
 use bytesize::ByteSize;
 use rampthread_core::call::attempts::RetryLimit;
-use rampthread_core::call::quota::QuotaTerms;
+use rampthread_core::call::quota::QuotaPolicy;
 use rampthread_core::fleet::{DistributionMode, FleetSettings, Machine};
 use rampthread_core::ids::{NodeId, Region, ResourceName, Zone};
 use rampthread_core::rollout::RolloutBounds;
@@ -66,11 +66,11 @@
 
 impl QuotaSettings {
     /// The terms that limits are kept by.
-    pub fn to_terms(self) -> QuotaTerms {
-        QuotaTerms {
+    pub fn to_policy(self) -> QuotaPolicy {
+        QuotaPolicy {
             window: self.window,
-            overage: self.overage,
-            slack: self.slack,
+            overage_ratio: self.overage,
+            slack_requests: self.slack,
         }
     }
 }
