--- a/crates/rampthread-core/src/call/quota/bucket.rs
+++ b/crates/rampthread-core/src/call/quota/bucket.rs
@@ -51,7 +51,7 @@
     }
 
     /// Gives a token back.
-    pub(super) fn give_back(&mut self) {
+    pub(super) fn refund(&mut self) {
         self.level = (self.level + 1.0).min(self.limit.burst);
     }
 }
--- a/crates/rampthread-core/src/call/quota/mod.rs
+++ b/crates/rampthread-core/src/call/quota/mod.rs
@@ -76,7 +76,7 @@
 
 /// The limits of all tenants, as one node keeps them.
 #[derive(Debug)]
-pub struct Quotas {
+pub struct TenantQuotas {
     policy: QuotaPolicy,
     tenants: HashMap<TenantTag, TenantQuota>,
     reach: Reach,
@@ -85,7 +85,7 @@
     all_heard_since: Option<Moment>,
 }
 
-impl Quotas {
+impl TenantQuotas {
     /// Nothing is known of any tenant.
     pub fn new(policy: QuotaPolicy, now: Moment) -> Self {
         Self {
@@ -98,7 +98,7 @@
     }
 
     /// A request of `tenant` comes in. A tenant without a limit is not counted.
-    pub fn ask(
+    pub fn try_admit(
         &mut self,
         tenant: &Tenant,
         now: Moment,
@@ -110,19 +110,19 @@
         let quiet = self.all_heard_since.map(|since| now.since(since));
         let tag = TenantTag::of(&tenant.name);
         let quota = self.quota(tag, limit, quiet.unwrap_or_default(), now);
-        quota.ask(now, rng)
+        quota.try_admit(now, rng)
     }
 
     /// A request that was admitted was proved not to have run.
-    pub fn give_back(&mut self, tenant: TenantTag, now: Moment) {
+    pub fn refund(&mut self, tenant: TenantTag, now: Moment) {
         if let Some(quota) = self.tenants.get_mut(&tenant) {
-            quota.give_back(now);
+            quota.refund(now);
         }
     }
 
     /// Takes over what is known of the fleet; to be called often. `table` has the limits
     /// in force: a tenant that is gone leaves nothing behind.
-    pub fn learn(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
+    pub fn update(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
         self.reach = self.reach.next(news, now);
         let told = LoadByTenant::new(news);
         for tag in told.tenants() {
@@ -138,14 +138,14 @@
                 return false;
             };
             quota.set_limit(limit);
-            quota.learn(*tag, &told, reach, now);
+            quota.update(*tag, &told, reach, now);
             quota.idle(now) < FORGET_AFTER || quota.holds_back(reach)
         });
     }
 
     /// What this node has to tell of its tenants: those who ask for so little that the
     /// limit would hold if all nodes were asked as much are left out.
-    pub fn loads(&mut self, now: Moment) -> Vec<TenantLoad> {
+    pub fn load_reports(&mut self, now: Moment) -> Vec<TenantLoad> {
         let nodes = f64::from(self.reach.members);
         let told = |(tag, quota): (&TenantTag, &mut TenantQuota)| quota.tell(*tag, nodes, now);
         self.tenants.iter_mut().filter_map(told).collect()
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -194,7 +194,11 @@
     }
 
     /// A request comes in.
-    pub(super) fn ask(&mut self, now: Moment, rng: &mut impl Rng) -> Result<(), QuotaRefusal> {
+    pub(super) fn try_admit(
+        &mut self,
+        now: Moment,
+        rng: &mut impl Rng,
+    ) -> Result<(), QuotaRefusal> {
         self.asked.count(1.0, now);
         self.usual.count(1.0, now);
         self.last_asked = now;
@@ -219,10 +223,10 @@
         })
     }
 
-    pub(super) fn give_back(&mut self, now: Moment) {
+    pub(super) fn refund(&mut self, now: Moment) {
         self.admitted.count(-1.0, now);
-        self.most.give_back();
-        self.own.give_back();
+        self.most.refund();
+        self.own.refund();
     }
 
     /// Requests a second that the whole side is asked: what was told, and what this node
@@ -280,7 +284,7 @@
     }
 
     /// Takes over what is known of the fleet.
-    pub(super) fn learn(
+    pub(super) fn update(
         &mut self,
         tag: TenantTag,
         told: &LoadByTenant<'_>,
--- a/crates/rampthread-core/tests/quota_fleet/mod.rs
+++ b/crates/rampthread-core/tests/quota_fleet/mod.rs
@@ -1,7 +1,9 @@
 //! Entries of a fleet in memory, each with its quotas, and what they hear of each other:
 //! the times of the load exchange, without its messages.
 
-use rampthread_core::call::quota::{FleetLoadSnapshot, QuotaPolicy, Quotas, ZoneMemberCounts};
+use rampthread_core::call::quota::{
+    FleetLoadSnapshot, QuotaPolicy, TenantQuotas, ZoneMemberCounts,
+};
 use rampthread_core::call::tenant_table::TenantTable;
 use rampthread_core::config::{ConfigState, RateLimit, RequestCount, Resource, Tenant};
 use rampthread_core::fleet::{TenantLoad, TenantTag, ZoneLoad};
@@ -27,24 +29,24 @@
 
 /// How an entry decides.
 pub trait Limiter {
-    fn ask(&mut self, tenant: &Tenant, now: Moment, rng: &mut ChaCha8Rng) -> bool;
-    fn learn(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment);
-    fn loads(&mut self, now: Moment) -> Vec<TenantLoad>;
-    fn give_back(&mut self, tag: TenantTag, now: Moment);
+    fn try_admit(&mut self, tenant: &Tenant, now: Moment, rng: &mut ChaCha8Rng) -> bool;
+    fn update(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment);
+    fn load_reports(&mut self, now: Moment) -> Vec<TenantLoad>;
+    fn refund(&mut self, tag: TenantTag, now: Moment);
 }
 
-impl Limiter for Quotas {
-    fn ask(&mut self, tenant: &Tenant, now: Moment, rng: &mut ChaCha8Rng) -> bool {
-        Quotas::ask(self, tenant, now, rng).is_ok()
+impl Limiter for TenantQuotas {
+    fn try_admit(&mut self, tenant: &Tenant, now: Moment, rng: &mut ChaCha8Rng) -> bool {
+        TenantQuotas::try_admit(self, tenant, now, rng).is_ok()
     }
-    fn learn(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
-        Quotas::learn(self, news, table, now);
+    fn update(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
+        TenantQuotas::update(self, news, table, now);
     }
-    fn loads(&mut self, now: Moment) -> Vec<TenantLoad> {
-        Quotas::loads(self, now)
+    fn load_reports(&mut self, now: Moment) -> Vec<TenantLoad> {
+        TenantQuotas::load_reports(self, now)
     }
-    fn give_back(&mut self, tag: TenantTag, now: Moment) {
-        Quotas::give_back(self, tag, now);
+    fn refund(&mut self, tag: TenantTag, now: Moment) {
+        TenantQuotas::refund(self, tag, now);
     }
 }
 
@@ -69,7 +71,7 @@
 }
 
 impl Limiter for FixedParts {
-    fn ask(&mut self, _: &Tenant, now: Moment, _: &mut ChaCha8Rng) -> bool {
+    fn try_admit(&mut self, _: &Tenant, now: Moment, _: &mut ChaCha8Rng) -> bool {
         let filled = self.part.rate * now.since(self.at).as_secs_f64();
         self.level = (self.level + filled).min(self.part.burst);
         self.at = now;
@@ -77,11 +79,11 @@
         self.level -= f64::from(u8::from(admitted));
         admitted
     }
-    fn learn(&mut self, _: &FleetLoadSnapshot<'_>, _: &TenantTable, _: Moment) {}
-    fn loads(&mut self, _: Moment) -> Vec<TenantLoad> {
+    fn update(&mut self, _: &FleetLoadSnapshot<'_>, _: &TenantTable, _: Moment) {}
+    fn load_reports(&mut self, _: Moment) -> Vec<TenantLoad> {
         Vec::new()
     }
-    fn give_back(&mut self, _: TenantTag, _: Moment) {}
+    fn refund(&mut self, _: TenantTag, _: Moment) {}
 }
 
 /// What was told of so many nodes at a time.
@@ -131,8 +133,8 @@
     pub limit: RateLimit,
 }
 
-pub fn quotas(_: &QuotaFleetSize, now: Moment) -> Quotas {
-    Quotas::new(POLICY, now)
+pub fn quotas(_: &QuotaFleetSize, now: Moment) -> TenantQuotas {
+    TenantQuotas::new(POLICY, now)
 }
 
 fn table(limit: RateLimit) -> (TenantTable, Tenant) {
@@ -261,13 +263,11 @@
         if entry.paused_until > now {
             return;
         }
-        if !entry.limiter.ask(&self.tenant, now, &mut self.rng) {
+        if !entry.limiter.try_admit(&self.tenant, now, &mut self.rng) {
             return;
         }
         if self.rng.random::<f64>() < self.not_run {
-            entry
-                .limiter
-                .give_back(TenantTag::of(&self.tenant.name), now);
+            entry.limiter.refund(TenantTag::of(&self.tenant.name), now);
         } else {
             self.admitted.push(now);
         }
@@ -300,7 +300,7 @@
 
     fn tick(&mut self, index: usize) {
         let now = self.now;
-        let loads = self.entries[index].limiter.loads(now);
+        let loads = self.entries[index].limiter.load_reports(now);
         if now >= self.entries[index].next_report {
             self.entries[index].next_report = now + self.interval();
             self.exchange(index, loads);
@@ -323,7 +323,7 @@
             own_zone: &zone_name(entry.zone),
             members: &self.members,
         };
-        entry.limiter.learn(&news, &self.table, now);
+        entry.limiter.update(&news, &self.table, now);
     }
 
     fn hear_each_other(&self, one: usize, other: usize) -> bool {
--- a/crates/rampthread-core/tests/quota_state.rs
+++ b/crates/rampthread-core/tests/quota_state.rs
@@ -3,7 +3,7 @@
 use http::header::AUTHORIZATION;
 use http::{HeaderMap, HeaderValue};
 use rampthread_core::call::quota::{
-    FleetLoadSnapshot, QuotaBasis, QuotaPolicy, Quotas, ZoneMemberCounts,
+    FleetLoadSnapshot, QuotaBasis, QuotaPolicy, TenantQuotas, ZoneMemberCounts,
 };
 use rampthread_core::call::tenant_table::TenantTable;
 use rampthread_core::config::{ConfigState, KeyDigest, RequestCount, Resource, StateDelta, Tenant};
@@ -60,13 +60,13 @@
     }]
 }
 
-fn learn(quotas: &mut Quotas, zones: &[ZoneLoad], table: &TenantTable, now: Moment) {
+fn learn(quotas: &mut TenantQuotas, zones: &[ZoneLoad], table: &TenantTable, now: Moment) {
     let news = FleetLoadSnapshot {
         zones,
         own_zone: &zone(),
         members: &ZoneMemberCounts::from([(zone(), 1)]),
     };
-    quotas.learn(&news, table, now);
+    quotas.update(&news, table, now);
 }
 
 #[test]
@@ -88,17 +88,17 @@
     }
     let looked_up = begun.elapsed();
     let mut now = Moment(1_000_000);
-    let mut quotas = Quotas::new(policy, now);
+    let mut quotas = TenantQuotas::new(policy, now);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for number in 0..TENANTS {
-        quotas.ask(&tenant(number), now, &mut rng).unwrap();
+        quotas.try_admit(&tenant(number), now, &mut rng).unwrap();
     }
     let begun = Instant::now();
     let zones = told();
     for _ in 0..20 {
         now = now + Duration::from_millis(100);
         learn(&mut quotas, &zones, &table, now);
-        assert!(quotas.loads(now).len() <= TENANTS);
+        assert!(quotas.load_reports(now).len() <= TENANTS);
     }
     let learnt = begun.elapsed() / 20;
     println!(
@@ -141,12 +141,12 @@
         members: &ZoneMemberCounts::from([(zone(), members), (far, members)]),
     };
     let now = Moment(10_000_000);
-    let mut quotas = Quotas::new(policy, Moment(1_000_000));
+    let mut quotas = TenantQuotas::new(policy, Moment(1_000_000));
     let table = TenantTable::new(&version(1, 1));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    quotas.learn(&news, &table, now);
-    quotas.ask(&tenant(0), now, &mut rng).ok();
-    quotas.learn(&news, &table, now);
+    quotas.update(&news, &table, now);
+    quotas.try_admit(&tenant(0), now, &mut rng).ok();
+    quotas.update(&news, &table, now);
     let tag = TenantTag::of(&tenant(0).name);
     quotas.view(tag, now).unwrap().basis
 }
@@ -200,12 +200,12 @@
     };
     let mut now = Moment(1_000_000);
     let table = TenantTable::new(&version(1, 1));
-    let mut quotas = Quotas::new(policy, now);
+    let mut quotas = TenantQuotas::new(policy, now);
     for _ in 0..5 {
         now = now + Duration::from_millis(100);
-        quotas.learn(&news, &table, now);
+        quotas.update(&news, &table, now);
     }
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let asked = (0..2).map(|_| quotas.ask(&tenant(0), now, &mut rng));
+    let asked = (0..2).map(|_| quotas.try_admit(&tenant(0), now, &mut rng));
     assert_eq!(asked.filter(Result::is_ok).count(), admitted);
 }
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -6,7 +6,8 @@
 use crate::metrics::TenantLabel;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::quota::{
-    FleetLoadSnapshot, QuotaBasis, QuotaPolicy, QuotaRefusal, QuotaView, Quotas, ZoneMemberCounts,
+    FleetLoadSnapshot, QuotaBasis, QuotaPolicy, QuotaRefusal, QuotaView, TenantQuotas,
+    ZoneMemberCounts,
 };
 use rampthread_core::config::Tenant;
 use rampthread_core::fleet::{Status, TenantLoad, TenantTag};
@@ -31,7 +32,7 @@
 pub struct TenantLimits {
     control: Arc<Control>,
     zone: Zone,
-    quotas: Mutex<Quotas>,
+    quotas: Mutex<TenantQuotas>,
     /// Next update of the metrics, as a [`Moment`].
     show_due: AtomicU64,
 }
@@ -39,7 +40,7 @@
 impl TenantLimits {
     /// Creates limits without any knowledge of demand; `zone` is that of this node.
     pub fn new(control: Arc<Control>, zone: Zone, policy: QuotaPolicy) -> Self {
-        let quotas = Mutex::new(Quotas::new(policy, control.clock.now()));
+        let quotas = Mutex::new(TenantQuotas::new(policy, control.clock.now()));
         Self {
             control,
             zone,
@@ -48,7 +49,7 @@
         }
     }
 
-    fn quotas(&self) -> MutexGuard<'_, Quotas> {
+    fn quotas(&self) -> MutexGuard<'_, TenantQuotas> {
         self.quotas
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
@@ -61,7 +62,7 @@
         if tenant.limit().is_none() {
             return Ok(None);
         }
-        match self.quotas().ask(tenant, now, &mut rand::rng()) {
+        match self.quotas().try_admit(tenant, now, &mut rand::rng()) {
             Ok(()) => Ok(Some(TenantTag::of(&tenant.name))),
             Err(refused) => {
                 let call_error =
@@ -74,7 +75,7 @@
     /// Returns the token of a request that provably did not run.
     pub fn refund(&self, tenant: TenantTag) {
         let now = self.control.clock.now();
-        self.quotas().give_back(tenant, now);
+        self.quotas().refund(tenant, now);
     }
 
     /// Applies the limits in force and the fleet's published demand; to be called periodically.
@@ -91,7 +92,7 @@
             own_zone: &self.zone,
             members: &members,
         };
-        self.quotas().learn(&news, &active.tenants, now);
+        self.quotas().update(&news, &active.tenants, now);
         if now.0 >= self.show_due.load(Ordering::Relaxed) {
             let due = now + SHOW_INTERVAL;
             self.show_due.store(due.0, Ordering::Relaxed);
@@ -121,7 +122,7 @@
             return None;
         }
         let now = self.control.clock.now();
-        Some(self.quotas().loads(now))
+        Some(self.quotas().load_reports(now))
     }
 
     /// Tenants with a limit and their state, ordered by rejections, then demand, both descending.
