--- a/crates/rampthread-core/src/call/quota/mod.rs
+++ b/crates/rampthread-core/src/call/quota/mod.rs
@@ -20,7 +20,7 @@
 mod zone_balance;
 
 pub use fleet_load::{FleetLoadSnapshot, ZoneMemberCounts};
-pub use tenant_quota::{QuotaBasis, QuotaRefusal};
+pub use tenant_quota::{QuotaBasis, QuotaExceeded};
 
 use crate::call::tenant_table::TenantTable;
 use crate::config::{RateLimit, Tenant};
@@ -61,13 +61,13 @@
     /// The limit.
     pub limit: RateLimit,
     /// Requests a second that this node was asked.
-    pub asked_here: f64,
+    pub local_demand_rps: f64,
     /// Requests a second that all nodes were asked, as far as this one knows.
-    pub asked: f64,
+    pub fleet_demand_rps: f64,
     /// Requests a second that all nodes admitted.
-    pub admitted: f64,
+    pub admitted_rps: f64,
     /// Part of the requests that is admitted here.
-    pub share: f64,
+    pub admission_probability: f64,
     /// Requests refused here.
     pub refused: u64,
     /// What the share is worked out from.
@@ -103,7 +103,7 @@
         tenant: &Tenant,
         now: Moment,
         rng: &mut impl Rng,
-    ) -> Result<(), QuotaRefusal> {
+    ) -> Result<(), QuotaExceeded> {
         let Some(limit) = tenant.limit() else {
             return Ok(());
         };
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -49,28 +49,28 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QuotaBasis {
     /// What all nodes that are heard were asked, so long ago.
-    Demand {
+    FleetDemand {
         /// Age of that news.
-        age: Duration,
+        report_age: Duration,
         /// Part of the limit that they keep to.
-        part: f64,
+        limit_fraction: f64,
     },
     /// The part of the limit for this node alone: it hears nothing of the tenant.
-    Alone {
+    LocalOnly {
         /// That part.
-        part: f64,
+        limit_fraction: f64,
     },
 }
 
 /// A request is beyond its tenant's limit.
 #[derive(Debug, Clone, PartialEq)]
-pub struct QuotaRefusal {
+pub struct QuotaExceeded {
     /// When a token may be there; spread, so that callers don't return together.
     pub retry_after: Duration,
     /// The limit.
     pub limit: RateLimit,
     /// Requests a second that are asked, as far as this node knows.
-    pub asked: f64,
+    pub fleet_demand_rps: f64,
     /// What that was worked out from.
     pub basis: QuotaBasis,
 }
@@ -198,7 +198,7 @@
         &mut self,
         now: Moment,
         rng: &mut impl Rng,
-    ) -> Result<(), QuotaRefusal> {
+    ) -> Result<(), QuotaExceeded> {
         self.asked.count(1.0, now);
         self.usual.count(1.0, now);
         self.last_asked = now;
@@ -215,10 +215,10 @@
             return Ok(());
         }
         self.refused += 1;
-        Err(QuotaRefusal {
+        Err(QuotaExceeded {
             retry_after: self.retry_after(now, rng),
             limit: self.limit,
-            asked: self.asked_now(now),
+            fleet_demand_rps: self.asked_now(now),
             basis: self.basis(),
         })
     }
@@ -273,12 +273,12 @@
 
     fn basis(&self) -> QuotaBasis {
         match self.alone {
-            true => QuotaBasis::Alone {
-                part: self.own_part,
+            true => QuotaBasis::LocalOnly {
+                limit_fraction: self.own_part,
             },
-            false => QuotaBasis::Demand {
-                age: self.sum.age,
-                part: self.part,
+            false => QuotaBasis::FleetDemand {
+                report_age: self.sum.age,
+                limit_fraction: self.part,
             },
         }
     }
@@ -481,10 +481,10 @@
     pub(super) fn view(&self, now: Moment) -> QuotaView {
         QuotaView {
             limit: self.limit,
-            asked_here: self.asked.at(now),
-            asked: self.asked_now(now),
-            admitted: self.sum.admitted,
-            share: self.share(now),
+            local_demand_rps: self.asked.at(now),
+            fleet_demand_rps: self.asked_now(now),
+            admitted_rps: self.sum.admitted,
+            admission_probability: self.share(now),
             refused: self.refused,
             basis: self.basis(),
         }
--- a/crates/rampthread-core/tests/quota_state.rs
+++ b/crates/rampthread-core/tests/quota_state.rs
@@ -155,8 +155,8 @@
 #[test]
 fn news_counts_for_two_intervals_of_its_zone() {
     let part_of = |basis| match basis {
-        QuotaBasis::Demand { part, .. } => Some(part),
-        QuotaBasis::Alone { .. } => None,
+        QuotaBasis::FleetDemand { limit_fraction, .. } => Some(limit_fraction),
+        QuotaBasis::LocalOnly { .. } => None,
     };
     let seconds = Duration::from_secs_f64;
     let (small, large) = (20, 120);
--- a/crates/rampthread-node/src/api/views.rs
+++ b/crates/rampthread-node/src/api/views.rs
@@ -191,21 +191,24 @@
 
 impl From<(ResourceName, QuotaView)> for TenantView {
     fn from((name, view): (ResourceName, QuotaView)) -> Self {
-        let (part, age) = match view.basis {
-            QuotaBasis::Demand { age, part } => (part, Some(age.as_millis() as u64)),
-            QuotaBasis::Alone { part } => (part, None),
+        let (limit_fraction, report_age) = match view.basis {
+            QuotaBasis::FleetDemand {
+                report_age,
+                limit_fraction,
+            } => (limit_fraction, Some(report_age.as_millis() as u64)),
+            QuotaBasis::LocalOnly { limit_fraction } => (limit_fraction, None),
         };
         Self {
             name,
             rate: view.limit.rate,
             burst: view.limit.burst,
-            asked: view.asked,
-            asked_here: view.asked_here,
-            admitted: view.admitted,
-            share_percent: view.share * 100.0,
-            limit_percent: part * 100.0,
+            asked: view.fleet_demand_rps,
+            asked_here: view.local_demand_rps,
+            admitted: view.admitted_rps,
+            share_percent: view.admission_probability * 100.0,
+            limit_percent: limit_fraction * 100.0,
             refused_here: view.refused,
-            age_ms: age,
+            age_ms: report_age,
         }
     }
 }
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -6,7 +6,7 @@
 use crate::metrics::TenantLabel;
 use rampthread_core::call::cause::Cause;
 use rampthread_core::call::quota::{
-    FleetLoadSnapshot, QuotaBasis, QuotaPolicy, QuotaRefusal, QuotaView, TenantQuotas,
+    FleetLoadSnapshot, QuotaBasis, QuotaExceeded, QuotaPolicy, QuotaView, TenantQuotas,
     ZoneMemberCounts,
 };
 use rampthread_core::config::Tenant;
@@ -138,7 +138,7 @@
         snapshots.sort_by_key(|(name, view)| {
             (
                 Reverse(view.refused),
-                Reverse((view.asked * 1_000.0) as u64),
+                Reverse((view.fleet_demand_rps * 1_000.0) as u64),
                 name.clone(),
             )
         });
@@ -160,25 +160,28 @@
             refusals.set(refused as i64);
         };
         for (name, view) in shown {
-            show(name.as_str(), view.asked_here, view.refused);
+            show(name.as_str(), view.local_demand_rps, view.refused);
         }
-        let asked = others.iter().map(|(_, view)| view.asked_here).sum();
+        let asked = others.iter().map(|(_, view)| view.local_demand_rps).sum();
         let refused = others.iter().map(|(_, view)| view.refused).sum();
         show(OTHER_TENANTS, asked, refused);
     }
 }
 
 /// Describes a rejection and the data that it was based on.
-fn reason(tenant: &ResourceName, refused: &QuotaRefusal) -> String {
-    let (asked, rate) = (refused.asked, refused.limit.rate);
+fn reason(tenant: &ResourceName, refused: &QuotaExceeded) -> String {
+    let (asked, rate) = (refused.fleet_demand_rps, refused.limit.rate);
     let basis = match refused.basis {
-        QuotaBasis::Demand { age, part } => {
-            let percent = part * 100.0;
-            let age = age.as_millis();
+        QuotaBasis::FleetDemand {
+            report_age,
+            limit_fraction,
+        } => {
+            let percent = limit_fraction * 100.0;
+            let age = report_age.as_millis();
             format!("known {age} ms late, for {percent:.0}% of the limit")
         }
-        QuotaBasis::Alone { part } => {
-            let percent = part * 100.0;
+        QuotaBasis::LocalOnly { limit_fraction } => {
+            let percent = limit_fraction * 100.0;
             format!("no news, so that this node keeps to {percent:.1}% of the limit")
         }
     };
