--- a/crates/rampthread-node/src/calls/entry/attempt_loop.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt_loop.rs
@@ -259,7 +259,10 @@
     /// Decides what follows a failed attempt; an error ends the call.
     fn after_failure(&mut self, attempt: &Attempt, call_error: CallError) -> Result<(), CallError> {
         self.log(attempt, &call_error);
-        let quarantined = matches!(self.entry.standing(self.call), QuarantineState::Quarantined { .. });
+        let quarantined = matches!(
+            self.entry.standing(self.call),
+            QuarantineState::Quarantined { .. }
+        );
         let (entry, now) = (self.entry, self.entry.now());
         let attempts = &mut self.attempts;
         let next = entry.with_budget(self.call, |budget| {
@@ -282,9 +285,7 @@
                 Err(final_error(call_error, self.attempts.outcome()))
             }
             // Retrying would risk another backend.
-            NextStep::Retry if quarantined => {
-                Err(final_error(call_error, self.attempts.outcome()))
-            }
+            NextStep::Retry if quarantined => Err(final_error(call_error, self.attempts.outcome())),
             NextStep::Retry => {
                 self.count_retry();
                 self.last_error = Some(call_error);
--- a/crates/rampthread-node/src/calls/entry/quarantine.rs
+++ b/crates/rampthread-node/src/calls/entry/quarantine.rs
@@ -56,13 +56,15 @@
         else {
             return;
         };
-        let lost = CrashSuspect {
+        let suspect = CrashSuspect {
             identity: self.identity(call),
             instance,
             at: self.now(),
             on_trial: selected.on_trial,
         };
-        self.state().lost_responses.record_loss(&selected.node, &record_loss);
+        self.state()
+            .lost_responses
+            .record_loss(&selected.node, &suspect);
     }
 
     fn report_crash(&self, call: &Call, call_error: &CallError) {
