--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -173,7 +173,10 @@
 fn rejection_reason(tenant: &ResourceName, refused: &QuotaExceeded) -> String {
     let (fleet_demand_rps, rate) = (refused.fleet_demand_rps, refused.limit.rate);
     let basis = match refused.basis {
-        QuotaBasis::FleetDemand { report_age, limit_fraction } => {
+        QuotaBasis::FleetDemand {
+            report_age,
+            limit_fraction,
+        } => {
             let percent = limit_fraction * 100.0;
             let report_age = report_age.as_millis();
             format!("demand reports {report_age} ms old, covering {percent:.0}% of the limit")
