--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -178,8 +178,8 @@
             limit_fraction,
         } => {
             let percent = limit_fraction * 100.0;
-            let report_age = report_age.as_millis();
-            format!("demand reports {report_age} ms old, covering {percent:.0}% of the limit")
+            let age_ms = report_age.as_millis();
+            format!("demand reports {age_ms} ms old, covering {percent:.0}% of the limit")
         }
         QuotaBasis::LocalOnly { limit_fraction } => {
             let percent = limit_fraction * 100.0;
@@ -187,6 +187,6 @@
         }
     };
     format!(
-        "tenant {tenant} exceeds its rate limit: demand {asked:.1}, limit {rate:.1} requests per second ({basis})"
+        "tenant {tenant} exceeds its rate limit: demand {fleet_demand_rps:.1}, limit {rate:.1} requests per second ({basis})"
     )
 }
