--- a/crates/rampthread-core/src/call/admission.rs
+++ b/crates/rampthread-core/src/call/admission.rs
@@ -1,8 +1,8 @@
-//! What the node beside a back end lets in.
+//! Admission control of a gate: which calls run, wait or are rejected at its backend.
 //!
-//! Invariant: calls running never exceed the slots. A call waits only while its
-//! deadline can be met, and is refused at once otherwise. Waiting calls go by
-//! the rank of their tenant, else of their route; within a rank, see [`RankQueue`].
+//! Invariant: running calls never exceed the slots. A call waits only while its deadline
+//! can be met, and is rejected at once otherwise. Waiting calls are served by the rank of
+//! their tenant, else of their route; for the order within a rank see [`RankQueue`].
 
 pub use super::arrival::{Arrival, CallNumber, Rank};
 use super::rank_queue::{Backlog, RankQueue};
@@ -13,31 +13,30 @@
 /// Weight of the newest service time in the running mean.
 const MEAN_WEIGHT: f64 = 0.1;
 /// Mean service time before the first measurement.
-const FIRST_MEAN: Duration = Duration::from_millis(5);
-/// Shortest advice when to come back: a caller that comes back while the slots
-/// are still taken is refused again. 1 s measured better than 0.5 s and 0.1 s
-/// (docs/LOAD.md).
-const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
+const INITIAL_MEAN: Duration = Duration::from_millis(5);
+/// Minimum retry advice: a caller that returns while the slots are still taken is rejected
+/// again.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Limits of one back end.
+/// Limits of one backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Calls that may run at once.
+    /// Calls that may run at a time.
     pub slots: u32,
     /// Calls that may wait.
     pub queue: u32,
 }
 
-/// What becomes of an arrival.
+/// What becomes of an arriving call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// It runs now.
     Run,
-    /// It waits; `release` will name it.
+    /// It waits; a later `release` returns it.
     Wait,
     /// It was not run and never will be.
     Refused {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
 }
@@ -51,7 +50,7 @@
     pub expired: Vec<CallNumber>,
 }
 
-/// The door of one back end.
+/// Slots and queue of one backend.
 #[derive(Debug)]
 pub struct AdmissionController {
     limits: AdmissionLimits,
@@ -62,43 +61,43 @@
 }
 
 impl AdmissionController {
-    /// An idle back end.
+    /// An idle backend.
     pub fn new(limits: AdmissionLimits) -> Self {
         Self {
             limits,
             running: 0,
             ranks: BTreeMap::new(),
-            mean: FIRST_MEAN,
+            mean: INITIAL_MEAN,
             draining: false,
         }
     }
 
-    /// Takes over new limits; running calls are not cut.
+    /// Sets new limits; running calls are not aborted.
     pub fn set_limits(&mut self, limits: AdmissionLimits) {
         self.limits = limits;
     }
 
-    /// Refuses all new work from now on, or takes it again.
+    /// Starts or stops rejecting all new calls.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Calls running now.
+    /// Number of running calls.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Calls waiting now.
+    /// Number of waiting calls.
     pub fn queued(&self) -> u32 {
         self.ranks.values().map(RankQueue::len).sum()
     }
 
-    /// Calls running and waiting.
+    /// Number of running and waiting calls.
     pub fn load(&self) -> u32 {
         self.running + self.queued()
     }
 
-    /// A call arrives.
+    /// Admits, queues or rejects a call.
     pub fn arrive(&mut self, arrival: Arrival, now: Moment) -> AdmissionDecision {
         let admitted = self.decide(&arrival, now);
         match admitted {
@@ -109,36 +108,38 @@
         admitted
     }
 
-    /// What would become of a call that arrived now.
+    /// What `arrive` would return for this call, without side effects.
     pub fn decide(&self, arrival: &Arrival, now: Moment) -> AdmissionDecision {
         if self.draining || arrival.deadline <= now {
-            return self.refuse(arrival);
+            return self.rejection(arrival);
         }
         if self.running < self.limits.slots && self.queued() == 0 {
             return AdmissionDecision::Run;
         }
         if !self.may_wait(arrival, now) {
-            return self.refuse(arrival);
+            return self.rejection(arrival);
         }
         AdmissionDecision::Wait
     }
 
-    fn refuse(&self, arrival: &Arrival) -> AdmissionDecision {
+    fn rejection(&self, arrival: &Arrival) -> AdmissionDecision {
         AdmissionDecision::Refused {
-            retry_after: self.expected_wait(arrival).max(LEAST_RETRY_AFTER),
+            retry_after: self.expected_wait(arrival).max(MIN_RETRY_AFTER),
         }
     }
 
     fn may_wait(&self, arrival: &Arrival, now: Moment) -> bool {
         let wait = self.expected_wait(arrival);
         let answer_expected = now + wait + self.mean;
-        wait <= arrival.max_wait && self.has_room(arrival) && answer_expected <= arrival.deadline
+        wait <= arrival.max_wait
+            && self.fits_in_queue(arrival)
+            && answer_expected <= arrival.deadline
     }
 
-    /// A caller with nothing in the queue finds room even when others have
-    /// filled it, within twice the queue. Calls that would wait behind do not
-    /// count, but all together stay within twice the queue.
-    fn has_room(&self, arrival: &Arrival) -> bool {
+    /// A caller without calls in the queue may use it up to twice its limit, even when
+    /// others have filled it. Calls that would wait behind this one do not count, but all
+    /// together stay within twice the limit.
+    fn fits_in_queue(&self, arrival: &Arrival) -> bool {
         let limit = self.limits.queue;
         let ahead = self.ahead_of(arrival).calls;
         let Some(rank) = self.ranks.get(&arrival.rank) else {
@@ -165,15 +166,15 @@
         ahead
     }
 
-    /// Time until a slot is free for `arrival`, if it waits: the work ahead of
-    /// it, shared by the slots, after the first of the running calls has ended.
+    /// Time until a slot is free for `arrival`, if it waits: the work ahead of it, shared
+    /// by the slots, after the first running call has ended.
     fn expected_wait(&self, arrival: &Arrival) -> Duration {
-        let ahead = self.ahead_of(arrival).work + self.mean;
+        let ahead = self.ahead_of(arrival).service_time + self.mean;
         ahead / self.limits.slots.max(1)
     }
 
-    /// A running call ended after `service_time`; none when its time says
-    /// nothing of the back end.
+    /// Ends a running call and picks the next. `service_time` is `None` if it says nothing
+    /// of the backend.
     pub fn release(&mut self, service_time: Option<Duration>, now: Moment) -> Released {
         if let Some(service_time) = service_time {
             let newest = service_time.as_secs_f64() * MEAN_WEIGHT;
@@ -206,8 +207,8 @@
         self.ranks.get_mut(&rank)?.pop()
     }
 
-    /// A waiting call was given up by its caller. False when it does not wait
-    /// any more: it runs or has ended.
+    /// Removes a waiting call that its caller has abandoned. False if it no longer waits:
+    /// it runs or has ended.
     pub fn cancel(&mut self, call: CallNumber) -> bool {
         self.ranks
             .values_mut()
--- a/crates/rampthread-core/src/call/arrival.rs
+++ b/crates/rampthread-core/src/call/arrival.rs
@@ -1,31 +1,31 @@
-//! A call that wants a slot of a back end, as its gate sees it.
+//! A call that asks a gate for a slot.
 
 use super::precedence::Precedence;
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Names one call at one gate.
+/// Identifies a call within one gate.
 pub type CallNumber = u64;
 
 /// Rank of a tenant's or a route's calls; 0 goes first.
 pub type Rank = u32;
 
-/// A call that asks a gate for a slot.
+/// A call that asks a gate for a slot of its backend.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Which call.
+    /// The call.
     pub call: CallNumber,
-    /// Who takes turns with others: its tenant, else the service that makes it.
+    /// Key of fair queueing: the call's tenant, else the service that makes it.
     pub caller: String,
-    /// When its answer is worthless.
+    /// Time after which its response is useless.
     pub deadline: Moment,
     /// Rank of its tenant, else of its route; 0 goes first.
     pub rank: Rank,
     /// Precedence within its rank.
     pub precedence: Precedence,
-    /// Longest wait that is worth it; zero: the call runs now or not at all,
-    /// since another back end may be free.
+    /// Maximum queueing time; zero: the call runs now or is rejected, since another backend
+    /// may be free.
     pub max_wait: Duration,
-    /// Time that the back end is expected to work on it; none: not known yet.
+    /// Expected service time at this backend; `None` while unknown.
     pub expected_service_time: Option<Duration>,
 }
--- a/crates/rampthread-core/src/call/backend_load.rs
+++ b/crates/rampthread-core/src/call/backend_load.rs
@@ -1,38 +1,38 @@
-//! What a back end says of its load in a header of its answers.
+//! The load that a backend reports in a header of its responses.
 
 use thiserror::Error;
 
-/// Largest figure of calls or slots that is believed.
-const MOST_CALLS: u32 = 1_000_000;
-/// Longest work that is believed, in percent of the usual time.
-const MOST_PERCENT: u16 = 10_000;
+/// Maximum number of calls or slots that is accepted.
+const MAX_CALLS: u32 = 1_000_000;
+/// Maximum service time that is accepted, in percent of the usual one.
+const MAX_PERCENT: u16 = 10_000;
 
-/// The load of a back end by its own account.
+/// Load of a backend, as it reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendLoad {
     /// Calls that run.
     pub running: u32,
     /// Calls that wait.
     pub waiting: u32,
-    /// Calls that may run at once.
+    /// Calls that may run at a time.
     pub slots: u32,
-    /// How long work takes at present, in percent of its usual time; none: not told.
+    /// Current service time in percent of its usual value; `None` if not reported.
     pub service_time_percent: Option<u16>,
 }
 
-/// Why a header tells no load.
+/// Why a header is not a valid load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum BackendLoadError {
-    /// There must be three or four.
-    #[error("a load of {0} figures")]
+    /// It has this many fields instead of three or four.
+    #[error("expected 3 or 4 comma-separated fields, found {0}")]
     Figures(usize),
-    /// A figure that is no number, or one that cannot be true.
-    #[error("figure {0} of the load is no number in its range")]
+    /// The field with this number, counted from 1, is not a number or out of range.
+    #[error("field {0} is not a number in its range")]
     Figure(usize),
 }
 
 impl BackendLoad {
-    /// Reads `running,waiting,slots` and, where told, the percent of the usual time.
+    /// Parses `running,waiting,slots`, optionally followed by the service time in percent.
     pub fn parse(text: &str) -> Result<Self, BackendLoadError> {
         let figures: Vec<&str> = text.split(',').map(str::trim).collect();
         if !(3..=4).contains(&figures.len()) {
@@ -40,12 +40,12 @@
         }
         let calls = |index: usize| {
             let figure = figures[index].parse().ok();
-            let figure = figure.filter(|calls| *calls <= MOST_CALLS);
+            let figure = figure.filter(|calls| *calls <= MAX_CALLS);
             figure.ok_or(BackendLoadError::Figure(index + 1))
         };
         let percent = |text: &&str| {
             let figure = text.parse().ok();
-            let figure = figure.filter(|percent| (1..=MOST_PERCENT).contains(percent));
+            let figure = figure.filter(|percent| (1..=MAX_PERCENT).contains(percent));
             figure.ok_or(BackendLoadError::Figure(4))
         };
         Ok(Self {
--- a/crates/rampthread-core/src/call/backend_speed.rs
+++ b/crates/rampthread-core/src/call/backend_speed.rs
@@ -1,22 +1,22 @@
-//! How fast a back end works, as the gate beside it has measured it: what an entry that
-//! seldom meets the back end cannot know.
+//! Speed of a backend, as its gate measured it. An entry that seldom calls the backend
+//! cannot measure it itself.
 
 use std::fmt;
 use std::time::Duration;
 
-/// As fast as is usual, in percent.
+/// The usual speed or service time, in percent.
 pub const USUAL_PERCENT: u16 = 100;
 
-/// The pace of one back end.
+/// The speed of one backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendSpeed {
-    /// Its standing speed in percent of its service's: 200 does the same work in half
-    /// the time.
+    /// Long-term speed in percent of its service's: 200 does the same work in half the
+    /// time.
     pub speed_percent: u16,
-    /// How long work takes at present in percent of its usual time: 200 takes twice as
-    /// long. It changes several times a second where others share the machine.
+    /// Current service time in percent of its usual value: 200 takes twice as long. It
+    /// changes several times a second where others share the machine.
     pub service_time_percent: u16,
-    /// Time for which it stays slow after its start.
+    /// Rest of the time for which it is slow after its start.
     pub warm_up_left: Duration,
 }
 
@@ -31,15 +31,15 @@
 }
 
 impl BackendSpeed {
-    /// Reads `speed_percent,service_time_percent,warm_up_left`, the last in milliseconds; none where it
-    /// is no pace.
+    /// Parses `speed_percent,service_time_percent,warm_up_left`, the last in milliseconds;
+    /// `None` if the text has another form.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split(',');
         let speed_percent = parts.next()?.parse().ok()?;
         let service_time_percent = parts.next()?.parse().ok()?;
         let warm_up_left = Duration::from_millis(parts.next()?.parse().ok()?);
-        let sound = parts.next().is_none() && speed_percent > 0 && service_time_percent > 0;
-        sound.then_some(Self {
+        let valid = parts.next().is_none() && speed_percent > 0 && service_time_percent > 0;
+        valid.then_some(Self {
             speed_percent,
             service_time_percent,
             warm_up_left,
@@ -49,10 +49,10 @@
 
 impl fmt::Display for BackendSpeed {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let cold_ms = self.warm_up_left.as_millis();
+        let warm_up_ms = self.warm_up_left.as_millis();
         write!(
             formatter,
-            "{},{},{cold_ms}",
+            "{},{},{warm_up_ms}",
             self.speed_percent, self.service_time_percent
         )
     }
--- a/crates/rampthread-core/src/call/body_transfers.rs
+++ b/crates/rampthread-core/src/call/body_transfers.rs
@@ -1,117 +1,117 @@
-//! Large bodies on their way to one gate.
+//! Flow control for large request bodies on their way to one gate.
 //!
-//! A body that is sent on the chance of being let in takes a link's time from
-//! everything else, and is wasted where the gate refuses. The gate is asked
-//! first: a few bodies travel at a time, so that each arrives soon and small
-//! messages find the link nearly empty; the others wait at their entries, or
-//! are refused at once where their turn would come too late.
+//! A body that is sent before its call is admitted takes link capacity from everything
+//! else, and is wasted if the gate rejects the call. So entries ask the gate first. A few
+//! bodies are transferred at a time, so that each arrives soon and small messages find the
+//! link nearly idle; the others wait at their entries, or are rejected at once if their
+//! turn would come too late.
 
 use super::admission::CallNumber;
 use crate::time::Moment;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Bodies under way at a time. The second keeps the link busy while the first
-/// one's end and the next grant travel.
-const UNDER_WAY: usize = 2;
-/// Of the bytes of bodies under way one in so many is still to come, in the
-/// mean: nobody tells how far each has got.
-const STILL_TO_COME: u64 = 2;
-/// Weight of the newest measurement in the learnt rate.
+/// Maximum number of concurrent transfers. The second keeps the link busy while the end of
+/// the first and the next grant travel.
+const MAX_CONCURRENT: usize = 2;
+/// One in this many bytes of the transfers in progress is assumed to be outstanding, since
+/// their progress is not reported.
+const OUTSTANDING_DIVISOR: u64 = 2;
+/// Weight of the newest measurement in the transfer rate.
 const RATE_WEIGHT: f64 = 0.2;
-/// Rate before the first measurement, in bytes a second: 100 Mbit/s.
-const FIRST_RATE: f64 = 12.5e6;
-/// A granted body that has not arrived after this many times its expected time
-/// is given up: its sender is gone, or its path is much worse than others'.
-const GIVEN_UP_AFTER: u32 = 8;
-/// No granted body is given up before this: a path may stall for a lost packet.
-const LEAST_PATIENCE: Duration = Duration::from_millis(500);
-/// Shortest advice when to come back.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(100);
-
-/// A body that wants to be sent.
+/// Transfer rate before the first measurement, in bytes per second: 100 Mbit/s.
+const INITIAL_RATE: f64 = 12.5e6;
+/// A granted transfer expires after this many times its expected duration: its sender is
+/// gone, or its path is much worse than others'.
+const EXPIRY_FACTOR: u32 = 8;
+/// Minimum time until a granted transfer expires, since a path may stall for a lost packet.
+const MIN_EXPIRY: Duration = Duration::from_millis(500);
+/// Minimum retry advice.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+
+/// A body that an entry asks to send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyOffer {
     /// The call that it belongs to.
     pub call: CallNumber,
     /// Its length.
     pub bytes: u64,
-    /// Longest wait that is worth it.
+    /// Maximum time that the call may wait for permission.
     pub max_wait: Duration,
 }
 
 /// What becomes of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferDecision {
-    /// It may be sent now.
+    /// The body may be sent now.
     Granted,
     /// It waits for its turn.
     Queued,
     /// Its turn would come too late.
     Refused {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
 }
 
 #[derive(Debug, Clone, Copy)]
-struct UnderWay {
+struct Transfer {
     call: CallNumber,
     bytes: u64,
-    given_up_at: Moment,
+    expires_at: Moment,
 }
 
-/// The large bodies on their way to one gate.
+/// The large bodies in transfer to one gate.
 #[derive(Debug)]
 pub struct BodyTransfers {
-    under_way: Vec<UnderWay>,
+    in_progress: Vec<Transfer>,
     waiting: VecDeque<BodyOffer>,
-    /// Bytes a second that the paths to this node give together.
+    /// Measured rate of all paths to this node together, in bytes per second.
     rate: f64,
-    /// Since when the bytes are counted that the next end of a body measures.
+    /// Start of the current rate measurement.
     measured_since: Moment,
 }
 
 impl Default for BodyTransfers {
     fn default() -> Self {
         Self {
-            under_way: Vec::new(),
+            in_progress: Vec::new(),
             waiting: VecDeque::new(),
-            rate: FIRST_RATE,
+            rate: INITIAL_RATE,
             measured_since: Moment::default(),
         }
     }
 }
 
 impl BodyTransfers {
-    /// Bodies under way and waiting.
+    /// Number of bodies in transfer and waiting.
     pub fn load(&self) -> u32 {
-        (self.under_way.len() + self.waiting.len()) as u32
+        (self.in_progress.len() + self.waiting.len()) as u32
     }
 
-    /// Time that `bytes` take at the learnt rate.
+    /// Expected duration of a transfer of `bytes`.
     pub fn expected(&self, bytes: u64) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.rate)
     }
 
-    /// Time until an offer that comes now may be sent.
+    /// Time until an offer that arrives now may be sent.
     fn expected_wait(&self) -> Duration {
-        let under_way: u64 = self.under_way.iter().map(|one| one.bytes).sum();
+        let in_progress: u64 = self.in_progress.iter().map(|transfer| transfer.bytes).sum();
         let waiting: u64 = self.waiting.iter().map(|offer| offer.bytes).sum();
-        self.expected(under_way / STILL_TO_COME + waiting)
+        self.expected(in_progress / OUTSTANDING_DIVISOR + waiting)
     }
 
-    /// A body is offered.
+    /// Grants, queues or rejects a transfer.
     pub fn offer(&mut self, offer: BodyOffer, now: Moment) -> OfferDecision {
-        self.give_up_overdue(now);
-        if self.under_way.len() < UNDER_WAY && self.waiting.is_empty() {
+        self.remove_expired(now);
+        if self.in_progress.len() < MAX_CONCURRENT && self.waiting.is_empty() {
             self.grant(offer, now);
             return OfferDecision::Granted;
         }
         let wait = self.expected_wait();
         if wait > offer.max_wait {
             return OfferDecision::Refused {
-                retry_after: wait.max(LEAST_RETRY_AFTER),
+                retry_after: wait.max(MIN_RETRY_AFTER),
             };
         }
         self.waiting.push_back(offer);
@@ -119,27 +119,31 @@
     }
 
     fn grant(&mut self, offer: BodyOffer, now: Moment) {
-        if self.under_way.is_empty() {
+        if self.in_progress.is_empty() {
             self.measured_since = now;
         }
-        let patience = (self.expected(offer.bytes) * GIVEN_UP_AFTER).max(LEAST_PATIENCE);
-        self.under_way.push(UnderWay {
+        let timeout = (self.expected(offer.bytes) * EXPIRY_FACTOR).max(MIN_EXPIRY);
+        self.in_progress.push(Transfer {
             call: offer.call,
             bytes: offer.bytes,
-            given_up_at: now + patience,
+            expires_at: now + timeout,
         });
     }
 
-    fn give_up_overdue(&mut self, now: Moment) {
-        self.under_way.retain(|one| one.given_up_at > now);
+    fn remove_expired(&mut self, now: Moment) {
+        self.in_progress
+            .retain(|transfer| transfer.expires_at > now);
     }
 
-    /// The body of `call` has arrived, or never will. Names the calls whose
+    /// Ends a transfer, whose body has arrived or never will. Returns the calls whose
     /// bodies may be sent now.
     pub fn ended(&mut self, call: CallNumber, arrived: bool, now: Moment) -> Vec<CallNumber> {
-        let index = self.under_way.iter().position(|one| one.call == call);
+        let index = self
+            .in_progress
+            .iter()
+            .position(|transfer| transfer.call == call);
         if let Some(index) = index {
-            let ended = self.under_way.swap_remove(index);
+            let ended = self.in_progress.swap_remove(index);
             if arrived {
                 self.measure(ended.bytes, now);
             }
@@ -157,9 +161,9 @@
     }
 
     fn grant_next(&mut self, now: Moment) -> Vec<CallNumber> {
-        self.give_up_overdue(now);
+        self.remove_expired(now);
         let mut granted = Vec::new();
-        while self.under_way.len() < UNDER_WAY
+        while self.in_progress.len() < MAX_CONCURRENT
             && let Some(offer) = self.waiting.pop_front()
         {
             self.grant(offer, now);
@@ -168,8 +172,8 @@
         granted
     }
 
-    /// The sender of `call` has given up before its turn. False when its body
-    /// may be sent already.
+    /// Removes a waiting offer that its sender has abandoned. False if its body may already
+    /// be in transfer.
     pub fn cancel(&mut self, call: CallNumber) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|offer| offer.call != call);
--- a/crates/rampthread-core/src/call/cause.rs
+++ b/crates/rampthread-core/src/call/cause.rs
@@ -1,12 +1,12 @@
-//! Why a call or one of its tries ended without the back end's answer. The
-//! words are stable: they stand in logs, in metrics and between nodes.
+//! Why a call or one of its attempts ended without a response of the backend. The values
+//! are stable: they are used in logs, in metrics and between nodes.
 
 use http::StatusCode;
 use std::fmt;
 
 macro_rules! causes {
-    ($($(#[$documentation:meta])* $name:ident = $word:literal, $status:ident;)*) => {
-        /// Why there is no answer of a back end.
+    ($($(#[$documentation:meta])* $name:ident = $value:literal, $status:ident;)*) => {
+        /// Why there is no response of a backend.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         pub enum Cause {
             $($(#[$documentation])* $name,)*
@@ -16,12 +16,12 @@
             /// Every cause.
             pub const ALL: &'static [Cause] = &[$(Cause::$name,)*];
 
-            /// The word in logs, metrics and headers.
+            /// The value in logs, metrics and headers.
             pub fn as_str(self) -> &'static str {
-                match self { $(Cause::$name => $word,)* }
+                match self { $(Cause::$name => $value,)* }
             }
 
-            /// Status that a caller gets for it.
+            /// Status of the response to the caller.
             pub fn status(self) -> StatusCode {
                 match self { $(Cause::$name => StatusCode::$status,)* }
             }
@@ -30,7 +30,7 @@
 }
 
 causes! {
-    /// The node holds no configuration yet.
+    /// The node has no configuration yet.
     NotReady = "not-ready", SERVICE_UNAVAILABLE;
     /// No route of the configuration matches.
     NoRoute = "no-route", NOT_FOUND;
@@ -38,70 +38,70 @@
     KeyMissing = "key-missing", UNAUTHORIZED;
     /// The request's key belongs to no tenant.
     KeyUnknown = "key-unknown", UNAUTHORIZED;
-    /// The tenant asks for more than its limit.
+    /// The tenant exceeds its limit.
     OverQuota = "over-quota", TOO_MANY_REQUESTS;
-    /// The request cannot be read.
+    /// The request cannot be parsed.
     BadRequest = "bad-request", BAD_REQUEST;
-    /// The head is larger than allowed.
+    /// The request head is larger than allowed.
     HeadTooLarge = "head-too-large", REQUEST_HEADER_FIELDS_TOO_LARGE;
-    /// The head did not arrive in time.
+    /// The request head did not arrive in time.
     HeadTimeout = "head-timeout", REQUEST_TIMEOUT;
     /// The body is larger than allowed.
     BodyTooLarge = "body-too-large", PAYLOAD_TOO_LARGE;
     /// The body did not arrive in time.
     BodyTimeout = "body-timeout", REQUEST_TIMEOUT;
-    /// Its idempotency key was used before, or may be in use.
+    /// The idempotency key was used before, or may be in use.
     KeyInUse = "key-in-use", CONFLICT;
-    /// No majority of the holders of its idempotency key answers.
+    /// No majority of the holders of the idempotency key replied.
     NoClaimMajority = "key-unclaimed", SERVICE_UNAVAILABLE;
-    /// No back end of the service is known to take work.
+    /// The service has no backend that is known to accept calls.
     NoBackend = "no-back-end", SERVICE_UNAVAILABLE;
-    /// The back end has no slot free and its queue is too long.
+    /// The backend has no free slot and its queue is full.
     QueueFull = "full", SERVICE_UNAVAILABLE;
-    /// Too many large bodies are on their way to the back end.
+    /// Too many large bodies are in transfer to the backend.
     LinkFull = "link-full", SERVICE_UNAVAILABLE;
-    /// No slot came free before the deadline.
+    /// No slot became free before the deadline.
     QueueDeadline = "queue-deadline", SERVICE_UNAVAILABLE;
-    /// The back end is leaving.
+    /// The backend is shutting down.
     Draining = "draining", SERVICE_UNAVAILABLE;
-    /// Another back end, or none, stands beside the node.
+    /// The gate's local backend is another one, or there is none.
     WrongBackend = "another-back-end", SERVICE_UNAVAILABLE;
-    /// The configuration of the gate's node lacks what the call needs.
+    /// The gate's configuration lacks what the call needs.
     ConfigurationBehind = "configuration-behind", SERVICE_UNAVAILABLE;
-    /// The back end said that it did not run the call.
+    /// The backend reported that it did not run the call.
     Shed = "shed", SERVICE_UNAVAILABLE;
-    /// No connection to the back end or to the node beside it.
+    /// No connection to the backend or to its gate.
     Unreachable = "unreachable", SERVICE_UNAVAILABLE;
-    /// Back ends have crashed under requests like it.
+    /// Backends have crashed under requests with the same content.
     Quarantined = "quarantined", SERVICE_UNAVAILABLE;
-    /// The try was fenced before it started.
+    /// The attempt was fenced before it started.
     Fenced = "fenced", SERVICE_UNAVAILABLE;
     /// The connection was lost after the call was sent.
     ConnectionLost = "connection-lost", BAD_GATEWAY;
-    /// The back end ended while it ran the call: the connection was lost and the
-    /// back end accepts no new one.
+    /// The backend ended while it ran the call: the connection was lost and the backend
+    /// accepts no new one.
     BackendCrashed = "back-end-crashed", BAD_GATEWAY;
-    /// What came back is not the back end's answer to this call.
+    /// The response does not belong to this call.
     MismatchedResponse = "not-its-answer", BAD_GATEWAY;
-    /// The answer broke off.
+    /// The response was truncated.
     TruncatedResponse = "broken-off", BAD_GATEWAY;
-    /// The answer was overdue and another back end was free: a second try began
-    /// beside the first.
+    /// The attempt exceeded the hedge delay and another backend was free, so that a hedged
+    /// attempt began beside it.
     Overdue = "overdue", GATEWAY_TIMEOUT;
-    /// No answer before the deadline.
+    /// No response before the deadline.
     Deadline = "deadline", GATEWAY_TIMEOUT;
-    /// The sender is no member of the fleet.
+    /// The sender is not a member of the fleet.
     NotAMember = "stranger", FORBIDDEN;
 }
 
 impl Cause {
-    /// True when the back end could not take the call for want of a slot in time. One that
-    /// sheds is another thing: its gate had a slot for the call.
+    /// True when no slot of the backend was free in time. A backend that sheds is not out
+    /// of capacity in this sense: its gate had a slot for the call.
     pub fn is_out_of_capacity(self) -> bool {
         matches!(self, Cause::QueueFull | Cause::QueueDeadline)
     }
 
-    /// True when the call was at a back end and its answer did not come whole.
+    /// True when the call was at a backend and no complete response came back.
     pub fn is_lost_answer(self) -> bool {
         matches!(
             self,
@@ -109,12 +109,12 @@
         )
     }
 
-    /// Reads the word; none when it is unknown.
-    pub fn parse(word: &str) -> Option<Cause> {
+    /// Parses the value; `None` if it is unknown.
+    pub fn parse(value: &str) -> Option<Cause> {
         Self::ALL
             .iter()
             .copied()
-            .find(|cause| cause.as_str() == word)
+            .find(|cause| cause.as_str() == value)
     }
 }
 
--- a/crates/rampthread-core/src/call/claims.rs
+++ b/crates/rampthread-core/src/call/claims.rs
@@ -1,12 +1,11 @@
-//! At most once across a caller's repeats.
+//! Claims of idempotency keys: at most one execution across a caller's repeats.
 //!
-//! A request with an `Idempotency-Key` runs only after a majority of the key's
-//! holders have granted a claim to it. Holders are the first of the rendezvous
-//! order of the key over the nodes that the configuration names. A claim lasts
-//! [`CLAIM_TTL`] after its last change. A holder that started less than
-//! [`CLAIM_TTL`] ago may have forgotten a claim and grants nothing: losing a
-//! majority of holders at once therefore means refusals for that long, not
-//! doubled runs.
+//! A request with an `Idempotency-Key` runs only after a majority of the key's holders have
+//! granted a claim to it. The holders are the first nodes in the rendezvous order of the
+//! key, among the nodes that the configuration names. A claim expires [`CLAIM_TTL`] after
+//! its last change. A holder that started less than [`CLAIM_TTL`] ago may have lost claims
+//! and grants none: after the loss of a majority of holders, requests are rejected for that
+//! long instead of running twice.
 
 use super::fence::CallId;
 use crate::ids::NodeId;
@@ -15,32 +14,32 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How long a claim lasts after its last change.
+/// Lifetime of a claim after its last change.
 pub const CLAIM_TTL: Duration = Duration::from_secs(60);
-/// Holders of one key.
+/// Number of holders of one key.
 pub const CLAIM_HOLDERS: usize = 5;
-/// Claims held at most; beyond, claims are refused.
+/// Maximum number of claims held; beyond it, further claims are rejected.
 const MAX_CLAIMS: usize = 1 << 18;
 
 /// State of a claimed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimState {
-    /// It runs, or its end was never told.
+    /// It is running, or its end was not reported.
     Open,
-    /// It was run and answered.
+    /// It has run and was answered.
     Done,
 }
 
-/// A holder's answer to a claim.
+/// A holder's reply to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// The key is this call's.
+    /// The key belongs to this call.
     Granted,
-    /// Another call has it.
+    /// Another call holds the key.
     Taken(ClaimState),
-    /// This holder may have forgotten claims, or is full.
+    /// This holder may have lost claims in a restart, or its table is full.
     CannotTell {
-        /// When it can.
+        /// Time after which it may be able to grant claims.
         retry_after: Duration,
     },
 }
@@ -56,23 +55,23 @@
 #[derive(Debug)]
 pub struct ClaimTable {
     started: Moment,
-    life: Duration,
+    ttl: Duration,
     claims: HashMap<String, Claim>,
     order: VecDeque<(Moment, String)>,
 }
 
 impl ClaimTable {
-    /// A table of a process that has just started.
-    pub fn new(started: Moment, life: Duration) -> Self {
+    /// An empty table of a process that started at `started`; claims expire after `ttl`.
+    pub fn new(started: Moment, ttl: Duration) -> Self {
         Self {
             started,
-            life,
+            ttl,
             claims: HashMap::new(),
             order: VecDeque::new(),
         }
     }
 
-    /// `call` wants to run the request called `key`.
+    /// Handles the claim of `call` to run the request with `key`.
     pub fn claim(&mut self, key: &str, call: &CallId, now: Moment) -> ClaimAnswer {
         self.expire(now);
         if let Some(claim) = self.claims.get(key) {
@@ -82,21 +81,22 @@
             return ClaimAnswer::Taken(claim.state);
         }
         let age = now.since(self.started);
-        if age < self.life || self.claims.len() >= MAX_CLAIMS {
+        if age < self.ttl || self.claims.len() >= MAX_CLAIMS {
             return ClaimAnswer::CannotTell {
-                retry_after: self.life.saturating_sub(age).max(Duration::from_secs(1)),
+                retry_after: self.ttl.saturating_sub(age).max(Duration::from_secs(1)),
             };
         }
         self.set(key, call, ClaimState::Open, now);
         ClaimAnswer::Granted
     }
 
-    /// The request was run and answered.
+    /// Records that the request has run and was answered.
     pub fn done(&mut self, key: &str, call: &CallId, now: Moment) {
         self.set(key, call, ClaimState::Done, now);
     }
 
-    /// The request was not run; another call may have the key.
+    /// Drops the claim of `call`, whose request was not run: another call may claim the
+    /// key.
     pub fn release(&mut self, key: &str, call: &CallId) {
         if self
             .claims
@@ -119,7 +119,7 @@
 
     fn expire(&mut self, now: Moment) {
         while let Some((since, _)) = self.order.front()
-            && now.since(*since) > self.life
+            && now.since(*since) > self.ttl
         {
             if let Some((since, key)) = self.order.pop_front()
                 && self
@@ -140,7 +140,7 @@
     order
 }
 
-/// Collects the holders' answers.
+/// Collects the replies of the holders.
 #[derive(Debug)]
 pub struct ClaimVote {
     holders: usize,
@@ -149,24 +149,24 @@
     retry_after: Duration,
 }
 
-/// What the answers so far mean.
+/// The result of the vote so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// A majority granted.
+    /// A majority granted the claim.
     Run,
-    /// The request of this name was run.
+    /// The request with this key has already run.
     AlreadyDone,
-    /// Another call with this name may run or have run.
+    /// Another call with this key may run or have run.
     InProgress,
-    /// No majority; not run.
+    /// No majority granted the claim; the request was not run.
     NoMajority {
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
 impl ClaimVote {
-    /// A vote among `holders`.
+    /// A vote among `holders` holders.
     pub fn new(holders: usize) -> Self {
         Self {
             holders,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// One holder answered.
+    /// Adds the reply of one holder.
     pub fn add(&mut self, answer: ClaimAnswer) {
         match answer {
             ClaimAnswer::Granted => self.granted += 1,
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The verdict once every holder answered or was given up on.
+    /// The result once every holder has replied or timed out.
     pub fn decision(&self) -> ClaimDecision {
         match self.taken {
             Some(ClaimState::Done) => ClaimDecision::AlreadyDone,
--- a/crates/rampthread-core/src/call/crash_detector.rs
+++ b/crates/rampthread-core/src/call/crash_detector.rs
@@ -1,75 +1,81 @@
-//! Which lost answers a crash of the back end explains.
+//! Decides which lost responses a crash of the backend explains.
 //!
-//! A lost connection is no crash: resets, spoilt answers and full back ends lose
-//! answers too. Evidence is a port that refuses connections after the loss, or
-//! another incarnation that reports at the address without a leave of the one
-//! before. An answer to a call that began after the loss shows that the back end
-//! lives: what was reported is withdrawn. That holds where every start has an id of its
-//! own, since a call names the id that it is for. A back end that says when it started may
-//! keep its id: its next start answers calls for the last one until it has reported. There
-//! only a report of the same start, well after the loss, shows that it lives. One that says
-//! neither is looked at again: a port that stays closed belongs to nobody who lives.
+//! A lost connection alone is no crash: resets, corrupt responses and full backends lose
+//! responses too. A crash is shown by a port that refuses connections after the loss, or by
+//! another incarnation that reports at the address without a departure of the previous one.
+//!
+//! A response to a call that began after the loss shows that the backend is running, and
+//! withdraws the report. That holds where every incarnation has an id of its own, since a
+//! call names the id that it is for. A backend that reports its start time may keep its id:
+//! its next incarnation answers calls for the previous one until it has reported. There,
+//! only a report of the same incarnation, well after the loss, shows that it is running. A
+//! backend that reports neither is checked again: a port that stays closed belongs to no
+//! running process.
 
 use crate::backend_incarnation::BackendIncarnation;
 use crate::call::identity::RequestIdentity;
 use crate::ids::InstanceId;
 use crate::time::Moment;
 use std::time::Duration;
-/// Different requests remembered at most: four times the slots of a large back end.
+
+/// Maximum number of losses kept, by request: four times the slots of a large backend.
 const MAX_LOSSES: usize = 128;
-/// Time for which a lost answer may turn out to be a crash: a back end that
-/// crashed is back within seconds.
-const LOSS_MEMORY: Duration = Duration::from_secs(10);
-/// Least time for which a loss at a back end that names its start may turn out to be a
-/// crash after a call was answered there: a start takes so long to report.
-const LEAST_ANSWERED_MEMORY: Duration = Duration::from_secs(3);
-/// Heartbeats within which the next start reports, though its first one is lost.
+/// Time for which a lost response may turn out to be a crash; a crashed backend is back
+/// within seconds.
+const LOSS_RETENTION: Duration = Duration::from_secs(10);
+
+/// Minimum time for which a loss at a backend with start times may turn out to be a crash
+/// after a call was answered there: a new incarnation takes that long to report.
+const MIN_ANSWERED_RETENTION: Duration = Duration::from_secs(3);
+/// Heartbeats within which the next incarnation reports, even if its first report is lost.
 const HEARTBEATS_TO_REPORT: u32 = 2;
-/// A heartbeat may arrive so much later than it was sent: one that comes sooner after a
-/// loss does not show that its sender outlived it.
+/// Longest delay of a heartbeat: one that arrives sooner after a loss does not show that
+/// its sender outlived it.
 const HEARTBEAT_LATENESS: Duration = Duration::from_secs(3);
 #[derive(Debug, Clone)]
 struct Loss {
     identity: RequestIdentity,
     instance: InstanceId,
-    /// When it was lost first.
+    /// Time of the first loss.
     at: Moment,
-    /// When it was lost last: a call that began later shows that the back end lives.
+    /// Time of the last loss: a call that began later shows that the backend is running.
     last: Moment,
     /// The request was on trial.
     on_trial: bool,
     /// It was reported as a crash.
     reported: bool,
-    /// When a call that began later was answered, by this start or by the next one.
+    /// When a call that began later was answered, by this incarnation or the next one.
     answered: Option<Moment>,
 }
 impl Loss {
-    fn may_be_a_crash(&self, now: Moment, answered_memory: Duration) -> bool {
+    fn may_be_a_crash(&self, now: Moment, answered_retention: Duration) -> bool {
         let answered_long_ago = self
             .answered
-            .is_some_and(|answered| now.since(answered) >= answered_memory);
-        now.since(self.last) < LOSS_MEMORY && !answered_long_ago
+            .is_some_and(|answered| now.since(answered) >= answered_retention);
+        now.since(self.last) < LOSS_RETENTION && !answered_long_ago
     }
 }
-/// A request and the incarnation that it is, or was, reported for.
+
+/// A request whose response was lost, and the incarnation that it was sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashSuspect {
-    /// The request.
+    /// Identity of the request.
     pub identity: RequestIdentity,
-    /// The incarnation.
+    /// Incarnation of the backend.
     pub instance: InstanceId,
-    /// When its answer was lost, the first time with this incarnation.
+    /// When its response was first lost with this incarnation.
     pub at: Moment,
-    /// The request was on trial.
+    /// The request was on trial: it ran alone after its quarantine.
     pub on_trial: bool,
 }
-/// The lost answers of one back end: of that beside a gate, or of one that an entry
-/// sends calls to.
+
+/// Lost responses of one backend: the local one of a gate, or one that an entry sends calls
+/// to.
 #[derive(Debug)]
 pub struct CrashDetector {
     losses: Vec<Loss>,
-    /// Time for which a loss may be a crash after a call was answered.
-    answered_memory: Duration,
+    /// Time for which a loss may be a crash after a later call was answered.
+    answered_retention: Duration,
 }
 impl Default for CrashDetector {
     fn default() -> Self {
@@ -77,26 +83,27 @@
     }
 }
 impl CrashDetector {
-    /// Nothing was lost; the back end reports each `heartbeat`.
+    /// No losses; the backend reports once per `heartbeat`.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
         Self {
             losses: Vec::new(),
-            answered_memory: LEAST_ANSWERED_MEMORY.max(heartbeat * HEARTBEATS_TO_REPORT),
+            answered_retention: MIN_ANSWERED_RETENTION.max(heartbeat * HEARTBEATS_TO_REPORT),
         }
     }
-    /// An answer was lost; `refuses`: the back end's port refuses connections, so
-    /// that it is reported as a crash.
+
+    /// Records a lost response. `refuses`: the backend's port refuses connections, so that
+    /// the loss is reported as a crash.
     pub fn record_loss(&mut self, lost: &CrashSuspect, refuses: bool) {
         self.forget_old(lost.at);
-        let known = self
+        let existing = self
             .losses
             .iter_mut()
             .find(|loss| loss.identity == lost.identity && loss.instance == lost.instance);
-        if let Some(known) = known {
-            known.last = lost.at;
-            known.answered = None;
-            known.on_trial |= lost.on_trial;
-            known.reported |= refuses;
+        if let Some(existing) = existing {
+            existing.last = lost.at;
+            existing.answered = None;
+            existing.on_trial |= lost.on_trial;
+            existing.reported |= refuses;
             return;
         }
         if self.losses.len() >= MAX_LOSSES && !self.make_room(lost) {
@@ -112,10 +119,10 @@
             answered: None,
         });
     }
-    /// Makes room for a request that was on trial. Any other that comes late is not
-    /// remembered: what is lost after the crash was sent to a back end that had ended,
-    /// and must not push out what ended it (soak behind proxies: over 128 losses in 0.6 s
-    /// hid the request on trial, and it ended two back ends more).
+
+    /// Makes room for a request that was on trial by dropping the newest other one. Other
+    /// requests beyond the maximum are ignored: what is lost after a crash was sent to a
+    /// backend that had ended, and must not displace the request that ended it.
     fn make_room(&mut self, lost: &CrashSuspect) -> bool {
         let newest = self.losses.iter().rposition(|loss| !loss.on_trial);
         let Some(newest) = newest.filter(|_| lost.on_trial) else {
@@ -124,8 +131,10 @@
         self.losses.remove(newest);
         true
     }
-    /// A call for `instance` that began at `begun` was answered: it lives, unless its next
-    /// start may have answered. Returns what must be withdrawn.
+
+    /// Records that a call for `instance` that began at `begun` was answered: the backend
+    /// is running, unless its next incarnation may have responded. Returns the reports to
+    /// withdraw.
     pub fn record_response(&mut self, instance: &InstanceId, begun: Moment) -> Vec<CrashSuspect> {
         let names_start = BackendIncarnation::from_name(instance)
             .started_at()
@@ -145,8 +154,9 @@
             loss.answered.get_or_insert(begun);
         }
     }
-    /// `instance` reported last at `heard`: it has outlived what was lost well before.
-    /// Returns what must be withdrawn.
+
+    /// Records that the newest report of `instance` is from `heard`: it has outlived losses
+    /// well before that. Returns the reports to withdraw.
     pub fn reported_alive(&mut self, instance: &InstanceId, heard: Moment) -> Vec<CrashSuspect> {
         let outlived =
             |loss: &Loss| loss.instance == *instance && loss.last + HEARTBEAT_LATENESS < heard;
@@ -154,18 +164,20 @@
         self.losses.retain(|loss| !outlived(loss));
         withdrawn
     }
-    /// `present` reports at the address. Returns the losses of other incarnations
-    /// that are explained by it, and were not reported yet.
+
+    /// Records that `present` reports at the address. Returns the losses of other
+    /// incarnations that this explains and that were not reported yet.
     pub fn record_replacement(&mut self, present: &InstanceId, now: Moment) -> Vec<CrashSuspect> {
         let gone = |loss: &Loss| loss.instance != *present;
-        let memory = self.answered_memory;
-        let counts = |loss: &Loss| loss.may_be_a_crash(now, memory) && !loss.reported;
+        let retention = self.answered_retention;
+        let counts = |loss: &Loss| loss.may_be_a_crash(now, retention) && !loss.reported;
         let explained = self.suspicions(|loss| gone(loss) && counts(loss));
         self.losses.retain(|loss| !gone(loss));
         explained
     }
-    /// The port was found closed a moment after the loss, and nobody has answered
-    /// meanwhile: returns the crash that is to be reported, if it was not.
+
+    /// Records that the port was found closed shortly after the loss, without a response in
+    /// between. Returns the crash to report, if it was not reported before.
     pub fn port_closed(&mut self, lost: &CrashSuspect) -> Option<CrashSuspect> {
         let is_meant = |loss: &&mut Loss| {
             loss.identity == lost.identity && loss.instance == lost.instance && !loss.reported
@@ -174,9 +186,10 @@
         loss.reported = true;
         Some(lost.clone())
     }
-    /// The port of `instance` has stayed closed since a crash was reported: nothing
-    /// withdraws that any more. Returns the losses that this explains besides; none where
-    /// no report stands, since it has answered meanwhile.
+
+    /// Records that the port of `instance` has stayed closed since a crash was reported,
+    /// which makes that report final. Returns further losses that this explains; `None` if
+    /// the report was withdrawn, since the backend has responded.
     pub fn ended(&mut self, instance: &InstanceId) -> Option<Vec<CrashSuspect>> {
         let of_it = |loss: &Loss| loss.instance == *instance;
         let stands = self.losses.iter().any(|loss| of_it(loss) && loss.reported);
@@ -187,25 +200,30 @@
         self.losses.retain(|loss| !of_it(loss));
         Some(explained)
     }
-    /// `instance` has taken its leave: it ends as planned, with calls under way at
-    /// times.
+
+    /// Records the departure of `instance`: it ends as planned, possibly with calls in
+    /// progress.
     pub fn record_departure(&mut self, instance: &InstanceId) {
         self.losses.retain(|loss| loss.instance != *instance);
     }
-    /// True when `instance` has lost answers lately and given none since.
+
+    /// True when `instance` has lost responses lately and has not responded since.
     pub fn may_have_ended(&self, instance: &InstanceId, now: Moment) -> bool {
-        let memory = self.answered_memory;
-        let unanswered = |loss: &Loss| loss.answered.is_none() && loss.may_be_a_crash(now, memory);
+        let retention = self.answered_retention;
+        let unanswered =
+            |loss: &Loss| loss.answered.is_none() && loss.may_be_a_crash(now, retention);
         self.losses
             .iter()
             .any(|loss| loss.instance == *instance && unanswered(loss))
     }
-    /// Forgets what no crash explains any more.
+
+    /// Drops losses that no crash can explain any more.
     pub fn forget_old(&mut self, now: Moment) {
         self.losses
-            .retain(|loss| now.since(loss.last) < LOSS_MEMORY);
+            .retain(|loss| now.since(loss.last) < LOSS_RETENTION);
     }
-    /// True when nothing was lost lately.
+
+    /// True without recent losses.
     pub fn is_empty(&self) -> bool {
         self.losses.is_empty()
     }
--- a/crates/rampthread-core/src/call/demand.rs
+++ b/crates/rampthread-core/src/call/demand.rs
@@ -1,55 +1,55 @@
-//! What the callers of one node ask for: slots by service, and which routes' calls are
-//! cheap to send to another zone.
+//! Measures what the callers of one node need: slots by service, and which routes' calls
+//! are cheap to spill to another zone.
 
 use crate::ids::ResourceName;
 use crate::time::Moment;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time over which calls are counted: shorter than demand's swings, long enough that a
-/// zone's sum does not jump.
+/// Averaging time of the call rate: shorter than swings of demand, long enough for a steady
+/// sum over a zone.
 pub const DEMAND_WINDOW: Duration = Duration::from_millis(500);
 /// Weight of the newest call in a route's means.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Time after its last call until a route is forgotten, with the work that it needs.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Time after its last call until a route and its service time are dropped.
+const ROUTE_TTL: Duration = Duration::from_secs(60);
 
-/// The calls of one route.
+/// Demand for one route.
 #[derive(Debug, Clone)]
 struct RouteDemand {
-    /// Calls a second.
+    /// Calls per second, as of `at`.
     rate: f64,
     at: Moment,
-    /// Seconds for which one call holds a slot.
-    work: f64,
-    /// Bytes of one call, both ways.
+    /// Mean service time in seconds; 0 before the first response.
+    service_time: f64,
+    /// Mean bytes of a call, request and response.
     bytes: f64,
 }
 
-/// The calls to one service.
+/// Demand for one service.
 #[derive(Debug, Clone, Default)]
 struct ServiceDemand {
     routes: HashMap<ResourceName, RouteDemand>,
-    /// Seconds for which one call of any route holds a slot: what a route needs that has
-    /// not been answered here yet.
-    work: f64,
+    /// Mean service time in seconds over all routes; stands in for routes without a
+    /// response yet.
+    service_time: f64,
 }
 
 impl ServiceDemand {
-    fn work(&self, route: &RouteDemand) -> f64 {
-        match route.work > 0.0 {
-            true => route.work,
-            false => self.work,
+    fn service_time(&self, route: &RouteDemand) -> f64 {
+        match route.service_time > 0.0 {
+            true => route.service_time,
+            false => self.service_time,
         }
     }
 
     fn slots(&self, route: &RouteDemand, now: Moment) -> f64 {
-        route.rate(now) * self.work(route)
+        route.rate(now) * self.service_time(route)
     }
 
-    /// What a slot's worth of these calls costs between zones.
-    fn bytes_a_slot(&self, route: &RouteDemand) -> f64 {
-        route.bytes / self.work(route).max(f64::MIN_POSITIVE)
+    /// Bytes between zones per slot-second that a spilled call frees.
+    fn bytes_per_slot(&self, route: &RouteDemand) -> f64 {
+        route.bytes / self.service_time(route).max(f64::MIN_POSITIVE)
     }
 }
 
@@ -65,14 +65,14 @@
     known + (newest - known) * MEAN_WEIGHT
 }
 
-/// Demand by service and route.
+/// Measures demand by service and route.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
     services: HashMap<ResourceName, ServiceDemand>,
 }
 
 impl DemandMeter {
-    /// A caller asks for a call of `route` at `service`, of so many bytes.
+    /// Records a call of `route` to `service`, with a request of this many bytes.
     pub fn record_request(
         &mut self,
         service: &ResourceName,
@@ -84,56 +84,57 @@
         let demand = routes.entry(route.clone()).or_insert(RouteDemand {
             rate: 0.0,
             at: now,
-            work: 0.0,
+            service_time: 0.0,
             bytes: bytes as f64,
         });
         demand.rate = demand.rate(now) + 1.0 / DEMAND_WINDOW.as_secs_f64();
         demand.at = now;
     }
 
-    /// A call held a slot for `work`; request and answer had so many bytes.
+    /// Records that a call held a slot for `service_time`; `bytes` counts request and
+    /// response.
     pub fn record_response(
         &mut self,
         service: &ResourceName,
         route: &ResourceName,
-        work: Duration,
+        service_time: Duration,
         bytes: usize,
     ) {
         let Some(service) = self.services.get_mut(service) else {
             return;
         };
-        let work = work.as_secs_f64();
-        service.work = match service.work > 0.0 {
-            true => mean(service.work, work),
-            false => work,
+        let service_time = service_time.as_secs_f64();
+        service.service_time = match service.service_time > 0.0 {
+            true => mean(service.service_time, service_time),
+            false => service_time,
         };
         let Some(demand) = service.routes.get_mut(route) else {
             return;
         };
-        if demand.work == 0.0 {
-            demand.work = work;
+        if demand.service_time == 0.0 {
+            demand.service_time = service_time;
             demand.bytes = bytes as f64;
         }
-        demand.work = mean(demand.work, work);
+        demand.service_time = mean(demand.service_time, service_time);
         demand.bytes = mean(demand.bytes, bytes as f64);
     }
 
-    /// Mean time for which a call of each route to `service` holds a slot.
+    /// Mean service time by route of `service`; routes without a response are missing.
     pub fn service_times(&self, service: &ResourceName) -> HashMap<ResourceName, Duration> {
         let service = self.services.get(service).into_iter();
         let routes = service.flat_map(|service| &service.routes);
-        let known = routes.filter(|(_, demand)| demand.work > 0.0);
+        let known = routes.filter(|(_, demand)| demand.service_time > 0.0);
         known
-            .map(|(route, demand)| (route.clone(), Duration::from_secs_f64(demand.work)))
+            .map(|(route, demand)| (route.clone(), Duration::from_secs_f64(demand.service_time)))
             .collect()
     }
 
-    /// Services that are called.
+    /// The services that are called.
     pub fn services(&self) -> impl Iterator<Item = &ResourceName> {
         self.services.keys()
     }
 
-    /// Slots that the calls to `service` ask for.
+    /// Slots that the current calls to `service` need.
     pub fn slots(&self, service: &ResourceName, now: Moment) -> f64 {
         let Some(service) = self.services.get(service) else {
             return 0.0;
@@ -142,26 +143,26 @@
         routes.map(|route| service.slots(route, now)).sum()
     }
 
-    /// Chance by route that a call to `service` leaves, so that the part `away` of the
-    /// demand leaves in all. Those leave first that carry the fewest bytes for the slots
-    /// that they need; a route that is not named stays.
+    /// Probability by route that a call to `service` is spilled, so that the fraction
+    /// `spill_fraction` of the demand leaves in total. Calls with the fewest bytes per slot
+    /// leave first; a route that is missing stays.
     pub fn spill_probabilities(
         &self,
         service: &ResourceName,
-        away: f64,
+        spill_fraction: f64,
         now: Moment,
     ) -> HashMap<ResourceName, f64> {
-        if away <= 0.0 {
+        if spill_fraction <= 0.0 {
             return HashMap::new();
         }
-        let mut left = self.slots(service, now) * away;
+        let mut left = self.slots(service, now) * spill_fraction;
         let Some(service) = self.services.get(service) else {
             return HashMap::new();
         };
         let mut routes: Vec<(&ResourceName, &RouteDemand)> = service.routes.iter().collect();
-        let cost = |route: &RouteDemand| service.bytes_a_slot(route);
+        let cost = |route: &RouteDemand| service.bytes_per_slot(route);
         routes.sort_by(|(_, one), (_, other)| cost(one).total_cmp(&cost(other)));
-        let mut chances = HashMap::new();
+        let mut probabilities = HashMap::new();
         for (route, demand) in routes {
             let slots = service.slots(demand, now);
             if left <= 0.0 {
@@ -170,15 +171,15 @@
             let leaving = left.min(slots);
             left -= leaving;
             if slots > 0.0 {
-                chances.insert(route.clone(), leaving / slots);
+                probabilities.insert(route.clone(), leaving / slots);
             }
         }
-        chances
+        probabilities
     }
 
-    /// Forgets routes that are not called any more.
+    /// Drops routes that are no longer called.
     pub fn forget_idle(&mut self, now: Moment) {
-        let called = |route: &RouteDemand| now.since(route.at) < REMEMBERED;
+        let called = |route: &RouteDemand| now.since(route.at) < ROUTE_TTL;
         for service in self.services.values_mut() {
             service.routes.retain(|_, route| called(route));
         }
--- a/crates/rampthread-core/src/call/demand_trend.rs
+++ b/crates/rampthread-core/src/call/demand_trend.rs
@@ -1,9 +1,9 @@
-//! Where demand stands now, from words on it that are old.
+//! Forecasts current demand from delayed reports.
 //!
-//! Demand swings within seconds, and what a zone says of it is some tenths of a second
-//! old: shares by the last word alone would follow the swing late and send calls to a
-//! zone whose room is gone. Level and slope are followed by an alpha-beta filter (Holt's
-//! linear smoothing; C. C. Holt, 1957, reprinted in Int. J. Forecasting 20, 2004).
+//! Demand swings within seconds, and reports of zones are some tenths of a second old: a
+//! plan made from the last report alone would follow the swing late, and send calls to a
+//! zone whose spare slots are gone. Level and slope are tracked by an alpha-beta filter
+//! (Holt's linear smoothing; C. C. Holt, 1957, reprinted in Int. J. Forecasting 20, 2004).
 
 use super::demand::DEMAND_WINDOW;
 use super::zone_spill::ZoneDemand;
@@ -12,30 +12,30 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Weight of the newest word in the level.
+/// Weight of the newest report in the level.
 const LEVEL_WEIGHT: f64 = 0.6;
-/// Weight of the newest word in the slope.
+/// Weight of the newest report in the slope.
 const SLOPE_WEIGHT: f64 = 0.15;
-/// Longest time over which the slope is carried on.
-const LONGEST_FORECAST: Duration = Duration::from_secs(2);
-/// Largest change that is forecast, as a part of the level.
-const LARGEST_CHANGE: f64 = 0.3;
-/// Pause after which the filter begins anew.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
-/// Two words closer to each other say nothing of a slope.
-const LEAST_STEP: Duration = Duration::from_millis(50);
+/// Longest time over which the slope is extrapolated.
+const MAX_FORECAST: Duration = Duration::from_secs(2);
+/// Largest change that is forecast, as a fraction of the level.
+const MAX_CHANGE_RATIO: f64 = 0.3;
+/// Gap between reports after which the filter is reset.
+const MAX_REPORT_GAP: Duration = Duration::from_secs(3);
+/// Reports closer to each other than this are skipped, since their slope is mostly noise.
+const MIN_STEP: Duration = Duration::from_millis(50);
 
-/// Demand and how it changes.
+/// Level and slope of demand.
 #[derive(Debug, Clone, Copy)]
 pub struct DemandTrend {
     at: Moment,
     level: f64,
-    /// Change a second.
+    /// Change per second.
     slope: f64,
 }
 
 impl DemandTrend {
-    /// The first word: demand was `demand` at `at`.
+    /// Starts from a first report: demand was `demand` at `at`.
     pub fn new(demand: f64, at: Moment) -> Self {
         Self {
             at,
@@ -44,13 +44,13 @@
         }
     }
 
-    /// A further word; one that is not newer says nothing.
+    /// Updates the filter with a report; one that is not newer is ignored.
     pub fn update(&mut self, demand: f64, at: Moment) {
         let step = at.since(self.at);
-        if step < LEAST_STEP {
+        if step < MIN_STEP {
             return;
         }
-        if step >= LONGEST_PAUSE {
+        if step >= MAX_REPORT_GAP {
             *self = Self::new(demand, at);
             return;
         }
@@ -62,23 +62,23 @@
         self.at = at;
     }
 
-    /// Demand at `now`, as far as the words tell.
+    /// Forecast of demand at `now`.
     pub fn forecast(&self, now: Moment) -> f64 {
-        let ahead = now.since(self.at).min(LONGEST_FORECAST);
-        let largest = self.level * LARGEST_CHANGE;
+        let ahead = now.since(self.at).min(MAX_FORECAST);
+        let largest = self.level * MAX_CHANGE_RATIO;
         let change = self.slope * ahead.as_secs_f64();
         (self.level + change.clamp(-largest, largest)).max(0.0)
     }
 }
 
-/// Trends of all services in all zones, as one entry follows them.
+/// Demand trends of all services in all zones, as one entry tracks them.
 #[derive(Debug, Default)]
 pub struct ZoneTrends {
     trends: HashMap<ResourceName, HashMap<Zone, DemandTrend>>,
 }
 
 impl ZoneTrends {
-    /// Puts demand as it stands at `now` in place of what was told of `service`.
+    /// Replaces the reported demand of `service` in each zone by the forecast for `now`.
     pub fn forecast(
         &mut self,
         service: &ResourceName,
@@ -91,7 +91,7 @@
                 zones.remove(&standing.zone);
                 continue;
             };
-            // What is told is a mean over the time for which calls are counted.
+            // A report is a mean over the demand window, so it describes an earlier time.
             let at = now - (age + DEMAND_WINDOW);
             let trend = zones
                 .entry(standing.zone.clone())
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Forgets services other than `called`.
+    /// Drops services that are not in `called`.
     pub fn retain_services(&mut self, called: &[ResourceName]) {
         self.trends.retain(|service, _| called.contains(service));
     }
--- a/crates/rampthread-core/src/call/dialect.rs
+++ b/crates/rampthread-core/src/call/dialect.rs
@@ -1,39 +1,38 @@
-//! The names that callers and back ends use for what a call carries.
+//! Header names and conventions towards callers and backends.
 //!
-//! The product has names of its own ([`CallDialect::default`]); a platform with
-//! other names brings another dialect through its adapter. Nothing else in the
-//! product knows those names.
+//! [`CallDialect::default`] is rampthread's own; a platform with other names supplies
+//! another dialect through its adapter. No other code knows those names.
 
 use super::headers;
 use http::{HeaderName, StatusCode};
 
-/// Names of headers towards callers and back ends.
+/// Names of headers and related conventions.
 #[derive(Debug, Clone)]
 pub struct CallDialect {
-    /// The caller's own id of the request, carried to the back end and back.
-    /// None: the entry names the call.
+    /// The caller's own id of the request, passed on to the backend and back. `None`: the
+    /// entry assigns an id.
     pub request_id: Option<HeaderName>,
-    /// Time that is left, in milliseconds.
+    /// Time left, in milliseconds.
     pub deadline_ms: HeaderName,
     /// The service on whose machine the call began.
     pub caller: HeaderName,
-    /// The caller is the service of a machine on which many clients live: it
-    /// does not tell who waits, so calls take no turns by caller.
+    /// `caller` names the service of a machine that many clients share. It does not tell
+    /// who waits, so calls do not share queues by caller.
     pub caller_is_machine: bool,
-    /// The incarnation of the back end that is meant.
+    /// The incarnation of the backend that is addressed.
     pub target_instance: Option<HeaderName>,
-    /// The tenant whose call it is, as back ends are told it.
+    /// The call's tenant, towards backends.
     pub tenant: HeaderName,
-    /// A back end's load, on its answers: slots in use, calls waiting and slots; and how
-    /// long work takes there at present, in percent of its usual time.
+    /// A backend's load on its responses: slots in use, calls waiting and slots, and
+    /// optionally its current service time in percent of the usual one.
     pub backend_load: Option<HeaderName>,
-    /// A back end's signature; where named, a success without it is none.
+    /// A backend's signature; where named, a successful response must have it.
     pub signature: Option<HeaderName>,
-    /// Present when the back end says that it did not run the request.
+    /// Present when the backend reports that it did not run the request.
     pub not_executed: Option<HeaderName>,
-    /// Status of a back end that is not the one meant; the request was not run.
+    /// Status of a backend that is not the one addressed; the request was not run.
     pub misdirected: Option<StatusCode>,
-    /// `Retry-After` may carry fractions of a second.
+    /// `Retry-After` may have fractions of a second.
     pub fractional_retry_after: bool,
 }
 
--- a/crates/rampthread-core/src/call/fair_queue.rs
+++ b/crates/rampthread-core/src/call/fair_queue.rs
@@ -1,59 +1,60 @@
-//! Whose turn it is among those who share one back end: start-time fair queueing (Goyal,
-//! Vin and Cheng 1996) over the work that their calls are expected to need.
+//! Start-time fair queueing (Goyal, Vin and Cheng 1996) among those who share one backend,
+//! by the expected service time of their calls.
 //!
-//! Each call starts where its owner's last one ended, or where the one served last started
-//! if that is later, on a clock of work served; the least start goes first. So whoever asks
-//! ten times as much gets what the others leave, many small calls count like a few large
-//! ones, and nobody saves up turns while asking for nothing.
+//! A call's start tag is the finish tag of its owner's previous call, or the start tag of
+//! the call served last if that is later; the smallest start tag goes first. An owner that
+//! asks for ten times as much gets what the others leave, many small calls count like a few
+//! large ones, and an idle owner saves up no credit.
 //!
-//! Only owners that were served ahead of that clock are remembered: about as many as calls
-//! can wait, however many owners there are.
+//! Only owners whose finish tag is ahead of the virtual clock are kept: about as many as
+//! calls can wait, however many owners there are.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Owners that are remembered at most; a gate's queue holds far fewer calls.
-const MAX_REMEMBERED: usize = 1_024;
-/// Work that a call counts for where none is known; all such calls count the same.
-const UNKNOWN_WORK: Duration = Duration::from_millis(1);
+/// Maximum number of owners kept; a gate's queue holds far fewer calls.
+const MAX_OWNERS: usize = 1_024;
+/// Service time that a call counts for if it is unknown.
+const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(1);
 
-/// The turns of owners at one queue.
+/// Virtual clock and finish tags of one queue.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    /// Start of the call served last.
+    /// Start tag of the call served last.
     clock: Duration,
-    /// End of the last call of an owner, where that is ahead of the clock.
-    ends: HashMap<String, Duration>,
+    /// Finish tag of an owner's last call, where it is ahead of the clock.
+    finish_tags: HashMap<String, Duration>,
 }
 
 impl FairQueue {
-    /// Where the next call of `owner` starts; less goes first.
+    /// Start tag of the next call of `owner`; the smallest goes first.
     pub fn start_tag(&self, owner: &str) -> Duration {
-        let end = self.ends.get(owner).copied().unwrap_or_default();
-        end.max(self.clock)
+        let finish = self.finish_tags.get(owner).copied().unwrap_or_default();
+        finish.max(self.clock)
     }
 
-    /// A call of `owner` that needs so much work is served.
-    pub fn served(&mut self, owner: &str, work: Option<Duration>) {
+    /// Records that a call of `owner` with this expected service time is served.
+    pub fn served(&mut self, owner: &str, service_time: Option<Duration>) {
         let start = self.start_tag(owner);
         self.clock = start;
-        let end = start + work.unwrap_or(UNKNOWN_WORK);
-        if self.ends.len() >= MAX_REMEMBERED {
-            self.ends.retain(|_, end| *end > start);
+        let finish = start + service_time.unwrap_or(DEFAULT_SERVICE_TIME);
+        if self.finish_tags.len() >= MAX_OWNERS {
+            self.finish_tags.retain(|_, finish| *finish > start);
         }
-        if self.ends.len() < MAX_REMEMBERED || self.ends.contains_key(owner) {
-            self.ends.insert(owner.to_string(), end);
+        if self.finish_tags.len() < MAX_OWNERS || self.finish_tags.contains_key(owner) {
+            self.finish_tags.insert(owner.to_string(), finish);
         }
     }
 
-    /// Owners that are remembered.
+    /// Number of owners with a finish tag.
     pub fn remembered(&self) -> usize {
-        self.ends.len()
+        self.finish_tags.len()
     }
 
-    /// Nobody waited: what was served before, while others waited, is settled.
+    /// Clears all tags once the queue is empty: service received while others waited is
+    /// settled.
     pub fn reset(&mut self) {
         self.clock = Duration::ZERO;
-        self.ends.clear();
+        self.finish_tags.clear();
     }
 }
--- a/crates/rampthread-core/src/call/fence.rs
+++ b/crates/rampthread-core/src/call/fence.rs
@@ -1,27 +1,27 @@
-//! Whether a call that was given up on can still start.
+//! Prevents the start of a call that its entry has abandoned.
 //!
-//! An entry node that gives up on a hop asks the receiving node to fence the
-//! call id. Start and fence are decided in one table: whichever comes first
-//! wins, for ever within the table's memory. A fence that finds the call not
-//! started makes a second try elsewhere safe, if the table remembers the time of
-//! the hop: [`FenceOutcome`](super::fence_outcome::FenceOutcome) decides that.
+//! An entry that abandons a hop asks the receiving gate to fence the call id. Starts and
+//! fences are recorded in one table: whichever comes first is final within the retention of
+//! the table. A fence that finds the call not started makes a retry elsewhere safe, if the
+//! table reaches back to the time of the hop, which
+//! [`FenceOutcome`](super::fence_outcome::FenceOutcome) decides.
 
 use crate::time::Moment;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How long a decision is remembered at least, a time in which the process stood
-/// still not counted. An answer says how far back it reaches, so that a call that
+/// Minimum time for which a start or fence is retained, not counting time in which the
+/// process was suspended. A reply says how far back the table reaches, so that a call that
 /// lasts longer is not taken for one that never started.
 pub const FENCE_RETENTION: Duration = Duration::from_secs(120);
-/// Decisions remembered at most; beyond, new calls are refused as not run.
+/// Maximum number of entries; beyond it, new calls are rejected as not run.
 pub const MAX_FENCE_ENTRIES: usize = 1 << 20;
-/// Longest time between two looks that counts as time in which the process ran. A
-/// gate looks ten times a second; after a longer gap it stood still, and hops that
-/// arrived meanwhile are not read yet: their fences must not have been forgotten.
+/// Longest gap between two uses of the table that counts as running time. A gate uses it
+/// ten times per second; after a longer gap the process was suspended, and hops that
+/// arrived meanwhile are not read yet, so that their fences must be retained.
 pub const MAX_COUNTED_GAP: Duration = Duration::from_secs(1);
 
-/// Names a call across the fleet.
+/// Id of a call, unique across the fleet.
 pub type CallId = String;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,21 +30,21 @@
     Fenced,
 }
 
-/// Whether a fenced call may start, as far as the gate remembers.
+/// Whether a fenced call may have started, as far as the gate's table reaches back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceStatus {
-    /// It has not started since the beginning of the gate's memory, and never will.
+    /// It has not started within the gate's retention, and never will.
     NeverStarts,
-    /// It had started; it may have run.
+    /// It had started and may have run.
     Started,
-    /// The gate can remember no further fence, or says what is not understood.
+    /// The gate's table is full, or its reply was not understood.
     Unknown,
 }
 
 impl FenceStatus {
     const ALL: [Self; 3] = [Self::NeverStarts, Self::Started, Self::Unknown];
 
-    /// The word between nodes and in logs.
+    /// The value between nodes and in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             FenceStatus::NeverStarts => "never-starts",
@@ -53,21 +53,21 @@
         }
     }
 
-    /// Reads the word; an unknown one proves nothing.
-    pub fn parse(word: &str) -> Self {
+    /// Parses the value; an unknown one counts as [`FenceStatus::Unknown`].
+    pub fn parse(value: &str) -> Self {
         Self::ALL
             .into_iter()
-            .find(|fenced| fenced.as_str() == word)
+            .find(|fenced| fenced.as_str() == value)
             .unwrap_or(FenceStatus::Unknown)
     }
 }
 
-/// What a gate says when it is asked to fence a call.
+/// A gate's reply to a fence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FenceAnswer {
-    /// Whether the call may still start, as far as the gate remembers.
+    /// Whether the call may have started.
     pub fenced: FenceStatus,
-    /// How far back the gate remembers.
+    /// How far back the gate's table reaches.
     pub retention: Duration,
 }
 
@@ -77,7 +77,7 @@
     /// It was fenced before.
     #[error("the call was fenced before it started")]
     Fenced,
-    /// The same call id has started before: a copy.
+    /// The call id has started before: this hop is a duplicate.
     #[error("the call has started before")]
     Duplicate,
     /// The table is full.
@@ -85,33 +85,35 @@
     Full,
 }
 
-/// Decisions about calls at one node.
+/// Starts and fences of calls at one gate.
 #[derive(Debug)]
 pub struct FenceTable {
-    /// What happened before is not known here.
-    made: Moment,
-    /// When the table was last used.
-    looked: Moment,
-    /// Time for which the process has run since `made`, as far as its looks show.
-    ran: Duration,
+    /// Creation of the table; earlier calls are not known here.
+    created: Moment,
+    /// Last use of the table.
+    last_used: Moment,
+    /// Time for which the process has run since `created`, as far as the uses of the table
+    /// show.
+    running_time: Duration,
     states: HashMap<CallId, State>,
-    /// Calls in the order of their decisions, with `ran` as it was then.
+    /// Calls by age, with the value of `running_time` when they were recorded.
     order: VecDeque<(Duration, CallId)>,
 }
 
 impl FenceTable {
-    /// An empty table of a process that starts `now`.
+    /// An empty table of a process that starts at `now`.
     pub fn new(now: Moment) -> Self {
         Self {
-            made: now,
-            looked: now,
-            ran: Duration::ZERO,
+            created: now,
+            last_used: now,
+            running_time: Duration::ZERO,
             states: HashMap::new(),
             order: VecDeque::new(),
         }
     }
 
-    /// The call wants to start, before any byte of it goes to the back end.
+    /// Records the start of the call; to be called before any byte of it goes to the
+    /// backend.
     pub fn start(&mut self, call: &CallId, now: Moment) -> Result<(), StartError> {
         self.expire(now);
         match self.states.get(call) {
@@ -122,11 +124,11 @@
         if self.is_full() {
             return Err(StartError::Full);
         }
-        self.remember(call, State::Started);
+        self.record(call, State::Started);
         Ok(())
     }
 
-    /// The entry node has given up on the call.
+    /// Fences the call, which its entry has abandoned.
     pub fn fence(&mut self, call: &CallId, now: Moment) -> FenceAnswer {
         self.expire(now);
         let fenced = match self.states.get(call) {
@@ -134,23 +136,23 @@
             Some(State::Fenced) => FenceStatus::NeverStarts,
             None if self.is_full() => FenceStatus::Unknown,
             None => {
-                self.remember(call, State::Fenced);
+                self.record(call, State::Fenced);
                 FenceStatus::NeverStarts
             }
         };
         FenceAnswer {
             fenced,
-            retention: now.since(self.made).min(FENCE_RETENTION),
+            retention: now.since(self.created).min(FENCE_RETENTION),
         }
     }
 
-    /// Forgets what is older than [`FENCE_RETENTION`]. To be called while nothing else
-    /// is asked of the table, too: only looks show that the process runs.
+    /// Drops entries older than [`FENCE_RETENTION`]. To be called regularly, also while
+    /// there are no calls: only uses of the table show that the process is running.
     pub fn expire(&mut self, now: Moment) {
-        self.ran += now.since(self.looked).min(MAX_COUNTED_GAP);
-        self.looked = self.looked.max(now);
-        while let Some((decided, _)) = self.order.front()
-            && self.ran.saturating_sub(*decided) > FENCE_RETENTION
+        self.running_time += now.since(self.last_used).min(MAX_COUNTED_GAP);
+        self.last_used = self.last_used.max(now);
+        while let Some((recorded_at, _)) = self.order.front()
+            && self.running_time.saturating_sub(*recorded_at) > FENCE_RETENTION
         {
             if let Some((_, call)) = self.order.pop_front() {
                 self.states.remove(&call);
@@ -158,21 +160,21 @@
         }
     }
 
-    fn remember(&mut self, call: &CallId, state: State) {
+    fn record(&mut self, call: &CallId, state: State) {
         self.states.insert(call.clone(), state);
-        self.order.push_back((self.ran, call.clone()));
+        self.order.push_back((self.running_time, call.clone()));
     }
 
     fn is_full(&self) -> bool {
         self.states.len() >= MAX_FENCE_ENTRIES
     }
 
-    /// Decisions remembered now.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// True when nothing is remembered.
+    /// True without entries.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -1,81 +1,82 @@
-//! Headers that travel with a call, and the outcome that an answer names.
+//! Headers that travel with a call, and the outcome that a response carries.
 
 use http::StatusCode;
 use std::fmt;
 use std::time::Duration;
 
-/// Names one call across the fleet.
+/// Id of the call, unique across the fleet.
 pub const CALL_ID: &str = "rampthread-call-id";
 /// Time left for the call, in milliseconds.
 pub const DEADLINE_MS: &str = "rampthread-deadline-ms";
-/// Services that the call has passed through.
+/// Number of services that the call has passed through.
 pub const HOPS: &str = "rampthread-hops";
-/// What became of the request: one of [`Outcome`].
+/// What became of the request: an [`Outcome`].
 pub const OUTCOME: &str = "rampthread-outcome";
-/// The service that makes the call; limits are fair between callers.
+/// The service that makes the call; calling services share a queue fairly.
 pub const CALLER: &str = "rampthread-caller";
-/// The route that the entry node chose.
+/// The route that the entry chose.
 pub const ROUTE: &str = "rampthread-route";
-/// The back end that is meant, or that answered.
+/// The backend that is addressed, or that responded.
 pub const BACKEND: &str = "rampthread-backend";
-/// Configuration version that the call began with.
+/// Configuration version under which the call was routed.
 pub const VERSION: &str = "rampthread-version";
 /// Proof that a fleet member sent this hop.
 pub const HOP_TOKEN: &str = "rampthread-hop-token";
-/// Calls in flight and queued at the back end, on answers between nodes.
+/// Calls in flight and queued at the backend, on responses between nodes.
 pub const LOAD: &str = "rampthread-load";
-/// Whether a request that was not run reached the back end: one of [`Reach`].
+/// Whether a request that was not run reached the backend: a [`Reach`].
 pub const REACH: &str = "rampthread-reach";
-/// Why a gate did not run a request: one of [`Cause`](super::cause::Cause).
+/// Why a gate did not run a request: a [`Cause`](super::cause::Cause).
 pub const CAUSE: &str = "rampthread-cause";
-/// Why a gate did not run a request, for logs.
+/// Why a gate did not run a request, as free text for logs.
 pub const REASON: &str = "rampthread-reason";
-/// The incarnation of a back end that ended while it ran the request.
+/// The incarnation of a backend that ended while it ran the request.
 pub const CRASHED: &str = "rampthread-crashed";
-/// When to come back, in milliseconds, on answers between nodes.
+/// When to retry, in milliseconds, on responses between nodes.
 pub const RETRY_AFTER_MS: &str = "rampthread-retry-after-ms";
-/// The tenant whose call it is, by its key; a call without one has none.
+/// The call's tenant, identified by its key; absent on calls without a tenant.
 pub const TENANT: &str = "rampthread-tenant";
-/// How fast a back end works, on answers between nodes: a
+/// Speed of the backend, on responses between nodes: a
 /// [`BackendSpeed`](super::backend_speed::BackendSpeed).
 pub const PACE: &str = "rampthread-pace";
-/// Time that the call waited for a slot, in milliseconds, on answers between nodes;
-/// missing where it did not wait.
+/// Time that the call waited for a slot, in milliseconds, on responses between nodes;
+/// absent where it did not wait.
 pub const WAITED_MS: &str = "rampthread-waited-ms";
 /// Rank of the call's tenant, else of its route; 0 goes first.
 pub const RANK: &str = "rampthread-rank";
-/// Precedence of the call within its rank, unless it is a first attempt.
+/// [`Precedence`](super::precedence::Precedence) of the call within its rank; absent on a
+/// first attempt.
 pub const PRECEDENCE: &str = "rampthread-precedence";
-/// The gate lets a large body come.
+/// The gate permits the transfer of a large body.
 pub const GRANTED: &str = "rampthread-granted";
-/// Length of a large body that waits for a grant.
+/// Length of a large body that waits for permission to be sent.
 pub const BODY_BYTES: &str = "rampthread-body-bytes";
 /// When the hop was sent: a [`SentAt`](super::path_delay::SentAt).
 pub const SENT_AT: &str = "rampthread-sent";
-/// Whether the call may wait for a slot: one of [`QueueingLimit`].
+/// How long the call may wait for a slot: a [`QueueingLimit`].
 pub const WAITING: &str = "rampthread-waiting";
-/// A caller's name for a request that it may send again (IETF draft
+/// Key that a caller chooses for a request that it may send again (IETF draft
 /// `idempotency-key-header`).
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Prefix of every header that only nodes may set.
 pub const PREFIX: &str = "rampthread-";
-/// Most services that one call may pass through (letter 1: up to 21 deep).
+/// Maximum number of services that one call may pass through; guards against routing loops.
 pub const MAX_HOPS: u32 = 32;
 
 /// What became of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The back end answered.
+    /// The backend responded.
     Completed,
-    /// No byte of it reached a back end and none will.
+    /// No byte of it reached a backend and none will.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The word in the [`OUTCOME`] header.
+    /// The value of the [`OUTCOME`] header.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Completed => "completed",
@@ -84,16 +85,16 @@
         }
     }
 
-    /// Reads the word of the [`OUTCOME`] header.
-    pub fn parse(word: &str) -> Option<Outcome> {
+    /// Parses the [`OUTCOME`] header; `None` if the value is unknown.
+    pub fn parse(value: &str) -> Option<Outcome> {
         [Outcome::Completed, Outcome::NotRun, Outcome::Unknown]
             .into_iter()
-            .find(|outcome| outcome.as_str() == word)
+            .find(|outcome| outcome.as_str() == value)
     }
 }
 
 /// True for the statuses by which callers conclude that a request has not run and never
-/// will. No answer has one of them unless that is known.
+/// will. No response carries one of them unless that is known.
 pub fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -104,17 +105,18 @@
     )
 }
 
-/// Whether a try reached a back end.
+/// How far an attempt got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
-    /// It did, or may have: the next try is a second arrival.
+    /// It reached the backend, or may have: a further attempt is a retry that counts
+    /// against the budget.
     Backend,
-    /// The node beside the back end refused it, or could not be reached.
+    /// The gate rejected it, or could not be reached.
     Gate,
 }
 
 impl Reach {
-    /// The word in the [`REACH`] header.
+    /// The value of the [`REACH`] header.
     pub fn as_str(self) -> &'static str {
         match self {
             Reach::Backend => "back-end",
@@ -122,10 +124,10 @@
         }
     }
 
-    /// Reads the word of the [`REACH`] header; what is not known to have
-    /// stopped at the gate may have reached the back end.
-    pub fn parse(word: Option<&str>) -> Reach {
-        match word {
+    /// Parses the [`REACH`] header. Any value but `gate` counts as [`Reach::Backend`],
+    /// since the attempt may have reached the backend.
+    pub fn parse(value: Option<&str>) -> Reach {
+        match value {
             Some("gate") => Reach::Gate,
             _ => Reach::Backend,
         }
@@ -138,12 +140,12 @@
     }
 }
 
-/// Whether a call may wait for a slot.
+/// How long a call may wait for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueingLimit {
-    /// It runs now or is refused: another back end seems free.
+    /// It runs now or is rejected, since another backend seems to have a free slot.
     Never,
-    /// While the target latency of its route can be met.
+    /// While the target latency of its route can be met; the time left for that.
     ForTarget(Duration),
     /// While its deadline can be met.
     UntilDeadline,
@@ -153,11 +155,11 @@
 const UNTIL_DEADLINE: &str = "until-deadline";
 
 impl QueueingLimit {
-    /// Reads the [`WAITING`] header; anything else does not wait.
-    pub fn parse(word: Option<&str>) -> QueueingLimit {
-        match word {
+    /// Parses the [`WAITING`] header; any other value does not wait.
+    pub fn parse(value: Option<&str>) -> QueueingLimit {
+        match value {
             Some(UNTIL_DEADLINE) => QueueingLimit::UntilDeadline,
-            Some(word) => word.parse().map_or(QueueingLimit::Never, |target| {
+            Some(value) => value.parse().map_or(QueueingLimit::Never, |target| {
                 QueueingLimit::ForTarget(Duration::from_millis(target))
             }),
             None => QueueingLimit::Never,
@@ -175,33 +177,33 @@
     }
 }
 
-/// Why a call's own headers are refused.
+/// Why the headers of an incoming call are rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
-    /// The deadline is no number of milliseconds.
+    /// The deadline is not a number of milliseconds.
     #[error("{DEADLINE_MS}: {found:?} is not a number of milliseconds")]
     Deadline {
-        /// What was found.
+        /// The value, cut to 32 characters.
         found: String,
     },
-    /// The hop count is no number.
+    /// The hop count is not a number.
     #[error("{HOPS}: {found:?} is not a number")]
     Hops {
-        /// What was found.
+        /// The value, cut to 32 characters.
         found: String,
     },
     /// The call has passed through too many services.
     #[error("{HOPS}: {found} is above {MAX_HOPS}; is there a loop?")]
     TooDeep {
-        /// What was found.
+        /// Number of services so far.
         found: u32,
     },
 }
 
-/// Longest deadline that a caller may set.
+/// Longest deadline that a caller may set; longer ones are shortened to it.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Reads the remaining time.
+/// Parses the time left from [`DEADLINE_MS`]; `None` where the header is absent.
 pub fn parse_deadline(text: Option<&str>) -> Result<Option<Duration>, HeaderError> {
     let Some(text) = text else { return Ok(None) };
     let milliseconds: u64 = text.trim().parse().map_err(|_| HeaderError::Deadline {
@@ -210,7 +212,7 @@
     Ok(Some(Duration::from_millis(milliseconds).min(MAX_DEADLINE)))
 }
 
-/// Reads the hop count and adds this hop.
+/// Parses the hop count and adds this hop.
 pub fn next_hop(text: Option<&str>) -> Result<u32, HeaderError> {
     let hops: u32 = match text {
         None => 0,
--- a/crates/rampthread-core/src/call/identity.rs
+++ b/crates/rampthread-core/src/call/identity.rs
@@ -1,36 +1,35 @@
-//! What a request asks for, told apart from its id: a caller that tries again
-//! brings a new id and the same content.
+//! Identity of a request: a keyed digest of its content. A caller that retries sends a new
+//! request id with the same content.
 //!
-//! Method, authority, path with query and body make the identity. Who calls is
-//! left out: a back end that cannot bear a request cannot bear it from anybody,
-//! and a caller that moves to another machine would otherwise be a new one.
+//! The identity covers method, authority, path with query, and body, but not the caller: a
+//! request that crashes a backend does so whoever sends it, and a caller that moves to
+//! another machine must not appear as a new one.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Length of an identity, in bytes: nobody finds a second request for one in
-/// fewer than 2^128 tries.
+/// Length of an identity in bytes; 128 bits resist a second-preimage search.
 pub const IDENTITY_BYTES: usize = 16;
-/// Sets the digests of identities apart from all others.
+/// Key derivation context; separates these digests from all others.
 const CONTEXT: &str = "rampthread 2026 request identity";
 
-/// Names a request by what it asks for.
+/// Digest of a request's content.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RequestIdentity([u8; IDENTITY_BYTES]);
 
-/// Why a text or some bytes are not an identity.
+/// The text or bytes do not have the form of an identity.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("not the identity of a request: {IDENTITY_BYTES} bytes are wanted")]
+#[error("invalid request identity: expected {IDENTITY_BYTES} bytes")]
 pub struct InvalidIdentity;
 
 impl RequestIdentity {
-    /// Takes the bytes that came from another node.
+    /// Reads the bytes that another node sent.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, InvalidIdentity> {
         bytes.try_into().map(Self).map_err(|_| InvalidIdentity)
     }
 
-    /// Reads the hexadecimal text of logs and commands.
+    /// Parses the hexadecimal form used in logs and commands.
     pub fn parse(text: &str) -> Result<Self, InvalidIdentity> {
         let mut bytes = [0; IDENTITY_BYTES];
         if text.len() != IDENTITY_BYTES * 2 || !text.is_ascii() {
@@ -43,7 +42,7 @@
         Ok(Self(bytes))
     }
 
-    /// The bytes for another node.
+    /// The bytes that are sent to other nodes.
     pub fn as_bytes(&self) -> &[u8; IDENTITY_BYTES] {
         &self.0
     }
@@ -76,31 +75,31 @@
     }
 }
 
-/// The parts of a request that make its identity.
+/// The parts of a request that its identity covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestContent<'a> {
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The `Host` header, as sent; empty where there is none.
+    /// The `Host` header, as sent; empty if absent.
     pub authority: &'a str,
     /// Path and query, as sent.
     pub target: &'a str,
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
-/// Makes identities. Keyed by a secret of the fleet, so that nobody outside can
-/// tell what a digest in a log stands for; all nodes must use the same key.
+/// Computes identities. The key is derived from a secret of the fleet, so that a digest in
+/// a log reveals nothing of the request; all nodes must use the same key.
 #[derive(Clone)]
 pub struct IdentityKey([u8; blake3::KEY_LEN]);
 
 impl IdentityKey {
-    /// A key from a secret that all nodes share.
+    /// Derives the key from a secret that all nodes share.
     pub fn from_secret(secret: &[u8]) -> Self {
         Self(blake3::derive_key(CONTEXT, secret))
     }
 
-    /// Names a request.
+    /// Computes the identity of a request.
     pub fn identify(&self, content: &RequestContent<'_>) -> RequestIdentity {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         let parts = [
@@ -110,7 +109,7 @@
             content.body,
         ];
         for part in parts {
-            // The length keeps two different splits of the same bytes apart.
+            // The length prefix keeps different splits of the same bytes apart.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/crates/rampthread-core/src/call/incarnation_names.rs
+++ b/crates/rampthread-core/src/call/incarnation_names.rs
@@ -1,18 +1,20 @@
-//! Starts of a back end that share a name, told apart by the ends that were seen: a
-//! report that names no start may be of any, and the next one answers under the name of
-//! the one that has ended.
+//! Distinct names for incarnations of a backend that share an id, told apart by the ends
+//! that were observed: a report without a start time may be of any of them, and the next
+//! incarnation answers under the id of the one that has ended.
 
 use crate::ids::InstanceId;
-/// Stands between the name and the number of the start.
+
+/// Separates the id from the number of the incarnation.
 const SEPARATOR: &str = ".start-";
-/// The starts under the name that was counted last.
+
+/// Incarnations under the id whose end was observed last.
 #[derive(Debug, Default)]
 pub struct IncarnationNames {
     name: Option<InstanceId>,
     ended: u64,
 }
 impl IncarnationNames {
-    /// The present start of the back end that calls itself `name`: the bare name until
+    /// Name of the current incarnation of the backend with the id `name`: the bare id until
     /// one is known to have ended.
     pub fn present(&self, name: &InstanceId) -> InstanceId {
         if self.name.as_ref() != Some(name) {
@@ -26,7 +28,8 @@
         let start = format!("{}{suffix}", &name.as_str()[..kept]);
         InstanceId::new(&start).expect("the beginning of a name and a number make a name")
     }
-    /// The present start of the back end that calls itself `name` has ended.
+
+    /// Records that the current incarnation of the backend with the id `name` has ended.
     pub fn note_end(&mut self, name: &InstanceId) {
         if self.name.as_ref() != Some(name) {
             self.name = Some(name.clone());
--- a/crates/rampthread-core/src/call/load_average.rs
+++ b/crates/rampthread-core/src/call/load_average.rs
@@ -1,62 +1,65 @@
-//! Whether a load is worth telling, and the mean that is told.
+//! Averages the load of a backend and decides whether to report it.
 
 use super::zone_spill::{QUIET_UTILIZATION, REPORTING_TAIL};
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Time over which the calls at a back end are averaged.
-const AVERAGED: Duration = Duration::from_millis(500);
+/// Time constant of the average.
+const AVERAGING_TIME: Duration = Duration::from_millis(500);
 
-/// Goes on telling for a while after the last time that something called for it.
+/// Keeps reports going for [`REPORTING_TAIL`] after the last reason to report.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReportingHold {
-    called_for: Option<Moment>,
+    last_reason: Option<Moment>,
 }
 
 impl ReportingHold {
-    /// Something calls for telling now.
+    /// Records a reason to report.
     pub fn extend(&mut self, now: Moment) {
-        self.called_for = Some(now);
+        self.last_reason = Some(now);
     }
 
-    /// True while there is something to tell.
+    /// True while reports are to be sent.
     pub fn is_reporting(&self, now: Moment) -> bool {
-        self.called_for
+        self.last_reason
             .is_some_and(|at| now.since(at) < REPORTING_TAIL)
     }
 }
 
-/// The mean load of one back end.
+/// Averaged load of one backend.
 #[derive(Debug, Clone, Default)]
 pub struct LoadAverage {
     /// Slots in use.
     pub busy: f64,
-    /// Calls that wait.
+    /// Calls in the queue.
     pub waiting: f64,
-    seen: Option<Moment>,
-    telling: ReportingHold,
+    recorded_at: Option<Moment>,
+    hold: ReportingHold,
 }
 
 impl LoadAverage {
-    /// So many calls run and wait now, at a back end of `slots`.
+    /// Records the calls that run and wait now at a backend with `slots`.
     pub fn record(&mut self, running: u32, waiting: u32, slots: f64, now: Moment) {
-        let age = self.seen.map_or(AVERAGED, |seen| now.since(seen));
-        let weight = 1.0 - (-age.as_secs_f64() / AVERAGED.as_secs_f64()).exp();
+        let age = self
+            .recorded_at
+            .map_or(AVERAGING_TIME, |recorded_at| now.since(recorded_at));
+        let weight = 1.0 - (-age.as_secs_f64() / AVERAGING_TIME.as_secs_f64()).exp();
         self.busy += (f64::from(running) - self.busy) * weight;
         self.waiting += (f64::from(waiting) - self.waiting) * weight;
-        self.seen = Some(now);
+        self.recorded_at = Some(now);
         if self.busy + self.waiting > slots * QUIET_UTILIZATION {
-            self.telling.extend(now);
+            self.hold.extend(now);
         }
     }
 
-    /// The zone of the back end is at work, so that each of its members tells its part.
+    /// Records that the backend's zone is loaded, so that each of its members reports its
+    /// part.
     pub fn zone_is_loaded(&mut self, now: Moment) {
-        self.telling.extend(now);
+        self.hold.extend(now);
     }
 
-    /// True while the load is worth telling.
+    /// True while the load is to be reported.
     pub fn is_reporting(&self, now: Moment) -> bool {
-        self.telling.is_reporting(now)
+        self.hold.is_reporting(now)
     }
 }
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -1,47 +1,49 @@
-//! Decisions on calls, in the order in which a call meets them.
+//! Decisions on calls, in the order in which a call meets them. The *entry* is the node
+//! that receives a call from its caller; the *gate* is the node that forwards it to its
+//! local backend.
 //!
 //! | module | decides |
 //! |---|---|
-//! | [`headers`] | what travels along with a call |
-//! | [`identity`] | what a request asks for, beside its id |
+//! | [`headers`] | the headers that travel with a call |
+//! | [`identity`] | the keyed digest of a request's content |
 //! | [`route_table`] | which route a call matches and which service it goes to |
-//! | [`tenant_table`] | whose call it is |
-//! | [`quota`] | whether its tenant may send more |
-//! | [`claims`] | whether a repeated request may run at all |
-//! | [`balance`] | which back end gets it |
-//! | [`zone_spill`] | which zone a call goes to, by what zones say of their load |
-//! | [`demand`] | what callers ask for, and which routes' calls are cheap to send away |
-//! | [`demand_trend`] | where demand stands now, from words that are old |
-//! | [`load_average`] | whether a load is worth telling |
-//! | [`acceptance`] | whether another gate is worth asking |
-//! | [`admission`] | whether the node beside the back end lets it in |
-//! | [`rank_queue`] | which of the waiting calls of one rank goes next |
-//! | [`arrival`] | what a gate knows of a call that wants a slot |
-//! | [`fair_queue`] | whose turn it is among tenants or calling services |
-//! | [`backend_speed`] | how fast a back end works, as the gate beside it has measured it |
-//! | [`speed_meter`] | how that is measured |
-//! | [`backend_load`] | what a back end says of its own load |
-//! | [`path_delay`] | how long a hop stood in full links |
+//! | [`tenant_table`] | the tenant of a call |
+//! | [`quota`] | whether the tenant may send more |
+//! | [`claims`] | whether a repeated request with an idempotency key may run |
+//! | [`balance`] | which backend gets the call |
+//! | [`zone_spill`] | which part of a zone's calls goes to other zones |
+//! | [`demand`] | the slots that callers ask for, and which routes are cheap to spill |
+//! | [`demand_trend`] | forecast of a zone's demand from delayed reports |
+//! | [`load_average`] | the averaged load of a backend, and whether to report it |
+//! | [`acceptance`] | whether another gate is likely to accept the call |
+//! | [`admission`] | whether the gate admits, queues or rejects the call |
+//! | [`rank_queue`] | which queued call of one rank runs next |
+//! | [`arrival`] | what a gate knows of a call that asks for a slot |
+//! | [`fair_queue`] | fair queueing among tenants or calling services |
+//! | [`backend_speed`] | the speed of a backend, as its gate reports it |
+//! | [`speed_meter`] | how a gate measures that speed |
+//! | [`backend_load`] | the load that a backend reports itself |
+//! | [`path_delay`] | how long a hop was delayed by congested links |
 //! | [`service_times`] | how long a call may wait for a slot |
 //! | [`body_transfers`] | when a large body may be sent to a gate |
-//! | [`fence`] | whether a call that was given up on can still start |
-//! | [`fence_outcome`] | what the answer to a fence proves |
-//! | [`response_check`] | whether what came back is the back end's answer to the call |
-//! | [`cause`] | why there is no answer |
-//! | [`dialect`] | how callers and back ends name what a call carries |
-//! | [`log_rate_limit`] | which lines about calls are written |
+//! | [`fence`] | whether an abandoned call can still start |
+//! | [`fence_outcome`] | what the reply to a fence proves |
+//! | [`response_check`] | whether a response belongs to the call |
+//! | [`cause`] | why there is no response of a backend |
+//! | [`dialect`] | header names towards callers and backends |
+//! | [`log_rate_limit`] | which log lines about calls are written |
 //! | [`attempt_age`] | how long ago the caller made its first attempt |
-//! | [`nested_call_detector`] | which calls back ends make in the middle of their own work |
-//! | [`nested_routes`] | the same at an entry, as gates have told it |
+//! | [`nested_call_detector`] | which routes carry calls that backends make while they serve another |
+//! | [`nested_routes`] | the same at an entry, as gates report it |
 //! | [`precedence`] | which calls go before others of their rank |
-//! | [`attempts`] | whether a second try is safe and affordable |
-//! | [`retry_budget`] | how many second tries there are, and who gets them |
-//! | [`retry_after`] | when the caller of a shed call should come back |
-//! | [`crash_detector`] | which lost answers a crash explains |
-//! | [`incarnation_names`] | which start of a back end it was, where reports name none |
-//! | [`peer_crash_detector`] | the same, for back ends beside other nodes |
+//! | [`attempts`] | whether a retry is safe and within the budget |
+//! | [`retry_budget`] | how many retries there are, and who gets them |
+//! | [`retry_after`] | when the caller of a shed call should retry |
+//! | [`crash_detector`] | which lost responses a crash explains |
+//! | [`incarnation_names`] | names for incarnations of a backend whose reports name none |
+//! | [`peer_crash_detector`] | the same as [`crash_detector`], for backends of other nodes |
 //! | [`recent_responses`] | which requests were answered since a crash |
-//! | [`quarantine`] | what becomes of a request under which back ends crash |
+//! | [`quarantine`] | whether a request under which backends crashed may run |
 
 pub mod acceptance;
 pub mod admission;
--- a/crates/rampthread-core/src/call/nested_call_detector.rs
+++ b/crates/rampthread-core/src/call/nested_call_detector.rs
@@ -1,19 +1,19 @@
-//! Which routes are called by a back end in the middle of its own work.
+//! Detects routes that a backend calls while it serves another call.
 //!
-//! Callers from outside enter at every node, so their calls come from nodes
-//! beside all services. A route that only one service calls, at a gate that
-//! others call too, is a dependency of that service: each such call holds a
-//! slot there, and the work done for its parent is lost if it fails.
+//! Callers from outside use every entry, so their calls come from nodes of all services. A
+//! route that only one service calls, at a gate that others call too, carries nested calls
+//! of that service: each of them holds a slot there, and the work done for its parent is
+//! lost if it fails.
 
 use crate::ids::ResourceName;
 use std::collections::HashMap;
 
 /// Weight that older calls keep at each new one: about 200 calls count.
-const KEPT_WEIGHT: f64 = 0.995;
-/// Weight of a route's calls before anything is concluded of it.
-const LEAST_WEIGHT: f64 = 20.0;
-/// Part of a route's calls that its main caller makes where it is a dependency.
-const ONE_CALLER: f64 = 0.99;
+const WEIGHT_DECAY: f64 = 0.995;
+/// Least weight of a route's calls before anything is concluded.
+const MIN_WEIGHT: f64 = 20.0;
+/// Share of a route's calls that its main caller makes if they are nested.
+const MIN_SHARE: f64 = 0.99;
 
 /// Callers of one route, by weight.
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
 impl Callers {
     fn note(&mut self, caller: &str) {
         for weight in self.weights.values_mut() {
-            *weight *= KEPT_WEIGHT;
+            *weight *= WEIGHT_DECAY;
         }
         match self.weights.get_mut(caller) {
             Some(weight) => *weight += 1.0,
@@ -34,23 +34,23 @@
         }
     }
 
-    /// Share of the main caller; none before enough calls were seen.
+    /// Share of the main caller; `None` before enough calls were seen.
     fn main_share(&self) -> Option<f64> {
         let total: f64 = self.weights.values().sum();
         let main = self.weights.values().copied().fold(0.0, f64::max);
-        (total >= LEAST_WEIGHT).then(|| main / total)
+        (total >= MIN_WEIGHT).then(|| main / total)
     }
 }
 
-/// Learns at one gate who calls which route.
+/// Learns at one gate which service calls which route.
 #[derive(Debug, Default)]
 pub struct NestedCallDetector {
     routes: HashMap<ResourceName, Callers>,
 }
 
 impl NestedCallDetector {
-    /// A node beside `caller` passes on a call of `route`. True when it is most
-    /// likely the call of a back end.
+    /// Records a call of `route` from a node of the service `caller`. True when it is most
+    /// likely nested.
     pub fn observe(&mut self, route: &ResourceName, caller: &str) -> bool {
         let callers = match self.routes.get_mut(route) {
             Some(callers) => callers,
@@ -60,9 +60,9 @@
         self.is_nested(route)
     }
 
-    /// True when the calls of `route` are most likely a back end's, by those seen so far.
+    /// True when the calls of `route` are most likely nested, judging by those seen so far.
     pub fn is_nested(&self, route: &ResourceName) -> bool {
-        let one_caller = |callers: &Callers| callers.main_share().map(|share| share >= ONE_CALLER);
+        let one_caller = |callers: &Callers| callers.main_share().map(|share| share >= MIN_SHARE);
         self.routes.get(route).and_then(one_caller) == Some(true)
             && self
                 .routes
@@ -70,7 +70,7 @@
                 .any(|callers| one_caller(callers) == Some(false))
     }
 
-    /// Forgets everything: another back end stands there.
+    /// Drops all records; to be called when another backend replaces this one.
     pub fn clear(&mut self) {
         self.routes.clear();
     }
--- a/crates/rampthread-core/src/call/nested_routes.rs
+++ b/crates/rampthread-core/src/call/nested_routes.rs
@@ -1,40 +1,41 @@
-//! Which routes back ends call in the middle of their own work, as an entry knows it.
+//! Routes that carry nested calls, as an entry knows them.
 //!
-//! An entry sees the calls of one node only, where clients and the back end beside it look
-//! alike. The gates see the calls of many nodes and find it out (see
-//! [`dependency`](super::nested_call_detector)); they tell it with their answers.
+//! An entry sees the calls of one node only, where calls of clients and of the local
+//! backend look alike. Gates see the calls of many nodes and can tell them apart (see
+//! [`nested_call_detector`](super::nested_call_detector)); they report it with their
+//! responses.
 
 use crate::ids::ResourceName;
 use crate::time::Moment;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for which the word of a gate counts. A gate that has seen few calls says nothing,
-/// so that silence is no denial; a route that callers from outside begin to use is told
-/// as nested for so long at most.
-const WORD_LIFE: Duration = Duration::from_secs(30);
+/// Time for which a gate's report counts. A gate that has seen few calls reports nothing,
+/// so a missing report denies nothing; a route that callers from outside begin to use
+/// counts as nested for at most this long.
+const REPORT_TTL: Duration = Duration::from_secs(30);
 
-/// Routes that gates have told to be nested calls.
+/// Routes that gates have reported as nested calls.
 #[derive(Debug, Default)]
 pub struct NestedRoutes {
     told: HashMap<ResourceName, Moment>,
 }
 
 impl NestedRoutes {
-    /// A gate says that calls of `route` from here are a back end's.
+    /// Records the report of a gate that calls of `route` from this node are nested.
     pub fn told(&mut self, route: &ResourceName, now: Moment) {
         match self.told.get_mut(route) {
             Some(at) => *at = now,
             None => {
-                self.told.retain(|_, at| now.since(*at) < WORD_LIFE);
+                self.told.retain(|_, at| now.since(*at) < REPORT_TTL);
                 self.told.insert(route.clone(), now);
             }
         }
     }
 
-    /// True when a call of `route` is most likely the back end's beside this entry.
+    /// True when a call of `route` most likely comes from the local backend.
     pub fn is_nested(&self, route: &ResourceName, now: Moment) -> bool {
         let told = self.told.get(route);
-        told.is_some_and(|at| now.since(*at) < WORD_LIFE)
+        told.is_some_and(|at| now.since(*at) < REPORT_TTL)
     }
 }
--- a/crates/rampthread-core/src/call/path_delay.rs
+++ b/crates/rampthread-core/src/call/path_delay.rs
@@ -1,31 +1,31 @@
-//! How long a hop stood in full links on its way to the gate.
+//! Measures how long a hop was delayed by congested links on its way to the gate.
 //!
-//! A hop says how long its call may still take, counted from when it was sent. On
-//! a full link it may stand for seconds, and the gate would give its call time
-//! that nobody waits for any more. Clocks of two machines are not compared: each
-//! hop carries the time since its sender's start, and the least difference to the
-//! gate's own time that was seen stands for an empty path. What another hop's
-//! difference has above it is its delay (the same idea as in LEDBAT, RFC 6817).
+//! A hop carries the time that its call has left, as of when it was sent. On a congested
+//! link it may be held up for seconds, and the gate would give its call time that no caller
+//! waits for any more. The clocks of two machines are not compared: each hop carries the
+//! time since its sender's start, and the least difference to the gate's own clock seen so
+//! far stands for an idle path. What another hop's difference exceeds it by is its delay,
+//! as in LEDBAT (RFC 6817).
 
 use crate::time::Moment;
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Senders that are remembered; beyond, all are learnt anew.
+/// Maximum number of senders kept; beyond it, all are measured anew.
 const MAX_SENDERS: usize = 4_096;
 
 /// When a hop was sent, by its sender's own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentAt {
-    /// Tells lives of the sender's process apart: its clock begins anew in each.
+    /// Epoch of the sender's process; its clock starts anew in each.
     pub life: u32,
-    /// Time since that life began.
+    /// Time since the process started.
     pub since_start: Duration,
 }
 
 impl SentAt {
-    /// Reads what its `Display` wrote; none if it is something else.
+    /// Parses the `Display` form; `None` if the text has another form.
     pub fn parse(text: &str) -> Option<SentAt> {
         let (life, millis) = text.split_once('-')?;
         Some(SentAt {
@@ -47,32 +47,32 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct EmptyPath {
+struct IdlePath {
     life: u32,
     /// Least difference seen between the two clocks, in microseconds.
     least_difference: i64,
 }
 
-/// Delays of hops, by the machine that sent them.
+/// Delays of hops, by sending machine.
 #[derive(Debug, Default)]
 pub struct PathDelays {
-    senders: HashMap<IpAddr, EmptyPath>,
+    senders: HashMap<IpAddr, IdlePath>,
 }
 
 impl PathDelays {
-    /// A hop arrives. Tells how much longer than the fastest one of its sender it
-    /// was on its way; the first of a life counts as fast.
+    /// Records a hop and returns how much longer it took than the fastest hop of its
+    /// sender. The first hop of a process epoch counts as fast.
     pub fn arrived(&mut self, sender: IpAddr, sent: SentAt, now: Moment) -> Duration {
         let difference = now.0 as i64 - sent.since_start.as_micros() as i64;
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&sender) {
             self.senders.clear();
         }
-        let path = self.senders.entry(sender).or_insert(EmptyPath {
+        let path = self.senders.entry(sender).or_insert(IdlePath {
             life: sent.life,
             least_difference: difference,
         });
         if path.life != sent.life || difference < path.least_difference {
-            *path = EmptyPath {
+            *path = IdlePath {
                 life: sent.life,
                 least_difference: difference,
             };
--- a/crates/rampthread-core/src/call/peer_crash_detector.rs
+++ b/crates/rampthread-core/src/call/peer_crash_detector.rs
@@ -1,7 +1,7 @@
-//! Lost answers as an entry sees them. The gate beside a back end sees its crashes
-//! first, but its process may end with the back end, or before the next incarnation
-//! reports; the entry that sent the calls still knows which answers never came.
-//! Both report the same crash under the same names, and it counts once.
+//! Lost responses as an entry sees them. The gate of a backend notices its crashes first,
+//! but the gate may end with the backend, or before the next incarnation reports; the entry
+//! that sent the calls still knows which responses never came. Both report a crash under
+//! the same names, so that it counts once.
 
 use super::crash_detector::{CrashDetector, CrashSuspect};
 use crate::ids::{InstanceId, NodeId};
@@ -9,27 +9,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is known of the back end beside a node now.
+/// The current backend of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CurrentBackend {
     /// Its incarnation.
     pub instance: InstanceId,
-    /// It has taken its leave.
+    /// It has announced its departure.
     pub leaving: bool,
 }
 
-/// The lost answers of the back ends beside all nodes. Each is remembered for 10 s;
-/// an entry of the size designed for sends 67 calls a second, so that there are a
-/// few hundred at worst.
+/// Lost responses of the backends of all nodes. Each is kept for 10 s; at 67 calls per
+/// second, the load that an entry is designed for, there are a few hundred at worst.
 #[derive(Debug, Default)]
 pub struct PeerCrashDetector {
-    back_ends: BTreeMap<NodeId, CrashDetector>,
-    /// Time between two reports of a back end.
+    detectors: BTreeMap<NodeId, CrashDetector>,
+    /// Time between two reports of a backend.
     heartbeat: Duration,
 }
 
 impl PeerCrashDetector {
-    /// Nothing was lost; back ends report each `heartbeat`.
+    /// No losses; backends report once per `heartbeat`.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
         Self {
             heartbeat,
@@ -37,44 +36,45 @@
         }
     }
 
-    /// The back end beside `node` got a call, and its answer did not come.
+    /// Records a call to the backend of `node` whose response was lost.
     pub fn record_loss(&mut self, node: &NodeId, lost: &CrashSuspect) {
-        let watch = self.back_ends.entry(node.clone());
-        let watch = watch.or_insert_with(|| CrashDetector::with_heartbeat(self.heartbeat));
-        watch.record_loss(lost, false);
+        let detector = self.detectors.entry(node.clone());
+        let detector = detector.or_insert_with(|| CrashDetector::with_heartbeat(self.heartbeat));
+        detector.record_loss(lost, false);
     }
 
-    /// The back end beside `node` answered a call that began at `begun`.
+    /// Records a response of the backend of `node` to a call that began at `begun`.
     pub fn record_response(&mut self, node: &NodeId, instance: &InstanceId, begun: Moment) {
-        if let Some(watch) = self.back_ends.get_mut(node) {
-            watch.record_response(instance, begun);
+        if let Some(detector) = self.detectors.get_mut(node) {
+            detector.record_response(instance, begun);
         }
     }
 
-    /// True when nothing was lost lately.
+    /// True without recent losses.
     pub fn is_empty(&self) -> bool {
-        self.back_ends.is_empty()
+        self.detectors.is_empty()
     }
 
-    /// Compares with what stands beside the nodes now; returns the losses that turn
-    /// out to be crashes. A node that is not known now may come back.
+    /// Compares the losses with the current backends of the nodes and returns those that
+    /// turn out to be crashes. `present` returns `None` for a node that is unknown now; it
+    /// may come back.
     pub fn compare(
         &mut self,
         present: impl Fn(&NodeId) -> Option<CurrentBackend>,
         now: Moment,
     ) -> Vec<CrashSuspect> {
         let mut explained = Vec::new();
-        for (node, watch) in &mut self.back_ends {
-            watch.forget_old(now);
+        for (node, detector) in &mut self.detectors {
+            detector.forget_old(now);
             let Some(present) = present(node) else {
                 continue;
             };
-            explained.extend(watch.record_replacement(&present.instance, now));
+            explained.extend(detector.record_replacement(&present.instance, now));
             if present.leaving {
-                watch.record_departure(&present.instance);
+                detector.record_departure(&present.instance);
             }
         }
-        self.back_ends.retain(|_, watch| !watch.is_empty());
+        self.detectors.retain(|_, detector| !detector.is_empty());
         explained
     }
 }
--- a/crates/rampthread-core/src/call/precedence.rs
+++ b/crates/rampthread-core/src/call/precedence.rs
@@ -1,22 +1,22 @@
 //! Which calls go before others of their rank.
 
-/// Precedence of a call within its rank; the lesser goes first.
+/// Precedence of a call within its rank; the smallest goes first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Precedence {
-    /// The call of a back end that holds a slot for it: if it fails, the work
-    /// done for its parent is lost.
+    /// A call of a backend that holds a slot for it: if it fails, the work done for its
+    /// parent is lost.
     Nested,
-    /// The first attempt of its caller, or a later one whose answer can still be in time.
+    /// The first attempt of its caller, or a later one that can still be answered in time.
     #[default]
     FirstAttempt,
-    /// The caller was refused before, and its answer is late anyway. Where slots are
-    /// scarce, a retry that took the slot of a first attempt would only make that one a
-    /// late retry too.
+    /// A retry of a rejected call whose response is late anyway. Where slots are scarce, a
+    /// retry that took the slot of a first attempt would only turn that one into a late
+    /// retry too.
     Retry,
 }
 
 impl Precedence {
-    /// The word between nodes.
+    /// The value between nodes.
     pub fn as_str(self) -> &'static str {
         match self {
             Precedence::Nested => "dependency",
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Reads the word; a first attempt where there is none. A dependency is
-    /// recognised by the gate itself, never on another node's word.
+    /// Parses the value; anything but `retry` is a first attempt. Nested calls are detected
+    /// by the gate itself and never accepted from another node.
     pub fn parse(word: Option<&str>) -> Precedence {
         match word {
             Some("retry") => Precedence::Retry,
--- a/crates/rampthread-core/src/call/rank_queue.rs
+++ b/crates/rampthread-core/src/call/rank_queue.rs
@@ -1,13 +1,12 @@
 //! The waiting calls of one rank.
 //!
-//! Calls of higher precedence go first. Among those of one precedence their owners,
-//! tenants or calling services, take turns by work (see [`FairQueue`]), so that none can
-//! starve the rest. Of one owner's calls the shorter one goes first (shortest job
-//! first): where slots are scarce, that answers the most callers, and a short call is
-//! often one that a longer call elsewhere holds its slot for. Among calls of about the
-//! same length the earlier deadline goes first.
-//! Every few turns the longer call that has waited longest goes before shorter
-//! ones, so that none is starved.
+//! Calls of higher precedence go first. Within a precedence, callers (tenants or calling
+//! services) share slots fairly by service time (see [`FairQueue`]), so that none can
+//! starve the others. Of one caller's calls the shorter goes first (shortest job first):
+//! where slots are scarce, that answers the most callers, and a short call is often one
+//! that a longer call elsewhere holds its slot for. Among calls of about the same length
+//! the earlier deadline goes first. At regular turns the longer call that has waited
+//! longest goes before shorter ones, so that none starves.
 
 use super::arrival::{Arrival, CallNumber};
 use super::fair_queue::FairQueue;
@@ -17,40 +16,40 @@
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// One turn in so many goes to a longer call, if one waits.
-const TURNS_PER_LONGER: u32 = 4;
+/// Every this many turns, a longer call goes first if one waits.
+const TURNS_PER_LONGER_CALL: u32 = 4;
 
-/// Waiting calls, summed up.
+/// Totals over waiting calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Backlog {
-    /// How many.
+    /// Number of calls.
     pub calls: u32,
-    /// Work expected for all of them.
-    pub work: Duration,
+    /// Sum of their expected service times.
+    pub service_time: Duration,
 }
 
 impl Backlog {
     fn add(&mut self, arrival: &Arrival, mean: Duration) {
         self.calls += 1;
-        self.work += arrival.expected_service_time.unwrap_or(mean);
+        self.service_time += arrival.expected_service_time.unwrap_or(mean);
     }
 }
 
 impl AddAssign for Backlog {
     fn add_assign(&mut self, other: Self) {
         self.calls += other.calls;
-        self.work += other.work;
+        self.service_time += other.service_time;
     }
 }
 
-/// Length of a call in steps of a factor of two: calls of one step count as
-/// equally long, so that small errors of the expected work reorder nothing.
-fn length_step(work: Option<Duration>) -> u32 {
-    work.map_or(0, |work| (work.as_millis() as u32).max(1).ilog2())
+/// Length of a call in powers of two. Calls of one step count as equally long, so that
+/// small errors of the expected service time do not change the order.
+fn length_step(service_time: Option<Duration>) -> u32 {
+    service_time.map_or(0, |time| (time.as_millis() as u32).max(1).ilog2())
 }
 
-/// Place of a call among those of its caller; less goes first.
-fn place_of(arrival: &Arrival) -> (Precedence, u32, Moment) {
+/// Sort key of a call among those of its caller; the smallest goes first.
+fn sort_key(arrival: &Arrival) -> (Precedence, u32, Moment) {
     let length = length_step(arrival.expected_service_time);
     (arrival.precedence, length, arrival.deadline)
 }
@@ -58,16 +57,16 @@
 /// Waiting calls of one rank.
 #[derive(Debug, Default)]
 pub struct RankQueue {
-    /// By caller, next first.
+    /// By caller; the first of each queue goes next.
     waiting: HashMap<String, VecDeque<Arrival>>,
-    turns: FairQueue,
+    fair_queue: FairQueue,
     length: u32,
     /// Turns since a longer call went before shorter ones.
     turns_taken: u32,
 }
 
 impl RankQueue {
-    /// Calls waiting.
+    /// Number of waiting calls.
     pub fn len(&self) -> u32 {
         self.length
     }
@@ -77,26 +76,26 @@
         self.length == 0
     }
 
-    /// Callers with waiting calls.
+    /// Number of callers with waiting calls.
     pub fn callers(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Puts `arrival` in its place.
+    /// Inserts `arrival` by its sort key.
     pub fn push(&mut self, arrival: Arrival) {
         if self.is_empty() {
-            self.turns.reset();
+            self.fair_queue.reset();
         }
         let queue = self.waiting.entry(arrival.caller.clone()).or_default();
-        let place = queue.partition_point(|waiting| place_of(waiting) <= place_of(&arrival));
-        queue.insert(place, arrival);
+        let index = queue.partition_point(|waiting| sort_key(waiting) <= sort_key(&arrival));
+        queue.insert(index, arrival);
         self.length += 1;
     }
 
-    /// Takes the next call.
+    /// Removes the call that goes next.
     pub fn pop(&mut self) -> Option<Arrival> {
         self.turns_taken += 1;
-        if self.turns_taken >= TURNS_PER_LONGER {
+        if self.turns_taken >= TURNS_PER_LONGER_CALL {
             self.turns_taken = 0;
             if let Some(longer) = self.oldest_longer() {
                 return self.take(longer);
@@ -106,25 +105,25 @@
         self.take(next)
     }
 
-    /// The call of the highest precedence whose owner's turn it is.
+    /// The call of the highest precedence, from the caller with the smallest start tag.
     fn next_in_turn(&self) -> Option<CallNumber> {
         let heads = self.waiting.iter().filter_map(|(owner, queue)| {
             let head = queue.front()?;
-            Some((head.precedence, self.turns.start_tag(owner), head.call))
+            Some((head.precedence, self.fair_queue.start_tag(owner), head.call))
         });
         heads.min().map(|(_, _, call)| call)
     }
 
-    /// Takes `call`, which is served now.
+    /// Removes `call` and counts it as served.
     fn take(&mut self, call: CallNumber) -> Option<Arrival> {
         let taken = self.remove(call)?;
-        self.turns
+        self.fair_queue
             .served(&taken.caller, taken.expected_service_time);
         Some(taken)
     }
 
-    /// The oldest of the calls that are longer than the shortest one, among
-    /// those of the highest precedence that wait.
+    /// Among waiting calls of the highest precedence, the oldest of those longer than the
+    /// shortest.
     fn oldest_longer(&self) -> Option<CallNumber> {
         let all = || self.waiting.values().flatten();
         let highest = all().map(|arrival| arrival.precedence).min()?;
@@ -140,7 +139,7 @@
             .min()
     }
 
-    /// Removes `call`; none when it does not wait here.
+    /// Removes `call`; `None` if it does not wait here.
     pub fn remove(&mut self, call: CallNumber) -> Option<Arrival> {
         let (caller, index) = self.waiting.iter().find_map(|(caller, queue)| {
             let index = queue.iter().position(|arrival| arrival.call == call)?;
@@ -155,25 +154,25 @@
         removed
     }
 
-    /// All waiting calls; those of unknown length count as `mean`.
+    /// Totals over all waiting calls; those of unknown length count as `mean`.
     pub fn backlog(&self, mean: Duration) -> Backlog {
         sum(self.waiting.values().flatten(), mean)
     }
 
-    /// Waiting calls that go before `arrival`.
+    /// Totals over waiting calls that go before `arrival`.
     pub fn ahead_of(&self, arrival: &Arrival, mean: Duration) -> Backlog {
-        let ahead = |waiting: &&Arrival| place_of(waiting) <= place_of(arrival);
+        let ahead = |waiting: &&Arrival| sort_key(waiting) <= sort_key(arrival);
         sum(self.waiting.values().flatten().filter(ahead), mean)
     }
 
-    /// Waiting calls of the same caller that go before `arrival`.
+    /// Totals over waiting calls of the same caller that go before `arrival`.
     pub fn own_ahead_of(&self, arrival: &Arrival) -> Backlog {
         let own = self.waiting.get(&arrival.caller);
-        let ahead = |waiting: &&Arrival| place_of(waiting) <= place_of(arrival);
+        let ahead = |waiting: &&Arrival| sort_key(waiting) <= sort_key(arrival);
         sum(own.into_iter().flatten().filter(ahead), Duration::ZERO)
     }
 
-    /// Waiting calls of `caller`.
+    /// Number of waiting calls of `caller`.
     pub fn of_caller(&self, caller: &str) -> u32 {
         self.waiting.get(caller).map_or(0, VecDeque::len) as u32
     }
--- a/crates/rampthread-core/src/call/recent_responses.rs
+++ b/crates/rampthread-core/src/call/recent_responses.rs
@@ -1,20 +1,20 @@
-//! Requests that back ends have answered lately. A crash may be known seconds after
-//! it happened, when the next incarnation reports: what was answered in between is
-//! innocent, and nobody can clear it any more once it is in quarantine.
+//! Requests that backends have answered lately. A crash may become known seconds later,
+//! when the next incarnation reports: a request that was answered in between did not cause
+//! it, and once in quarantine it could not be cleared any more.
 
 use super::identity::RequestIdentity;
 use crate::time::Moment;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Time for which an answer is remembered: longer than a lost answer may take to
-/// turn out a crash (10 s).
-const MEMORY: Duration = Duration::from_secs(15);
-/// Answers remembered at most, about 100 bytes each: a node of the size designed
-/// for serves 67 calls a second.
-const MAX_ANSWERS: usize = 4_096;
+/// Time for which a response is kept: longer than a lost response may take to turn out as a
+/// crash (10 s).
+const RETENTION: Duration = Duration::from_secs(15);
+/// Maximum number of responses kept, about 100 bytes each; a node is designed for 67 calls
+/// per second.
+const MAX_RESPONSES: usize = 4_096;
 
-/// The answers of one node's callers.
+/// Responses to one node's callers.
 #[derive(Debug, Default)]
 pub struct RecentResponses {
     last: HashMap<RequestIdentity, Moment>,
@@ -22,12 +22,12 @@
 }
 
 impl RecentResponses {
-    /// A back end has answered the request whole.
+    /// Records a complete response of a backend to the request.
     pub fn note(&mut self, identity: RequestIdentity, now: Moment) {
         self.last.insert(identity, now);
         self.order.push_back((now, identity));
         while let Some((at, oldest)) = self.order.front().copied()
-            && (self.order.len() > MAX_ANSWERS || now.since(at) > MEMORY)
+            && (self.order.len() > MAX_RESPONSES || now.since(at) > RETENTION)
         {
             self.order.pop_front();
             if self.last.get(&oldest) == Some(&at) {
@@ -36,17 +36,17 @@
         }
     }
 
-    /// When the request was answered last, as far as remembered.
+    /// Time of the last response to the request; `None` if none is kept.
     pub fn last(&self, identity: &RequestIdentity) -> Option<Moment> {
         self.last.get(identity).copied()
     }
 
-    /// Answers remembered.
+    /// Number of responses kept.
     pub fn len(&self) -> usize {
         self.last.len()
     }
 
-    /// True when none is remembered.
+    /// True if none is kept.
     pub fn is_empty(&self) -> bool {
         self.last.is_empty()
     }
--- a/crates/rampthread-core/src/call/retry_after.rs
+++ b/crates/rampthread-core/src/call/retry_after.rs
@@ -1,28 +1,28 @@
-//! When a caller whose call was turned away should come back.
+//! Decides when the caller of a shed call should retry.
 //!
-//! A gate that is full knows when room comes. A back end that turns a call away beside free
-//! slots is another thing: neither its gate nor the others have a queue to wait for, and the
-//! next call may be taken. Its caller should come back while an answer can still be in time,
-//! and not all callers at one moment.
+//! A gate that is full knows when a slot will be free. A backend that sheds a call beside
+//! free slots is different: there is no queue to wait for, and the next call may be
+//! accepted. Its caller should retry while a response can still be in time, and callers
+//! should not all retry at once.
 
 use std::time::Duration;
 
-/// Part of the time to spare after which to come back: the other part is for the way, and
-/// for one return more.
-const SPENT_SHARE: f64 = 0.5;
-/// Least time to spare with which an early return makes sense: in less, the answer is
-/// most likely late anyway.
-const LEAST_SPARE: Duration = Duration::from_millis(20);
+/// Part of the spare time after which to retry; the rest is for the round trip and one more
+/// retry.
+const WAIT_RATIO: f64 = 0.5;
+/// Minimum spare time for an early retry; with less, the response is most likely late
+/// anyway.
+const MIN_SPARE: Duration = Duration::from_millis(20);
 
-/// When to come back after a back end with free slots turned the call away; none when an
-/// answer cannot be in time any more. `target_left` is what is left of the time within
-/// which an answer is worth most, `answer_time` how long answers of the route take, and
-/// `chance` is drawn from 0 to 1, to spread those who return.
-pub fn after_shed(target_left: Duration, answer_time: Duration, chance: f64) -> Option<Duration> {
-    let spare = target_left.saturating_sub(answer_time);
-    if spare < LEAST_SPARE {
+/// Wait before a retry after a backend with free slots shed the call; `None` if a response
+/// can no longer be in time. `target_left` is the rest of the route's target latency,
+/// `response_time` the mean response time of the route, and `jitter` a random number from 0
+/// to 1 that spreads retries.
+pub fn after_shed(target_left: Duration, response_time: Duration, jitter: f64) -> Option<Duration> {
+    let spare = target_left.saturating_sub(response_time);
+    if spare < MIN_SPARE {
         return None;
     }
-    let latest = spare.mul_f64(SPENT_SHARE);
-    Some(latest.mul_f64((1.0 + chance.clamp(0.0, 1.0)) / 2.0))
+    let latest = spare.mul_f64(WAIT_RATIO);
+    Some(latest.mul_f64((1.0 + jitter.clamp(0.0, 1.0)) / 2.0))
 }
--- a/crates/rampthread-core/src/call/retry_budget.rs
+++ b/crates/rampthread-core/src/call/retry_budget.rs
@@ -1,39 +1,39 @@
-//! The retry budget of a service: second tries that its back ends may get, and who may
-//! make them. It is called the allowance below.
+//! The retry budget of a service: how many retries its backends may get, and who may make
+//! them.
 //!
-//! The allowance is a bounded share of the service's calls over a sliding window. Where
-//! back ends turn much away it is gone before the window is, so it matters who uses it:
-//! first a call whose parent holds a slot and has worked already, since all of that is lost
-//! with it. Any other call has lost nothing yet, and its caller may send it again. It gets
-//! what nested calls leave, and a small part in any case.
+//! The budget is a bounded share of the service's calls over a sliding window. While
+//! backends shed many calls it is used up before the window ends, so it matters who uses
+//! it. Nested calls go first: their parent holds a slot and has done work that is lost with
+//! them. Any other call has lost nothing yet, and its caller may send it again; it gets
+//! what nested calls leave, and a small share in any case.
 
 use crate::time::Moment;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Window over which second tries are counted, where the settings name none.
+/// Window over which retries are counted, unless the settings name one.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(10);
-/// Second tries that an idle service may make in a window.
+/// Retries that an idle service may make in a window.
 const DEFAULT_SLACK: f64 = 5.0;
-/// Parts into which a window is counted.
+/// Parts into which a window is divided for counting.
 const WINDOW_PARTS: u64 = 10;
-/// Part of the allowance that calls with nothing to lose get in any case: an answer at
-/// once spares their callers the way back.
-const LEAST_SHARE_OF_OTHERS: f64 = 0.25;
+/// Share of the budget that calls other than nested ones get in any case: an immediate
+/// retry spares their callers a round trip.
+const MIN_CALLER_SHARE: f64 = 0.25;
 
-/// How many second arrivals a service's back ends may get from this node.
+/// How many retries a service's backends may get from this node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimit {
-    /// Second arrivals for each call.
+    /// Retries per call.
     pub ratio: f64,
-    /// Second arrivals in a window besides.
+    /// Retries per window beyond the ratio.
     pub slack: f64,
-    /// The window, sliding.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
 impl RetryLimit {
-    /// `percent` second tries for each hundred calls.
+    /// A limit of `percent` retries per hundred calls.
     pub fn percent(percent: u8) -> Self {
         Self {
             ratio: f64::from(percent) / 100.0,
@@ -43,18 +43,18 @@
     }
 }
 
-/// Who asks for a second try.
+/// Who asks for a retry.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RetryClass {
-    /// The call of a back end: if it fails, the work done for its parent is lost.
+    /// A nested call: if it fails, the work done for its parent is lost.
     Nested,
-    /// A caller's call, which has lost nothing but time.
+    /// A call from outside, which has lost nothing but time.
     #[default]
     Caller,
 }
 
 impl RetryClass {
-    /// The word in metrics.
+    /// The value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RetryClass::Nested => "nested",
@@ -67,33 +67,33 @@
 struct WindowPart {
     number: u64,
     calls: u32,
-    /// Second tries of all.
+    /// Retries of both classes.
     retries: u32,
-    /// Of these, those of callers' calls.
-    retries_of_callers: u32,
-    /// Second tries that nested calls asked for, also in vain.
-    nested_claims: u32,
+    /// Of these, retries of [`RetryClass::Caller`].
+    caller_retries: u32,
+    /// Retries that nested calls asked for, including those denied.
+    nested_requests: u32,
 }
 
-/// A service's allowance of second tries, over a sliding window.
+/// A service's budget of retries over a sliding window.
 #[derive(Debug)]
 pub struct RetryBudget {
-    share: RetryLimit,
+    limit: RetryLimit,
     unlimited: bool,
     parts: VecDeque<WindowPart>,
 }
 
 impl RetryBudget {
-    /// An allowance of `share`.
-    pub fn new(share: RetryLimit) -> Self {
+    /// A budget with the limit `limit`.
+    pub fn new(limit: RetryLimit) -> Self {
         Self {
-            share,
+            limit,
             unlimited: false,
             parts: VecDeque::new(),
         }
     }
 
-    /// No bound: the plain baseline of experiments.
+    /// No limit; a baseline for experiments.
     pub fn unlimited() -> Self {
         Self {
             unlimited: true,
@@ -101,64 +101,64 @@
         }
     }
 
-    /// Changes the share.
-    pub fn set_limit(&mut self, share: RetryLimit) {
-        self.share = share;
+    /// Replaces the limit; what was counted stays.
+    pub fn set_limit(&mut self, limit: RetryLimit) {
+        self.limit = limit;
     }
 
-    /// A call was made.
+    /// Records a call, which adds to the budget.
     pub fn call_made(&mut self, now: Moment) {
         self.part(now).calls += 1;
     }
 
-    /// Takes one second try for `claim`, if there is one for it.
-    pub fn take(&mut self, claim: RetryClass, now: Moment) -> bool {
-        let allowed = self.has_room_for(claim, now);
+    /// Takes one retry for `class`, if the budget allows it.
+    pub fn take(&mut self, class: RetryClass, now: Moment) -> bool {
+        let allowed = self.allows(class, now);
         let unlimited = self.unlimited;
         let part = self.part(now);
-        part.nested_claims += u32::from(claim == RetryClass::Nested);
+        part.nested_requests += u32::from(class == RetryClass::Nested);
         if allowed && !unlimited {
             part.retries += 1;
-            part.retries_of_callers += u32::from(claim == RetryClass::Caller);
+            part.caller_retries += u32::from(class == RetryClass::Caller);
         }
         allowed
     }
 
-    /// Gives back a second try, taken at `taken_at`, that no back end got.
-    pub fn give_back(&mut self, claim: RetryClass, taken_at: Moment) {
+    /// Returns a retry, taken at `taken_at`, that reached no backend.
+    pub fn give_back(&mut self, class: RetryClass, taken_at: Moment) {
         let number = self.part_number(taken_at);
         let Some(part) = self.parts.iter_mut().find(|part| part.number == number) else {
             return;
         };
         part.retries = part.retries.saturating_sub(1);
-        let of_caller = u32::from(claim == RetryClass::Caller);
-        part.retries_of_callers = part.retries_of_callers.saturating_sub(of_caller);
+        let caller_retry = u32::from(class == RetryClass::Caller);
+        part.caller_retries = part.caller_retries.saturating_sub(caller_retry);
     }
 
-    fn has_room_for(&mut self, claim: RetryClass, now: Moment) -> bool {
+    fn allows(&mut self, class: RetryClass, now: Moment) -> bool {
         if self.unlimited {
             return true;
         }
         self.part(now);
         let sum =
             |count: fn(&WindowPart) -> u32| f64::from(self.parts.iter().map(count).sum::<u32>());
-        let allowed = self.share.ratio * sum(|part| part.calls) + self.share.slack;
+        let allowed = self.limit.ratio * sum(|part| part.calls) + self.limit.slack;
         let fits = |retries: f64, allowed: f64| retries < allowed - 1.0 + f64::EPSILON;
         if !fits(sum(|part| part.retries), allowed) {
             return false;
         }
-        let of_callers = sum(|part| part.retries_of_callers);
-        let left_by_nested = allowed - sum(|part| part.nested_claims);
-        let for_callers = left_by_nested.max(allowed * LEAST_SHARE_OF_OTHERS);
-        claim == RetryClass::Nested || fits(of_callers, for_callers)
+        let caller_retries = sum(|part| part.caller_retries);
+        let left_by_nested = allowed - sum(|part| part.nested_requests);
+        let caller_limit = left_by_nested.max(allowed * MIN_CALLER_SHARE);
+        class == RetryClass::Nested || fits(caller_retries, caller_limit)
     }
 
     fn part_number(&self, at: Moment) -> u64 {
-        let length = (self.share.window.as_micros() as u64 / WINDOW_PARTS).max(1);
+        let length = (self.limit.window.as_micros() as u64 / WINDOW_PARTS).max(1);
         at.0 / length
     }
 
-    /// The window's part that `now` falls into; forgets what lies before the window.
+    /// The part of the window that `now` falls into; drops parts before the window.
     fn part(&mut self, now: Moment) -> &mut WindowPart {
         let number = self.part_number(now);
         while let Some(oldest) = self.parts.front()
@@ -171,8 +171,8 @@
                 number,
                 calls: 0,
                 retries: 0,
-                retries_of_callers: 0,
-                nested_claims: 0,
+                caller_retries: 0,
+                nested_requests: 0,
             });
         }
         let last = self.parts.len() - 1;
--- a/crates/rampthread-core/src/call/route_table.rs
+++ b/crates/rampthread-core/src/call/route_table.rs
@@ -1,9 +1,8 @@
-//! Which route a call matches.
+//! Finds the route that a call matches.
 //!
-//! Order: a route that names the host before one that does not; an exact path
-//! before a prefix; a longer prefix before a shorter one; a route that names
-//! the method before one that does not; more headers before fewer. Ties are
-//! refused when a change is applied.
+//! Precedence: a route that names the host before one that does not; an exact path before a
+//! prefix; a longer prefix before a shorter one; a route that names the method before one
+//! that does not; more headers before fewer. Ties are rejected when a change is applied.
 
 use crate::config::{ConfigState, Destination, PathMatch, Repeatability, Route};
 use crate::ids::ResourceName;
@@ -12,33 +11,33 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The parts of a call that routes look at.
+/// The parts of a call that are matched against routes.
 #[derive(Debug, Clone, Copy)]
 pub struct CallHead<'a> {
-    /// Host that the call names, without the port.
+    /// Host of the request, without the port.
     pub host: Option<&'a str>,
     /// Path, without the query.
     pub path: &'a str,
-    /// Method.
+    /// HTTP method.
     pub method: &'a http::Method,
-    /// Headers.
+    /// Request headers.
     pub headers: &'a http::HeaderMap,
 }
 
 /// The routes of one configuration version, most specific first.
 ///
-/// Routes are found by host first, so that thousands of routes cost a call no
-/// more than those of its own host.
+/// Routes are indexed by host, so that the cost of a lookup depends only on the routes of
+/// the call's own host.
 #[derive(Debug, Default)]
 pub struct RouteTable {
-    /// Routes that name a host, by the host in lower case.
+    /// Routes that name a host, keyed by the host in lower case.
     by_host: HashMap<String, Vec<Arc<Route>>>,
-    /// Routes that match every host; they rank below the others.
+    /// Routes that match every host; they come after those of the host.
     any_host: Vec<Arc<Route>>,
 }
 
 impl RouteTable {
-    /// Orders the routes of `state`.
+    /// Sorts the routes of `state` by precedence.
     pub fn new(state: &ConfigState) -> Self {
         let mut routes: Vec<&Route> = state.routes().collect();
         routes.sort_by_key(|route| rank(route));
@@ -53,11 +52,11 @@
         table
     }
 
-    /// The most specific route that matches.
+    /// Returns the most specific route that matches.
     pub fn find(&self, head: &CallHead<'_>) -> Option<&Arc<Route>> {
         let host = head.host.map(str::to_ascii_lowercase);
-        let of_host = host.and_then(|host| self.by_host.get(&host));
-        let candidates = of_host.into_iter().flatten().chain(&self.any_host);
+        let host_routes = host.and_then(|host| self.by_host.get(&host));
+        let candidates = host_routes.into_iter().flatten().chain(&self.any_host);
         candidates.into_iter().find(|route| matches(route, head))
     }
 }
@@ -79,7 +78,7 @@
         && headers_match(route, head.headers)
 }
 
-/// A prefix ends at a segment border: `/a` matches `/a` and `/a/b`, not `/ab`.
+/// A prefix ends at a segment boundary: `/a` matches `/a` and `/a/b`, not `/ab`.
 fn path_matches(wanted: &PathMatch, path: &str) -> bool {
     match wanted {
         PathMatch::Exact(exact) => path == exact,
@@ -105,7 +104,7 @@
     })
 }
 
-/// Chooses a destination by weight.
+/// Picks a destination at random, by weight; `None` if all weights are 0.
 pub fn choose_destination<'a>(
     destinations: &'a [Destination],
     rng: &mut impl Rng,
@@ -114,18 +113,18 @@
     if total == 0 {
         return None;
     }
-    let mut drawn = rng.random_range(0..total);
+    let mut remaining = rng.random_range(0..total);
     for destination in destinations {
         let weight = u64::from(destination.weight);
-        if drawn < weight {
+        if remaining < weight {
             return Some(&destination.service);
         }
-        drawn -= weight;
+        remaining -= weight;
     }
     None
 }
 
-/// Whether a call of this route may run twice.
+/// Returns whether a call of this route may run twice.
 pub fn is_repeatable(route: &Route, method: &http::Method) -> bool {
     match route.repeatability {
         Repeatability::Always => true,
--- a/crates/rampthread-core/src/call/service_times.rs
+++ b/crates/rampthread-core/src/call/service_times.rs
@@ -1,5 +1,5 @@
-//! How long a call may wait for a slot and still be worth it: the time that its
-//! route's target leaves beside the back end's own work on such calls.
+//! Mean service times by route, and how long a call may wait for a slot: the time that its
+//! route's target leaves beside the backend's own work.
 
 use super::precedence::Precedence;
 use crate::ids::ResourceName;
@@ -8,25 +8,25 @@
 
 /// Weight of the newest call in a route's mean.
 const MEAN_WEIGHT: f64 = 0.1;
-/// Work that a call is expected to need, in means of its route.
-const WORK_MEANS: f64 = 1.4;
+/// Service time that a call is expected to need, as a multiple of its route's mean.
+const EXPECTED_MEANS: f64 = 1.4;
 /// Largest part of the target that a call may wait.
-const LONGEST_SHARE: f64 = 0.4;
-/// Largest part of its remaining time that the call of a back end may wait. Its parents
-/// hold their slots meanwhile: where services call each other in a ring, longer waits
-/// cost more answers than the parents' work is worth.
-const DEPENDENCY_SHARE: f64 = 0.15;
+const MAX_WAIT_RATIO: f64 = 0.4;
+/// Largest part of its remaining time that a nested call may wait. Its parents hold their
+/// slots meanwhile: where services call each other in a ring, longer waits cost more
+/// responses than the parents' work is worth.
+const NESTED_WAIT_RATIO: f64 = 0.15;
 /// Part of the target that a call may always wait.
-const SHORTEST_SHARE: f64 = 0.15;
+const MIN_WAIT_RATIO: f64 = 0.15;
 
-/// Mean working times at one back end, by route.
+/// Mean service times at one backend, by route.
 #[derive(Debug, Default)]
 pub struct ServiceTimes {
     means: HashMap<ResourceName, Duration>,
 }
 
 impl ServiceTimes {
-    /// The back end answered a call of `route` after `time`.
+    /// Records the service time of a call of `route`.
     pub fn answered(&mut self, route: &ResourceName, time: Duration) {
         match self.means.get_mut(route) {
             Some(mean) => {
@@ -38,15 +38,14 @@
         }
     }
 
-    /// Time that the back end is expected to work on a call of `route`; none
-    /// before its first answer.
+    /// Expected service time of a call of `route`; `None` before its first response.
     pub fn expected(&self, route: &ResourceName) -> Option<Duration> {
         self.means.get(route).copied()
     }
 
-    /// Longest wait that leaves a call of `route` a chance to meet `target`.
-    /// A retry waits only a little: its caller needs to know soon. The call of a
-    /// back end waits longer, whatever its own target: `left` until its deadline.
+    /// Maximum queueing time that leaves a call of `route` a chance to meet `target`. A
+    /// retry waits only a little, since its caller needs to know soon. A nested call waits
+    /// longer, whatever its own target; `left` is the time until its deadline.
     pub fn max_wait(
         &self,
         route: &ResourceName,
@@ -55,19 +54,19 @@
         left: Duration,
     ) -> Duration {
         match precedence {
-            Precedence::Nested => return left.mul_f64(DEPENDENCY_SHARE),
-            Precedence::Retry => return target.mul_f64(SHORTEST_SHARE),
+            Precedence::Nested => return left.mul_f64(NESTED_WAIT_RATIO),
+            Precedence::Retry => return target.mul_f64(MIN_WAIT_RATIO),
             Precedence::FirstAttempt => {}
         }
-        let work = self.means.get(route).copied().unwrap_or_default();
-        let left = target.saturating_sub(work.mul_f64(WORK_MEANS));
+        let service_time = self.means.get(route).copied().unwrap_or_default();
+        let left = target.saturating_sub(service_time.mul_f64(EXPECTED_MEANS));
         left.clamp(
-            target.mul_f64(SHORTEST_SHARE),
-            target.mul_f64(LONGEST_SHARE),
+            target.mul_f64(MIN_WAIT_RATIO),
+            target.mul_f64(MAX_WAIT_RATIO),
         )
     }
 
-    /// Forgets everything: another back end stands there.
+    /// Drops all means; to be called when another backend replaces this one.
     pub fn clear(&mut self) {
         self.means.clear();
     }
--- a/crates/rampthread-core/src/call/speed_meter.rs
+++ b/crates/rampthread-core/src/call/speed_meter.rs
@@ -1,43 +1,43 @@
-//! How fast the back end beside a gate works, from all its answers and from what it says
-//! of itself.
+//! Measures the speed of a gate's local backend, from all its responses and from what it
+//! reports.
 //!
-//! The standing speed is the time that its work would usually take, over the time that it
-//! took: a ratio of sums, so that mixed routes and a few long calls do little. What the
-//! back end says of its pace at present is taken out of it, and told beside it.
+//! The long-term speed is the time that its work would usually take, over the time that it
+//! took: a ratio of sums, so that mixed routes and a few long calls have little effect. The
+//! current service time that the backend reports is factored out, and reported beside it.
 
 use super::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Calls over which the standing speed is averaged.
+/// Calls over which the long-term speed is averaged.
 const AVERAGED_CALLS: f64 = 100.0;
-/// Calls from which a speed is told.
-const LEAST_CALLS: f64 = 30.0;
-/// One call counts as at most this many times slower or faster than usual.
-const MOST_UNUSUAL: f64 = 5.0;
-/// Ratio between two steps of the speed that is told.
+/// Calls from which a speed is reported.
+const MIN_CALLS: f64 = 30.0;
+/// Factor to which the deviation of a single call from its usual time is clamped.
+const MAX_DEVIATION_RATIO: f64 = 5.0;
+/// Ratio between two steps of the reported speed.
 const STEP: f64 = 1.15;
-/// Least time between two changes of the speed that is told: each is news to all nodes.
-const LEAST_INTERVAL: Duration = Duration::from_secs(2);
-/// Steps by which the measured speed must differ from the told one: under one step the
-/// two would change places by chance.
-const TOLD_DIFFERENCE: f64 = 0.8;
-/// Time after which what the back end said of its present pace is not told any more.
-const PRESENT_LIFE: Duration = Duration::from_millis(300);
+/// Minimum time between changes of the reported speed, each of which is sent to all nodes.
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_secs(2);
+/// Steps by which the measured speed must differ from the reported one. Less would let the
+/// report alternate between two steps by chance.
+const MIN_STEP_DIFFERENCE: f64 = 0.8;
+/// Time for which a backend's report of its current service time is used.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(300);
 
-/// Measures one back end.
+/// Measures one backend.
 #[derive(Debug, Clone)]
 pub struct SpeedMeter {
     calls: f64,
     /// Seconds that the calls would usually take, and took.
     usual: f64,
     taken: f64,
-    /// Logarithm of the speed that is told, in steps.
-    told_steps: i32,
+    /// Reported speed as a power of [`STEP`].
+    reported_steps: i32,
     changed: Option<Moment>,
-    /// Until then the back end is slow since it has just started.
-    cold_until: Moment,
-    present: Option<(u16, Moment)>,
+    /// End of the warm-up after the backend's start.
+    warm_up_until: Moment,
+    current: Option<(u16, Moment)>,
 }
 
 impl Default for SpeedMeter {
@@ -46,81 +46,81 @@
             calls: 0.0,
             usual: 0.0,
             taken: 0.0,
-            told_steps: 0,
+            reported_steps: 0,
             changed: None,
-            cold_until: Moment::default(),
-            present: None,
+            warm_up_until: Moment::default(),
+            current: None,
         }
     }
 }
 
 impl SpeedMeter {
-    /// Of a back end that stays slow for `cold` after its start, which is now.
-    pub fn starting(cold: Duration, now: Moment) -> Self {
+    /// The meter of a backend that starts now and is slow for `warm_up`.
+    pub fn starting(warm_up: Duration, now: Moment) -> Self {
         Self {
-            cold_until: now + cold,
+            warm_up_until: now + warm_up,
             ..Self::default()
         }
     }
 
-    /// The back end says how long work takes there at present, in percent of its usual
-    /// time.
+    /// Records the backend's report of its current service time, in percent of its usual
+    /// value.
     pub fn said(&mut self, service_time_percent: u16, now: Moment) {
-        self.present = Some((service_time_percent, now));
+        self.current = Some((service_time_percent, now));
     }
 
-    /// The back end worked `taken` on a call that takes `usual` in the fleet's mean.
+    /// Records a call that took `taken`, and takes `usual` on average over the fleet.
     pub fn answered(&mut self, usual: Duration, taken: Duration, now: Moment) {
         let usual = usual.as_secs_f64();
-        let present = f64::from(self.service_time_percent(now)) / f64::from(USUAL_PERCENT);
-        let taken = taken.as_secs_f64() / present;
-        if usual <= 0.0 || now < self.cold_until {
+        let current = f64::from(self.service_time_percent(now)) / f64::from(USUAL_PERCENT);
+        let taken = taken.as_secs_f64() / current;
+        if usual <= 0.0 || now < self.warm_up_until {
             return;
         }
-        let taken = taken.clamp(usual / MOST_UNUSUAL, usual * MOST_UNUSUAL);
+        let taken = taken.clamp(usual / MAX_DEVIATION_RATIO, usual * MAX_DEVIATION_RATIO);
         let kept = 1.0 - 1.0 / AVERAGED_CALLS;
         self.calls = self.calls * kept + 1.0;
         self.usual = self.usual * kept + usual;
         self.taken = self.taken * kept + taken;
-        self.settle(now);
+        self.update_reported(now);
     }
 
-    /// Takes the measured speed over where it is clearly another than the told one.
-    fn settle(&mut self, now: Moment) {
-        let recent = |at: Moment| now.since(at) < LEAST_INTERVAL;
+    /// Reports the measured speed if it clearly differs from the reported one.
+    fn update_reported(&mut self, now: Moment) {
+        let recent = |at: Moment| now.since(at) < MIN_CHANGE_INTERVAL;
         if !self.is_known() || self.changed.is_some_and(recent) {
             return;
         }
         let steps = (self.usual / self.taken).ln() / STEP.ln();
-        if (steps - f64::from(self.told_steps)).abs() >= TOLD_DIFFERENCE {
-            self.told_steps = steps.round() as i32;
+        if (steps - f64::from(self.reported_steps)).abs() >= MIN_STEP_DIFFERENCE {
+            self.reported_steps = steps.round() as i32;
             self.changed = Some(now);
         }
     }
 
     fn service_time_percent(&self, now: Moment) -> u16 {
-        let fresh = |(_, at): &(u16, Moment)| now.since(*at) < PRESENT_LIFE;
-        let present = self.present.filter(fresh);
-        present.map_or(USUAL_PERCENT, |(percent, _)| percent)
+        let fresh = |(_, at): &(u16, Moment)| now.since(*at) < MAX_REPORT_AGE;
+        let current = self.current.filter(fresh);
+        current.map_or(USUAL_PERCENT, |(percent, _)| percent)
     }
 
-    /// The standing speed that is told, in percent of what is usual.
+    /// The reported long-term speed, in percent of the usual one.
     pub fn speed_percent(&self) -> u16 {
-        let speed = STEP.powi(self.told_steps) * f64::from(USUAL_PERCENT);
+        let speed = STEP.powi(self.reported_steps) * f64::from(USUAL_PERCENT);
         speed.round() as u16
     }
 
-    /// True once enough calls were seen to tell a speed.
+    /// True once enough calls were measured to report a speed.
     pub fn is_known(&self) -> bool {
-        self.calls >= LEAST_CALLS
+        self.calls >= MIN_CALLS
     }
 
-    /// The pace that is told.
+    /// The speed to report.
     pub fn pace(&self, now: Moment) -> BackendSpeed {
         BackendSpeed {
             speed_percent: self.speed_percent(),
             service_time_percent: self.service_time_percent(now),
-            warm_up_left: self.cold_until.since(now),
+            warm_up_left: self.warm_up_until.since(now),
         }
     }
 }
--- a/crates/rampthread-core/src/call/tenant_table.rs
+++ b/crates/rampthread-core/src/call/tenant_table.rs
@@ -1,4 +1,4 @@
-//! Whose call it is, by the key that came with it.
+//! Identifies the tenant of a call by the API key in its headers.
 
 use super::cause::Cause;
 use crate::config::{ConfigState, KeyDigest, RateLimit, Tenant};
@@ -8,24 +8,24 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The scheme that keys come with (RFC 6750, section 2.1), compared without case.
+/// Authorization scheme of keys (RFC 6750, section 2.1), compared case-insensitively.
 const SCHEME: &str = "bearer";
 /// Longest key that is looked up, in bytes.
 const MAX_KEY_BYTES: usize = 512;
 
-/// The tenants of one configuration version, by the digests of their keys.
+/// The tenants of one configuration version, indexed by the digests of their keys.
 #[derive(Debug, Default)]
 pub struct TenantTable {
     by_key: HashMap<KeyDigest, Arc<Tenant>>,
-    /// Those with a limit, as nodes name them to each other.
+    /// Tenants with a limit, by the hash that nodes send to each other.
     limited: HashMap<TenantTag, Arc<Tenant>>,
     in_use: bool,
 }
 
-/// Why a request is of nobody who may send it.
+/// Why no tenant was found for a request that needs one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TenantKeyError {
-    /// It has no key, or not in a form that can be read.
+    /// It has no key, or none that can be parsed.
     #[error("the request has no key of a tenant")]
     NoKey,
     /// No tenant has this key.
@@ -34,7 +34,7 @@
 }
 
 impl TenantKeyError {
-    /// The word in logs and metrics.
+    /// The cause that is logged and counted.
     pub fn cause(self) -> Cause {
         match self {
             TenantKeyError::NoKey => Cause::KeyMissing,
@@ -44,7 +44,7 @@
 }
 
 impl TenantTable {
-    /// The tenants of `state`.
+    /// Builds the table from the tenants of `state`.
     pub fn new(state: &ConfigState) -> Self {
         let mut table = TenantTable::default();
         for tenant in state.tenants() {
@@ -60,29 +60,29 @@
         table
     }
 
-    /// True when the configuration has tenants: calls need a key, and no key goes further
-    /// than the node that they came to.
+    /// True when the configuration has tenants. Calls then need a key, and keys are not
+    /// forwarded beyond the node that received them.
     pub fn has_tenants(&self) -> bool {
         self.in_use
     }
 
-    /// The limit of a tenant; none where it has none or is not known.
+    /// The limit of a tenant; `None` if it has none or is unknown.
     pub fn limit(&self, tag: TenantTag) -> Option<RateLimit> {
         self.limited.get(&tag)?.limit()
     }
 
-    /// The tenants that have a limit.
+    /// Iterates over the tenants that have a limit.
     pub fn limited(&self) -> impl Iterator<Item = (TenantTag, &Arc<Tenant>)> {
         self.limited.iter().map(|(tag, tenant)| (*tag, tenant))
     }
 
-    /// True when some tenant has a limit.
+    /// True when any tenant has a limit.
     pub fn has_limits(&self) -> bool {
         !self.limited.is_empty()
     }
 
-    /// The tenant that a call with these headers is of; none where it needs none. A call
-    /// of a public route is its tenant's where its key is known.
+    /// Returns the tenant of a call with these headers; `None` where the configuration has
+    /// no tenants. A call of a public route belongs to a tenant only if its key is known.
     pub fn identify(
         &self,
         headers: &HeaderMap,
@@ -106,14 +106,15 @@
     }
 }
 
-/// True for a key that a request can come with.
+/// True for a key that fits in an `Authorization` header.
 pub fn is_valid_key(key: &str) -> bool {
     let visible = |byte: u8| byte == b' ' || byte.is_ascii_graphic();
     let whole = !key.is_empty() && key.trim() == key;
     whole && key.len() <= MAX_KEY_BYTES && key.bytes().all(visible)
 }
 
-/// The key of a request. Two of them tell nothing: which one was meant is not known.
+/// Extracts the key of a request. Two `Authorization` headers are ambiguous and count as
+/// none.
 fn bearer_key(headers: &HeaderMap) -> Option<&str> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.to_str().ok()?;
--- a/crates/rampthread-core/src/call/zone_spill.rs
+++ b/crates/rampthread-core/src/call/zone_spill.rs
@@ -1,83 +1,83 @@
-//! Which zone a call goes to, by what zones say of their load.
+//! Plans which part of a zone's calls goes to other zones, from the load reports of zones.
 //!
-//! The load that this answers: callers' demand swings in each zone by itself, and back
-//! ends are not spread as callers are. A zone at 1.3 of its own capacity beside one at
-//! 0.7 can serve as both together, if the part that it cannot bear leaves before queues
-//! form. All entries compute alike from the same sums: each sends away the same share of
-//! its own calls, and to each zone with room in proportion to that room, so that no room
-//! is given away twice though all decide at once. Demand is that of callers, wherever
-//! their calls are sent: moving work changes none of the figures that moved it, so that
-//! zones do not send work to each other in turn.
+//! Demand swings in each zone independently, and backends are not distributed as callers
+//! are. A zone at 1.3 of its capacity and one at 0.7 can together serve all calls, if the
+//! excess leaves before queues form. All entries compute the same plan from the same sums:
+//! each spills the same fraction of its own calls, and to each zone with spare slots in
+//! proportion to these, so that no slot is given away twice though all entries decide at
+//! the same time. Demand counts callers of a zone, wherever their calls are served: spilled
+//! calls do not change the figures that the plan is made from, so that zones do not send
+//! calls back and forth.
 
 use crate::fleet::{MILLI_SLOTS, MilliSlots, ServiceLoad, ZoneLoad};
 use crate::ids::{ResourceName, Zone};
 use rand::Rng;
 use std::time::Duration;
 
-/// Part of its slots from which a back end or a zone tells its load. A zone that is
-/// silent is taken to be this busy.
+/// Utilization from which a backend or a zone reports its load. A zone that reports nothing
+/// is assumed to have this utilization.
 pub const QUIET_UTILIZATION: f64 = 0.6;
-/// Time for which a load is still reported after it has fallen below [`QUIET_UTILIZATION`]:
-/// the last report of a zone that then falls silent shows it at rest.
+/// Time for which a load is still reported after it has fallen below [`QUIET_UTILIZATION`],
+/// so that the last report before a zone falls silent shows a quiet zone.
 pub const REPORTING_TAIL: Duration = Duration::from_secs(5);
-/// Age from which a report of a zone is not used. Until then another node can take over
-/// as the zone's speaker: that takes four intervals of the exchange.
-const NEWS_LIFE: Duration = Duration::from_secs(2);
-/// Silence after which a zone that was last heard of at work counts as at rest: those who
-/// told its load have ended or started anew.
-const LONG_SILENCE: Duration = Duration::from_secs(10);
-/// Slots kept free, in square roots of all slots (square-root staffing): so far do random
-/// arrivals swing around their mean.
-const SPARE_ROOTS: f64 = 1.0;
-/// Part of the slots in the member table whose load must be known. Where it is less, the
-/// others count as at rest; else what is missing has most likely ended.
-const TOLD_PART: f64 = 0.5;
+/// Maximum age of a zone's report. Within this time another node can take over as zone
+/// aggregator, which takes four exchange intervals.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
+/// Silence after which a zone whose last report showed load counts as quiet: the nodes that
+/// reported it have ended or restarted.
+const MAX_LOADED_SILENCE: Duration = Duration::from_secs(10);
+/// Slots kept free, as a multiple of the square root of all slots (square-root staffing):
+/// the random variation of arrivals around their mean.
+const SPARE_SLOT_ROOTS: f64 = 1.0;
+/// Least part of a zone's slots whose load must have been reported. Where less is reported,
+/// the rest counts as quiet; otherwise what is missing has most likely ended.
+const MIN_REPORTED_RATIO: f64 = 0.5;
 
-/// One service in one zone, in slots.
+/// Capacity and demand of one service in one zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneDemand {
     /// The zone.
     pub zone: Zone,
-    /// Slots of its back ends.
+    /// Slots of its backends.
     pub capacity: f64,
-    /// Slots that its own callers ask for, wherever their calls are sent.
+    /// Slots that its own callers need, wherever their calls are served.
     pub demand: f64,
-    /// Age of the zone's own word; none: the zone is silent.
+    /// Age of the zone's own report; `None`: the zone is silent.
     pub report_age: Option<Duration>,
 }
 
 impl ZoneDemand {
-    /// Slots up to which work stays or is taken in while other zones have room.
+    /// Slots up to which a zone keeps or accepts calls while other zones have spare slots.
     fn comfortable(&self) -> f64 {
-        (self.capacity - SPARE_ROOTS * self.capacity.sqrt()).max(0.0)
+        (self.capacity - SPARE_SLOT_ROOTS * self.capacity.sqrt()).max(0.0)
     }
 }
 
-/// How the calls of one zone to one service are shared out.
+/// How one zone's calls to one service are distributed over the zones.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SpillPlan {
-    /// Part of the zone's demand that leaves it, from 0 to 1.
+    /// Fraction of the zone's demand that is spilled, from 0 to 1.
     pub spill_fraction: f64,
-    /// Other zones with room, in slots.
+    /// Other zones with spare slots, and how many.
     pub spare_slots: Vec<(Zone, f64)>,
 }
 
 impl SpillPlan {
-    /// True where `zone` has said that it has room.
+    /// True where `zone` has spare slots.
     pub fn has_spare_slots(&self, zone: &Zone) -> bool {
         self.spare_slots
             .iter()
             .any(|(with_room, _)| with_room == zone)
     }
 
-    /// The zone that a call leaves for: one with room, in proportion to its room. None:
-    /// nobody has any.
+    /// Picks the zone for a spilled call at random, in proportion to spare slots. `None` if
+    /// no zone has any.
     pub fn pick_zone(&self, rng: &mut impl Rng) -> Option<&Zone> {
-        let all: f64 = self.spare_slots.iter().map(|(_, room)| room).sum();
-        let mut left = rng.random_range(0.0..all.max(f64::MIN_POSITIVE));
-        for (zone, room) in &self.spare_slots {
-            left -= room;
-            if left < 0.0 {
+        let all: f64 = self.spare_slots.iter().map(|(_, spare)| spare).sum();
+        let mut remaining = rng.random_range(0.0..all.max(f64::MIN_POSITIVE));
+        for (zone, spare) in &self.spare_slots {
+            remaining -= spare;
+            if remaining < 0.0 {
                 return Some(zone);
             }
         }
@@ -85,47 +85,48 @@
     }
 }
 
-/// What is known of `service` in each zone, from the `slots` that the member table shows
-/// and the `news` of zones. None while the own zone, `home`, says nothing of it: it is at
-/// rest then, or nobody knows.
+/// Capacity and demand of `service` in each zone, from the `slots` of the member table and
+/// the load `reports`. `None` while the zone `home` itself has no current report of the
+/// service: it is quiet, or its load is unknown.
 pub fn zone_demands(
     service: &ResourceName,
     home: &Zone,
     slots: &[(Zone, f64)],
-    news: &[ZoneLoad],
+    reports: &[ZoneLoad],
 ) -> Option<Vec<ZoneDemand>> {
-    let word_on = |zone: &Zone| news.iter().find(|word| word.zone == *zone);
-    let own = word_on(home).filter(|word| word.age < NEWS_LIFE)?;
+    let report_of = |zone: &Zone| reports.iter().find(|report| report.zone == *zone);
+    let own = report_of(home).filter(|report| report.age < MAX_REPORT_AGE)?;
     load_of(service, own)?;
     let with_slots = slots
         .iter()
-        .filter_map(|(zone, slots)| standing(service, zone, *slots, word_on(zone)));
-    // Zones without back ends have callers all the same, who share in the others' room.
-    let without_slots = news
+        .filter_map(|(zone, slots)| zone_demand(service, zone, *slots, report_of(zone)));
+    // Zones without backends have callers too, who compete for the spare slots of the
+    // others.
+    let without_slots = reports
         .iter()
-        .filter(|word| slots.iter().all(|(zone, _)| *zone != word.zone))
-        .filter(|word| word.age < NEWS_LIFE && load_of(service, word).is_some())
-        .filter_map(|word| standing(service, &word.zone, 0.0, Some(word)));
+        .filter(|report| slots.iter().all(|(zone, _)| *zone != report.zone))
+        .filter(|report| report.age < MAX_REPORT_AGE && load_of(service, report).is_some())
+        .filter_map(|report| zone_demand(service, &report.zone, 0.0, Some(report)));
     Some(with_slots.chain(without_slots).collect())
 }
 
-/// True while the zone itself says that `service` is at work there.
-pub fn is_loaded(service: &ResourceName, home: &Zone, news: &[ZoneLoad]) -> bool {
-    let fresh = |word: &&ZoneLoad| word.zone == *home && word.age < NEWS_LIFE;
-    let own = news.iter().find(fresh);
-    own.and_then(|word| load_of(service, word))
+/// True while the zone's own report shows `service` above [`QUIET_UTILIZATION`].
+pub fn is_loaded(service: &ResourceName, home: &Zone, reports: &[ZoneLoad]) -> bool {
+    let fresh = |report: &&ZoneLoad| report.zone == *home && report.age < MAX_REPORT_AGE;
+    let own = reports.iter().find(fresh);
+    own.and_then(|report| load_of(service, report))
         .is_some_and(|load| {
             let asked = load.demand.max(load.busy.saturating_add(load.waiting));
-            of_milli(asked) > of_milli(load.capacity) * QUIET_UTILIZATION
+            from_milli_slots(asked) > from_milli_slots(load.capacity) * QUIET_UTILIZATION
         })
 }
 
-/// One zone's standing; none where nobody knows it.
-fn standing(
+/// Capacity and demand of one zone; `None` if they are unknown.
+fn zone_demand(
     service: &ResourceName,
     zone: &Zone,
     slots: f64,
-    word: Option<&ZoneLoad>,
+    report: Option<&ZoneLoad>,
 ) -> Option<ZoneDemand> {
     let resting = ZoneDemand {
         zone: zone.clone(),
@@ -133,12 +134,16 @@
         demand: slots * QUIET_UTILIZATION,
         report_age: None,
     };
-    let Some((word, load)) = word.and_then(|word| Some((word, load_of(service, word)?))) else {
+    let Some((report, load)) = report.and_then(|report| Some((report, load_of(service, report)?)))
+    else {
         return Some(resting);
     };
-    let (capacity, demand) = (of_milli(load.capacity), of_milli(load.demand));
-    if word.age < NEWS_LIFE {
-        let silent = match capacity < slots * TOLD_PART {
+    let (capacity, demand) = (
+        from_milli_slots(load.capacity),
+        from_milli_slots(load.demand),
+    );
+    if report.age < MAX_REPORT_AGE {
+        let silent = match capacity < slots * MIN_REPORTED_RATIO {
             true => slots - capacity,
             false => 0.0,
         };
@@ -146,56 +151,56 @@
             zone: zone.clone(),
             capacity: capacity + silent,
             demand: demand + silent * QUIET_UTILIZATION,
-            report_age: Some(word.age),
+            report_age: Some(report.age),
         });
     }
     let was_at_work = demand > capacity * QUIET_UTILIZATION;
-    (!was_at_work || word.age >= LONG_SILENCE).then_some(resting)
+    (!was_at_work || report.age >= MAX_LOADED_SILENCE).then_some(resting)
 }
 
-fn load_of<'a>(service: &ResourceName, word: &'a ZoneLoad) -> Option<&'a ServiceLoad> {
-    word.services.iter().find(|load| load.service == *service)
+fn load_of<'a>(service: &ResourceName, report: &'a ZoneLoad) -> Option<&'a ServiceLoad> {
+    report.services.iter().find(|load| load.service == *service)
 }
 
-/// Slots from the unit in which loads travel.
-fn of_milli(load: MilliSlots) -> f64 {
+/// Converts from the unit of load reports to slots.
+fn from_milli_slots(load: MilliSlots) -> f64 {
     f64::from(load) / MILLI_SLOTS
 }
 
-/// Slots in the unit in which loads travel.
+/// Converts slots to the unit of load reports.
 pub fn to_milli_slots(slots: f64) -> MilliSlots {
     (slots * MILLI_SLOTS).round() as MilliSlots
 }
 
-/// Shares out the calls of `home`.
+/// Plans the spill of the zone `home`.
 ///
-/// Up to its comfortable load each zone serves its own callers. The nearer the demand of
-/// all is to the capacity of all, the nearer each goes to its last slot. Where all are
-/// full nobody sends away.
+/// Up to its comfortable load, each zone serves its own callers. The nearer total demand is
+/// to total capacity, the nearer each zone goes to its full capacity. If all zones are
+/// full, nothing is spilled.
 pub fn plan_spill(home: &Zone, zones: &[ZoneDemand]) -> SpillPlan {
     let sum = |part: fn(&ZoneDemand) -> f64| zones.iter().map(part).sum::<f64>();
     let demand = sum(|zone| zone.demand);
     let capacity = sum(|zone| zone.capacity);
     let comfortable = sum(ZoneDemand::comfortable);
-    let pressed = match demand > comfortable {
+    let pressure = match demand > comfortable {
         true => ((demand - comfortable) / (capacity - comfortable)).clamp(0.0, 1.0),
         false => 0.0,
     };
     let limit =
-        |zone: &ZoneDemand| zone.comfortable() + pressed * (zone.capacity - zone.comfortable());
-    let surplus = |zone: &ZoneDemand| (zone.demand - limit(zone)).max(0.0);
-    let room = |zone: &ZoneDemand| (limit(zone) - zone.demand).max(0.0);
-    let all_room: f64 = zones.iter().map(room).sum();
-    let all_surplus: f64 = zones.iter().map(surplus).sum();
+        |zone: &ZoneDemand| zone.comfortable() + pressure * (zone.capacity - zone.comfortable());
+    let excess = |zone: &ZoneDemand| (zone.demand - limit(zone)).max(0.0);
+    let spare = |zone: &ZoneDemand| (limit(zone) - zone.demand).max(0.0);
+    let total_spare: f64 = zones.iter().map(spare).sum();
+    let total_excess: f64 = zones.iter().map(excess).sum();
     let spare_slots = zones
         .iter()
-        .filter(|zone| zone.zone != *home && room(zone) > 0.0)
-        .map(|zone| (zone.zone.clone(), room(zone)))
+        .filter(|zone| zone.zone != *home && spare(zone) > 0.0)
+        .map(|zone| (zone.zone.clone(), spare(zone)))
         .collect();
     let own = zones.iter().find(|zone| zone.zone == *home);
     let spill_fraction = own.filter(|own| own.demand > 0.0).map_or(0.0, |own| {
-        let taken = (all_room / all_surplus.max(f64::MIN_POSITIVE)).min(1.0);
-        surplus(own) * taken / own.demand
+        let taken = (total_spare / total_excess.max(f64::MIN_POSITIVE)).min(1.0);
+        excess(own) * taken / own.demand
     });
     SpillPlan {
         spill_fraction,
