--- a/crates/rampthread-core/src/call/quota/fleet_load.rs
+++ b/crates/rampthread-core/src/call/quota/fleet_load.rs
@@ -1,7 +1,7 @@
 //! What a node hears of the others, and whom it has lost sight of.
 
 use super::limit_fraction;
-use crate::fleet::{MAX_TENANTS, TenantLoad, TenantTag, ZoneLoad, load_interval};
+use crate::fleet::{MAX_TENANTS, TenantHash, TenantLoad, ZoneLoad, load_interval};
 use crate::ids::Zone;
 use crate::time::Moment;
 use std::collections::{BTreeMap, HashMap};
@@ -80,14 +80,14 @@
 /// The news by tenant.
 pub(super) struct LoadByTenant<'a> {
     pub(super) news: &'a FleetLoadSnapshot<'a>,
-    loads: HashMap<TenantTag, Vec<(&'a ZoneLoad, &'a TenantLoad)>>,
+    loads: HashMap<TenantHash, Vec<(&'a ZoneLoad, &'a TenantLoad)>>,
     /// Mean age of the zones that are heard.
     age: Duration,
 }
 
 impl<'a> LoadByTenant<'a> {
     pub(super) fn new(news: &'a FleetLoadSnapshot<'a>) -> Self {
-        let mut loads: HashMap<TenantTag, Vec<_>> = HashMap::new();
+        let mut loads: HashMap<TenantHash, Vec<_>> = HashMap::new();
         for zone in news.zones {
             for load in &zone.tenants {
                 loads.entry(load.tenant).or_default().push((zone, load));
@@ -110,31 +110,34 @@
     }
 
     /// All tenants that zones tell of.
-    pub(super) fn tenants(&self) -> impl Iterator<Item = TenantTag> {
+    pub(super) fn tenants(&self) -> impl Iterator<Item = TenantHash> {
         self.loads.keys().copied()
     }
 
     /// What the zones that are heard tell together of one tenant.
-    pub(super) fn sum(&self, tag: TenantTag) -> Sum {
+    pub(super) fn sum(&self, tag: TenantHash) -> Sum {
         let mut sum = Sum {
             age: self.age,
             ..Sum::default()
         };
         let told = self.loads.get(&tag).into_iter().flatten();
         for (zone, load) in told.filter(|(zone, _)| self.news.is_fresh(zone)) {
-            sum.asked += requests(load.asked);
-            sum.admitted += requests(load.admitted);
+            sum.asked += requests(load.requested_millirps);
+            sum.admitted += requests(load.admitted_millirps);
             sum.listed |= zone.zone == *self.news.own_zone;
         }
         sum
     }
 
     /// What one zone told of a tenant: requests asked and admitted a second.
-    pub(super) fn of_zone(&self, tag: TenantTag, zone: &Zone) -> (f64, f64) {
+    pub(super) fn of_zone(&self, tag: TenantHash, zone: &Zone) -> (f64, f64) {
         let told = self.loads.get(&tag).into_iter().flatten();
         let mut told = told.filter(|(of, _)| of.zone == *zone);
         told.next().map_or((0.0, 0.0), |(_, load)| {
-            (requests(load.asked), requests(load.admitted))
+            (
+                requests(load.requested_millirps),
+                requests(load.admitted_millirps),
+            )
         })
     }
 }
--- a/crates/rampthread-core/src/call/quota/mod.rs
+++ b/crates/rampthread-core/src/call/quota/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::call::tenant_table::TenantTable;
 use crate::config::{RateLimit, Tenant};
-use crate::fleet::{TenantLoad, TenantTag};
+use crate::fleet::{TenantHash, TenantLoad};
 use crate::time::Moment;
 use fleet_load::{LoadByTenant, Reach};
 use rand::Rng;
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub struct TenantQuotas {
     policy: QuotaPolicy,
-    tenants: HashMap<TenantTag, TenantQuota>,
+    tenants: HashMap<TenantHash, TenantQuota>,
     reach: Reach,
     started: Moment,
     /// Since when all nodes are heard: a tenant that was not named was admitted little.
@@ -108,13 +108,13 @@
             return Ok(());
         };
         let quiet = self.all_heard_since.map(|since| now.since(since));
-        let tag = TenantTag::of(&tenant.name);
+        let tag = TenantHash::of(&tenant.name);
         let quota = self.quota(tag, limit, quiet.unwrap_or_default(), now);
         quota.try_admit(now, rng)
     }
 
     /// A request that was admitted was proved not to have run.
-    pub fn refund(&mut self, tenant: TenantTag, now: Moment) {
+    pub fn refund(&mut self, tenant: TenantHash, now: Moment) {
         if let Some(quota) = self.tenants.get_mut(&tenant) {
             quota.refund(now);
         }
@@ -147,12 +147,12 @@
     /// limit would hold if all nodes were asked as much are left out.
     pub fn load_reports(&mut self, now: Moment) -> Vec<TenantLoad> {
         let nodes = f64::from(self.reach.members);
-        let told = |(tag, quota): (&TenantTag, &mut TenantQuota)| quota.tell(*tag, nodes, now);
+        let told = |(tag, quota): (&TenantHash, &mut TenantQuota)| quota.tell(*tag, nodes, now);
         self.tenants.iter_mut().filter_map(told).collect()
     }
 
     /// What is known of a tenant; none while it asks for nothing.
-    pub fn view(&self, tenant: TenantTag, now: Moment) -> Option<QuotaView> {
+    pub fn view(&self, tenant: TenantHash, now: Moment) -> Option<QuotaView> {
         Some(self.tenants.get(&tenant)?.view(now))
     }
 
@@ -169,7 +169,7 @@
     /// The record of a tenant, of which little was admitted for the time `quiet`.
     fn quota(
         &mut self,
-        tag: TenantTag,
+        tag: TenantHash,
         limit: RateLimit,
         quiet: Duration,
         now: Moment,
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -6,7 +6,7 @@
 use super::zone_balance::{USUAL, ZoneBalance};
 use super::{QuotaPolicy, QuotaView, limit_fraction};
 use crate::config::RateLimit;
-use crate::fleet::{TenantLoad, TenantTag};
+use crate::fleet::{TenantHash, TenantLoad};
 use crate::ids::Zone;
 use crate::time::Moment;
 use rand::Rng;
@@ -286,7 +286,7 @@
     /// Takes over what is known of the fleet.
     pub(super) fn update(
         &mut self,
-        tag: TenantTag,
+        tag: TenantHash,
         told: &LoadByTenant<'_>,
         reach: &Reach,
         now: Moment,
@@ -312,7 +312,7 @@
         self.shares.push_back(ShareSince { at: now, share });
     }
 
-    fn track_zones(&mut self, tag: TenantTag, told: &LoadByTenant<'_>, now: Moment) {
+    fn track_zones(&mut self, tag: TenantHash, told: &LoadByTenant<'_>, now: Moment) {
         let is_told = |track: &ZoneBalance| {
             let mut zones = told.news.zones.iter();
             zones.any(|zone| zone.zone == track.zone)
@@ -442,7 +442,7 @@
     }
 
     /// What this node tells of the tenant; none while that is too little to matter.
-    pub(super) fn tell(&mut self, tag: TenantTag, nodes: f64, now: Moment) -> Option<TenantLoad> {
+    pub(super) fn tell(&mut self, tag: TenantHash, nodes: f64, now: Moment) -> Option<TenantLoad> {
         let asked = self.asked.at(now);
         if asked < self.limit.rate / nodes * UNTOLD {
             self.telling_since = None;
@@ -460,8 +460,8 @@
         }
         Some(TenantLoad {
             tenant: tag,
-            asked: thousandths(asked),
-            admitted: thousandths(self.admitted.at(now)),
+            requested_millirps: thousandths(asked),
+            admitted_millirps: thousandths(self.admitted.at(now)),
         })
     }
 
--- a/crates/rampthread-core/src/call/tenant_table.rs
+++ b/crates/rampthread-core/src/call/tenant_table.rs
@@ -2,7 +2,7 @@
 
 use super::cause::Cause;
 use crate::config::{ConfigState, KeyDigest, RateLimit, Tenant};
-use crate::fleet::TenantTag;
+use crate::fleet::TenantHash;
 use http::HeaderMap;
 use http::header::AUTHORIZATION;
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 pub struct TenantTable {
     by_key: HashMap<KeyDigest, Arc<Tenant>>,
     /// Tenants with a limit, by the hash that nodes send to each other.
-    limited: HashMap<TenantTag, Arc<Tenant>>,
+    limited: HashMap<TenantHash, Arc<Tenant>>,
     in_use: bool,
 }
 
@@ -53,7 +53,7 @@
             let keys = tenant.keys.iter().map(|key| (*key, tenant.clone()));
             table.by_key.extend(keys);
             if tenant.limit().is_some() {
-                let tag = TenantTag::of(&tenant.name);
+                let tag = TenantHash::of(&tenant.name);
                 table.limited.insert(tag, tenant.clone());
             }
         }
@@ -67,12 +67,12 @@
     }
 
     /// The limit of a tenant; `None` if it has none or is unknown.
-    pub fn limit(&self, tag: TenantTag) -> Option<RateLimit> {
+    pub fn limit(&self, tag: TenantHash) -> Option<RateLimit> {
         self.limited.get(&tag)?.limit()
     }
 
     /// Iterates over the tenants that have a limit.
-    pub fn limited(&self) -> impl Iterator<Item = (TenantTag, &Arc<Tenant>)> {
+    pub fn limited(&self) -> impl Iterator<Item = (TenantHash, &Arc<Tenant>)> {
         self.limited.iter().map(|(tag, tenant)| (*tag, tenant))
     }
 
--- a/crates/rampthread-core/src/call/zone_spill.rs
+++ b/crates/rampthread-core/src/call/zone_spill.rs
@@ -9,7 +9,7 @@
 //! calls do not change the figures that the plan is made from, so that zones do not send
 //! calls back and forth.
 
-use crate::fleet::{MILLI_SLOTS, MilliSlots, ServiceLoad, ZoneLoad};
+use crate::fleet::{MILLI_SLOTS_PER_SLOT, MilliSlots, ServiceLoad, ZoneLoad};
 use crate::ids::{ResourceName, Zone};
 use rand::Rng;
 use std::time::Duration;
@@ -164,12 +164,12 @@
 
 /// Converts from the unit of load reports to slots.
 fn from_milli_slots(load: MilliSlots) -> f64 {
-    f64::from(load) / MILLI_SLOTS
+    f64::from(load) / MILLI_SLOTS_PER_SLOT
 }
 
 /// Converts slots to the unit of load reports.
 pub fn to_milli_slots(slots: f64) -> MilliSlots {
-    (slots * MILLI_SLOTS).round() as MilliSlots
+    (slots * MILLI_SLOTS_PER_SLOT).round() as MilliSlots
 }
 
 /// Plans the spill of the zone `home`.
--- a/crates/rampthread-core/src/fleet/agent/loads.rs
+++ b/crates/rampthread-core/src/fleet/agent/loads.rs
@@ -7,7 +7,7 @@
 impl Agent {
     /// Records this node's load report; it is sent at the next load exchange.
     pub fn record_load(&mut self, report: LoadReport, now: Moment) {
-        self.loads.note(report, now);
+        self.loads.set_own_report(report, now);
     }
 
     /// Load of each zone as known to this node, with its age.
--- a/crates/rampthread-core/src/fleet/load.rs
+++ b/crates/rampthread-core/src/fleet/load.rs
@@ -10,7 +10,7 @@
 pub type MilliSlots = u32;
 
 /// Milli-slots per slot.
-pub const MILLI_SLOTS: f64 = 1_000.0;
+pub const MILLI_SLOTS_PER_SLOT: f64 = 1_000.0;
 
 /// Load of a service's backends and demand of its callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 impl ServiceLoad {
     /// Returns a load of zero.
-    pub fn none(service: ResourceName) -> Self {
+    pub fn zero(service: ResourceName) -> Self {
         Self {
             service,
             capacity: 0,
@@ -51,9 +51,9 @@
 
 /// Short hash of a tenant's name, which would be long compared with the counts sent with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct TenantTag(pub u32);
+pub struct TenantHash(pub u32);
 
-impl TenantTag {
+impl TenantHash {
     /// Returns the hash of `name`.
     pub fn of(name: &ResourceName) -> Self {
         let mut first = [0_u8; 4];
@@ -67,27 +67,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TenantLoad {
     /// Hash of the tenant's name.
-    pub tenant: TenantTag,
+    pub tenant: TenantHash,
     /// Rate of received requests, admitted or not, in thousandths of a request per second.
-    pub asked: u32,
+    pub requested_millirps: u32,
     /// Rate of those that were admitted and may have run, in the same unit.
-    pub admitted: u32,
+    pub admitted_millirps: u32,
 }
 
 impl TenantLoad {
     /// Returns a rate of zero.
-    pub fn none(tenant: TenantTag) -> Self {
+    pub fn zero(tenant: TenantHash) -> Self {
         Self {
             tenant,
-            asked: 0,
-            admitted: 0,
+            requested_millirps: 0,
+            admitted_millirps: 0,
         }
     }
 
     /// Adds the rates observed by other nodes.
     pub fn add(&mut self, other: &TenantLoad) {
-        self.asked = self.asked.saturating_add(other.asked);
-        self.admitted = self.admitted.saturating_add(other.admitted);
+        self.requested_millirps = self
+            .requested_millirps
+            .saturating_add(other.requested_millirps);
+        self.admitted_millirps = self
+            .admitted_millirps
+            .saturating_add(other.admitted_millirps);
     }
 }
 
--- a/crates/rampthread-core/src/fleet/load_exchange.rs
+++ b/crates/rampthread-core/src/fleet/load_exchange.rs
@@ -10,7 +10,7 @@
 //! anything to report sends nothing.
 
 use super::action::Outbox;
-use super::load::{LoadReport, ServiceLoad, TenantLoad, TenantTag, ZoneLoad};
+use super::load::{LoadReport, ServiceLoad, TenantHash, TenantLoad, ZoneLoad};
 use super::member::Status;
 use super::membership::Membership;
 use super::message::Message;
@@ -21,27 +21,27 @@
 use std::time::Duration;
 
 /// Minimum interval between messages of one node. The demand of callers changes over seconds.
-const LEAST_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval per member of the zone, if that makes more than [`LEAST_INTERVAL`]. It limits an
+const MIN_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval per member of the zone, if that makes more than [`MIN_INTERVAL`]. It limits an
 /// aggregator to 125 reports per second.
-const INTERVAL_A_MEMBER: Duration = Duration::from_millis(8);
+const INTERVAL_PER_MEMBER: Duration = Duration::from_millis(8);
 /// Number of intervals for which a report is valid, and after which a silent aggregator is
 /// skipped. Two consecutive messages may be lost.
-const PATIENCE_INTERVALS: u32 = 4;
+const TIMEOUT_INTERVALS: u32 = 4;
 /// Number of members per other zone that receive the sums, since one may have failed unnoticed.
-const FAR_LISTENERS: usize = 2;
+const RECEIVERS_PER_OTHER_ZONE: usize = 2;
 /// Maximum number of tenants per message: those with the highest request rates.
 pub const MAX_TENANTS: usize = 256;
 
 /// Returns the interval between messages of one node in a zone with `members` members.
 pub fn load_interval(members: u32) -> Duration {
-    LEAST_INTERVAL.max(INTERVAL_A_MEMBER * members)
+    MIN_INTERVAL.max(INTERVAL_PER_MEMBER * members)
 }
 
 /// A value and the time at which it was current, by this node's clock.
 #[derive(Debug, Clone)]
-struct Heard<T> {
-    what: T,
+struct Timestamped<T> {
+    value: T,
     at: Moment,
 }
 
@@ -49,41 +49,41 @@
 #[derive(Debug, Default)]
 pub struct LoadExchange {
     /// This node's own report.
-    own: Option<Heard<LoadReport>>,
+    own: Option<Timestamped<LoadReport>>,
     /// Reports received from members of this zone.
-    reports: BTreeMap<NodeId, Heard<LoadReport>>,
+    reports: BTreeMap<NodeId, Timestamped<LoadReport>>,
     /// Latest known load of each zone.
-    zones: BTreeMap<Zone, Heard<ZoneLoad>>,
+    zones: BTreeMap<Zone, Timestamped<ZoneLoad>>,
     /// Time of the next message.
     due: Moment,
     /// Members of each zone in rendezvous order, as of the member table's revision `ranked_at`.
     /// The first one is the aggregator.
-    speakers: BTreeMap<Zone, Vec<NodeId>>,
+    members_by_zone: BTreeMap<Zone, Vec<NodeId>>,
     ranked_at: Option<u64>,
     /// Number of silent aggregators of this zone that are skipped.
-    passed_over: usize,
+    skipped: usize,
     /// Since when the current aggregator has been silent. `None` if nothing was reported to it.
     silent_since: Option<Moment>,
 }
 
 impl LoadExchange {
     /// Sets this node's own report, which expires after some intervals.
-    pub fn note(&mut self, report: LoadReport, now: Moment) {
+    pub fn set_own_report(&mut self, report: LoadReport, now: Moment) {
         let report = LoadReport {
-            tenants: most_asked(report.tenants),
+            tenants: highest_rates(report.tenants),
             ..report
         };
-        self.own = Some(Heard {
-            what: report,
+        self.own = Some(Timestamped {
+            value: report,
             at: now,
         });
     }
 
     /// Returns the latest known load of each zone with its age.
     pub fn zones(&self, now: Moment) -> Vec<ZoneLoad> {
-        let aged = |heard: &Heard<ZoneLoad>| ZoneLoad {
-            age: now.since(heard.at),
-            ..heard.what.clone()
+        let aged = |received: &Timestamped<ZoneLoad>| ZoneLoad {
+            age: now.since(received.at),
+            ..received.value.clone()
         };
         self.zones.values().map(aged).collect()
     }
@@ -97,29 +97,29 @@
         let zone = membership.me().zone.clone();
         let interval = self.interval(&zone);
         self.due = now + interval;
-        self.forget_old(now, interval * PATIENCE_INTERVALS);
+        self.expire_reports(now, interval * TIMEOUT_INTERVALS);
         if self.own.is_none() && self.reports.is_empty() {
             self.silent_since = None;
             return;
         }
-        self.pass_over_silent(now, &zone, interval * PATIENCE_INTERVALS);
+        self.skip_silent(now, &zone, interval * TIMEOUT_INTERVALS);
         let me = &membership.me().id;
-        match self.speaker(&zone).cloned() {
-            Some(speaker) if speaker != *me => self.report_to(&speaker, now, outbox),
-            _ => self.speak(&zone, me, now, outbox),
+        match self.aggregator(&zone).cloned() {
+            Some(aggregator) if aggregator != *me => self.report_to(&aggregator, now, outbox),
+            _ => self.publish(&zone, me, now, outbox),
         }
     }
 
     /// Sends a report to the aggregator. It includes reports received from members that
     /// consider the aggregator failed; two aggregators would each publish only a part of the
     /// zone's load.
-    fn report_to(&mut self, speaker: &NodeId, now: Moment, outbox: &mut Outbox) {
+    fn report_to(&mut self, aggregator: &NodeId, now: Moment, outbox: &mut Outbox) {
         self.silent_since.get_or_insert(now);
         let report = match &self.own {
-            Some(own) if self.reports.is_empty() => own.what.clone(),
+            Some(own) if self.reports.is_empty() => own.value.clone(),
             _ => self.sum(),
         };
-        outbox.send(speaker, Message::LoadReport(report));
+        outbox.send(aggregator, Message::LoadReport(report));
     }
 
     /// Handles a report from a member of this zone.
@@ -130,15 +130,15 @@
         now: Moment,
         membership: &Membership,
     ) {
-        let near = membership
+        let same_zone = membership
             .record(from)
             .is_some_and(|record| record.zone == membership.me().zone);
-        if near {
-            let heard = Heard {
-                what: report,
+        if same_zone {
+            let received = Timestamped {
+                value: report,
                 at: now,
             };
-            self.reports.insert(from.clone(), heard);
+            self.reports.insert(from.clone(), received);
         }
     }
 
@@ -154,7 +154,7 @@
             return;
         };
         if record.zone == membership.me().zone {
-            self.heard_speaker(from, &record.zone, now);
+            self.on_aggregator_message(from, &record.zone, now);
         }
         for zone in zones {
             let known = membership
@@ -163,19 +163,19 @@
             let at = Moment(now.0.saturating_sub(zone.age.as_micros() as u64));
             let newer = self.zones.get(&zone.zone).is_none_or(|held| held.at < at);
             if known && newer {
-                let heard = Heard { what: zone, at };
-                self.zones.insert(heard.what.zone.clone(), heard);
+                let received = Timestamped { value: zone, at };
+                self.zones.insert(received.value.zone.clone(), received);
             }
         }
     }
 
     /// Handles a message of an aggregator of this zone. A member ranked before the current
     /// aggregator becomes the aggregator again; lower-ranked ones are ignored.
-    fn heard_speaker(&mut self, from: &NodeId, zone: &Zone, now: Moment) {
-        let order = self.speakers.get(zone);
+    fn on_aggregator_message(&mut self, from: &NodeId, zone: &Zone, now: Moment) {
+        let order = self.members_by_zone.get(zone);
         let place = order.and_then(|order| order.iter().position(|member| member == from));
-        if let Some(place) = place.filter(|place| *place <= self.passed_over) {
-            self.passed_over = place;
+        if let Some(place) = place.filter(|place| *place <= self.skipped) {
+            self.skipped = place;
             self.silent_since = self.silent_since.map(|_| now);
         }
     }
@@ -194,13 +194,13 @@
             let zone = members.entry(record.zone.clone()).or_default();
             zone.push(record.id.clone());
         }
-        let stays = |zone: &Zone| {
+        let is_present = |zone: &Zone| {
             let mut records = membership.records();
             records.any(|record| record.zone == *zone && record.status != Status::Left)
         };
-        self.zones.retain(|zone, _| stays(zone));
-        let before = self.speaker(&me.zone).cloned();
-        self.speakers = members
+        self.zones.retain(|zone, _| is_present(zone));
+        let before = self.aggregator(&me.zone).cloned();
+        self.members_by_zone = members
             .into_iter()
             .map(|(zone, members)| {
                 let order = rendezvous::order(zone.as_str(), members);
@@ -208,45 +208,45 @@
             })
             .collect();
         self.ranked_at = Some(membership.revision());
-        if self.speaker(&me.zone) != before.as_ref() {
-            self.passed_over = 0;
+        if self.aggregator(&me.zone) != before.as_ref() {
+            self.skipped = 0;
             self.silent_since = None;
         }
     }
 
     /// Returns the current aggregator of `zone`, if known.
-    fn speaker(&self, zone: &Zone) -> Option<&NodeId> {
-        let order = self.speakers.get(zone)?;
-        order.get(self.passed_over)
+    fn aggregator(&self, zone: &Zone) -> Option<&NodeId> {
+        let order = self.members_by_zone.get(zone)?;
+        order.get(self.skipped)
     }
 
     fn interval(&self, zone: &Zone) -> Duration {
-        let members = self.speakers.get(zone).map_or(1, Vec::len) as u32;
+        let members = self.members_by_zone.get(zone).map_or(1, Vec::len) as u32;
         load_interval(members)
     }
 
-    fn forget_old(&mut self, now: Moment, life: Duration) {
-        self.reports.retain(|_, report| now.since(report.at) < life);
+    fn expire_reports(&mut self, now: Moment, ttl: Duration) {
+        self.reports.retain(|_, report| now.since(report.at) < ttl);
         if self
             .own
             .as_ref()
-            .is_some_and(|own| now.since(own.at) >= life)
+            .is_some_and(|own| now.since(own.at) >= ttl)
         {
             self.own = None;
         }
     }
 
-    fn pass_over_silent(&mut self, now: Moment, zone: &Zone, patience: Duration) {
+    fn skip_silent(&mut self, now: Moment, zone: &Zone, timeout: Duration) {
         let silent = self
             .silent_since
-            .is_some_and(|since| now.since(since) >= patience);
-        if silent && self.speakers.contains_key(zone) {
-            self.passed_over += 1;
+            .is_some_and(|since| now.since(since) >= timeout);
+        if silent && self.members_by_zone.contains_key(zone) {
+            self.skipped += 1;
             self.silent_since = None;
         }
     }
 
-    fn speak(&mut self, zone: &Zone, me: &NodeId, now: Moment, outbox: &mut Outbox) {
+    fn publish(&mut self, zone: &Zone, me: &NodeId, now: Moment, outbox: &mut Outbox) {
         let sum = self.sum();
         let load = ZoneLoad {
             zone: zone.clone(),
@@ -255,21 +255,21 @@
             services: sum.services,
             tenants: sum.tenants,
         };
-        let heard = Heard {
-            what: load,
+        let received = Timestamped {
+            value: load,
             at: now,
         };
-        self.zones.insert(zone.clone(), heard.clone());
-        for (other, order) in &self.speakers {
+        self.zones.insert(zone.clone(), received.clone());
+        for (other, order) in &self.members_by_zone {
             if other == zone {
                 continue;
             }
-            for listener in order.iter().take(FAR_LISTENERS) {
-                outbox.send(listener, Message::ZoneLoads(vec![heard.what.clone()]));
+            for receiver in order.iter().take(RECEIVERS_PER_OTHER_ZONE) {
+                outbox.send(receiver, Message::ZoneLoads(vec![received.value.clone()]));
             }
         }
         let all = self.zones(now);
-        let members = self.speakers.get(zone).into_iter().flatten();
+        let members = self.members_by_zone.get(zone).into_iter().flatten();
         for member in members.filter(|member| *member != me) {
             outbox.send(member, Message::ZoneLoads(all.clone()));
         }
@@ -278,22 +278,22 @@
     /// Sums up this node's own report and the received ones.
     fn sum(&self) -> LoadReport {
         let mut services: BTreeMap<&ResourceName, ServiceLoad> = BTreeMap::new();
-        let mut tenants: BTreeMap<TenantTag, TenantLoad> = BTreeMap::new();
+        let mut tenants: BTreeMap<TenantHash, TenantLoad> = BTreeMap::new();
         let mut period = Duration::ZERO;
         let mut nodes: u32 = 0;
         for report in self.reports.values().chain(&self.own) {
-            period = period.max(report.what.period);
-            nodes = nodes.saturating_add(report.what.nodes);
-            for load in &report.what.services {
+            period = period.max(report.value.period);
+            nodes = nodes.saturating_add(report.value.nodes);
+            for load in &report.value.services {
                 let sum = services
                     .entry(&load.service)
-                    .or_insert_with(|| ServiceLoad::none(load.service.clone()));
+                    .or_insert_with(|| ServiceLoad::zero(load.service.clone()));
                 sum.add(load);
             }
-            for load in &report.what.tenants {
+            for load in &report.value.tenants {
                 let sum = tenants
                     .entry(load.tenant)
-                    .or_insert_with(|| TenantLoad::none(load.tenant));
+                    .or_insert_with(|| TenantLoad::zero(load.tenant));
                 sum.add(load);
             }
         }
@@ -301,14 +301,14 @@
             nodes,
             period,
             services: services.into_values().collect(),
-            tenants: most_asked(tenants.into_values().collect()),
+            tenants: highest_rates(tenants.into_values().collect()),
         }
     }
 }
 
 /// Keeps the tenants with the highest request rates, at most [`MAX_TENANTS`].
-fn most_asked(mut loads: Vec<TenantLoad>) -> Vec<TenantLoad> {
-    loads.sort_by_key(|load| std::cmp::Reverse(load.asked));
+fn highest_rates(mut loads: Vec<TenantLoad>) -> Vec<TenantLoad> {
+    loads.sort_by_key(|load| std::cmp::Reverse(load.requested_millirps));
     loads.truncate(MAX_TENANTS);
     loads
 }
--- a/crates/rampthread-core/src/fleet/mod.rs
+++ b/crates/rampthread-core/src/fleet/mod.rs
@@ -46,7 +46,9 @@
 pub use backend_tracker::{BackendReport, BackendTracker, MIN_SUPERSEDE_TIME, ReportStatus};
 pub use crash_table::{CrashReport, CrashTable, MAX_SUSPECTS, MergeOutcome};
 pub use learnt_from::LearntFrom;
-pub use load::{LoadReport, MILLI_SLOTS, MilliSlots, ServiceLoad, TenantLoad, TenantTag, ZoneLoad};
+pub use load::{
+    LoadReport, MILLI_SLOTS_PER_SLOT, MilliSlots, ServiceLoad, TenantHash, TenantLoad, ZoneLoad,
+};
 pub use load_exchange::{MAX_TENANTS, load_interval};
 pub use member::{Conditions, EndpointRecord, Incarnation, Machine, MemberRecord, Status};
 pub use message::{
--- a/crates/rampthread-core/tests/quota_fleet/mod.rs
+++ b/crates/rampthread-core/tests/quota_fleet/mod.rs
@@ -6,7 +6,7 @@
 };
 use rampthread_core::call::tenant_table::TenantTable;
 use rampthread_core::config::{ConfigState, RateLimit, RequestCount, Resource, Tenant};
-use rampthread_core::fleet::{TenantLoad, TenantTag, ZoneLoad};
+use rampthread_core::fleet::{TenantHash, TenantLoad, ZoneLoad};
 use rampthread_core::ids::{ResourceName, Version, Zone};
 use rampthread_core::time::Moment;
 use rand::{Rng, SeedableRng};
@@ -32,7 +32,7 @@
     fn try_admit(&mut self, tenant: &Tenant, now: Moment, rng: &mut ChaCha8Rng) -> bool;
     fn update(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment);
     fn load_reports(&mut self, now: Moment) -> Vec<TenantLoad>;
-    fn refund(&mut self, tag: TenantTag, now: Moment);
+    fn refund(&mut self, tag: TenantHash, now: Moment);
 }
 
 impl Limiter for TenantQuotas {
@@ -45,7 +45,7 @@
     fn load_reports(&mut self, now: Moment) -> Vec<TenantLoad> {
         TenantQuotas::load_reports(self, now)
     }
-    fn refund(&mut self, tag: TenantTag, now: Moment) {
+    fn refund(&mut self, tag: TenantHash, now: Moment) {
         TenantQuotas::refund(self, tag, now);
     }
 }
@@ -83,7 +83,7 @@
     fn load_reports(&mut self, _: Moment) -> Vec<TenantLoad> {
         Vec::new()
     }
-    fn refund(&mut self, _: TenantTag, _: Moment) {}
+    fn refund(&mut self, _: TenantHash, _: Moment) {}
 }
 
 /// What was told of so many nodes at a time.
@@ -267,7 +267,7 @@
             return;
         }
         if self.rng.random::<f64>() < self.not_run {
-            entry.limiter.refund(TenantTag::of(&self.tenant.name), now);
+            entry.limiter.refund(TenantHash::of(&self.tenant.name), now);
         } else {
             self.admitted.push(now);
         }
@@ -363,7 +363,7 @@
         let life = self.interval() * PATIENCE_INTERVALS;
         let entry = &mut self.entries[index];
         entry.reports.retain(|_, told| now.since(told.at) < life);
-        let mut sum: BTreeMap<TenantTag, TenantLoad> = BTreeMap::new();
+        let mut sum: BTreeMap<TenantHash, TenantLoad> = BTreeMap::new();
         for load in entry
             .reports
             .values()
@@ -371,7 +371,7 @@
             .flat_map(|told| &told.loads)
         {
             sum.entry(load.tenant)
-                .or_insert_with(|| TenantLoad::none(load.tenant))
+                .or_insert_with(|| TenantLoad::zero(load.tenant))
                 .add(load);
         }
         let told = Told {
--- a/crates/rampthread-core/tests/quota_state.rs
+++ b/crates/rampthread-core/tests/quota_state.rs
@@ -7,7 +7,7 @@
 };
 use rampthread_core::call::tenant_table::TenantTable;
 use rampthread_core::config::{ConfigState, KeyDigest, RequestCount, Resource, StateDelta, Tenant};
-use rampthread_core::fleet::{TenantLoad, TenantTag, ZoneLoad};
+use rampthread_core::fleet::{TenantHash, TenantLoad, ZoneLoad};
 use rampthread_core::ids::{ResourceName, Version, Zone};
 use rampthread_core::time::Moment;
 use rand::SeedableRng;
@@ -47,9 +47,9 @@
 
 fn told() -> Vec<ZoneLoad> {
     let loads = (0..TOLD).map(|number| TenantLoad {
-        tenant: TenantTag::of(&tenant(number).name),
-        asked: 1_000,
-        admitted: 1_000,
+        tenant: TenantHash::of(&tenant(number).name),
+        requested_millirps: 1_000,
+        admitted_millirps: 1_000,
     });
     vec![ZoneLoad {
         zone: zone(),
@@ -147,7 +147,7 @@
     quotas.update(&news, &table, now);
     quotas.try_admit(&tenant(0), now, &mut rng).ok();
     quotas.update(&news, &table, now);
-    let tag = TenantTag::of(&tenant(0).name);
+    let tag = TenantHash::of(&tenant(0).name);
     quotas.view(tag, now).unwrap().basis
 }
 
--- a/crates/rampthread-core/tests/zone_spill.rs
+++ b/crates/rampthread-core/tests/zone_spill.rs
@@ -202,7 +202,7 @@
         services: vec![ServiceLoad {
             capacity: to_milli_slots(capacity),
             demand: to_milli_slots(demand),
-            ..ServiceLoad::none(name("s"))
+            ..ServiceLoad::zero(name("s"))
         }],
         tenants: Vec::new(),
     }
--- a/crates/rampthread-node/src/calls/entry/admission.rs
+++ b/crates/rampthread-node/src/calls/entry/admission.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, HeaderName};
 use rampthread_core::call::headers::Outcome;
 use rampthread_core::config::{Route, Tenant};
-use rampthread_core::fleet::TenantTag;
+use rampthread_core::fleet::TenantHash;
 use std::sync::Arc;
 
 impl Entry {
@@ -29,7 +29,7 @@
     pub(super) fn take_token(
         &self,
         tenant: Option<&Tenant>,
-    ) -> Result<Option<TenantTag>, CallError> {
+    ) -> Result<Option<TenantHash>, CallError> {
         match tenant {
             Some(tenant) => self.options.tenant_limits.acquire(tenant),
             None => Ok(None),
@@ -39,7 +39,7 @@
     /// Returns the token of a call that no backend ran.
     pub(super) fn refund_token_if_not_run<T>(
         &self,
-        token_tenant: Option<TenantTag>,
+        token_tenant: Option<TenantHash>,
         result: &Result<T, CallError>,
     ) {
         let (Some(tenant), Err(call_error)) = (token_tenant, result) else {
--- a/crates/rampthread-node/src/calls/entry/demand.rs
+++ b/crates/rampthread-node/src/calls/entry/demand.rs
@@ -32,7 +32,7 @@
             if publication_windows.is_reporting(now) {
                 loads.push(ServiceLoad {
                     demand: to_milli_slots(zones.demand.slots(&service, now)),
-                    ..ServiceLoad::none(service)
+                    ..ServiceLoad::zero(service)
                 });
             }
         }
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -45,7 +45,7 @@
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::call::quarantine::QuarantineState;
 use rampthread_core::config::Route;
-use rampthread_core::fleet::{Decision, TenantTag};
+use rampthread_core::fleet::{Decision, TenantHash};
 use rampthread_core::ids::{NodeId, ResourceName, Zone};
 use rampthread_core::rollout::RolloutBounds;
 use rampthread_core::time::Moment;
@@ -143,7 +143,7 @@
     /// Tenant identified by the request's key.
     tenant: Option<ResourceName>,
     /// Tenant whose rate limit token the call took; `None` where it has no limit.
-    token_tenant: Option<TenantTag>,
+    token_tenant: Option<TenantHash>,
     /// Priority of the tenant, or else of the route; 0 is served first.
     rank: u32,
     precedence: Precedence,
--- a/crates/rampthread-node/src/calls/gate/load.rs
+++ b/crates/rampthread-node/src/calls/gate/load.rs
@@ -33,7 +33,7 @@
             capacity: to_milli_slots(slots),
             busy: to_milli_slots(watch.busy),
             waiting: to_milli_slots(watch.waiting),
-            ..ServiceLoad::none(backend.service.clone())
+            ..ServiceLoad::zero(backend.service.clone())
         })
     }
 }
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -10,7 +10,7 @@
     ZoneMemberCounts,
 };
 use rampthread_core::config::Tenant;
-use rampthread_core::fleet::{Status, TenantLoad, TenantTag};
+use rampthread_core::fleet::{Status, TenantHash, TenantLoad};
 use rampthread_core::ids::{ResourceName, Zone};
 use rampthread_core::time::Moment;
 use std::cmp::Reverse;
@@ -57,13 +57,13 @@
 
     /// Takes a token for a request of `tenant`. Returns the tenant whose token was taken;
     /// `None` where the tenant has no limit.
-    pub fn acquire(&self, tenant: &Tenant) -> Result<Option<TenantTag>, CallError> {
+    pub fn acquire(&self, tenant: &Tenant) -> Result<Option<TenantHash>, CallError> {
         let now = self.control.clock.now();
         if tenant.limit().is_none() {
             return Ok(None);
         }
         match self.quotas().try_admit(tenant, now, &mut rand::rng()) {
-            Ok(()) => Ok(Some(TenantTag::of(&tenant.name))),
+            Ok(()) => Ok(Some(TenantHash::of(&tenant.name))),
             Err(refused) => {
                 let call_error =
                     CallError::not_run(Cause::OverQuota, rejection_reason(&tenant.name, &refused));
@@ -73,7 +73,7 @@
     }
 
     /// Returns the token of a request that provably did not run.
-    pub fn refund(&self, tenant: TenantTag) {
+    pub fn refund(&self, tenant: TenantHash) {
         let now = self.control.clock.now();
         self.quotas().refund(tenant, now);
     }
@@ -131,7 +131,7 @@
         let active = self.control.active();
         let now = self.control.clock.now();
         let quotas = self.quotas();
-        let view = |(tag, tenant): (TenantTag, &Arc<Tenant>)| {
+        let view = |(tag, tenant): (TenantHash, &Arc<Tenant>)| {
             let view = quotas.view(tag, now)?;
             Some((tenant.name.clone(), view))
         };
--- a/crates/rampthread-wire/src/load_message.rs
+++ b/crates/rampthread-wire/src/load_message.rs
@@ -2,7 +2,7 @@
 
 use crate::control_capnp as schema;
 use crate::decode::{DecodeError, check_length};
-use rampthread_core::fleet::{LoadReport, ServiceLoad, TenantLoad, TenantTag, ZoneLoad};
+use rampthread_core::fleet::{LoadReport, ServiceLoad, TenantHash, TenantLoad, ZoneLoad};
 use rampthread_core::ids::{ResourceName, Zone};
 use std::time::Duration;
 
@@ -91,17 +91,17 @@
     for (index, tenant) in tenants.iter().enumerate() {
         let mut to = to.reborrow().get(index as u32);
         to.set_tenant(tenant.tenant.0);
-        to.set_asked(tenant.asked);
-        to.set_admitted(tenant.admitted);
+        to.set_asked(tenant.requested_millirps);
+        to.set_admitted(tenant.admitted_millirps);
     }
 }
 
 fn read_tenants(list: TenantsReader<'_>) -> Result<Vec<TenantLoad>, DecodeError> {
     check_length(list.len())?;
     let read = |from: schema::tenant_load::Reader<'_>| TenantLoad {
-        tenant: TenantTag(from.get_tenant()),
-        asked: from.get_asked(),
-        admitted: from.get_admitted(),
+        tenant: TenantHash(from.get_tenant()),
+        requested_millirps: from.get_asked(),
+        admitted_millirps: from.get_admitted(),
     };
     Ok(list.iter().map(read).collect())
 }
--- a/crates/rampthread-wire/tests/load_exchange.rs
+++ b/crates/rampthread-wire/tests/load_exchange.rs
@@ -4,7 +4,7 @@
 mod fleet;
 
 use fleet::Fleet;
-use rampthread_core::fleet::{LoadReport, ServiceLoad, TenantLoad, TenantTag, ZoneLoad};
+use rampthread_core::fleet::{LoadReport, ServiceLoad, TenantHash, TenantLoad, ZoneLoad};
 use rampthread_core::ids::ResourceName;
 use rampthread_core::rendezvous;
 use rstest::rstest;
@@ -22,8 +22,8 @@
     ResourceName::new("ledger").unwrap()
 }
 
-fn tenant() -> TenantTag {
-    TenantTag::of(&ResourceName::new("large").unwrap())
+fn tenant() -> TenantHash {
+    TenantHash::of(&ResourceName::new("large").unwrap())
 }
 
 fn report() -> LoadReport {
@@ -33,12 +33,12 @@
         services: vec![ServiceLoad {
             busy: BUSY,
             capacity: 8_000,
-            ..ServiceLoad::none(service())
+            ..ServiceLoad::zero(service())
         }],
         tenants: vec![TenantLoad {
             tenant: tenant(),
-            asked: ASKED,
-            admitted: ASKED,
+            requested_millirps: ASKED,
+            admitted_millirps: ASKED,
         }],
     }
 }
@@ -66,7 +66,7 @@
     let zones = fleet.agent(index).zone_loads(fleet.now);
     let loads = zones.iter().flat_map(|zone| &zone.tenants);
     let of_tenant = loads.filter(|load| load.tenant == tenant());
-    of_tenant.map(|load| load.asked).sum()
+    of_tenant.map(|load| load.requested_millirps).sum()
 }
 
 #[rstest]
@@ -122,9 +122,9 @@
     let sent = |tenants: u32| {
         let mut fleet = Fleet::settled(3, 1, 7);
         let loads = (1..=tenants).map(|number| TenantLoad {
-            tenant: TenantTag(1_000 + number),
-            asked: 1_000_000 + number,
-            admitted: 1_000_000,
+            tenant: TenantHash(1_000 + number),
+            requested_millirps: 1_000_000 + number,
+            admitted_millirps: 1_000_000,
         });
         let report = LoadReport {
             tenants: loads.collect(),
--- a/crates/rampthread-wire/tests/wire_properties.rs
+++ b/crates/rampthread-wire/tests/wire_properties.rs
@@ -6,8 +6,8 @@
 use rampthread_core::findings::Findings;
 use rampthread_core::fleet::{
     Conditions, CrashReport, EndpointRecord, Envelope, LaggingNode, LoadReport, MemberRecord,
-    Message, ProbeBody, PropagationStatus, ProposalReply, ServiceLoad, Status, TenantLoad,
-    TenantTag, WitnessRecord, ZoneLoad,
+    Message, ProbeBody, PropagationStatus, ProposalReply, ServiceLoad, Status, TenantHash,
+    TenantLoad, WitnessRecord, ZoneLoad,
 };
 use rampthread_core::ids::{
     InstanceId, NodeId, OperationId, Region, ResourceName, SoftwareVersion, Version, Zone,
@@ -176,11 +176,14 @@
 }
 
 fn tenant_loads() -> impl Strategy<Value = Vec<TenantLoad>> {
-    let load = any::<[u32; 3]>().prop_map(|[tenant, asked, admitted]| TenantLoad {
-        tenant: TenantTag(tenant),
-        asked,
-        admitted,
-    });
+    let load =
+        any::<[u32; 3]>().prop_map(
+            |[tenant, requested_millirps, admitted_millirps]| TenantLoad {
+                tenant: TenantHash(tenant),
+                requested_millirps,
+                admitted_millirps,
+            },
+        );
     prop::collection::vec(load, 0..20)
 }
 
