--- a/crates/rampthread-core/src/call/nested_routes.rs
+++ b/crates/rampthread-core/src/call/nested_routes.rs
@@ -23,7 +23,7 @@
 
 impl NestedRoutes {
     /// Records the report of a gate that calls of `route` from this node are nested.
-    pub fn told(&mut self, route: &ResourceName, now: Moment) {
+    pub fn record_report(&mut self, route: &ResourceName, now: Moment) {
         match self.told.get_mut(route) {
             Some(at) => *at = now,
             None => {
--- a/crates/rampthread-core/src/call/path_delay.rs
+++ b/crates/rampthread-core/src/call/path_delay.rs
@@ -62,7 +62,7 @@
 impl PathDelays {
     /// Records a hop and returns how much longer it took than the fastest hop of its
     /// sender. The first hop of a process epoch counts as fast.
-    pub fn arrived(&mut self, sender: IpAddr, sent: SentAt, now: Moment) -> Duration {
+    pub fn record_arrival(&mut self, sender: IpAddr, sent: SentAt, now: Moment) -> Duration {
         let difference = now.0 as i64 - sent.since_start.as_micros() as i64;
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&sender) {
             self.senders.clear();
--- a/crates/rampthread-core/src/call/service_times.rs
+++ b/crates/rampthread-core/src/call/service_times.rs
@@ -27,7 +27,7 @@
 
 impl ServiceTimes {
     /// Records the service time of a call of `route`.
-    pub fn answered(&mut self, route: &ResourceName, time: Duration) {
+    pub fn record(&mut self, route: &ResourceName, time: Duration) {
         match self.means.get_mut(route) {
             Some(mean) => {
                 *mean = mean.mul_f64(1.0 - MEAN_WEIGHT) + time.mul_f64(MEAN_WEIGHT);
--- a/crates/rampthread-core/src/call/speed_meter.rs
+++ b/crates/rampthread-core/src/call/speed_meter.rs
@@ -65,12 +65,12 @@
 
     /// Records the backend's report of its current service time, in percent of its usual
     /// value.
-    pub fn said(&mut self, service_time_percent: u16, now: Moment) {
+    pub fn record_report(&mut self, service_time_percent: u16, now: Moment) {
         self.current = Some((service_time_percent, now));
     }
 
     /// Records a call that took `taken`, and takes `usual` on average over the fleet.
-    pub fn answered(&mut self, usual: Duration, taken: Duration, now: Moment) {
+    pub fn record_response(&mut self, usual: Duration, taken: Duration, now: Moment) {
         let usual = usual.as_secs_f64();
         let current = f64::from(self.service_time_percent(now)) / f64::from(USUAL_PERCENT);
         let taken = taken.as_secs_f64() / current;
@@ -116,7 +116,7 @@
     }
 
     /// The speed to report.
-    pub fn pace(&self, now: Moment) -> BackendSpeed {
+    pub fn speed(&self, now: Moment) -> BackendSpeed {
         BackendSpeed {
             speed_percent: self.speed_percent(),
             service_time_percent: self.service_time_percent(now),
--- a/crates/rampthread-core/tests/backend_speed_properties.rs
+++ b/crates/rampthread-core/tests/backend_speed_properties.rs
@@ -67,12 +67,12 @@
         let percent = present(number);
         let slowed = f64::from(percent) / f64::from(USUAL_PERCENT);
         if percent != USUAL_PERCENT {
-            meter.said(percent, now);
+            meter.record_report(percent, now);
         }
         let taken = usual.mul_f64(rng.random_range(0.5..1.5) / speed * slowed);
-        meter.answered(usual, taken, now);
+        meter.record_response(usual, taken, now);
         if percent != USUAL_PERCENT {
-            meter.said(USUAL_PERCENT, now);
+            meter.record_report(USUAL_PERCENT, now);
         }
     }
     (meter, now)
@@ -95,7 +95,7 @@
 #[test]
 fn few_calls_say_nothing() {
     let (meter, now) = measured(0.5, 20, |_| USUAL_PERCENT);
-    assert_eq!(meter.pace(now), BackendSpeed::default());
+    assert_eq!(meter.speed(now), BackendSpeed::default());
 }
 
 /// Chance alone changes what is told seldom: each change is news to every node.
@@ -109,7 +109,7 @@
         now = now + Duration::from_millis(50);
         let before = meter.speed_percent();
         let usual = Duration::from_millis(100);
-        meter.answered(usual, usual.mul_f64(rng.random_range(0.3..1.7) / 1.35), now);
+        meter.record_response(usual, usual.mul_f64(rng.random_range(0.3..1.7) / 1.35), now);
         changes += u32::from(meter.speed_percent() != before);
     }
     assert!(changes <= 4, "{changes} changes in 200 s");
@@ -123,7 +123,7 @@
     for (slowed, expected) in [(3.0, 0..45), (1.0, 80..120)] {
         for _ in 0..600 {
             now = now + Duration::from_millis(20);
-            meter.answered(usual, usual.mul_f64(slowed), now);
+            meter.record_response(usual, usual.mul_f64(slowed), now);
         }
         assert!(expected.contains(&meter.speed_percent()), "{expected:?}");
     }
@@ -137,17 +137,17 @@
     let mut now = START;
     for _ in 0..100 {
         now = now + Duration::from_millis(20);
-        meter.answered(usual, usual * 2, now);
+        meter.record_response(usual, usual * 2, now);
     }
     assert_eq!(meter.speed_percent(), USUAL_PERCENT);
-    assert_eq!(meter.pace(now).warm_up_left, Duration::from_secs(1));
+    assert_eq!(meter.speed(now).warm_up_left, Duration::from_secs(1));
 }
 
 #[test]
 fn the_present_pace_is_told_while_it_is_fresh() {
     let mut meter = SpeedMeter::default();
-    meter.said(250, START);
-    assert_eq!(meter.pace(START).service_time_percent, 250);
+    meter.record_report(250, START);
+    assert_eq!(meter.speed(START).service_time_percent, 250);
     let later = START + Duration::from_secs(1);
-    assert_eq!(meter.pace(later).service_time_percent, USUAL_PERCENT);
+    assert_eq!(meter.speed(later).service_time_percent, USUAL_PERCENT);
 }
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -109,7 +109,7 @@
 let mut last = target;
 for work in works {
 let mut times = ServiceTimes::default();
-times.answered(&name("r"), Duration::from_millis(work));
+times.record(&name("r"), Duration::from_millis(work));
 let max_wait = times.max_wait(&name("r"), target, Precedence::FirstAttempt, HOUR);
 prop_assert!(max_wait <= last && max_wait <= target.mul_f64(0.4));
 prop_assert!(max_wait >= target.mul_f64(0.15));
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -101,7 +101,7 @@
         let zone = Zone::new("zone").unwrap();
         let route = ResourceName::new("route").unwrap();
         let mut work_times = ServiceTimes::default();
-        work_times.answered(&route, WORK);
+        work_times.record(&route, WORK);
         let limits = AdmissionLimits {
             slots: SLOTS,
             queue: QUEUE,
--- a/crates/rampthread-core/tests/path_delay_properties.rs
+++ b/crates/rampthread-core/tests/path_delay_properties.rs
@@ -19,33 +19,33 @@
 #[test]
 fn a_hop_that_stood_in_a_full_link_is_known_by_its_delay() {
     let mut delays = PathDelays::default();
-    let empty = delays.arrived(SENDER, sent(1, 100), Moment(7_000_000));
+    let empty = delays.record_arrival(SENDER, sent(1, 100), Moment(7_000_000));
     assert_eq!(empty, Duration::ZERO);
-    let late = delays.arrived(SENDER, sent(1, 200), Moment(9_100_000));
+    let late = delays.record_arrival(SENDER, sent(1, 200), Moment(9_100_000));
     assert_eq!(late, Duration::from_secs(2));
     // Another machine and another life have clocks of their own.
     assert_eq!(
-        delays.arrived(OTHER, sent(1, 5), Moment(9_100_000)),
+        delays.record_arrival(OTHER, sent(1, 5), Moment(9_100_000)),
         Duration::ZERO
     );
     assert_eq!(
-        delays.arrived(SENDER, sent(2, 5), Moment(9_200_000)),
+        delays.record_arrival(SENDER, sent(2, 5), Moment(9_200_000)),
         Duration::ZERO
     );
-    let late = delays.arrived(SENDER, sent(2, 10), Moment(9_255_000));
+    let late = delays.record_arrival(SENDER, sent(2, 10), Moment(9_255_000));
     assert_eq!(late, Duration::from_millis(50));
 }
 
 #[test]
 fn a_path_that_turns_out_faster_is_the_empty_one() {
     let mut delays = PathDelays::default();
-    delays.arrived(SENDER, sent(1, 0), Moment(1_000_000));
+    delays.record_arrival(SENDER, sent(1, 0), Moment(1_000_000));
     assert_eq!(
-        delays.arrived(SENDER, sent(1, 1_000), Moment(1_500_000)),
+        delays.record_arrival(SENDER, sent(1, 1_000), Moment(1_500_000)),
         Duration::ZERO
     );
     assert_eq!(
-        delays.arrived(SENDER, sent(1, 2_000), Moment(3_000_000)),
+        delays.record_arrival(SENDER, sent(1, 2_000), Moment(3_000_000)),
         Duration::from_millis(500)
     );
 }
@@ -67,7 +67,7 @@
     fn any_sequence_gives_a_delay(steps in prop::collection::vec((any::<u32>(), any::<u32>(), any::<u32>()), 1..50)) {
         let mut delays = PathDelays::default();
         for (life, millis, now) in steps {
-            delays.arrived(SENDER, sent(life % 3, u64::from(millis)), Moment(u64::from(now)));
+            delays.record_arrival(SENDER, sent(life % 3, u64::from(millis)), Moment(u64::from(now)));
         }
     }
 }
--- a/crates/rampthread-core/tests/precedence_properties.rs
+++ b/crates/rampthread-core/tests/precedence_properties.rs
@@ -123,7 +123,7 @@
     fn retries_wait_no_longer(target_ms in 1_u64..10_000, work_ms in 0_u64..10_000) {
         let mut times = ServiceTimes::default();
         let (route, target) = (name("route"), Duration::from_millis(target_ms));
-        times.answered(&route, Duration::from_millis(work_ms));
+        times.record(&route, Duration::from_millis(work_ms));
         let wait = |precedence| times.max_wait(&route, target, precedence, HOUR);
         prop_assert!(wait(Precedence::Retry) <= wait(Precedence::FirstAttempt));
     }
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -79,7 +79,7 @@
         };
         let route = ResourceName::new("route").unwrap();
         let mut times = ServiceTimes::default();
-        times.answered(&route, WORK);
+        times.record(&route, WORK);
         Self {
             gates: (0..SERVICES)
                 .map(|_| AdmissionController::new(limits))
--- a/crates/rampthread-core/tests/second_tries.rs
+++ b/crates/rampthread-core/tests/second_tries.rs
@@ -187,7 +187,7 @@
         ResourceName::new("view").unwrap(),
     );
     let now = Moment(1);
-    nested.told(&route, now);
+    nested.record_report(&route, now);
     assert!(nested.is_nested(&route, now + Duration::from_secs(10)));
     assert!(!nested.is_nested(&other, now));
     assert!(!nested.is_nested(&route, now + Duration::from_secs(60)));
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -28,7 +28,9 @@
         let word = header_filter::header_str(answer, headers::PRECEDENCE);
         if word == Some(Precedence::Nested.as_str()) {
             let now = self.now();
-            self.state().nested_routes.told(&call.route.name, now);
+            self.state()
+                .nested_routes
+                .record_report(&call.route.name, now);
         }
     }
 }
--- a/crates/rampthread-node/src/calls/gate/slot.rs
+++ b/crates/rampthread-node/src/calls/gate/slot.rs
@@ -61,7 +61,7 @@
         let answered = self.answered.take();
         if let Some(answered) = answered.as_ref().filter(|answered| answered.worked) {
             let route = &answered.route;
-            self.gate.state().service_times.answered(route, took);
+            self.gate.state().service_times.record(route, took);
             self.gate.record_service_time(route, took);
         }
         self.gate.release(answered.is_some().then_some(took));
--- a/crates/rampthread-node/src/calls/gate/speed.rs
+++ b/crates/rampthread-node/src/calls/gate/speed.rs
@@ -50,7 +50,7 @@
             Ok(load) => {
                 let now = self.control.clock.now();
                 if let Some(percent) = load.service_time_percent {
-                    self.state().speed.said(percent, now);
+                    self.state().speed.record_report(percent, now);
                 }
             }
             Err(error) => self.control.call_log.unusable_backend_load(&error),
@@ -62,13 +62,13 @@
         let now = self.control.clock.now();
         let mut state = self.state();
         if let Some(usual) = state.reference_times.get(route).copied() {
-            state.speed.answered(usual, taken, now);
+            state.speed.record_response(usual, taken, now);
         }
     }
 
     /// Adds the backend's speed to the response, unless it is the default.
     pub(super) fn add_speed_header(&self, response_headers: &mut HeaderMap) {
-        let pace = self.state().speed.pace(self.control.clock.now());
+        let pace = self.state().speed.speed(self.control.clock.now());
         if pace != BackendSpeed::default() {
             header_filter::set_internal(response_headers, headers::PACE, &pace.to_string());
         }
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -243,7 +243,7 @@
             .delays
             .lock()
             .unwrap_or_else(|broken| broken.into_inner());
-        let delay = delays.arrived(peer.ip(), sent, now);
+        let delay = delays.record_arrival(peer.ip(), sent, now);
         Moment(now.0.saturating_sub(delay.as_micros() as u64))
     }
 
