--- a/crates/rampthread-core/src/call/path_delay.rs
+++ b/crates/rampthread-core/src/call/path_delay.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentAt {
     /// Epoch of the sender's process; its clock starts anew in each.
-    pub life: u32,
+    pub process_epoch: u32,
     /// Time since the process started.
     pub since_start: Duration,
 }
@@ -29,7 +29,7 @@
     pub fn parse(text: &str) -> Option<SentAt> {
         let (life, millis) = text.split_once('-')?;
         Some(SentAt {
-            life: u32::from_str_radix(life, 16).ok()?,
+            process_epoch: u32::from_str_radix(life, 16).ok()?,
             since_start: Duration::from_millis(u64::from(millis.parse::<u32>().ok()?)),
         })
     }
@@ -40,7 +40,7 @@
         write!(
             formatter,
             "{:x}-{}",
-            self.life,
+            self.process_epoch,
             self.since_start.as_millis()
         )
     }
@@ -48,7 +48,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct IdlePath {
-    life: u32,
+    process_epoch: u32,
     /// Least difference seen between the two clocks, in microseconds.
     least_difference: i64,
 }
@@ -68,12 +68,12 @@
             self.senders.clear();
         }
         let path = self.senders.entry(sender).or_insert(IdlePath {
-            life: sent.life,
+            process_epoch: sent.process_epoch,
             least_difference: difference,
         });
-        if path.life != sent.life || difference < path.least_difference {
+        if path.process_epoch != sent.process_epoch || difference < path.least_difference {
             *path = IdlePath {
-                life: sent.life,
+                process_epoch: sent.process_epoch,
                 least_difference: difference,
             };
         }
--- a/crates/rampthread-core/tests/path_delay_properties.rs
+++ b/crates/rampthread-core/tests/path_delay_properties.rs
@@ -11,7 +11,7 @@
 
 fn sent(life: u32, millis: u64) -> SentAt {
     SentAt {
-        life,
+        process_epoch: life,
         since_start: Duration::from_millis(millis),
     }
 }
--- a/crates/rampthread-node/src/calls/hop_headers.rs
+++ b/crates/rampthread-node/src/calls/hop_headers.rs
@@ -30,7 +30,7 @@
 ) {
     let since_start = now.since(Moment::default());
     let sent = SentAt {
-        life: process_epoch,
+        process_epoch: process_epoch,
         since_start,
     };
     header_filter::set_internal(to, headers::SENT_AT, &sent.to_string());
