--- a/crates/rampthread-core/src/call/attempts.rs
+++ b/crates/rampthread-core/src/call/attempts.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Maximum attempts of one call, including the first and those that reach no backend.
-pub const MAX_TRIES: u32 = 8;
+pub const MAX_ATTEMPTS: u32 = 8;
 /// Minimum time left for a retry.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(1);
 
@@ -78,7 +78,7 @@
     }
 
     /// Records the end of an attempt and decides what to do next.
-    pub fn after(
+    pub fn record_outcome(
         &mut self,
         outcome: Outcome,
         reach: Reach,
@@ -100,7 +100,7 @@
         }
         let safe = self.repeatable || !self.may_have_run;
         let in_time = now + MIN_RETRY_TIME < self.deadline;
-        let below_limits = self.tries < MAX_TRIES && self.arrivals < self.max_arrivals;
+        let below_limits = self.tries < MAX_ATTEMPTS && self.arrivals < self.max_arrivals;
         let free = self.arrivals == 0 || reach == Reach::Gate;
         if safe && in_time && below_limits && (free || self.take_retry(now, budget)) {
             return NextStep::Retry;
@@ -120,7 +120,7 @@
     /// backend is returned to the budget.
     pub fn end(&mut self, budget: &mut RetryBudget) {
         if let Some(taken_at) = self.unsent_retry_at.take() {
-            budget.give_back(self.class, taken_at);
+            budget.refund(self.class, taken_at);
         }
     }
 
@@ -139,7 +139,7 @@
         let after_this = self.arrivals + self.in_progress;
         self.repeatable
             && self.in_progress == 1
-            && self.tries + 1 < MAX_TRIES
+            && self.tries + 1 < MAX_ATTEMPTS
             && after_this < self.max_arrivals
     }
 
--- a/crates/rampthread-core/src/call/fair_queue.rs
+++ b/crates/rampthread-core/src/call/fair_queue.rs
@@ -47,7 +47,7 @@
     }
 
     /// Number of owners with a finish tag.
-    pub fn remembered(&self) -> usize {
+    pub fn owner_count(&self) -> usize {
         self.finish_tags.len()
     }
 
--- a/crates/rampthread-core/src/call/quarantine.rs
+++ b/crates/rampthread-core/src/call/quarantine.rs
@@ -74,13 +74,13 @@
     }
 
     /// Time for which the crashes are kept after the last one.
-    pub fn memory(self) -> Duration {
+    pub fn retention(self) -> Duration {
         self.quarantine() + RETENTION
     }
 }
 
 /// Longest time for which any crash is kept.
-pub const LONGEST_MEMORY: Duration = LONGEST_QUARANTINE.saturating_add(RETENTION);
+pub const MAX_CRASH_RETENTION: Duration = LONGEST_QUARANTINE.saturating_add(RETENTION);
 
 impl QuarantineState {
     /// State of a request with these crashes against it, the last one `since_last` ago.
--- a/crates/rampthread-core/src/call/retry_budget.rs
+++ b/crates/rampthread-core/src/call/retry_budget.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns a retry, taken at `taken_at`, that reached no backend.
-    pub fn give_back(&mut self, class: RetryClass, taken_at: Moment) {
+    pub fn refund(&mut self, class: RetryClass, taken_at: Moment) {
         let number = self.part_number(taken_at);
         let Some(part) = self.parts.iter_mut().find(|part| part.number == number) else {
             return;
--- a/crates/rampthread-core/src/fleet/crash_table.rs
+++ b/crates/rampthread-core/src/fleet/crash_table.rs
@@ -6,7 +6,9 @@
 //! tombstones that override late copies. Reports expire by their age, which is sent along.
 
 use crate::call::identity::RequestIdentity;
-use crate::call::quarantine::{CrashCounts, LONGEST_MEMORY, QUARANTINE_CRASHES, QuarantineState};
+use crate::call::quarantine::{
+    CrashCounts, MAX_CRASH_RETENTION, QUARANTINE_CRASHES, QuarantineState,
+};
 use crate::ids::InstanceId;
 use crate::time::Moment;
 use std::collections::BTreeMap;
@@ -98,7 +100,7 @@
 
     /// Merges a report into the table.
     pub fn merge(&mut self, report: &CrashReport, now: Moment) -> MergeOutcome {
-        if report.age >= LONGEST_MEMORY {
+        if report.age >= MAX_CRASH_RETENTION {
             return MergeOutcome::Known;
         }
         let at = now - report.age;
@@ -240,7 +242,7 @@
         let before = self.suspects.len();
         self.suspects.retain(|_, crashes| {
             let newest = crashes.values().map(|crash| crash.at).max();
-            let kept = evidence(crashes).memory();
+            let kept = evidence(crashes).retention();
             newest.is_some_and(|newest| now.since(newest) < kept)
         });
         self.revision += u64::from(self.suspects.len() != before);
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -5,7 +5,7 @@
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
 };
 use rampthread_core::call::attempts::{
-    Attempts, MAX_TRIES, NextStep, RetryBudget, RetryClass, RetryLimit,
+    Attempts, MAX_ATTEMPTS, NextStep, RetryBudget, RetryClass, RetryLimit,
 };
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint, UNAVAILABLE_LOAD};
 use rampthread_core::call::claims::{ClaimAnswer, ClaimDecision, ClaimTable, ClaimVote};
@@ -181,10 +181,10 @@
         let mut tainted = false;
         for (number, outcome) in outcomes.into_iter().enumerate() {
             tainted |= outcome == Outcome::Unknown;
-            match attempts.after(outcome, reach, Moment(1), &mut budget) {
+            match attempts.record_outcome(outcome, reach, Moment(1), &mut budget) {
                 NextStep::Retry => {
                     prop_assert!(repeatable || !tainted, "an unsafe second try");
-                    prop_assert!((number as u32) + 1 < MAX_TRIES);
+                    prop_assert!((number as u32) + 1 < MAX_ATTEMPTS);
                     prop_assert!(attempts.arrivals() < max_arrivals, "one back end too many");
                 }
                 NextStep::AwaitOther => prop_assert!(false, "no other try is under way"),
@@ -223,7 +223,7 @@
             let outcome = if ran { Outcome::Unknown } else { Outcome::NotRun };
             let reach = if ran || reached { Reach::Backend } else { Reach::Gate };
             under_way -= 1;
-            match attempts.after(outcome, reach, now, &mut budget) {
+            match attempts.record_outcome(outcome, reach, now, &mut budget) {
                 NextStep::AwaitOther => prop_assert_eq!(under_way, 1),
                 NextStep::Retry => {
                     prop_assert_eq!(under_way, 0);
--- a/crates/rampthread-core/tests/crash_properties.rs
+++ b/crates/rampthread-core/tests/crash_properties.rs
@@ -192,7 +192,7 @@
         left: evidence(3, 1).quarantine(),
     };
     assert_eq!(standing(&table, left), again);
-    table.forget_old(NOW + left + evidence(3, 1).memory());
+    table.forget_old(NOW + left + evidence(3, 1).retention());
     assert!(table.is_empty());
 }
 
--- a/crates/rampthread-core/tests/fair_queue.rs
+++ b/crates/rampthread-core/tests/fair_queue.rs
@@ -161,5 +161,5 @@
             assert!(turns.start_tag(&owner) >= before, "round {round}");
         }
     }
-    assert!(turns.remembered() <= 1_024);
+    assert!(turns.owner_count() <= 1_024);
 }
--- a/crates/rampthread-core/tests/second_tries.rs
+++ b/crates/rampthread-core/tests/second_tries.rs
@@ -40,7 +40,7 @@
         if !rng.random_bool(SHED) {
             return true;
         }
-        let next = attempts.after(Outcome::NotRun, Reach::Backend, now, budget);
+        let next = attempts.record_outcome(Outcome::NotRun, Reach::Backend, now, budget);
         if next != NextStep::Retry {
             return false;
         }
@@ -117,10 +117,10 @@
         window: WINDOW,
     });
     let mut attempts = Attempts::new(true, now + WINDOW, 3);
-    let shed = attempts.after(Outcome::NotRun, Reach::Backend, now, &mut budget);
+    let shed = attempts.record_outcome(Outcome::NotRun, Reach::Backend, now, &mut budget);
     assert_eq!(shed, NextStep::Retry);
     assert!(!budget.take(RetryClass::Nested, now), "it is taken");
-    let full = attempts.after(Outcome::NotRun, Reach::Gate, now, &mut budget);
+    let full = attempts.record_outcome(Outcome::NotRun, Reach::Gate, now, &mut budget);
     assert_eq!(full, NextStep::Retry);
     attempts.end(&mut budget);
     assert!(budget.take(RetryClass::Nested, now), "it is free again");
@@ -143,7 +143,7 @@
         for (pause, calls, nested, tries, kept) in steps {
             now = now + Duration::from_millis(pause);
             for (claim, taken_at) in held.drain(..) {
-                budget.give_back(claim, taken_at);
+                budget.refund(claim, taken_at);
             }
             (0..calls).for_each(|_| budget.call_made(now));
             let claim = if nested { RetryClass::Nested } else { RetryClass::Caller };
--- a/crates/rampthread-node/src/calls/entry/attempt_loop.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt_loop.rs
@@ -266,7 +266,7 @@
         let (entry, now) = (self.entry, self.entry.now());
         let attempts = &mut self.attempts;
         let next = entry.with_budget(self.call, |budget| {
-            attempts.after(call_error.outcome, call_error.reach, now, budget)
+            attempts.record_outcome(call_error.outcome, call_error.reach, now, budget)
         });
         let full = call_error.cause == Cause::QueueFull;
         let call_error = with_earlier_retry(call_error, self.last_error.take());
