--- a/crates/rampthread-core/src/call/claims.rs
+++ b/crates/rampthread-core/src/call/claims.rs
@@ -32,7 +32,7 @@
 
 /// A holder's reply to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ClaimAnswer {
+pub enum ClaimReply {
     /// The key belongs to this call.
     Granted,
     /// Another call holds the key.
@@ -72,22 +72,22 @@
     }
 
     /// Handles the claim of `call` to run the request with `key`.
-    pub fn claim(&mut self, key: &str, call: &CallId, now: Moment) -> ClaimAnswer {
+    pub fn claim(&mut self, key: &str, call: &CallId, now: Moment) -> ClaimReply {
         self.expire(now);
         if let Some(claim) = self.claims.get(key) {
             if claim.call == *call {
-                return ClaimAnswer::Granted;
+                return ClaimReply::Granted;
             }
-            return ClaimAnswer::Taken(claim.state);
+            return ClaimReply::Taken(claim.state);
         }
         let age = now.since(self.started);
         if age < self.ttl || self.claims.len() >= MAX_CLAIMS {
-            return ClaimAnswer::CannotTell {
+            return ClaimReply::CannotTell {
                 retry_after: self.ttl.saturating_sub(age).max(Duration::from_secs(1)),
             };
         }
         self.set(key, call, ClaimState::Open, now);
-        ClaimAnswer::Granted
+        ClaimReply::Granted
     }
 
     /// Records that the request has run and was answered.
@@ -177,14 +177,14 @@
     }
 
     /// Adds the reply of one holder.
-    pub fn add(&mut self, answer: ClaimAnswer) {
+    pub fn add(&mut self, answer: ClaimReply) {
         match answer {
-            ClaimAnswer::Granted => self.granted += 1,
-            ClaimAnswer::Taken(ClaimState::Done) => self.taken = Some(ClaimState::Done),
-            ClaimAnswer::Taken(ClaimState::Open) => {
+            ClaimReply::Granted => self.granted += 1,
+            ClaimReply::Taken(ClaimState::Done) => self.taken = Some(ClaimState::Done),
+            ClaimReply::Taken(ClaimState::Open) => {
                 self.taken.get_or_insert(ClaimState::Open);
             }
-            ClaimAnswer::CannotTell { retry_after } => {
+            ClaimReply::CannotTell { retry_after } => {
                 self.retry_after = self.retry_after.max(retry_after);
             }
         }
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -8,7 +8,7 @@
     Attempts, MAX_ATTEMPTS, NextStep, RetryBudget, RetryClass, RetryLimit,
 };
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint, UNAVAILABLE_LOAD};
-use rampthread_core::call::claims::{ClaimAnswer, ClaimDecision, ClaimTable, ClaimVote};
+use rampthread_core::call::claims::{ClaimDecision, ClaimReply, ClaimTable, ClaimVote};
 use rampthread_core::call::fence::{FENCE_RETENTION, FenceStatus, FenceTable};
 use rampthread_core::call::headers::{self, Outcome, Reach};
 use rampthread_core::call::precedence::Precedence;
@@ -305,7 +305,7 @@
         let late = Moment(120_000_000);
         let mut holders: Vec<ClaimTable> = (0..5).map(|_| ClaimTable::new(Moment(1), life)).collect();
         let calls = ["one".to_string(), "two".to_string()];
-        let mut answers: HashMap<(usize, usize), ClaimAnswer> = HashMap::new();
+        let mut answers: HashMap<(usize, usize), ClaimReply> = HashMap::new();
         for (step, (holder, call)) in order.into_iter().enumerate() {
             if let Some(lost) = forgetful.get(step) {
                 holders[*lost] = ClaimTable::new(late, life);
--- a/crates/rampthread-node/src/calls/idempotency_claims.rs
+++ b/crates/rampthread-node/src/calls/idempotency_claims.rs
@@ -5,7 +5,7 @@
 use futures_util::future::join_all;
 use http::HeaderMap;
 use rampthread_core::call::claims::{
-    self, ClaimAnswer, ClaimDecision, ClaimState, ClaimTable, ClaimVote,
+    self, ClaimDecision, ClaimReply, ClaimState, ClaimTable, ClaimVote,
 };
 use rampthread_core::call::headers;
 use rampthread_core::ids::NodeId;
@@ -70,18 +70,18 @@
     }
 
     /// Applies a claim action as a holder.
-    pub fn handle_request(&self, action: ClaimAction, key: &str, call_id: &str) -> ClaimAnswer {
+    pub fn handle_request(&self, action: ClaimAction, key: &str, call_id: &str) -> ClaimReply {
         let now = self.control.clock.now();
         let call = call_id.to_string();
         match action {
             ClaimAction::Claim => self.table().claim(key, &call, now),
             ClaimAction::Done => {
                 self.table().done(key, &call, now);
-                ClaimAnswer::Granted
+                ClaimReply::Granted
             }
             ClaimAction::Release => {
                 self.table().release(key, &call);
-                ClaimAnswer::Granted
+                ClaimReply::Granted
             }
         }
     }
@@ -130,7 +130,7 @@
         action: ClaimAction,
         key: &str,
         call_id: &str,
-    ) -> Option<ClaimAnswer> {
+    ) -> Option<ClaimReply> {
         if *holder == self.control.id {
             return Some(self.handle_request(action, key, call_id));
         }
@@ -147,29 +147,29 @@
 }
 
 /// Encodes a claim result as headers.
-pub fn claim_result_headers(answer: ClaimAnswer) -> Vec<(&'static str, String)> {
+pub fn claim_result_headers(answer: ClaimReply) -> Vec<(&'static str, String)> {
     let word = match answer {
-        ClaimAnswer::Granted => "granted",
-        ClaimAnswer::Taken(ClaimState::Open) => "open",
-        ClaimAnswer::Taken(ClaimState::Done) => "done",
-        ClaimAnswer::CannotTell { .. } => "cannot-tell",
+        ClaimReply::Granted => "granted",
+        ClaimReply::Taken(ClaimState::Open) => "open",
+        ClaimReply::Taken(ClaimState::Done) => "done",
+        ClaimReply::CannotTell { .. } => "cannot-tell",
     };
     let mut lines = vec![(CLAIM_RESULT_HEADER, word.to_string())];
-    if let ClaimAnswer::CannotTell { retry_after } = answer {
+    if let ClaimReply::CannotTell { retry_after } = answer {
         lines.push((RETRY_AFTER_MS, retry_after.as_millis().to_string()));
     }
     lines
 }
 
-fn parse_claim_result(headers: &HeaderMap) -> Option<ClaimAnswer> {
+fn parse_claim_result(headers: &HeaderMap) -> Option<ClaimReply> {
     let word = headers.get(CLAIM_RESULT_HEADER)?.to_str().ok()?;
     Some(match word {
-        "granted" => ClaimAnswer::Granted,
-        "open" => ClaimAnswer::Taken(ClaimState::Open),
-        "done" => ClaimAnswer::Taken(ClaimState::Done),
+        "granted" => ClaimReply::Granted,
+        "open" => ClaimReply::Taken(ClaimState::Open),
+        "done" => ClaimReply::Taken(ClaimState::Done),
         _ => {
             let text = headers.get(RETRY_AFTER_MS)?.to_str().ok()?;
-            ClaimAnswer::CannotTell {
+            ClaimReply::CannotTell {
                 retry_after: Duration::from_millis(text.parse().ok()?),
             }
         }
