--- a/crates/rampthread-core/tests/path_delay_properties.rs
+++ b/crates/rampthread-core/tests/path_delay_properties.rs
@@ -9,9 +9,9 @@
 const SENDER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1));
 const OTHER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 2));
 
-fn sent(life: u32, millis: u64) -> SentAt {
+fn sent(process_epoch: u32, millis: u64) -> SentAt {
     SentAt {
-        process_epoch: life,
+        process_epoch,
         since_start: Duration::from_millis(millis),
     }
 }
