--- a/crates/rampthread-core/src/backend_incarnation.rs
+++ b/crates/rampthread-core/src/backend_incarnation.rs
@@ -1,45 +1,47 @@
-//! Which start of a back end is meant. A back end may keep its id over a restart; then
-//! only the time of its start, `started_at`, tells the two apart.
+//! Identity of one process of a backend. A backend may keep its id when it restarts; then
+//! only its start time tells the two processes apart.
 
 use crate::ids::{InstanceId, InvalidName};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Stands between the id and the start in [`BackendIncarnation::name`].
+/// Separates the id from the start time in [`BackendIncarnation::name`].
 const SEPARATOR: &str = "..";
-/// Longest id that a back end may give itself, in bytes: with the separator and the
-/// most digits of a start it still makes a name.
+/// Maximum length of a backend id, in bytes. Leaves room in a name for the separator and
+/// the longest start time.
 pub const MAX_BACKEND_ID_BYTES: usize = InstanceId::MAX_BYTES - SEPARATOR.len() - MAX_START_DIGITS;
-/// Decimal digits of the largest `u64`.
+/// Decimal digits of `u64::MAX`.
 const MAX_START_DIGITS: usize = 20;
 
-/// When a back end started, in Unix milliseconds by its own clock.
+/// Start time of a backend process, in Unix milliseconds by its own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StartedAt(pub u64);
 
-/// One start of a back end. Nodes pass it on under [`BackendIncarnation::name`], which
-/// nodes that know nothing of starts take for an id like any other: to them every start
-/// has an id of its own.
+/// One process of a backend. Nodes pass it on as [`BackendIncarnation::name`]; nodes that
+/// do not know start times treat the name as an ordinary id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendIncarnation {
     id: InstanceId,
     started_at: Option<StartedAt>,
 }
 
-/// Why an id cannot be one of a back end.
+/// Reason why an id is not a valid backend id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidIncarnation {
-    /// It is no name.
+    /// The id is not a valid name.
     #[error(transparent)]
     Name(#[from] InvalidName),
-    /// It could not be told from an id with a start.
-    #[error("an id has at most {MAX_BACKEND_ID_BYTES} bytes and no {SEPARATOR:?} in it")]
+    /// The id is ambiguous or too long: it could not be told from an id with a start time.
+    #[error(
+        "a backend id must have at most {MAX_BACKEND_ID_BYTES} bytes and not contain {SEPARATOR:?}"
+    )]
     Reserved,
 }
 
 impl BackendIncarnation {
-    /// The back end that calls itself `id` and started at `started_at`, if it says so.
+    /// Creates the incarnation of the backend `id`; `started_at` is `None` if the backend
+    /// does not report it.
     pub fn new(id: &str, started_at: Option<StartedAt>) -> Result<Self, InvalidIncarnation> {
         let id = InstanceId::new(id)?;
         if id.as_str().len() > MAX_BACKEND_ID_BYTES || id.as_str().contains(SEPARATOR) {
@@ -48,8 +50,8 @@
         Ok(Self { id, started_at })
     }
 
-    /// The incarnation of this name. A name without a start is an id whose start is
-    /// unknown.
+    /// Parses a name made by [`BackendIncarnation::name`]. A name without a start time is
+    /// taken as an id with unknown start time.
     pub fn from_name(name: &InstanceId) -> Self {
         let with_start = name
             .as_str()
@@ -64,21 +66,22 @@
         })
     }
 
-    /// One name for both, different for any two incarnations that can be told apart.
+    /// Name made of the id and the start time; different for any two incarnations that can
+    /// be told apart.
     pub fn name(&self) -> InstanceId {
         let Some(StartedAt(started_at)) = self.started_at else {
             return self.id.clone();
         };
         InstanceId::new(&format!("{}{SEPARATOR}{started_at}", self.id))
-            .expect("a checked id and a number make a name")
+            .expect("a valid backend id with a start time is a valid name")
     }
 
-    /// What the back end calls itself; several starts may share it.
+    /// Id that the backend reports; may be the same after a restart.
     pub fn id(&self) -> &InstanceId {
         &self.id
     }
 
-    /// When it started, if it says so.
+    /// Start time, if the backend reports it.
     pub fn started_at(&self) -> Option<StartedAt> {
         self.started_at
     }
--- a/crates/rampthread-core/src/findings.rs
+++ b/crates/rampthread-core/src/findings.rs
@@ -1,19 +1,19 @@
-//! Findings: everything that is wrong with an input, each with its place.
+//! Validation errors of an input, each with its location.
 //!
-//! Checks never stop at the first fault. They push one [`Finding`] per fault
-//! into [`Findings`], which is reported as a whole (house style of the brief).
+//! Checks do not stop at the first error. They add one [`Finding`] per error to
+//! [`Findings`], and the input's author gets all of them at once.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One fault in an input.
+/// One error in an input.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// Where: a file and key path, such as `node.toml: limits.slots`.
+    /// Location: a file and key path, such as `node.toml: limits.slots`.
     pub place: String,
-    /// What was found there.
+    /// The invalid value or condition that was found.
     pub found: String,
-    /// What would be accepted.
+    /// Description of the values that are accepted.
     pub allowed: String,
 }
 
@@ -27,18 +27,18 @@
     }
 }
 
-/// A list of faults. Empty means the input is good.
+/// List of errors; empty if the input is valid.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// No findings yet.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds one fault.
+    /// Adds an error.
     pub fn push(
         &mut self,
         place: impl Into<String>,
@@ -52,13 +52,13 @@
         });
     }
 
-    /// Takes over all findings of `other`.
+    /// Moves all findings of `other` to the end of this list.
     pub fn append(&mut self, other: Findings) {
         self.0.extend(other.0);
     }
 
-    /// The first `count` findings as one text, and how many more there are: a line of a
-    /// log stays short though everything is wrong.
+    /// The first `count` findings as text and the number of further ones, to keep log lines
+    /// short.
     pub fn first(&self, count: usize) -> String {
         let shown = Findings(self.0.iter().take(count).cloned().collect());
         match self.0.len().saturating_sub(count) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// True when nothing is wrong.
+    /// True if the input is valid.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -77,12 +77,12 @@
         self.0.len()
     }
 
-    /// The findings in the order in which they were made.
+    /// Findings in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.0.iter()
     }
 
-    /// `Ok(value)` when nothing is wrong, else these findings.
+    /// Returns `Ok(value)` if there are no findings, else the findings.
     pub fn into_result<T>(self, value: T) -> Result<T, Findings> {
         if self.is_empty() {
             Ok(value)
--- a/crates/rampthread-core/src/ids.rs
+++ b/crates/rampthread-core/src/ids.rs
@@ -1,17 +1,17 @@
-//! Checked names and numbers that identify things across the fleet.
+//! Validated names and version numbers that identify objects across the fleet.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest accepted name, in bytes (the limit of a DNS label, RFC 1035).
+/// Maximum length of a name, in bytes: the limit of a DNS label (RFC 1035).
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Why a text is not a name.
+/// The text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is not a name: 1 to 63 letters, digits, '-', '_' or '.'")]
 pub struct InvalidName {
-    /// The refused text, cut to a printable length.
+    /// The rejected text, truncated to the maximum length of a name.
     pub text: String,
 }
 
@@ -36,16 +36,16 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Longest name, in bytes.
+            /// Maximum length, in bytes.
             pub const MAX_BYTES: usize = MAX_NAME_BYTES;
 
-            /// Checks `text` and wraps it.
+            /// Validates `text` and wraps it.
             pub fn new(text: &str) -> Result<Self, InvalidName> {
                 check_name(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -79,38 +79,38 @@
 }
 
 name_type! {
-    /// The configured identity of a node. It survives a restart of the process.
+    /// Configured id of a node, stable across restarts of its process.
     NodeId
 }
 name_type! {
-    /// The name of a service, route, secret or back end.
+    /// Name of a service, route, secret, backend or tenant.
     ResourceName
 }
 name_type! {
-    /// The name of one start of a back end: the id that it gives itself and, where it
-    /// says so, when it started (see [`crate::backend_incarnation`]).
+    /// Name of a backend incarnation: the id that the backend reports and, if it reports
+    /// one, its start time (see [`crate::backend_incarnation`]).
     InstanceId
 }
 name_type! {
-    /// The version of the software that a back end runs.
+    /// Version of the software that a backend runs.
     SoftwareVersion
 }
 name_type! {
-    /// A zone: machines that share power and switches.
+    /// An availability zone: machines that share power and network switches.
     Zone
 }
 name_type! {
-    /// A region: zones with fast links between them.
+    /// A region: a group of zones with low latency between them.
     Region
 }
 name_type! {
-    /// Names one operator change. It comes from the operator's
-    /// `Idempotency-Key`, so the same change sent twice is one version.
+    /// Id of an operator's change, taken from its `Idempotency-Key` header, so that
+    /// repeated submissions produce one version.
     OperationId
 }
 
-/// A configuration version: the number of its slot in the change log.
-/// Version 0 is the empty configuration before any change.
+/// Configuration version: the number of its slot in the change log, or the version of the
+/// document. Version 0 is the empty configuration.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
@@ -118,10 +118,10 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// The version before any change.
+    /// Version of the empty configuration.
     pub const ZERO: Version = Version(0);
 
-    /// The version of the next log slot.
+    /// Version of the next log slot.
     pub fn next(self) -> Version {
         Version(self.0 + 1)
     }
--- a/crates/rampthread-core/src/lib.rs
+++ b/crates/rampthread-core/src/lib.rs
@@ -1,16 +1,16 @@
-//! Decisions of rampthread, free of I/O.
+//! Decision logic of rampthread, free of I/O.
 //!
-//! Every module here is a state machine: the caller hands in an event and the
-//! current time and takes out actions. No socket, clock, thread or async
-//! function lives in this crate, so one seeded simulation can drive a whole
-//! fleet (`tests/`), and the same code runs in hollow and in real nodes.
+//! Every module is a state machine: the caller passes in events with the current time and
+//! receives actions to carry out. The crate uses no sockets, clocks, threads or async
+//! functions, so that a seeded simulation can run a whole fleet (`tests/`) with the code
+//! that real nodes run.
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! |---|---|
-//! | [`config`] | what a valid configuration is and what each log entry does to it |
-//! | [`fleet`] | membership, readers, distribution, restart floor, what operators see |
-//! | [`rollout`] | which software version of a service gets traffic |
-//! | [`call`] | routing, balancing, admission, retries, fencing and claims of calls |
+//! | [`config`] | validity of configurations, and the effect of each log entry |
+//! | [`fleet`] | membership, log readers, distribution, restart floor, operator queries |
+//! | [`rollout`] | which software version of a service receives traffic |
+//! | [`call`] | routing, balancing, admission, retries, fencing and idempotency claims of calls |
 
 pub mod backend_incarnation;
 pub mod call;
--- a/crates/rampthread-core/src/rendezvous.rs
+++ b/crates/rampthread-core/src/rendezvous.rs
@@ -1,11 +1,11 @@
-//! Rendezvous hashing (highest random weight, Thaler and Ravishankar 1998):
-//! every node orders the same candidates for the same key alike, and the loss
-//! of one candidate moves only that candidate's keys.
+//! Rendezvous hashing (highest random weight, Thaler and Ravishankar 1998). All nodes order
+//! the candidates for a key in the same way, and the loss of a candidate affects only its
+//! own keys.
 
 use crate::ids::{NodeId, Zone};
 use std::collections::BTreeSet;
 
-/// Weight of `candidate` for `key`; the largest comes first.
+/// Weight of `candidate` for `key`; the highest weight comes first.
 pub fn weight(key: &str, candidate: &NodeId) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(key.as_bytes());
@@ -16,7 +16,7 @@
     u64::from_le_bytes(first)
 }
 
-/// All candidates in rendezvous order for `key`.
+/// Sorts the candidates in rendezvous order for `key`.
 pub fn order(key: &str, candidates: impl IntoIterator<Item = NodeId>) -> Vec<NodeId> {
     let mut weighted: Vec<(u64, NodeId)> = candidates
         .into_iter()
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// Place of `candidate` among `others` in rendezvous order: how many come before it.
+/// Position of `candidate` in rendezvous order: the number of `others` that precede it.
 pub fn rank<'a>(
     key: &str,
     candidate: &NodeId,
@@ -40,8 +40,8 @@
     others.into_iter().filter(before).count()
 }
 
-/// The first `count` candidates in rendezvous order, taking each zone once
-/// before any zone is taken again.
+/// Selects up to `count` candidates in rendezvous order, one from each zone before any zone
+/// gets a further one.
 pub fn select_across_zones(
     key: &str,
     candidates: impl IntoIterator<Item = (NodeId, Zone)>,
--- a/crates/rampthread-core/src/time.rs
+++ b/crates/rampthread-core/src/time.rs
@@ -1,10 +1,11 @@
-//! Time as the state machines see it: microseconds since the process started.
+//! Time type of the state machines.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment on the caller's monotonic clock, in microseconds.
+/// Point in time on the caller's monotonic clock, in microseconds since the process
+/// started.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -12,7 +13,7 @@
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// Time passed since `earlier`; zero when `earlier` lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is in the future.
     pub fn since(self, earlier: Moment) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
