--- a/crates/rampthread-core/tests/config_properties.rs
+++ b/crates/rampthread-core/tests/config_properties.rs
@@ -1,4 +1,5 @@
-//! Routes, references and entries of the change log.
+//! Properties of the change log: references between resources, atomicity of changes, and
+//! route precedence.
 
 mod simulation;
 
@@ -36,10 +37,10 @@
 }
 
 proptest! {
-    /// After any changes: no reference dangles, a refused change left no part,
-    /// and a snapshot leads to the same state.
+    /// After any changes no reference dangles, a rejected change has no effect, and a
+    /// snapshot restores an equal state.
     #[test]
-    fn no_change_leaves_a_dangling_reference_or_a_part(
+    fn no_change_leaves_dangling_references_or_is_applied_in_part(
         changes in prop::collection::vec(prop::collection::vec(operation(), 1..4), 1..40),
     ) {
         let mut state = ConfigState::default();
@@ -51,16 +52,16 @@
             let id = OperationId::new(&format!("operation-{number}")).unwrap();
             let accepted = next.operation(&id).unwrap().outcome == Outcome::Accepted;
             let unchanged = state.resources().eq(next.resources());
-            prop_assert!(accepted || unchanged, "a refused change left a part");
+            prop_assert!(accepted || unchanged, "a rejected change had an effect");
             let restored = ConfigState::decode_snapshot(&next.encode_snapshot()).unwrap();
             prop_assert_eq!(&restored, &next);
             state = next;
         }
     }
 
-    /// The same operation again changes nothing, wherever it stands in the log.
+    /// A repeated operation is applied once.
     #[test]
-    fn an_operation_sent_again_is_one_change(operations in prop::collection::vec(operation(), 1..4)) {
+    fn a_repeated_operation_is_applied_once(operations in prop::collection::vec(operation(), 1..4)) {
         let bytes = entry("same", operations).encode();
         let once = ConfigState::default().apply(&bytes);
         let twice = once.apply(&bytes);
@@ -70,10 +71,10 @@
         prop_assert_eq!(twice.operation(&id).unwrap().version, Version(1));
     }
 
-    /// Arbitrary bytes in a log slot, or a snapshot with one byte altered,
-    /// change nothing but the version, or are refused.
+    /// Arbitrary bytes in a log slot advance only the version; a snapshot with one byte
+    /// altered is rejected.
     #[test]
-    fn unreadable_bytes_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..300), at in any::<usize>()) {
+    fn undecodable_bytes_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..300), at in any::<usize>()) {
         let before = ConfigState::default().apply(&entry("a", vec![put(service("s"))]).encode());
         let after = before.apply(&bytes);
         prop_assert!(before.resources().eq(after.resources()));
@@ -85,7 +86,7 @@
         prop_assert!(ConfigState::decode_snapshot(&snapshot).is_err());
     }
 
-    /// The most specific matching route wins, whatever order they came in.
+    /// The most specific matching route is selected, independent of the order of creation.
     #[test]
     fn the_longest_matching_prefix_wins(
         prefixes in prop::collection::btree_set("(/[ab]){1,4}", 1..8),
@@ -113,11 +114,11 @@
 }
 
 #[test]
-fn two_routes_that_match_the_same_calls_are_refused_together_with_a_shared_node() {
-    let Resource::Route(mut twin) = route("twin", "s", None) else {
+fn conflicting_routes_and_a_shared_local_node_are_both_reported() {
+    let Resource::Route(mut conflicting) = route("twin", "s", None) else {
         unreachable!()
     };
-    twin.path = PathMatch::Prefix("/first".to_string());
+    conflicting.path = PathMatch::Prefix("/first".to_string());
     let mut second_backend = backend(0, "s", 1);
     if let Resource::Backend(backend) = &mut second_backend {
         backend.name = name("another");
@@ -125,14 +126,14 @@
     let operations = vec![
         put(service("s")),
         put(route("first", "s", None)),
-        put(Resource::Route(twin)),
+        put(Resource::Route(conflicting)),
         put(backend(0, "s", 1)),
         put(second_backend),
     ];
     let state = ConfigState::default().apply(&entry("tie", operations).encode());
     let id = OperationId::new("tie").unwrap();
     let Outcome::Refused(findings) = &state.operation(&id).unwrap().outcome else {
-        panic!("the tie was accepted");
+        panic!("the conflicting routes were accepted");
     };
     assert_eq!(findings.len(), 2, "{findings}");
 }
--- a/crates/rampthread-core/tests/document_properties.rs
+++ b/crates/rampthread-core/tests/document_properties.rs
@@ -1,5 +1,5 @@
-//! The configuration as a document: what changes from one version to the next,
-//! who waits at the store, and how the others get a new version.
+//! Document mode: deltas between versions, selection of the nodes that watch the store, and
+//! distribution of new versions to the others.
 
 mod mesh;
 
@@ -13,10 +13,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A document of 3,000 routes, as the store sends it.
+/// Size of a document with 3,000 routes, uncompressed.
 const DOCUMENT_BYTES: u64 = 1_100_000;
 
-/// A document with `routes` of the numbers given.
+/// A document with one route for each of the given numbers.
 fn with_routes(version: u64, routes: impl IntoIterator<Item = u32>) -> ConfigState {
     let mut resources: Vec<Resource> = vec![service("shop")];
     resources.extend(
@@ -33,9 +33,10 @@
 }
 
 proptest! {
-    /// A delta leads from its base to the later state and from no other.
+    /// A delta applied to its base gives the later state; it does not apply to another
+    /// version.
     #[test]
-    fn a_delta_leads_to_the_later_state(
+    fn a_delta_applied_to_its_base_gives_the_later_state(
         before in prop::collection::btree_set(0_u32..30, 0..20),
         after in prop::collection::btree_set(0_u32..30, 0..20),
     ) {
@@ -51,18 +52,18 @@
         prop_assert!(read.apply_to(&other).is_err());
     }
 
-    /// Whatever bytes a peer sends as a delta, reading them does not panic.
+    /// Arbitrary bytes received as a delta cause no panic.
     #[test]
-    fn any_bytes_are_no_delta_or_one(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_as_a_delta_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let base = document(1);
         if let Ok(delta) = StateDelta::decode(&bytes) {
             let _ = delta.apply_to(&base);
         }
     }
 
-    /// Sharing memory with an older state changes nothing that can be seen.
+    /// Sharing memory with an older state does not change the content.
     #[test]
-    fn sharing_changes_nothing(
+    fn sharing_memory_keeps_the_content(
         before in prop::collection::btree_set(0_u32..30, 0..20),
         after in prop::collection::btree_set(0_u32..30, 0..20),
     ) {
@@ -74,13 +75,13 @@
     }
 }
 
-/// A store with one document, beside a mesh of agents.
+/// A store with one document, and a fleet of agents in memory.
 struct Store {
     mesh: Mesh,
     document: Arc<ConfigState>,
-    /// Agents that the store refuses.
-    refused: BTreeSet<usize>,
-    /// Times that an agent got the document whole from the store.
+    /// Agents whose requests the store rejects.
+    rejected: BTreeSet<usize>,
+    /// Document reads answered by the store.
     reads: usize,
 }
 
@@ -89,7 +90,7 @@
         let mut store = Self {
             mesh: Mesh::new(count),
             document: Arc::new(with_routes(1, 0..10)),
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             reads: 0,
         };
         for index in 0..count {
@@ -99,10 +100,10 @@
         store
     }
 
-    /// Agent `index` asks the store.
+    /// Agent `index` reads the store.
     fn read(&mut self, index: usize) {
         let now = self.mesh.now;
-        let answers = !self.refused.contains(&index);
+        let answers = !self.rejected.contains(&index);
         let mut actions = self.mesh.agents[index].record_store_reachability(answers, now);
         if answers {
             self.reads += 1;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Lets time pass; those that watch hear of a change at once.
+    /// Advances time in steps; watchers read a changed document at once.
     fn run(&mut self, time: Duration) {
         let end = self.mesh.now + time;
         while self.mesh.now < end {
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn a_small_change_reaches_all_and_few_read_the_store() {
+fn a_small_change_reaches_all_nodes_with_few_store_reads() {
     let mut store = Store::new(40);
     for version in 2..8 {
         store.change(with_routes(version, 0..10 + version as u32));
@@ -173,12 +174,12 @@
 }
 
 #[test]
-fn every_node_can_tell_how_far_a_version_has_got_without_reports() {
+fn every_node_knows_the_propagation_of_a_version_without_reports() {
     let mut store = Store::new(20);
     store.change(with_routes(2, 0..11));
     // Every node probes every other one within two rounds of 19 probes.
     store.run(Duration::from_secs(40));
-    assert_eq!(store.mesh.sent("held"), 0, "nodes report to each other");
+    assert_eq!(store.mesh.sent("held"), 0, "nodes sent held reports");
     for index in 0..20 {
         let now = store.mesh.now;
         let actions = store.mesh.agents[index].query_propagation(1, now);
@@ -186,14 +187,14 @@
             Action::AnswerPropagation { status, .. } => status.clone(),
             _ => None,
         });
-        let spread = spread.expect("an answer at once");
+        let spread = spread.expect("an immediate reply");
         assert_eq!((spread.version, spread.nodes), (Version(2), 20));
         assert_eq!(spread.held_by, 20);
     }
 }
 
 #[test]
-fn a_report_reaches_every_node_of_a_large_fleet() {
+fn a_backend_report_reaches_every_node_of_a_large_fleet() {
     let mut store = Store::new(80);
     let now = store.mesh.now;
     let report = BackendReport::Heartbeat(endpoint_record("i-1", 1, false));
@@ -205,7 +206,7 @@
 }
 
 #[test]
-fn a_large_change_reaches_all_and_few_read_the_store() {
+fn a_large_change_reaches_all_nodes_with_few_store_reads() {
     let mut store = Store::new(40);
     store.change(with_routes(2, 0..3_000));
     store.run(Duration::from_millis(1_500));
@@ -213,14 +214,14 @@
     assert!(store.reads <= 8, "{} reads", store.reads);
 }
 
-/// Twenty versions later nobody keeps what a node holds that was frozen: it gets
-/// the whole state from a peer.
+/// Peers keep no deltas for a version that is twenty versions old, so the node must get a
+/// full snapshot from a peer instead of reading the store.
 #[test]
-fn who_is_far_behind_gets_the_whole_state_from_a_peer() {
+fn a_node_far_behind_gets_a_snapshot_from_a_peer() {
     let mut store = Store::new(20);
     let frozen = (0..20).find(|index| !store.mesh.agents[*index].is_document_watcher());
-    let frozen = frozen.expect("few watch");
-    let mut kept = store.mesh.agents.remove(frozen);
+    let frozen = frozen.expect("not all nodes are watchers");
+    let mut lagging_agent = store.mesh.agents.remove(frozen);
     store
         .mesh
         .agents
@@ -229,17 +230,17 @@
         store.change(with_routes(version, 0..10 + version as u32));
         store.run(Duration::from_millis(300));
     }
-    std::mem::swap(&mut store.mesh.agents[frozen], &mut kept);
+    std::mem::swap(&mut store.mesh.agents[frozen], &mut lagging_agent);
     store.reads = 0;
     store.run(Duration::from_secs(3));
     assert_eq!(store.lagging(), Vec::<usize>::new());
     assert_eq!(store.reads, 0);
 }
 
-/// A node over whose link the document takes long leaves the watch to others,
-/// and leaves a newer version to its peers for as long as a read takes.
+/// A node with a slow link must not watch the document, and must give its peers as long as
+/// its own read would take.
 #[test]
-fn whom_the_document_reaches_slowly_does_not_watch_it() {
+fn a_node_with_a_slow_link_does_not_watch_the_document() {
     let mut store = Store::new(30);
     let slow: BTreeSet<usize> = (0..30).filter(|index| index % 3 != 0).collect();
     for index in &slow {
@@ -264,9 +265,9 @@
     assert!(store.reads <= 8, "{} reads", store.reads);
 }
 
-/// One slow read among fast ones: the link was full, it is not narrow.
+/// A single slow read must not cost a node with a fast link its watcher role.
 #[test]
-fn a_moment_of_a_full_link_does_not_take_the_watch_away() {
+fn a_saturated_link_does_not_end_the_watcher_role() {
     let mut store = Store::new(30);
     let watching = |store: &Store| -> Vec<usize> {
         let agents = store.mesh.agents.iter().enumerate();
@@ -289,46 +290,47 @@
     assert_eq!(watching(&store), before);
 }
 
-/// What peers send is small beside what the store holds.
+/// Snapshots and deltas are sent compressed, and uncompressed snapshots of older nodes are
+/// accepted.
 #[test]
-fn versions_travel_compressed() {
+fn versions_are_sent_compressed() {
     let base = with_routes(1, 0..10);
     let later = with_routes(2, 0..3_000);
-    let whole = later.encode_snapshot().len();
-    let packed = later.encode_compressed_snapshot();
+    let full_size = later.encode_snapshot().len();
+    let compressed = later.encode_compressed_snapshot();
     assert!(
-        packed.len() * 10 < whole,
-        "{} of {whole} bytes",
-        packed.len()
+        compressed.len() * 10 < full_size,
+        "{} of {full_size} bytes",
+        compressed.len()
     );
-    assert!(StateDelta::between(&base, &later).encode().len() * 10 < whole);
-    let restored = ConfigState::decode_snapshot(&packed).unwrap();
+    assert!(StateDelta::between(&base, &later).encode().len() * 10 < full_size);
+    let restored = ConfigState::decode_snapshot(&compressed).unwrap();
     assert_eq!(resources(&restored), resources(&later));
-    // An older node sends it plain.
-    let plain = ConfigState::decode_snapshot(&later.encode_snapshot()).unwrap();
-    assert_eq!(resources(&plain), resources(&later));
+    // Uncompressed, as sent by older nodes.
+    let uncompressed = ConfigState::decode_snapshot(&later.encode_snapshot()).unwrap();
+    assert_eq!(resources(&uncompressed), resources(&later));
 }
 
-/// A small message whose content would fill the memory is refused.
+/// A small compressed message that expands beyond the limit is rejected.
 #[test]
-fn content_beyond_the_bound_is_refused() {
+fn content_beyond_the_size_limit_is_rejected() {
     let zeros = vec![b' '; MAX_CONTENT_BYTES + 1];
-    let bomb = zstd::bulk::compress(&zeros, 3).unwrap();
-    assert!(bomb.len() < 10_000);
-    assert!(StateDelta::decode(&bomb).is_err());
-    assert!(ConfigState::decode_snapshot(&bomb).is_err());
+    let oversized = zstd::bulk::compress(&zeros, 3).unwrap();
+    assert!(oversized.len() < 10_000);
+    assert!(StateDelta::decode(&oversized).is_err());
+    assert!(ConfigState::decode_snapshot(&oversized).is_err());
 }
 
 proptest! {
-    /// A damaged version is refused, and the one in force stays.
+    /// A corrupted snapshot or delta is rejected, and the active version stays.
     #[test]
-    fn a_damaged_version_changes_nothing(at in any::<prop::sample::Index>(), bit in 0_u8..8) {
+    fn a_corrupted_version_is_not_activated(at in any::<prop::sample::Index>(), bit in 0_u8..8) {
         let base = with_routes(1, 0..10);
         let later = with_routes(2, 5..40);
-        let mut packed = later.encode_compressed_snapshot();
-        let at = at.index(packed.len());
-        packed[at] ^= 1 << bit;
-        if let Ok(restored) = ConfigState::decode_snapshot(&packed) {
+        let mut compressed = later.encode_compressed_snapshot();
+        let at = at.index(compressed.len());
+        compressed[at] ^= 1 << bit;
+        if let Ok(restored) = ConfigState::decode_snapshot(&compressed) {
             prop_assert_eq!(resources(&restored), resources(&later));
         }
         let mut agent = mesh::agent("node-0", 1_000_000);
@@ -345,16 +347,16 @@
 }
 
 #[test]
-fn whom_the_store_refuses_gets_even_a_large_change_from_peers() {
+fn nodes_rejected_by_the_store_get_a_large_change_from_peers() {
     let mut store = Store::new(12);
-    store.refused = (0..12).filter(|index| index % 3 != 0).collect();
+    store.rejected = (0..12).filter(|index| index % 3 != 0).collect();
     store.change(with_routes(2, 0..500));
     store.run(Duration::from_secs(4));
     assert_eq!(store.lagging(), Vec::<usize>::new());
 }
 
 #[test]
-fn watchers_that_the_store_refuses_are_replaced() {
+fn watchers_rejected_by_the_store_are_replaced() {
     let mut store = Store::new(30);
     let watching = |store: &Store| -> BTreeSet<usize> {
         let agents = store.mesh.agents.iter().enumerate();
@@ -365,7 +367,7 @@
     };
     let before = watching(&store);
     assert!((6..=10).contains(&before.len()), "{before:?}");
-    store.refused = before.clone();
+    store.rejected = before.clone();
     for index in &before {
         store.read(*index);
     }
@@ -377,10 +379,10 @@
     assert_eq!(store.lagging(), Vec::<usize>::new());
 }
 
-/// A list names machines without saying whom the store answers: each node would
-/// take itself for the only one.
+/// The machine list does not say whom the store answers. A node that knows its peers only
+/// from the list would always select itself as a watcher.
 #[test]
-fn a_node_that_knows_others_from_a_list_cannot_tell_yet_whether_to_watch() {
+fn a_node_that_knows_peers_only_from_the_machine_list_cannot_select_watchers() {
     let mut mesh = Mesh::new(12);
     for index in 0..12 {
         let now = mesh.now;
--- a/crates/rampthread-core/tests/peers_documents.rs
+++ b/crates/rampthread-core/tests/peers_documents.rs
@@ -1,9 +1,5 @@
-//! What peers give each other is checked as what comes from the store.
-//!
-//! What users saw: a change that is not valid was taken, or one came back older. A peer's
-//! copy takes another way than the store's document, and must meet the same checks: each
-//! resource by itself, and all together. Evidence: a snapshot whose digest fits and whose
-//! route allows no attempt was taken over.
+//! Snapshots and deltas from peers are validated like documents from the store: each
+//! resource by itself and all references, and never an older version than the active one.
 
 mod mesh;
 
@@ -29,7 +25,7 @@
     ConfigState::from_document(Version(version), resources, Some(limits)).unwrap()
 }
 
-/// The snapshot after `change`, with a digest that fits.
+/// Snapshot of `state` after `change`, with a matching digest.
 fn changed_snapshot(state: &ConfigState, change: impl FnOnce(&mut Value)) -> Vec<u8> {
     let snapshot = state.encode_snapshot();
     let mut content: Value = serde_json::from_slice(&snapshot[DIGEST_BYTES..]).unwrap();
@@ -40,7 +36,7 @@
     changed
 }
 
-fn give(agent: &mut Agent, message: Message) {
+fn receive(agent: &mut Agent, message: Message) {
     let from = NodeId::new("node-1").unwrap();
     let process_epoch = 1;
     agent.on_message(
@@ -54,10 +50,10 @@
 }
 
 #[rstest]
-#[case::no_attempt("max_attempts", json!(0))]
-#[case::no_time("timeout_ms", json!(0))]
-#[case::no_destination("destinations", json!([]))]
-fn a_peers_snapshot_of_an_invalid_route_is_refused(#[case] field: &str, #[case] value: Value) {
+#[case::zero_attempts("max_attempts", json!(0))]
+#[case::zero_timeout("timeout_ms", json!(0))]
+#[case::no_destinations("destinations", json!([]))]
+fn a_snapshot_with_an_invalid_route_is_rejected(#[case] field: &str, #[case] value: Value) {
     let snapshot = changed_snapshot(&with_route(9, "/look/"), |content| {
         let resources = content["resources"].as_array_mut().unwrap();
         for stored in resources {
@@ -67,19 +63,19 @@
             }
         }
     });
-    let refused = ConfigState::decode_snapshot(&snapshot);
+    let decoded = ConfigState::decode_snapshot(&snapshot);
     assert!(
-        matches!(refused, Err(SnapshotError::Invalid { .. })),
-        "{refused:?}"
+        matches!(decoded, Err(SnapshotError::Invalid { .. })),
+        "{decoded:?}"
     );
     let mut agent = agent("node-0", 1_000_000);
     agent.on_document(Arc::new(document(1)), Moment(2));
     let snapshot = snapshot.into();
-    give(&mut agent, Message::PullSnapshot { snapshot });
+    receive(&mut agent, Message::PullSnapshot { snapshot });
     assert_eq!(agent.active().version(), Version(1));
 }
 
-/// Sets `field` in the object that has it, at whatever depth.
+/// Sets `field` in the object that contains it, at any depth.
 fn set(value: &mut Value, field: &str, to: &Value) {
     if let Value::Object(fields) = value {
         if fields.contains_key(field) {
@@ -91,7 +87,7 @@
 }
 
 #[rstest]
-fn limits_that_nobody_can_keep_within_are_refused(
+fn zero_caller_limits_are_rejected(
     #[values("head_bytes", "body_bytes", "head_wait_ms", "idle_ms")] field: &str,
 ) {
     let state = with_route(9, "/look/");
@@ -106,32 +102,31 @@
     assert!(delta.apply_to(&base).is_err());
 }
 
-/// A node that has a version never goes back, whoever offers an older one, and in
-/// whatever way.
+/// An older version is rejected from every source: document, snapshot and delta.
 #[test]
-fn an_older_version_is_never_taken() {
+fn an_older_version_is_never_activated() {
     let mut agent = agent("node-0", 1_000_000);
     agent.on_document(Arc::new(with_route(9, "/look/")), Moment(2));
     agent.on_document(Arc::new(with_route(8, "/see/")), Moment(3));
     assert_eq!(agent.active().version(), Version(9));
     let snapshot = with_route(7, "/see/").encode_compressed_snapshot().into();
-    give(&mut agent, Message::PullSnapshot { snapshot });
+    receive(&mut agent, Message::PullSnapshot { snapshot });
     assert_eq!(agent.active().version(), Version(9));
     let delta = StateDelta::between(&with_route(9, "/look/"), &with_route(5, "/see/"));
     let entries = vec![delta.encode().into()];
     let first = Version(10);
-    give(&mut agent, Message::PullEntries { first, entries });
+    receive(&mut agent, Message::PullEntries { first, entries });
     assert_eq!(agent.active().version(), Version(9));
 }
 
-/// The store's copy may be seconds old while a peer names a newer version: what the
-/// peers hold is taken after it, and it never after that.
+/// A cached document of the store may be older than the version that a peer announces. The
+/// newer version is pulled from the peer, and the older document is then ignored.
 #[test]
-fn an_old_copy_at_the_start_gives_way_to_what_peers_hold() {
+fn a_newer_version_from_peers_replaces_an_outdated_document_at_the_start() {
     let mut agent = agent("node-0", 1_000_000);
     let (old, new) = (with_route(8, "/see/"), with_route(9, "/look/"));
     let version = new.version();
-    give(
+    receive(
         &mut agent,
         Message::Notice {
             version,
@@ -142,17 +137,17 @@
     assert!(agent.lacks_current_document());
     let entries = vec![StateDelta::between(&old, &new).encode().into()];
     let first = Version(9);
-    give(&mut agent, Message::PullEntries { first, entries });
+    receive(&mut agent, Message::PullEntries { first, entries });
     assert_eq!(agent.active().version(), Version(9));
     agent.on_document(Arc::new(old), Moment(5));
     assert_eq!(agent.active().version(), Version(9));
     assert!(!agent.lacks_current_document());
 }
 
-/// Two writers used one number: what a node took first stays in force, from wherever the
-/// other one comes. Nodes differ until the next version, which ends it for all.
+/// Two writers may produce the same version. The state received first stays active until
+/// the next version, which replaces it on all nodes.
 #[test]
-fn of_two_states_of_one_version_the_first_stays_and_the_next_version_ends_it() {
+fn of_two_states_of_one_version_the_first_stays_until_the_next_version() {
     let (one, other) = (with_route(9, "/look/"), with_route(9, "/see/"));
     let next = with_route(12, "/next/");
     let mut agents = [agent("node-0", 1_000_000), agent("node-2", 1_000_000)];
@@ -160,21 +155,21 @@
     agents[1].on_document(Arc::new(other.clone()), Moment(2));
     agents[0].on_document(Arc::new(other.clone()), Moment(3));
     let snapshot = other.encode_compressed_snapshot().into();
-    give(&mut agents[0], Message::PullSnapshot { snapshot });
+    receive(&mut agents[0], Message::PullSnapshot { snapshot });
     assert!(agents[0].active().routes().eq(one.routes()));
     for agent in &mut agents {
         let entries = vec![StateDelta::between(&one, &next).encode().into()];
         let first = Version(10);
-        give(agent, Message::PullEntries { first, entries });
+        receive(agent, Message::PullEntries { first, entries });
         assert_eq!(agent.active().version(), Version(12));
         assert!(agent.active().routes().eq(next.routes()));
     }
 }
 
-/// The same, and the next version changes nothing of what differs: what has changed does
-/// not lead there, so the whole state is wanted.
+/// A delta whose base has the same version but other content is rejected; the full snapshot
+/// is accepted.
 #[test]
-fn what_has_changed_since_another_state_of_the_version_is_refused() {
+fn a_delta_for_different_content_of_the_version_is_rejected() {
     let (one, other) = (with_route(9, "/look/"), with_route(9, "/see/"));
     let resources = vec![
         service("shop"),
@@ -189,9 +184,9 @@
     agent.on_document(Arc::new(other), Moment(2));
     let entries = vec![delta.encode().into()];
     let first = Version(10);
-    give(&mut agent, Message::PullEntries { first, entries });
+    receive(&mut agent, Message::PullEntries { first, entries });
     assert_eq!(agent.active().version(), Version(9));
     let snapshot = next.encode_compressed_snapshot().into();
-    give(&mut agent, Message::PullSnapshot { snapshot });
+    receive(&mut agent, Message::PullSnapshot { snapshot });
     assert!(agent.active().routes().eq(next.routes()));
 }
--- a/crates/rampthread-core/tests/resources/mod.rs
+++ b/crates/rampthread-core/tests/resources/mod.rs
@@ -1,4 +1,4 @@
-//! Names and services for tests.
+//! Resource names and services for tests.
 
 use rampthread_core::config::{Resource, Service};
 use rampthread_core::ids::ResourceName;
--- a/crates/rampthread-core/tests/store_era.rs
+++ b/crates/rampthread-core/tests/store_era.rs
@@ -1,4 +1,5 @@
-//! What peers tell each other of a store that came back from an older copy.
+//! Notifications between peers that the store was restored from an older copy, which raises
+//! its era by one.
 
 mod mesh;
 
@@ -11,43 +12,43 @@
 
 const NOW: Moment = Moment(2_000_000);
 
-/// The eras in which `agent` asks the store once it was told of `era`.
-fn asked(agent: &mut Agent, era: u64) -> Vec<u64> {
+/// Eras for which `agent` queries the store after a peer announced `era`.
+fn queried_eras(agent: &mut Agent, era: u64) -> Vec<u64> {
     let envelope = Envelope {
         from: NodeId::new("node-1").unwrap(),
         process_epoch: 1,
         message: Message::StoreEra { era },
     };
     let actions = agent.on_message(envelope, NOW).into_iter();
-    let asked = actions.filter_map(|action| match action {
+    let queried_eras = actions.filter_map(|action| match action {
         Action::AskForEra(era) => Some(era),
         _ => None,
     });
-    asked.collect()
+    queried_eras.collect()
 }
 
 #[test]
-fn a_node_that_is_told_asks_the_store_once_for_each_era() {
+fn an_announced_era_triggers_one_store_query() {
     let mut agent = agent("node-0", 1_000_000);
-    assert_eq!(asked(&mut agent, 3), [3]);
-    assert!(asked(&mut agent, 3).is_empty());
-    assert!(asked(&mut agent, 2).is_empty());
-    assert_eq!(asked(&mut agent, 4), [4]);
+    assert_eq!(queried_eras(&mut agent, 3), [3]);
+    assert!(queried_eras(&mut agent, 3).is_empty());
+    assert!(queried_eras(&mut agent, 2).is_empty());
+    assert_eq!(queried_eras(&mut agent, 4), [4]);
 }
 
 #[test]
-fn a_node_that_has_seen_an_era_need_not_be_told() {
+fn an_era_already_seen_triggers_no_store_query() {
     let mut agent = agent("node-0", 1_000_000);
     let sent = agent.on_store_restored(3, NOW);
-    assert!(sent.is_empty(), "it knows nobody: {sent:?}");
-    assert!(asked(&mut agent, 3).is_empty());
+    assert!(sent.is_empty(), "a node without peers sent {sent:?}");
+    assert!(queried_eras(&mut agent, 3).is_empty());
 }
 
-/// Most messages of a node that has seen the store in a newer era.
-const MOST_TOLD: usize = 4;
+/// Maximum messages of a node that has seen a newer era.
+const MAX_MESSAGES_PER_NODE: usize = 4;
 
 #[test]
-fn a_rise_costs_each_node_a_few_messages_and_the_others_hear_of_it() {
+fn a_new_era_spreads_with_few_messages_per_node() {
     const NODES: usize = 30;
     let mut mesh = Mesh::new(NODES);
     mesh.run(Duration::from_secs(10));
@@ -58,15 +59,22 @@
         let before = mesh.sent("store-era");
         let now = mesh.now;
         let actions = mesh.agents[node].on_store_restored(1, now);
-        next.extend(told(&actions).into_iter().filter(|to| seen.insert(*to)));
+        next.extend(
+            notified_nodes(&actions)
+                .into_iter()
+                .filter(|to| seen.insert(*to)),
+        );
         mesh.deliver(actions);
-        assert!(mesh.sent("store-era") - before <= MOST_TOLD);
+        assert!(mesh.sent("store-era") - before <= MAX_MESSAGES_PER_NODE);
     }
-    assert!(seen.len() > MOST_TOLD, "heard by {seen:?}");
+    assert!(
+        seen.len() > MAX_MESSAGES_PER_NODE,
+        "only {seen:?} received the era"
+    );
 }
 
-/// Those to whom an era is sent.
-fn told(actions: &[Action]) -> Vec<usize> {
+/// Nodes to which an era is sent.
+fn notified_nodes(actions: &[Action]) -> Vec<usize> {
     let sent = actions.iter().filter_map(|action| match action {
         Action::Send { to, envelope, .. }
             if matches!(envelope.message, Message::StoreEra { .. }) =>
