--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -235,7 +235,7 @@
         self.replica.version() == Version::ZERO || self.replica.lags()
     }
     /// Delay of the initial document read, which gives peers time to supply it. Zero for
-    /// the first [`INITIAL_READERS_PER_STEP`] nodes of the zone in rendezvous order, and one step more
+    /// the first `INITIAL_READERS_PER_STEP` nodes of the zone in rendezvous order, and one step more
     /// for each further group: the load on the store does not grow with the fleet, and a
     /// node still reads when all nodes before it are down.
     pub fn initial_read_delay(&self) -> Duration {
