--- a/crates/rampthread-core/src/call/crash_detector.rs
+++ b/crates/rampthread-core/src/call/crash_detector.rs
@@ -32,6 +32,7 @@
 /// Longest delay of a heartbeat: one that arrives sooner after a loss does not show that
 /// its sender outlived it.
 const HEARTBEAT_LATENESS: Duration = Duration::from_secs(3);
+
 #[derive(Debug, Clone)]
 struct Loss {
     identity: RequestIdentity,
@@ -47,6 +48,7 @@
     /// When a call that began later was answered, by this incarnation or the next one.
     answered: Option<Moment>,
 }
+
 impl Loss {
     fn may_be_a_crash(&self, now: Moment, answered_retention: Duration) -> bool {
         let answered_long_ago = self
@@ -77,11 +79,13 @@
     /// Time for which a loss may be a crash after a later call was answered.
     answered_retention: Duration,
 }
+
 impl Default for CrashDetector {
     fn default() -> Self {
         Self::with_heartbeat(Duration::ZERO)
     }
 }
+
 impl CrashDetector {
     /// No losses; the backend reports once per `heartbeat`.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
@@ -148,6 +152,7 @@
         self.losses.retain(|loss| !disproved(loss));
         withdrawn
     }
+
     fn note_answer(&mut self, instance: &InstanceId, begun: Moment) {
         let losses = self.losses.iter_mut();
         for loss in losses.filter(|loss| loss.instance == *instance && loss.last < begun) {
@@ -227,6 +232,7 @@
     pub fn is_empty(&self) -> bool {
         self.losses.is_empty()
     }
+
     fn suspicions(&self, wanted: impl Fn(&Loss) -> bool) -> Vec<CrashSuspect> {
         let losses = self.losses.iter().filter(|loss| wanted(loss));
         losses
--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -7,6 +7,7 @@
 use crate::fleet::member::EndpointRecord;
 use crate::ids::InstanceId;
 use crate::time::Moment;
+
 /// Result of handling a report of the local backend.
 #[derive(Debug)]
 pub struct HandledReport {
@@ -15,6 +16,7 @@
     /// True when the content of the report is in effect and may be acknowledged.
     pub acknowledge: bool,
 }
+
 impl Agent {
     pub(super) fn drop_unconfirmed_backend(&mut self, now: Moment, outbox: &mut Outbox) {
         if self
@@ -28,6 +30,7 @@
             self.set_endpoint(None, outbox);
         }
     }
+
     fn set_endpoint(&mut self, endpoint: Option<EndpointRecord>, outbox: &mut Outbox) {
         let endpoint = endpoint.map(|endpoint| self.with_known_speed(endpoint));
         outbox.explain(Decision::BackendChanged {
@@ -35,6 +38,7 @@
         });
         self.endpoint = endpoint;
     }
+
     /// Keeps the measured speed of the same instance, since reports do not contain it.
     fn with_known_speed(&self, endpoint: EndpointRecord) -> EndpointRecord {
         let present = self.endpoint.as_ref();
@@ -45,6 +49,7 @@
             ..endpoint
         }
     }
+
     /// Records the steady-state speed that the gate of this node measured for `instance`,
     /// in percent.
     pub fn record_backend_speed(
@@ -65,6 +70,7 @@
         };
         self.announce_endpoint(Some(endpoint), now)
     }
+
     /// Handles a report of the local backend. A report with `acknowledge` false must not be
     /// acknowledged.
     pub fn on_backend_report(&mut self, report: BackendReport, now: Moment) -> HandledReport {
@@ -78,6 +84,7 @@
             acknowledge,
         }
     }
+
     /// Records a departure in the store at once, so that it outlives all nodes that receive
     /// it now.
     fn apply_reported_endpoint(&mut self, endpoint: EndpointRecord, now: Moment) -> Vec<Action> {
@@ -87,14 +94,17 @@
         }
         actions
     }
+
     /// Instance of the local backend that reported last, and when.
     pub fn last_backend_report(&self) -> Option<(&InstanceId, Moment)> {
         self.reported.last_report()
     }
+
     /// Restores the backend that the store has recorded from before this node's restart.
     pub fn restore_backend(&mut self, endpoint: EndpointRecord, now: Moment) -> Vec<Action> {
         self.restore_endpoint(now, |reported| reported.restore(endpoint))
     }
+
     /// Restores the backend as peers remember it from before this node's restart.
     pub(super) fn restore_backend_from_peer(&mut self, now: Moment) -> Vec<Action> {
         match self.membership.take_previous_backend() {
@@ -104,6 +114,7 @@
             None => Vec::new(),
         }
     }
+
     /// Restores an endpoint for a limited time. The time counts from the start of this
     /// process, since the backend may have departed just before the previous process ended.
     fn restore_endpoint(
@@ -123,6 +134,7 @@
             None => Vec::new(),
         }
     }
+
     /// Removes the endpoint when the backend at its address denies being `instance`.
     pub fn on_misdirected(&mut self, instance: &InstanceId, now: Moment) -> Vec<Action> {
         if self.reported.on_instance_mismatch(instance) {
@@ -130,6 +142,7 @@
         }
         Vec::new()
     }
+
     fn announce_endpoint(&mut self, endpoint: Option<EndpointRecord>, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.set_endpoint(endpoint, &mut outbox);
@@ -137,6 +150,7 @@
         self.send_updates_now(now, &mut outbox);
         self.finish(outbox)
     }
+
     /// Sends urgent updates at once unless some were sent a moment ago, and relays
     /// departures immediately.
     pub(super) fn send_urgent_updates(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -146,12 +160,14 @@
             self.send_updates_now(now, outbox);
         }
     }
+
     /// Sends this node's updates without waiting for the next gossip round.
     pub(super) fn send_updates_now(&mut self, now: Moment, outbox: &mut Outbox) {
         let held = self.adoption.version();
         self.membership
             .gossip_updates(now, held, &self.settings, &mut self.rng, outbox);
     }
+
     /// Endpoint that this node announces for its backend, if any.
     pub fn endpoint(&self) -> Option<&EndpointRecord> {
         self.endpoint.as_ref()
--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -17,6 +17,7 @@
 use rand::seq::IteratorRandom;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
+
 /// Reports in one message, so that it fits a datagram.
 const REPORTS_PER_MESSAGE: usize = 12;
 /// Reports sent in one comparison about requests that crashed several backends; about 64
@@ -39,12 +40,14 @@
 const LOCAL_ZONE_FANOUT: usize = 2;
 /// Shortest interval between two comparisons started by this node.
 const MIN_COMPARISON_INTERVAL: Duration = Duration::from_millis(250);
+
 /// Further comparisons after one that found a difference; at 30% message loss, one in four
 /// completes.
 const COMPARISONS_AFTER_MISMATCH: u32 = 8;
 /// Comparisons that a node starts after its start or a suspension, one per round. More than
 /// one, since the first peer may have just stopped and probes are a second apart.
 const COMPARISONS_AT_START: u32 = 4;
+
 /// Remaining transmissions of a report.
 #[derive(Debug, Clone, Copy)]
 struct Transmissions {
@@ -52,6 +55,7 @@
     /// Send to other zones as well.
     other_zones: bool,
 }
+
 /// Crash table and the reports that are still to be sent.
 #[derive(Debug)]
 pub(super) struct CrashGossip {
@@ -66,6 +70,7 @@
     /// Time of the last tick or probe; digests in outgoing probes are computed for it.
     now: Moment,
 }
+
 impl CrashGossip {
     /// Starts with an empty table and comparisons with peers due.
     pub(super) fn new() -> Self {
@@ -80,10 +85,12 @@
             now: Moment::default(),
         }
     }
+
     /// Schedules comparisons as after a start, since the table may be outdated.
     pub(super) fn schedule_comparisons(&mut self) {
         self.comparisons_left = COMPARISONS_AT_START;
     }
+
     /// Digest carried by probes: reports on quarantined requests and reports of the last
     /// seconds.
     fn digest(&mut self) -> u64 {
@@ -94,11 +101,13 @@
         self.digest ^ self.table.recent_digest(self.now)
     }
 }
+
 impl Agent {
     /// All crash reports known to this node.
     pub fn crash_table(&self) -> &CrashTable {
         &self.crashes.table
     }
+
     /// Records crashes observed by this node, or corrections of them, and announces them.
     pub fn report_crashes(&mut self, reports: &[CrashReport], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
@@ -109,6 +118,7 @@
         self.broadcast_crash_reports(new, now, &mut outbox);
         self.finish(outbox)
     }
+
     /// Records reports that need no announcement: received with a peer's response, which
     /// other nodes get as well, or read from the store.
     pub fn merge_crash_reports(&mut self, reports: &[CrashReport], now: Moment) -> Vec<Action> {
@@ -116,6 +126,7 @@
         self.merge_reports(reports, now, &mut outbox);
         self.finish(outbox)
     }
+
     /// Stores all crashes of a request that has reached the quarantine threshold. Done by
     /// the node that observed the last crash.
     fn persist_poison_crashes(&self, new: &[CrashReport], now: Moment, outbox: &mut Outbox) {
@@ -131,6 +142,7 @@
             }
         }
     }
+
     /// Clears the crashes of a request up to `until`: a backend answered it then, or an
     /// operator lifted the quarantine.
     pub fn clear_request(
@@ -159,6 +171,7 @@
         }
         self.finish(outbox)
     }
+
     /// Sends pending reports, starts due comparisons and drops expired reports.
     pub(super) fn tick_crash_gossip(&mut self, now: Moment, outbox: &mut Outbox) {
         self.crashes.now = now;
@@ -198,6 +211,7 @@
             .random_other_zone_peers(REMOTE_ZONE_FANOUT, &mut self.rng);
         send_reports(&targets, &other_zones, outbox);
     }
+
     /// Handles a peer's reports. `all` marks a comparison with everything that the peer
     /// holds; the response contains what it lacks.
     pub(super) fn on_crash_reports(
@@ -230,6 +244,7 @@
         answer.truncate(POISON_REPORTS_PER_COMPARISON + RECENT_REPORTS_PER_COMPARISON);
         send_reports(std::slice::from_ref(from), &answer, outbox);
     }
+
     /// Starts a comparison when a probe or its response carries a different digest.
     pub(super) fn compare_crashes(
         &mut self,
@@ -253,6 +268,7 @@
             self.begin_comparison(peer, now, outbox);
         }
     }
+
     /// Compares with several peers at once when this node first learns of peers: successive
     /// random choices may all hit a peer that has just stopped.
     pub(super) fn compare_with_several_peers(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -262,6 +278,7 @@
             self.begin_comparison(peer, now, outbox);
         }
     }
+
     /// Starts the next scheduled comparison. Probes alone are too slow: they are a second
     /// apart, and messages or peers may be lost.
     fn continue_comparisons(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -273,6 +290,7 @@
             self.begin_comparison(&peer, now, outbox);
         }
     }
+
     fn begin_comparison(&mut self, peer: &NodeId, now: Moment, outbox: &mut Outbox) {
         let reports = self.compared_reports(now);
         outbox.send(
@@ -283,6 +301,7 @@
             },
         );
     }
+
     /// Reports for a comparison: those on quarantined requests, and a sample of those of
     /// the last seconds.
     fn compared_reports(&mut self, now: Moment) -> Vec<CrashReport> {
@@ -295,12 +314,14 @@
         reports.extend(further.choose_multiple(&mut self.rng, RECENT_REPORTS_PER_COMPARISON));
         reports
     }
+
     /// Sets the crash digest of an outgoing probe or acknowledgement.
     pub(super) fn attach_crash_digest(&mut self, message: &mut Message) {
         if let Message::Ping(body) | Message::Ack(body) = message {
             body.crash_digest = self.crashes.digest();
         }
     }
+
     /// Merges reports into the table and returns the new ones.
     fn merge_reports(
         &mut self,
@@ -326,6 +347,7 @@
         }
         new
     }
+
     /// Sends new reports to the whole zone and to some members of each other zone, and
     /// schedules repeats.
     fn broadcast_crash_reports(&mut self, new: Vec<CrashReport>, now: Moment, outbox: &mut Outbox) {
@@ -340,6 +362,7 @@
         send_reports(&other_zones, &new, outbox);
         self.schedule_repeats(new, ORIGIN_GOSSIP_ROUNDS, true, now);
     }
+
     /// Forwards new reports: those from another zone to the whole own zone, others only in
     /// gossip rounds.
     fn forward_crash_reports(
@@ -358,9 +381,11 @@
         }
         self.schedule_repeats(new, FORWARD_GOSSIP_ROUNDS, false, now);
     }
+
     fn zone_of(&self, node: &NodeId) -> Option<&Zone> {
         self.membership.record(node).map(|record| &record.zone)
     }
+
     fn schedule_repeats(
         &mut self,
         reports: Vec<CrashReport>,
@@ -382,6 +407,7 @@
         }
     }
 }
+
 /// Removes withdrawn crashes of quarantined requests from the store, where they may be
 /// recorded.
 fn retract_recorded_crashes(recorded: &[CrashReport], new: &[CrashReport], outbox: &mut Outbox) {
@@ -395,9 +421,11 @@
         outbox.actions.push(Action::ForgetCrashes(withdrawn));
     }
 }
+
 fn is_same_report(left: &CrashReport, right: &CrashReport) -> bool {
     left.on_trial == right.on_trial && left.key() == right.key()
 }
+
 fn quarantined(identity: RequestIdentity, against: &[CrashReport], left: Duration) -> Decision {
     Decision::RequestQuarantined {
         identity,
@@ -412,6 +440,7 @@
         left_ms: left.as_millis() as u64,
     }
 }
+
 fn send_reports(targets: &[NodeId], reports: &[CrashReport], outbox: &mut Outbox) {
     for target in targets {
         for reports in reports.chunks(REPORTS_PER_MESSAGE) {
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -15,6 +15,7 @@
 use rand::Rng;
 use std::sync::Arc;
 use std::time::Duration;
+
 /// Interval between store reads while this node lags and peers do not help.
 const STORE_READ_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout for a peer's response, as a fraction of the time of a full document read from
@@ -25,6 +26,7 @@
 /// would forward versions late, and frequent versions would saturate its link. One fifth of
 /// the 2 s within which a version must become active.
 const MAX_WATCHER_READ_TIME: Duration = Duration::from_millis(400);
+
 /// Rendezvous key that orders the initial document reads of nodes that start together.
 const INITIAL_READERS_KEY: &str = "first readers";
 /// Nodes of a zone that read the document at the same time; tolerates two of them failing.
@@ -32,6 +34,7 @@
 /// Additional delay for each further group of nodes. A read of 150 kB takes 60 ms at 20
 /// Mbit/s, and a peer's compressed response a tenth of that.
 const INITIAL_READ_STEP: Duration = Duration::from_millis(100);
+
 impl Agent {
     pub(super) fn tick_with_document(&mut self, now: Moment, outbox: &mut Outbox) {
         let held = self.adoption.version();
@@ -43,6 +46,7 @@
         self.drop_unconfirmed_backend(now, outbox);
         self.announce(now);
     }
+
     /// Updates the watcher role. A new watcher reads the document at once, since it does
     /// not know what was written before it began to watch.
     pub(super) fn update_watcher_role(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -53,6 +57,7 @@
             outbox.actions.push(Action::ReadDocument);
         }
     }
+
     /// Handles the document read from the store; ignores it when it is older than the
     /// active one.
     pub fn on_document(&mut self, state: Arc<ConfigState>, now: Moment) -> Vec<Action> {
@@ -62,6 +67,7 @@
         self.announce(now);
         self.finish(outbox)
     }
+
     fn apply_document(
         &mut self,
         state: Arc<ConfigState>,
@@ -79,6 +85,7 @@
             .start(state.version(), learnt_from, now, &self.settings);
         self.adoption.stage(state, now, &self.settings, outbox);
     }
+
     /// Handles a peer's announcement of a newer version. Requests the changes from the peer
     /// at once, and reads the store only after a grace period: if every node of a starting
     /// fleet read the store, its link would be saturated.
@@ -95,6 +102,7 @@
         self.distribution
             .pull_from(peer, &self.replica, now, outbox);
     }
+
     /// Time during which only peers are asked for a newer version: at least the duration of
     /// a store read over this node's link.
     fn peer_grace_period(&self) -> Duration {
@@ -102,6 +110,7 @@
             .document_read_delay
             .max(self.estimated_read_time)
     }
+
     /// Reads the store when peers did not supply the newer version within the grace period,
     /// and then periodically.
     fn read_store_if_lagging(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -113,6 +122,7 @@
             outbox.actions.push(Action::ReadDocument);
         }
     }
+
     /// Applies deltas from a peer. A delta that cannot be applied triggers a store read and
     /// a request for the full state.
     pub(super) fn apply_deltas(
@@ -147,6 +157,7 @@
                 .pull_from(from, &self.replica, now, outbox);
         }
     }
+
     /// Applies a full snapshot from a peer.
     pub(super) fn apply_snapshot(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
         self.distribution.pull_ended(true, now);
@@ -158,6 +169,7 @@
             }),
         }
     }
+
     /// The peer cannot supply a delta: reads the store now, and requests the full state
     /// from the next peer.
     pub(super) fn on_document_pull_refused(
@@ -172,6 +184,7 @@
         self.next_store_read = Some(now + pause);
         outbox.actions.push(Action::ReadDocument);
     }
+
     /// Records whether the store answered this node's last call. Announces at once that it
     /// no longer does, since other nodes rely on watchers for new versions.
     pub fn record_store_reachability(&mut self, answers: bool, now: Moment) -> Vec<Action> {
@@ -188,6 +201,7 @@
         }
         self.finish(outbox)
     }
+
     /// Asks some peers to read the store, since the store does not answer this node and
     /// others rely on it for new versions.
     fn request_peer_reads(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -199,27 +213,33 @@
             outbox.send(&peer, Message::HeadQuery { nonce });
         }
     }
+
     /// Handles the request of a watcher that lost the store: reads the store soon. A newer
     /// version is then announced as usual.
     pub(super) fn on_document_query(&mut self, now: Moment) {
         self.store_watch.hedge(now, &mut self.watch_rng);
     }
+
     /// How long the next watch request may wait at the store for a change.
     pub fn next_watch_wait(&mut self) -> Duration {
         self.store_watch.wait(&mut self.watch_rng)
     }
+
     /// Timeout of a store call, in addition to the wait that the call itself requests.
     pub fn store_call_timeout(&self) -> Duration {
         self.store_watch.patience()
     }
+
     /// Records the store's response time, excluding the wait that the call requested.
     pub fn record_store_latency(&mut self, took: Duration) {
         self.store_watch.took(took);
     }
+
     /// True when a full document read is fast enough for this node to be a watcher.
     pub(super) fn has_fast_store_link(&self) -> bool {
         self.estimated_read_time <= MAX_WATCHER_READ_TIME
     }
+
     /// Records that a full document read of `bytes` took `time`. Only the highest rate
     /// counts: a link that was saturated for a moment is not a slow link.
     pub fn record_document_transfer(&mut self, bytes: u64, time: Duration) {
@@ -230,10 +250,12 @@
         self.distribution
             .set_least_patience(self.estimated_read_time.mul_f64(PEER_TIMEOUT_FRACTION));
     }
+
     /// True when this node has no document, or an older one than a peer.
     pub fn lacks_current_document(&self) -> bool {
         self.replica.version() == Version::ZERO || self.replica.lags()
     }
+
     /// Delay of the initial document read, which gives peers time to supply it. Zero for
     /// the first `INITIAL_READERS_PER_STEP` nodes of the zone in rendezvous order, and one step more
     /// for each further group: the load on the store does not grow with the fleet, and a
@@ -243,16 +265,19 @@
         let rank = rendezvous::rank(INITIAL_READERS_KEY, me, self.membership.same_zone_peers());
         INITIAL_READ_STEP * (rank / INITIAL_READERS_PER_STEP) as u32
     }
+
     /// True when this node is one of the few that watch the document at the store. The
     /// others receive new versions from peers. Nodes that the store answers are preferred,
     /// distributed over the zones.
     pub fn is_document_watcher(&self) -> bool {
         self.store_watch.watches()
     }
+
     /// Time since the store last answered a document request of this node.
     pub fn store_answer_age(&self, now: Moment) -> Option<Duration> {
         self.store_watch.answer_age(now)
     }
+
     /// True once the watcher selection is reliable: this node knows peers from their own
     /// messages. The machine list alone does not say whom the store answers.
     pub fn watcher_selection_known(&self) -> bool {
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -11,6 +11,7 @@
 use crate::ids::Version;
 use crate::time::Moment;
 use rand::Rng;
+
 impl Agent {
     pub(super) fn request_floor(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_some() || now < self.next_floor_query {
@@ -32,6 +33,7 @@
             outbox,
         );
     }
+
     pub(super) fn request_head(&mut self, outbox: &mut Outbox) {
         let nonce = self.head_nonce;
         let me = &self.identity.id;
@@ -43,6 +45,7 @@
             outbox.send(&reader.id, Message::HeadQuery { nonce });
         }
     }
+
     pub(super) fn on_head(&mut self, nonce: u64, head: Version, now: Moment, outbox: &mut Outbox) {
         if nonce != self.head_nonce || self.floor.is_some() {
             return;
@@ -50,6 +53,7 @@
         self.replica.hear(head);
         self.apply_head(head, now, outbox);
     }
+
     /// Takes the store's head as the floor: it is at or above every version that this id
     /// ever held.
     pub(super) fn apply_head(&mut self, head: Version, now: Moment, outbox: &mut Outbox) {
@@ -59,11 +63,13 @@
             self.target_head = Some(head);
         }
     }
+
     pub(super) fn recheck_floor(&mut self, now: Moment, outbox: &mut Outbox) {
         if let Some(head) = self.target_head {
             self.apply_head(head, now, outbox);
         }
     }
+
     pub(super) fn evaluate_witnesses(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_some() {
             return;
@@ -77,6 +83,7 @@
             }
         }
     }
+
     pub(super) fn confirm_floor(
         &mut self,
         floor: Version,
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -9,6 +9,7 @@
 use crate::ids::{NodeId, Version};
 use crate::time::Moment;
 use std::sync::Arc;
+
 impl Agent {
     /// Records that `peer` holds `version`, and pulls it if it is newer.
     pub(super) fn observe_peer_version(
@@ -35,6 +36,7 @@
                 .pull_from(peer, &self.replica, now, outbox);
         }
     }
+
     pub(super) fn ingest_entry(
         &mut self,
         version: Version,
@@ -60,6 +62,7 @@
             self.adoption.stage(state, now, &self.settings, outbox);
         }
     }
+
     pub(super) fn ingest_entries(
         &mut self,
         first: Version,
@@ -73,6 +76,7 @@
             version = version.next();
         }
     }
+
     pub(super) fn restore_snapshot(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
         match self.replica.restore(snapshot) {
             Ok(Some(state)) => {
@@ -90,6 +94,7 @@
             }),
         }
     }
+
     /// Activates versions that enough witnesses have acknowledged.
     pub(super) fn activate_ready_versions(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_none() {
@@ -106,6 +111,7 @@
         self.tick_distribution(now, outbox);
         self.answer_replicated_proposals(now, outbox);
     }
+
     /// Sends version notices and pulls that are due.
     pub(super) fn tick_distribution(&mut self, now: Moment, outbox: &mut Outbox) {
         self.distribution.tick(
@@ -117,6 +123,7 @@
             outbox,
         );
     }
+
     pub(super) fn activate(&mut self, state: Arc<ConfigState>, now: Moment, outbox: &mut Outbox) {
         let version = state.version();
         outbox.actions.push(Action::Adopt(state));
@@ -140,6 +147,7 @@
         }
     }
 }
+
 fn report_rejected_version(state: &ConfigState, outbox: &mut Outbox) {
     let version = state.version();
     let reason = match state
--- a/crates/rampthread-core/src/fleet/agent/machines.rs
+++ b/crates/rampthread-core/src/fleet/agent/machines.rs
@@ -6,6 +6,7 @@
 use crate::fleet::membership::Membership;
 use crate::fleet::settings::ConfigSource;
 use crate::time::Moment;
+
 impl Agent {
     /// Applies the platform's machine list; starts a drain when it marks this node as
     /// leaving.
@@ -23,6 +24,7 @@
         }
         self.finish(outbox)
     }
+
     /// Adds machines that are not known yet.
     pub fn add_machines(&mut self, machines: &[Machine], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
@@ -31,6 +33,7 @@
         });
         self.finish(outbox)
     }
+
     /// Updates the known machines. When this node had no peers before, it contacts some at
     /// once rather than with the next probe, and updates its watcher role before it reads
     /// the document.
@@ -50,16 +53,19 @@
             self.update_watcher_role(now, outbox);
         }
     }
+
     /// Stops accepting new work for the backend; `origin` names who requested it.
     pub fn drain(&mut self, origin: &str) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.start_drain(origin, &mut outbox);
         self.finish(outbox)
     }
+
     /// Records the result of the backend's health check.
     pub fn set_backend_up(&mut self, up: bool) {
         self.backend_up = up;
     }
+
     /// Releases the reader lease and announces the departure of this node.
     pub fn leave(&mut self) -> Vec<Action> {
         let mut outbox = Outbox::default();
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -23,6 +23,7 @@
 mod rollouts;
 mod store;
 mod store_era;
+
 use crate::config::{ConfigState, Outcome};
 use crate::fleet::action::{
     Action, Decision, Outbox, RequestId, StoreAnswer, StoreFailure, Ticket,
@@ -54,12 +55,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
+
 /// Rejected submissions that a reader remembers, so that a delayed duplicate of one is not
 /// executed later.
 const MAX_REJECTED_SUBMISSIONS: usize = 4_096;
 /// Log entries kept behind the newest snapshot when this node, as a reader, truncates the
 /// log.
 const RETAINED_LOG_ENTRIES: u64 = 128;
+
 /// Identity and location of a node.
 #[derive(Debug, Clone)]
 pub struct AgentIdentity {
@@ -74,6 +77,7 @@
     /// Wall-clock time at which the process started, in microseconds since the Unix epoch.
     pub process_epoch: ProcessEpoch,
 }
+
 /// Fault that a test injects to show that a property test detects it.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -85,6 +89,7 @@
     /// A lost response to a write is reported as "not run".
     LostAnswerIsRefusal,
 }
+
 #[derive(Debug)]
 struct PendingReplication {
     operation_id: OperationId,
@@ -93,12 +98,14 @@
     askers: Vec<Asker>,
     since: Moment,
 }
+
 #[derive(Debug)]
 struct PropagationQuery {
     ticket: Ticket,
     nonce: u64,
     sent: Moment,
 }
+
 /// Control plane of one node, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Agent {
@@ -162,6 +169,7 @@
     snapshot_request: Option<RequestId>,
     defect: Option<Defect>,
 }
+
 impl Agent {
     /// Creates the agent of a process that has just started and knows only `machines`.
     pub fn new(
@@ -235,40 +243,49 @@
             rng,
         }
     }
+
     /// Injects a fault, or removes it with `None`.
     #[doc(hidden)]
     pub fn set_defect(&mut self, defect: Option<Defect>) {
         self.defect = defect;
     }
+
     /// Active configuration; meaningful once [`Agent::is_ready`] returns true.
     pub fn active(&self) -> &Arc<ConfigState> {
         self.adoption.active()
     }
+
     /// Newest known state, active or not.
     pub fn staged(&self) -> &Arc<ConfigState> {
         self.replica.staged()
     }
+
     /// True once a configuration is active and calls may be served.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
+
     /// Restart floor: the lowest version that this process may activate. `None` until it is
     /// known.
     pub fn floor(&self) -> Option<Version> {
         self.floor
     }
+
     /// Member table of the fleet.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
+
     /// Number of node ids that this node is a witness of.
     pub fn witnessed_id_count(&self) -> usize {
         self.witness_records.len()
     }
+
     /// True while this node accepts no new work for its backend.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
+
     /// Advances timers and returns the actions that are due.
     pub fn tick(&mut self, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
@@ -295,6 +312,7 @@
         self.announce(now);
         self.finish(outbox)
     }
+
     /// Handles a message from a peer.
     pub fn on_message(&mut self, envelope: Envelope, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
@@ -315,6 +333,7 @@
         actions.extend(self.restore_backend_from_peer(now));
         actions
     }
+
     /// Handles the store's response to `request_id`.
     pub fn on_store(
         &mut self,
@@ -345,6 +364,7 @@
         self.announce(now);
         self.finish(outbox)
     }
+
     /// Submits an operator's change; the result follows as [`Action::AnswerProposal`].
     pub fn propose(&mut self, ticket: Ticket, entry: SharedBytes, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
@@ -352,6 +372,7 @@
         self.tick_proposals(now, &mut outbox);
         self.finish(outbox)
     }
+
     /// Answers an operator's query about the propagation of the newest version, if
     /// necessary by asking a reader.
     pub fn query_propagation(&mut self, ticket: Ticket, now: Moment) -> Vec<Action> {
@@ -386,6 +407,7 @@
         outbox.send(&reader, Message::PropagationQuery { nonce });
         self.finish(outbox)
     }
+
     fn finish(&mut self, outbox: Outbox) -> Vec<Action> {
         let mut actions = outbox.actions;
         for (to, mut message) in outbox.messages {
@@ -406,6 +428,7 @@
         }
         actions
     }
+
     fn detect_suspension(&mut self, now: Moment, outbox: &mut Outbox) {
         let gap = self
             .last_tick
@@ -424,6 +447,7 @@
         }
     }
 }
+
 fn first_incarnation(process_epoch: ProcessEpoch) -> Incarnation {
     const MICROS_PER_SECOND: u64 = 1_000_000;
     process_epoch / MICROS_PER_SECOND
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -7,6 +7,7 @@
 use crate::fleet::writer::Asker;
 use crate::ids::{OperationId, Version};
 use crate::time::Moment;
+
 impl Agent {
     pub(super) fn tick_proposals(&mut self, now: Moment, outbox: &mut Outbox) {
         let own = self.proposals.tick(
@@ -27,6 +28,7 @@
             self.on_propose(asker, process_epoch, proposal.entry, now, outbox);
         }
     }
+
     pub(super) fn on_propose(
         &mut self,
         asker: Asker,
@@ -69,6 +71,7 @@
         }
         self.tick_reader(now, outbox);
     }
+
     pub(super) fn answer_proposer(
         &mut self,
         asker: Asker,
@@ -96,6 +99,7 @@
         };
         outbox.send(&asker.node, message);
     }
+
     pub(super) fn collect_decided_proposals(&mut self, now: Moment) {
         for finished in self.writer.finished(&self.replica) {
             let recorded = self.replica.staged().operation(&finished.operation_id);
@@ -109,6 +113,7 @@
             );
         }
     }
+
     pub(super) fn await_replication(
         &mut self,
         operation_id: OperationId,
@@ -125,6 +130,7 @@
             since: now,
         });
     }
+
     /// Answers decided proposals once enough other nodes hold the version or the wait is
     /// over. The log entry alone makes a change accepted.
     pub(super) fn answer_replicated_proposals(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -147,6 +153,7 @@
             }
         }
     }
+
     pub(super) fn spread(&self) -> PropagationStatus {
         self.holders.propagation_status(
             self.replica.version(),
@@ -154,6 +161,7 @@
             &self.membership,
         )
     }
+
     pub(super) fn on_spread(&mut self, nonce: u64, status: PropagationStatus, outbox: &mut Outbox) {
         let index = self
             .propagation_queries
@@ -166,6 +174,7 @@
             .actions
             .push(Action::AnswerPropagation { ticket, status });
     }
+
     pub(super) fn expire_propagation_queries(&mut self, now: Moment, outbox: &mut Outbox) {
         let wait = self.settings.query_retry_interval;
         self.propagation_queries.retain(|request| {
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -20,6 +20,7 @@
 use crate::time::Moment;
 use std::collections::BTreeMap;
 use std::time::Duration;
+
 /// Gossip targets per round in the node's own zone.
 const LOCAL_ZONE_FANOUT: usize = 3;
 /// Gossip targets per round in each other zone for changes that affect callers.
@@ -55,6 +56,7 @@
 const FAST_QUERY_COUNT: u32 = 8;
 /// Rendezvous key of the order in which watchers take over as decider.
 const DECIDERS_KEY: &str = "roll-out deciders";
+
 /// Rollout state of one node.
 #[derive(Debug)]
 pub(super) struct RolloutParticipant {
@@ -74,6 +76,7 @@
     next_query: Moment,
     unanswered_queries: u32,
 }
+
 impl RolloutParticipant {
     pub(super) fn new(me: NodeId, bounds: RolloutBounds) -> Self {
         Self {
@@ -92,6 +95,7 @@
         }
     }
 }
+
 impl Agent {
     /// Handles rollout orders from the store: just written, or already there when this node
     /// read it.
@@ -128,6 +132,7 @@
         self.tick_rollouts(now, &mut outbox);
         self.finish(outbox)
     }
+
     /// Invalidates decision leases granted before the store was restored from an older
     /// copy.
     pub(super) fn invalidate_decision_lease(&mut self, now: Moment) {
@@ -135,6 +140,7 @@
             rollouts.decider.on_store_restored(&rollouts.table, now);
         }
     }
+
     /// Records the results that callers of this node got from versions in rollout.
     pub fn record_version_evidence(&mut self, evidence: Vec<VersionEvidence>) {
         if let Some(rollouts) = &mut self.rollouts
@@ -144,6 +150,7 @@
             rollouts.evidence_is_new = true;
         }
     }
+
     /// Handles the store's response to a decider call.
     pub fn on_decider_response(&mut self, answer: DeciderResponse, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
@@ -155,11 +162,13 @@
         self.tick_rollouts(now, &mut outbox);
         self.finish(outbox)
     }
+
     /// All rollouts that this node knows.
     pub fn rollouts(&self, now: Moment) -> Vec<RolloutState> {
         let rollouts = self.rollouts.as_ref();
         rollouts.map_or_else(Vec::new, |rollouts| rollouts.table.states(now))
     }
+
     /// Routing rule of entry nodes for the versions of each service.
     pub fn version_rules(&self, now: Moment) -> BTreeMap<ResourceName, VersionRule> {
         let rollouts = self.rollouts.as_ref();
@@ -167,11 +176,13 @@
             rollouts.table.rules(&rollouts.bounds, now)
         })
     }
+
     /// True while this node is the decider.
     pub fn is_rollout_decider(&self, now: Moment) -> bool {
         let rollouts = self.rollouts.as_ref();
         rollouts.is_some_and(|rollouts| rollouts.decider.holds_lease(now))
     }
+
     pub(super) fn tick_rollouts(&mut self, now: Moment, outbox: &mut Outbox) {
         let idle = |rollouts: &RolloutParticipant| rollouts.table.is_empty();
         if self.rollouts.as_ref().is_none_or(idle) {
@@ -214,6 +225,7 @@
         self.query_peers(now, outbox);
         self.report_evidence(now, outbox);
     }
+
     /// Queries a peer when this node may have missed updates: a known rollout has stalled,
     /// or backends of a service run different versions and no rollout of it is known.
     fn query_peers(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -249,6 +261,7 @@
             outbox.send(&peer, Message::Rollouts(queried));
         }
     }
+
     /// True when backends of a service run different versions and no rollout of it is
     /// known.
     fn has_unknown_versions(&self, now: Moment) -> bool {
@@ -269,6 +282,7 @@
         }
         false
     }
+
     fn decider_rank(&self) -> u32 {
         let me = &self.identity.id;
         let mine = rendezvous::weight(DECIDERS_KEY, me);
@@ -277,6 +291,7 @@
             .filter(|peer| *peer != me && rendezvous::weight(DECIDERS_KEY, peer) > mine)
             .count() as u32
     }
+
     fn apply_decider_step(&mut self, step: DeciderOutput, now: Moment, outbox: &mut Outbox) {
         for made in &step.decisions {
             outbox.explain(decision(&made.state, &made.reason));
@@ -293,6 +308,7 @@
         self.broadcast_states(changes, now, outbox);
         self.queue_gossip(&confirmations, 1, now);
     }
+
     /// Sends changes that affect callers to many members at once.
     fn broadcast_states(&mut self, states: Vec<RolloutState>, now: Moment, outbox: &mut Outbox) {
         if states.is_empty() {
@@ -309,6 +325,7 @@
             outbox.send(peer, Message::Rollouts(states.clone()));
         }
     }
+
     fn queue_gossip(&mut self, states: &[RolloutState], rounds: u32, now: Moment) {
         let Some(rollouts) = &mut self.rollouts else {
             return;
@@ -322,6 +339,7 @@
             rollouts.next_gossip = now;
         }
     }
+
     fn gossip_states(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(rollouts) = &mut self.rollouts else {
             return;
@@ -353,6 +371,7 @@
             outbox.send(target, Message::Rollouts(states.clone()));
         }
     }
+
     /// Merges states from a peer, and sends back states that are newer here.
     pub(super) fn on_rollouts(
         &mut self,
@@ -389,6 +408,7 @@
         }
         self.gossip_states(now, outbox);
     }
+
     /// Sends all known states to a peer that has restarted and lost them.
     pub(super) fn send_states_to_restarted_peer(
         &self,
@@ -401,6 +421,7 @@
             outbox.send(peer, Message::Rollouts(states));
         }
     }
+
     /// Records a peer's evidence; it is used only while this node is the decider.
     pub(super) fn on_version_evidence(
         &mut self,
@@ -412,6 +433,7 @@
             rollouts.decider.on_evidence(from, process_epoch, evidence);
         }
     }
+
     fn report_evidence(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(rollouts) = &mut self.rollouts else {
             return;
@@ -457,10 +479,12 @@
         }
     }
 }
+
 /// Interval between evidence reports in a fleet of `members` nodes.
 fn report_interval(members: usize) -> Duration {
     MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_MEMBER * members as u32)
 }
+
 fn decision(state: &RolloutState, reason: &str) -> Decision {
     Decision::Rollout {
         service: state.service.clone(),
--- a/crates/rampthread-core/src/fleet/backend_tracker.rs
+++ b/crates/rampthread-core/src/fleet/backend_tracker.rs
@@ -23,6 +23,7 @@
 /// With an interval of 5 s, [`MIN_SUPERSEDE_TIME`] alone would let a late report replace a live
 /// backend.
 const MIN_SUPERSEDE_HEARTBEATS: u32 = 3;
+
 /// Report of a backend to the local node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BackendReport {
@@ -31,6 +32,7 @@
     /// The backend is departing or has departed.
     Departure(BackendIncarnation),
 }
+
 impl BackendReport {
     /// Returns the name of the reporting incarnation.
     pub fn incarnation(&self) -> InstanceId {
@@ -40,6 +42,7 @@
         }
     }
 }
+
 /// Result of processing a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReportStatus {
@@ -51,6 +54,7 @@
     /// and must not be acknowledged.
     PossiblyStale,
 }
+
 /// Incarnation that may replace the current one.
 #[derive(Debug, Clone)]
 struct Candidate {
@@ -58,6 +62,7 @@
     since: Moment,
     sequence: u64,
 }
+
 /// A previous incarnation.
 #[derive(Debug)]
 struct Retired {
@@ -67,6 +72,7 @@
     /// True if it departed. Late heartbeats do not revoke a departure.
     departed: bool,
 }
+
 /// The current incarnation and the previous ones, as far as reported.
 #[derive(Debug)]
 pub struct BackendTracker {
@@ -81,6 +87,7 @@
     candidate: Option<Candidate>,
     retired: VecDeque<Retired>,
 }
+
 /// Relation of a heartbeat to the current incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Relation {
@@ -88,11 +95,13 @@
     Newer,
     PossiblyStale,
 }
+
 impl Default for BackendTracker {
     fn default() -> Self {
         Self::with_heartbeat(Duration::ZERO)
     }
 }
+
 impl BackendTracker {
     /// Creates a tracker without a backend. `heartbeat` is the interval between reports.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
@@ -105,6 +114,7 @@
             retired: VecDeque::new(),
         }
     }
+
     /// Processes a report.
     pub fn apply_report(&mut self, report: BackendReport, now: Moment) -> ReportStatus {
         match report {
@@ -112,6 +122,7 @@
             BackendReport::Departure(incarnation) => self.apply_departure(&incarnation, now),
         }
     }
+
     /// Restores the record known to an earlier run of this node. Returns it unless a record is
     /// known already. Any heartbeat of the same incarnation is newer.
     pub fn restore(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
@@ -120,6 +131,7 @@
             Some(_) => None,
         }
     }
+
     /// Restores a record received from a peer. It replaces a record from the store, which lags
     /// by some seconds, if it contains a departure or a later incarnation.
     pub fn restore_from_peer(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
@@ -128,6 +140,7 @@
             false => None,
         }
     }
+
     fn restore_record(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         if self.is_retired(&record.instance) {
             return None;
@@ -139,6 +152,7 @@
         });
         Some(record)
     }
+
     fn supersedes_restored(&self, record: &EndpointRecord) -> bool {
         let Some(current) = &self.current else {
             return true;
@@ -150,6 +164,7 @@
         };
         self.unconfirmed && newer
     }
+
     /// Drops a restored record that no heartbeat has confirmed, since the backend may have
     /// departed at the end of the previous run. Returns true if there was one.
     pub fn drop_unconfirmed(&mut self) -> bool {
@@ -160,6 +175,7 @@
         }
         dropped
     }
+
     /// Handles a response of another incarnation at the backend's address. `instance` counts as
     /// gone until its next report. Returns true if it was the current one.
     pub fn on_instance_mismatch(&mut self, instance: &InstanceId) -> bool {
@@ -172,6 +188,7 @@
         }
         is_current
     }
+
     /// Clears the current record. An acknowledged departure is remembered, so that a delayed
     /// heartbeat does not revoke it. Otherwise the next heartbeat restores the backend.
     fn drop_current(&mut self) {
@@ -180,11 +197,13 @@
             self.retire(departed.instance, true);
         }
     }
+
     /// Returns the current incarnation and the time of its last report to this process.
     pub fn last_report(&self) -> Option<(&InstanceId, Moment)> {
         let current = self.current.as_ref().filter(|_| !self.unconfirmed)?;
         Some((&current.instance, self.last_report_at))
     }
+
     fn apply_heartbeat(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         let relation = match &self.current {
             Some(current) => relation(current, &record),
@@ -201,6 +220,7 @@
             Relation::Newer | Relation::PossiblyStale => self.track_candidate(record, now),
         }
     }
+
     /// Handles a heartbeat of an incarnation whose departure arrived earlier.
     fn apply_heartbeat_after_departure(
         &mut self,
@@ -217,6 +237,7 @@
         record.draining = true;
         self.supersede_current(record, now)
     }
+
     /// Handles a heartbeat of the current incarnation.
     fn update(&mut self, mut record: EndpointRecord, now: Moment) -> ReportStatus {
         let Some(current) = &self.current else {
@@ -248,6 +269,7 @@
             false => ReportStatus::Unchanged,
         }
     }
+
     /// Handles a sequence number that is not above the last one: a late heartbeat, or one of
     /// another start in the same millisecond. It is acknowledged only if all of its content is
     /// already applied.
@@ -270,6 +292,7 @@
             false => self.track_candidate(record, now),
         }
     }
+
     /// Makes `record` the current incarnation.
     fn supersede_current(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         self.retire_current();
@@ -282,6 +305,7 @@
         self.current = Some(record.clone());
         ReportStatus::Changed(record)
     }
+
     fn track_candidate(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         let known = self.candidate.take();
         let known = known.filter(|candidate| candidate.incarnation == record.instance);
@@ -305,6 +329,7 @@
         self.candidate = Some(candidate);
         ReportStatus::PossiblyStale
     }
+
     fn apply_departure(&mut self, departed: &BackendIncarnation, now: Moment) -> ReportStatus {
         let is_candidate = |candidate: &Candidate| candidate.incarnation == departed.name();
         if self.candidate.as_ref().is_some_and(is_candidate) {
@@ -334,6 +359,7 @@
         current.draining = true;
         ReportStatus::Changed(current.clone())
     }
+
     /// Handles the departure of a later incarnation that arrives before its first heartbeat.
     /// The current incarnation must have ended.
     fn apply_departure_of_next(
@@ -352,6 +378,7 @@
         };
         self.supersede_current(gone, now)
     }
+
     /// Returns true if the incarnation has departed or was replaced. A recorded departure
     /// without a start time matches every incarnation with its id.
     fn is_retired(&self, instance: &InstanceId) -> bool {
@@ -360,6 +387,7 @@
             |known: &Retired| known.instance == *instance || known.instance == *incarnation.id();
         self.retired.iter().any(matches_instance)
     }
+
     /// Returns true if exactly this incarnation has departed.
     fn has_departed(&self, instance: &InstanceId) -> bool {
         let departed_as_this = |known: &Retired| known.instance == *instance && known.departed;
@@ -368,11 +396,13 @@
             .is_some();
         has_start_time && self.retired.iter().any(departed_as_this)
     }
+
     fn retire_current(&mut self) {
         if let Some(current) = self.current.take() {
             self.retire(current.instance, current.draining);
         }
     }
+
     fn retire(&mut self, instance: InstanceId, departed: bool) {
         let known = self
             .retired
@@ -388,9 +418,11 @@
         }
     }
 }
+
 fn started_earlier(born: StartedAt, present: &BackendIncarnation) -> bool {
     present.started_at().is_some_and(|present| born < present)
 }
+
 /// Returns true if other nodes must learn of the difference. The warm-up time is left out,
 /// since it runs down by itself.
 fn differs(record: &EndpointRecord, current: &EndpointRecord) -> bool {
@@ -400,6 +432,7 @@
         || record.address != current.address
         || record.version != current.version
 }
+
 fn relation(current: &EndpointRecord, record: &EndpointRecord) -> Relation {
     if current.instance == record.instance {
         return Relation::Same;
--- a/crates/rampthread-core/src/fleet/zone_directory.rs
+++ b/crates/rampthread-core/src/fleet/zone_directory.rs
@@ -24,6 +24,7 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
+
 /// Minimum time for which the zone must differ from its snapshot before a write. Changes come
 /// in groups and each write costs a store call. A new node does not depend on an up-to-date
 /// snapshot, since the members in it tell it the rest.
@@ -53,6 +54,7 @@
 /// Maximum number of departure records deleted by one write. The platform limits a transaction
 /// to 32 changes, and the snapshot takes two of them.
 const MAX_LEAVES: usize = 30;
+
 /// Snapshot of a zone as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ZoneSnapshot {
@@ -63,6 +65,7 @@
     /// Lease that the snapshot is attached to; 0 if none.
     pub lease: LeaseId,
 }
+
 /// Key of a recorded backend departure.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaveId {
@@ -71,6 +74,7 @@
     /// Incarnation of the backend that departed.
     pub instance: InstanceId,
 }
+
 /// A conditional write of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneWrite {
@@ -82,6 +86,7 @@
     /// Departure records that are redundant after this write.
     pub leaves: Vec<LeaveId>,
 }
+
 /// Store operation requested by [`ZoneDirectory::next_step`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ZoneStep {
@@ -95,6 +100,7 @@
     /// Renew the lease of the snapshot.
     Renew(LeaseId),
 }
+
 /// Schedule of the first write of a node that found no snapshot and knows no other member of
 /// its zone.
 #[derive(Debug, Clone, Copy)]
@@ -103,6 +109,7 @@
     /// True if the node has to read again before the write.
     looks: bool,
 }
+
 /// State of one node for maintaining the snapshot of its zone.
 #[derive(Debug)]
 pub struct ZoneDirectory {
@@ -128,6 +135,7 @@
     /// Members from before the restore, which the restored copy may lack.
     remembered: BTreeMap<NodeId, Machine>,
 }
+
 impl ZoneDirectory {
     /// Creates the state of a node in `zone` that has not read the store yet.
     pub fn new(zone: Zone) -> Self {
@@ -146,6 +154,7 @@
             remembered: BTreeMap::new(),
         }
     }
+
     /// Handles the result of a read: the snapshot of this node's zone and the recorded
     /// departures. A snapshot older than the known one is ignored.
     pub fn on_read(
@@ -169,6 +178,7 @@
             None => {}
         }
     }
+
     /// Returns the store operation that is due, if any.
     pub fn next_step(&mut self, now: Moment, membership: &Membership) -> Option<ZoneStep> {
         if let Some(restored) = self.restored {
@@ -206,6 +216,7 @@
         }
         Some(self.write(members))
     }
+
     /// Handles a successful write.
     pub fn on_written(&mut self, written: ZoneSnapshot, now: Moment) {
         self.stored = written;
@@ -214,6 +225,7 @@
         self.differs_since = None;
         self.next_renewal = now + RENEW_INTERVAL;
     }
+
     /// Handles a write rejected because of a concurrent one; `current` is the stored snapshot.
     pub fn on_conflict(&mut self, current: Option<&ZoneSnapshot>, now: Moment) {
         self.first_write = None;
@@ -223,14 +235,17 @@
             None => self.forget_stored(),
         }
     }
+
     /// Returns true until a snapshot of the zone is known to exist.
     pub fn is_first(&self) -> bool {
         self.stored.revision == 0
     }
+
     /// Handles a write with unknown outcome: it may have taken effect, or may still do so.
     pub fn on_unknown(&mut self) {
         self.looked = None;
     }
+
     /// Handles the result of a lease renewal. If the lease has expired, the snapshot is gone as
     /// well.
     pub fn on_renewed(&mut self, stands: bool, now: Moment) {
@@ -239,6 +254,7 @@
             self.forget_stored();
         }
     }
+
     /// Handles a restore of the store from an older copy. Previous revisions and leases are
     /// invalid. The previous members are kept for the next write.
     pub fn on_store_restored(&mut self, now: Moment) {
@@ -252,6 +268,7 @@
         self.next_renewal = now;
         self.restored = Some(now);
     }
+
     /// Handles a notice from a peer that the store was restored: the writer of the zone reads
     /// again.
     pub fn on_restore_told(&mut self, membership: &Membership) {
@@ -260,6 +277,7 @@
             self.looked = None;
         }
     }
+
     /// The writer reads at once, the next members in the order with a delay, in case the writer
     /// does not write. Other nodes do not read because of the snapshot.
     fn step_after_restore(
@@ -275,11 +293,13 @@
         self.restored = None;
         Some(ZoneStep::Look { current: true })
     }
+
     /// Forgets the stored snapshot. The next step is a read, as after a start.
     fn forget_stored(&mut self) {
         self.stored = ZoneSnapshot::default();
         self.looked = None;
     }
+
     fn first_step(&mut self, now: Moment, membership: &Membership) -> Option<ZoneStep> {
         let first = self.first_write.as_mut()?;
         if now < first.at {
@@ -291,10 +311,12 @@
         let members = self.wanted(now, membership);
         Some(self.write(members))
     }
+
     fn renewal(&mut self, now: Moment) -> Option<ZoneStep> {
         let due = self.rank == 0 && self.stored.lease != 0 && now >= self.next_renewal;
         due.then_some(ZoneStep::Renew(self.stored.lease))
     }
+
     fn write(&self, members: BTreeMap<NodeId, Machine>) -> ZoneStep {
         let recorded = self.leaves.iter().filter(|leave| {
             let machine = members.get(&leave.node);
@@ -313,6 +335,7 @@
             },
         })
     }
+
     /// Returns the departure that may be on record for `machine` and that the snapshot makes
     /// redundant: it says itself that the backend departs, or that another incarnation has
     /// followed.
@@ -331,6 +354,7 @@
             instance: instance.clone(),
         })
     }
+
     /// Computes the rank of this node among the writers of its zone. Members known only from
     /// the snapshot count as well, since they may have written it just now.
     fn rank(&mut self, membership: &Membership) {
@@ -342,6 +366,7 @@
         let rank = rendezvous::rank(self.zone.as_str(), me, membership.same_zone_peers());
         self.rank = rank.min(CANDIDATES);
     }
+
     /// Returns the members that the snapshot should have: the stored and the known ones,
     /// without those that have been unreachable for [`GONE_AFTER`].
     fn wanted(&self, now: Moment, membership: &Membership) -> BTreeMap<NodeId, Machine> {
@@ -362,6 +387,7 @@
         members
     }
 }
+
 /// Returns the backend of a member. A node that has just restarted announces none yet and will
 /// read it from the snapshot, so the stored one is kept.
 fn known_endpoint(record: &MemberRecord, stored: Option<&Machine>) -> Option<EndpointRecord> {
@@ -375,6 +401,7 @@
     };
     announced.or(stored).map(ageless)
 }
+
 fn machine(record: &MemberRecord, endpoint: Option<EndpointRecord>) -> Machine {
     Machine {
         id: record.id.clone(),
@@ -385,6 +412,7 @@
         endpoint,
     }
 }
+
 /// Returns true if the entry of `machine` implies the departure.
 fn makes_needless(machine: &Machine, leave: &LeaveId) -> bool {
     let Some(endpoint) = &machine.endpoint else {
@@ -395,6 +423,7 @@
         false => started_before(&leave.instance, &endpoint.instance),
     }
 }
+
 /// Returns true if both names contain a start time and that of `instance` is earlier.
 fn started_before(instance: &InstanceId, other: &InstanceId) -> bool {
     let born = |instance| BackendIncarnation::from_name(instance).started_at();
@@ -403,6 +432,7 @@
         _ => false,
     }
 }
+
 fn draw_first_write(now: Moment, rng: &mut impl Rng) -> FirstWrite {
     let early = rng.random_ratio(1, EARLY_ONE_IN);
     let delay = match early {
@@ -414,6 +444,7 @@
         looks: !early,
     }
 }
+
 /// Returns the backend that a starting node restores: the one from the zone snapshot, unless
 /// the node has recorded a departure that is not known to be of an earlier incarnation. Thus an
 /// acknowledged departure survives the loss of all nodes that knew about it.
--- a/crates/rampthread-core/tests/backend_incarnations.rs
+++ b/crates/rampthread-core/tests/backend_incarnations.rs
@@ -5,6 +5,7 @@
 //! Cause: starts were told apart by id alone. See `platform_same_id.rs` of `rampthread`.
 
 mod mesh;
+
 use mesh::endpoint_record;
 use proptest::prelude::*;
 use rampthread_core::backend_incarnation::{BackendIncarnation, MAX_BACKEND_ID_BYTES, StartedAt};
@@ -16,24 +17,30 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
+
 const START: Moment = Moment(3_600_000_000);
 /// Time between two reports of a back end.
 const BEAT: Duration = Duration::from_secs(1);
+
 fn incarnation(id: &str, born: Option<u64>) -> BackendIncarnation {
     BackendIncarnation::new(id, born.map(StartedAt)).unwrap()
 }
+
 fn record(of: &BackendIncarnation, sequence: u64, draining: bool) -> EndpointRecord {
     endpoint_record(of.name().as_str(), sequence, draining)
 }
+
 fn beat(of: &BackendIncarnation, sequence: u64, draining: bool) -> BackendReport {
     BackendReport::Heartbeat(record(of, sequence, draining))
 }
+
 /// A back end whose reports arrive every second, and what is in force here.
 struct World {
     reported: BackendTracker,
     in_force: Option<EndpointRecord>,
     now: Moment,
 }
+
 impl World {
     fn new() -> Self {
         Self {
@@ -42,6 +49,7 @@
             now: START,
         }
     }
+
     fn take(&mut self, report: BackendReport) -> ReportStatus {
         let reported = self.reported.apply_report(report, self.now);
         if let ReportStatus::Changed(record) = &reported {
@@ -49,14 +57,17 @@
         }
         reported
     }
+
     fn wait(&mut self, time: Duration) {
         self.now = self.now + time;
     }
+
     /// What is in force is this incarnation, and it drains or not.
     fn holds(&self, of: &BackendIncarnation, draining: bool) -> bool {
         let held = self.in_force.as_ref();
         held.is_some_and(|held| held.instance == of.name() && held.draining == draining)
     }
+
     /// Reports every second until all of it is in force.
     fn beats_until_taken(&mut self, of: &BackendIncarnation, first: u64, draining: bool) -> u32 {
         for beats in 0..20_u32 {
@@ -69,6 +80,7 @@
         panic!("{of} reports and is not taken");
     }
 }
+
 /// One step of a back end that may start again, or of the network.
 #[derive(Debug, Clone)]
 enum Step {
@@ -81,6 +93,7 @@
     /// A copy of an earlier report arrives.
     Late { index: usize },
 }
+
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
     6 => prop::bool::weighted(0.15).prop_map(|drains| Step::Beat { drains }),
@@ -90,139 +103,143 @@
     4 => any::<usize>().prop_map(|index| Step::Late { index }),
     ]
 }
+
 proptest! {
-/// With a clock that goes forward, whatever arrives late: every report of the newest
+    /// With a clock that goes forward, whatever arrives late: every report of the newest
     /// start is acted upon at once, and nothing of an earlier one is.
- #[test]
-fn the_newest_start_is_in_force(steps in prop::collection::vec(step(), 1..120)) {
-let mut world = World::new();
-let (mut born, mut ids, mut sequence, mut drains) = (1_000_i64, 0, 0, false);
-let mut present = incarnation("i-0", Some(1_000));
-let mut sent: Vec<BackendReport> = Vec::new();
-let mut has_reported = false;
-for step in steps {
-world.wait(Duration::from_millis(100));
-match step {
-Step::Beat { drains: now_drains } => {
-drains |= now_drains;
-sequence += 1;
-let report = beat(&present, sequence, drains);
-sent.push(report.clone());
-let taken = world.take(report);
-prop_assert!(taken != ReportStatus::PossiblyStale);
-has_reported = true;
-prop_assert!(world.holds(&present, drains), "{present} {:?}", world.in_force);
-}
-Step::Leaves => {
-drains = true;
-let report = BackendReport::Departure(present.clone());
-sent.push(report.clone());
-world.take(report);
-let offered = world.in_force.as_ref().is_some_and(|held| {
-held.instance == present.name() && !held.draining
-});
-prop_assert!(!offered);
-if has_reported {
-prop_assert!(world.holds(&present, true));
-}
-}
-Step::StartsAgain { later_ms, same_id } => {
-born += later_ms;
-ids += u32::from(!same_id);
-present = incarnation(&format!("i-{ids}"), Some(born as u64));
-(sequence, drains, has_reported) = (0, false, false);
-}
-Step::Late { index } => {
-if sent.is_empty() {
-continue;
-}
-let before = world.in_force.clone();
-let late = sent[index % sent.len()].clone();
-world.take(late);
-if has_reported {
-prop_assert_eq!(&world.in_force, &before);
-}
-}
-}
-}
-}
-/// Whatever the clocks say: nothing is acknowledged that is not in force, and a start
+    #[test]
+    fn the_newest_start_is_in_force(steps in prop::collection::vec(step(), 1..120)) {
+        let mut world = World::new();
+        let (mut born, mut ids, mut sequence, mut drains) = (1_000_i64, 0, 0, false);
+        let mut present = incarnation("i-0", Some(1_000));
+        let mut sent: Vec<BackendReport> = Vec::new();
+        let mut has_reported = false;
+        for step in steps {
+            world.wait(Duration::from_millis(100));
+            match step {
+                Step::Beat { drains: now_drains } => {
+                    drains |= now_drains;
+                    sequence += 1;
+                    let report = beat(&present, sequence, drains);
+                    sent.push(report.clone());
+                    let taken = world.take(report);
+                    prop_assert!(taken != ReportStatus::PossiblyStale);
+                    has_reported = true;
+                    prop_assert!(world.holds(&present, drains), "{present} {:?}", world.in_force);
+                }
+                Step::Leaves => {
+                    drains = true;
+                    let report = BackendReport::Departure(present.clone());
+                    sent.push(report.clone());
+                    world.take(report);
+                    let offered = world.in_force.as_ref().is_some_and(|held| {
+                        held.instance == present.name() && !held.draining
+                    });
+                    prop_assert!(!offered);
+                    if has_reported {
+                        prop_assert!(world.holds(&present, true));
+                    }
+                }
+                Step::StartsAgain { later_ms, same_id } => {
+                    born += later_ms;
+                    ids += u32::from(!same_id);
+                    present = incarnation(&format!("i-{ids}"), Some(born as u64));
+                    (sequence, drains, has_reported) = (0, false, false);
+                }
+                Step::Late { index } => {
+                    if sent.is_empty() {
+                        continue;
+                    }
+                    let before = world.in_force.clone();
+                    let late = sent[index % sent.len()].clone();
+                    world.take(late);
+                    if has_reported {
+                        prop_assert_eq!(&world.in_force, &before);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Whatever the clocks say: nothing is acknowledged that is not in force, and a start
     /// that goes on reporting is taken within the time of a succession. Left out: a start
     /// with the same id and millisecond as one that has left. It is taken for that one,
     /// whose leave was acknowledged. Where starts are unknown, it is at least never
     /// acknowledged.
- #[test]
-fn a_report_of_the_newest_start_is_never_acknowledged_and_ignored(
-starts in prop::collection::vec(
-(prop::option::of(0_u64..4), 0_u8..2, 1_u64..30, any::<bool>(), any::<bool>()),
-1..12,
-),
-late in prop::collection::vec(any::<usize>(), 0..4),
-) {
-let mut world = World::new();
-let mut sent: Vec<BackendReport> = Vec::new();
-let mut left = BTreeSet::new();
-for (born, id, beats, drains, departs) in starts {
-let present = incarnation(&format!("i-{id}"), born);
-if left.contains(&present) {
-if born.is_none() && world.holds(&present, true) {
-world.wait(BEAT);
-let taken = world.take(beat(&present, beats, false));
-prop_assert!(taken == ReportStatus::PossiblyStale || world.holds(&present, false));
-}
-continue;
-}
-for index in &late {
-if !sent.is_empty() {
-world.take(sent[index % sent.len()].clone());
-}
-}
-world.wait(BEAT);
-let waited = world.beats_until_taken(&present, 1, false);
-let bound = MIN_SUPERSEDE_TIME.as_secs() as u32 + 1;
-prop_assert!(waited <= bound, "{present} was taken after {waited} reports");
-prop_assert!(world.holds(&present, false), "{present} {:?}", world.in_force);
-let mut sequence = u64::from(waited) + 1;
-for _ in 0..beats {
-sequence += 1;
-world.wait(BEAT);
-let report = beat(&present, sequence, false);
-sent.push(report.clone());
-prop_assert!(world.take(report) != ReportStatus::PossiblyStale);
-}
-if drains {
-world.wait(BEAT);
-sequence += 1 + u64::from(world.beats_until_taken(&present, sequence + 1, true));
-prop_assert!(world.holds(&present, true), "{present} {:?}", world.in_force);
-left.insert(present.clone());
-sent.push(beat(&present, sequence, true));
-}
-if departs {
-world.wait(BEAT);
-let report = BackendReport::Departure(present.clone());
-prop_assert!(world.take(report) != ReportStatus::PossiblyStale);
-prop_assert!(world.holds(&present, true));
-left.insert(present.clone());
-}
-}
-}
-/// The name of an incarnation leads back to it, and names of different ones differ.
- #[test]
-fn names_of_incarnations_are_their_own(
-left in ("[a-zA-Z0-9_-]{1,41}", prop::option::of(any::<u64>())),
-right in ("[a-z.]{1,6}", prop::option::of(any::<u64>())),
-) {
-let made = |(id, born): &(String, Option<u64>)| {
-BackendIncarnation::new(id, born.map(StartedAt)).ok()
-};
-for incarnation in [made(&left), made(&right)].into_iter().flatten() {
-prop_assert_eq!(BackendIncarnation::from_name(&incarnation.name()), incarnation);
-}
-if let (Some(left), Some(right)) = (made(&left), made(&right)) {
-prop_assert_eq!(left == right, left.name() == right.name());
-}
-}
+    #[test]
+    fn a_report_of_the_newest_start_is_never_acknowledged_and_ignored(
+        starts in prop::collection::vec(
+            (prop::option::of(0_u64..4), 0_u8..2, 1_u64..30, any::<bool>(), any::<bool>()),
+            1..12,
+        ),
+        late in prop::collection::vec(any::<usize>(), 0..4),
+    ) {
+        let mut world = World::new();
+        let mut sent: Vec<BackendReport> = Vec::new();
+        let mut left = BTreeSet::new();
+        for (born, id, beats, drains, departs) in starts {
+            let present = incarnation(&format!("i-{id}"), born);
+            if left.contains(&present) {
+                if born.is_none() && world.holds(&present, true) {
+                    world.wait(BEAT);
+                    let taken = world.take(beat(&present, beats, false));
+                    prop_assert!(taken == ReportStatus::PossiblyStale || world.holds(&present, false));
+                }
+                continue;
+            }
+            for index in &late {
+                if !sent.is_empty() {
+                    world.take(sent[index % sent.len()].clone());
+                }
+            }
+            world.wait(BEAT);
+            let waited = world.beats_until_taken(&present, 1, false);
+            let bound = MIN_SUPERSEDE_TIME.as_secs() as u32 + 1;
+            prop_assert!(waited <= bound, "{present} was taken after {waited} reports");
+            prop_assert!(world.holds(&present, false), "{present} {:?}", world.in_force);
+            let mut sequence = u64::from(waited) + 1;
+            for _ in 0..beats {
+                sequence += 1;
+                world.wait(BEAT);
+                let report = beat(&present, sequence, false);
+                sent.push(report.clone());
+                prop_assert!(world.take(report) != ReportStatus::PossiblyStale);
+            }
+            if drains {
+                world.wait(BEAT);
+                sequence += 1 + u64::from(world.beats_until_taken(&present, sequence + 1, true));
+                prop_assert!(world.holds(&present, true), "{present} {:?}", world.in_force);
+                left.insert(present.clone());
+                sent.push(beat(&present, sequence, true));
+            }
+            if departs {
+                world.wait(BEAT);
+                let report = BackendReport::Departure(present.clone());
+                prop_assert!(world.take(report) != ReportStatus::PossiblyStale);
+                prop_assert!(world.holds(&present, true));
+                left.insert(present.clone());
+            }
+        }
+    }
+
+    /// The name of an incarnation leads back to it, and names of different ones differ.
+    #[test]
+    fn names_of_incarnations_are_their_own(
+        left in ("[a-zA-Z0-9_-]{1,41}", prop::option::of(any::<u64>())),
+        right in ("[a-z.]{1,6}", prop::option::of(any::<u64>())),
+    ) {
+        let made = |(id, born): &(String, Option<u64>)| {
+            BackendIncarnation::new(id, born.map(StartedAt)).ok()
+        };
+        for incarnation in [made(&left), made(&right)].into_iter().flatten() {
+            prop_assert_eq!(BackendIncarnation::from_name(&incarnation.name()), incarnation);
+        }
+        if let (Some(left), Some(right)) = (made(&left), made(&right)) {
+            prop_assert_eq!(left == right, left.name() == right.name());
+        }
+    }
 }
+
 #[rstest]
 #[case::too_long(&"i".repeat(MAX_BACKEND_ID_BYTES + 1))]
 #[case::like_a_name_with_a_start("i-1..5")]
@@ -230,12 +247,14 @@
 fn an_id_that_cannot_be_told_from_a_name_is_refused(#[case] id: &str) {
     assert!(BackendIncarnation::new(id, None).is_err());
 }
+
 #[test]
 fn a_name_of_an_older_node_is_an_id_without_a_start() {
     let name = InstanceId::new(&"i".repeat(InstanceId::MAX_BYTES)).unwrap();
     let incarnation = BackendIncarnation::from_name(&name);
     assert_eq!((incarnation.id(), incarnation.started_at()), (&name, None));
 }
+
 /// Nothing but the clock tells these starts apart, and it went back.
 #[rstest]
 #[case::back(Some(5_000), Some(4_000))]
@@ -261,6 +280,7 @@
     let drains = beat(&second, 100, true);
     assert!(matches!(world.take(drains), ReportStatus::Changed(_)));
 }
+
 #[test]
 fn reports_that_a_cut_held_up_bring_no_earlier_start_back() {
     let mut world = World::new();
@@ -279,6 +299,7 @@
     }
     assert!(world.holds(&second, false));
 }
+
 #[test]
 fn a_leave_that_overtakes_the_first_report_of_its_start_holds() {
     let mut world = World::new();
@@ -289,6 +310,7 @@
     world.take(beat(&second, 1, false));
     assert!(world.holds(&second, true));
 }
+
 #[test]
 fn a_leave_without_a_start_is_of_the_present_one() {
     let mut world = World::new();
@@ -297,6 +319,7 @@
     world.take(BackendReport::Departure(incarnation("i-0", None)));
     assert!(world.holds(&present, true));
 }
+
 #[test]
 fn a_leave_of_a_start_that_may_be_the_present_one_is_not_acknowledged() {
     let mut world = World::new();
@@ -306,6 +329,7 @@
     let leave = BackendReport::Departure(second.clone());
     assert_eq!(world.take(leave), ReportStatus::PossiblyStale);
 }
+
 #[test]
 fn a_start_from_a_node_that_reads_none_is_learnt_from_the_next_report() {
     let mut world = World::new();
@@ -316,6 +340,7 @@
     world.take(beat(&known, 41, true));
     assert!(world.holds(&known, true));
 }
+
 #[test]
 fn a_start_after_the_remembered_one_has_left_takes_work_at_once() {
     let mut world = World::new();
@@ -325,6 +350,7 @@
     world.take(beat(&second, 1, false));
     assert!(world.holds(&second, false));
 }
+
 /// What users would see: requests go to a back end that has ended, since late reports of
 /// it took the place of one that lives.
 ///
@@ -349,6 +375,7 @@
     );
     assert!(world.holds(&present, false));
 }
+
 /// Of two memories of an earlier life the one of a peer is newer, if it tells more.
 #[test]
 fn a_peer_that_knows_of_a_leave_is_believed_over_the_store() {
@@ -367,6 +394,7 @@
     );
     assert!(reported.restore(record(&known, 4, false)).is_none());
 }
+
 /// A back end that has reported to this life is known better than any memory.
 #[test]
 fn a_report_outranks_what_a_peer_remembers() {
--- a/crates/rampthread-core/tests/backend_leaves.rs
+++ b/crates/rampthread-core/tests/backend_leaves.rs
@@ -14,17 +14,21 @@
 //! "has not left".
 
 mod mesh;
+
 use mesh::endpoint_record;
 use rampthread_core::backend_incarnation::{BackendIncarnation, StartedAt};
 use rampthread_core::fleet::{BackendReport, BackendTracker, ReportStatus};
 use rampthread_core::time::Moment;
 use rstest::rstest;
 use std::time::Duration;
+
 const START: Moment = Moment(3_600_000_000);
+
 fn name(born: Option<u64>) -> String {
     let incarnation = BackendIncarnation::new("i-1", born.map(StartedAt)).unwrap();
     incarnation.name().as_str().to_string()
 }
+
 /// What becomes of a heartbeat that was sent before the leave.
 fn take_late_heartbeat(reported: &mut BackendTracker, born: Option<u64>, now: Moment) {
     let late = endpoint_record(&name(born), 5, false);
@@ -32,6 +36,7 @@
     let takes_work = matches!(&taken, ReportStatus::Changed(record) if !record.draining);
     assert!(!takes_work, "{taken:?}");
 }
+
 #[rstest]
 fn a_remembered_leave_outlasts_what_is_remembered(#[values(None, Some(100))] born: Option<u64>) {
     let mut reported = BackendTracker::default();
@@ -39,6 +44,7 @@
     assert!(reported.drop_unconfirmed());
     take_late_heartbeat(&mut reported, born, START + Duration::from_secs(2));
 }
+
 #[rstest]
 fn a_leave_outlasts_an_answer_of_another_back_end(#[values(None, Some(100))] born: Option<u64>) {
     let mut reported = BackendTracker::default();
--- a/crates/rampthread-core/tests/crash_detector.rs
+++ b/crates/rampthread-core/tests/crash_detector.rs
@@ -2,6 +2,7 @@
 //! entry sees those beside other nodes.
 
 mod crash_cases;
+
 use crash_cases::{HOUR, NOW, identity, instance};
 use proptest::prelude::*;
 use rampthread_core::backend_incarnation::{BackendIncarnation, StartedAt};
@@ -11,6 +12,7 @@
 use rampthread_core::ids::{InstanceId, NodeId};
 use rstest::rstest;
 use std::time::Duration;
+
 fn lost(request: u16, back_end: u32) -> CrashSuspect {
     CrashSuspect {
         identity: identity(request),
@@ -19,6 +21,7 @@
         on_trial: false,
     }
 }
+
 #[test]
 fn a_lost_answer_alone_is_no_crash() {
     let mut watch = CrashDetector::default();
@@ -27,6 +30,7 @@
     assert_eq!(watch.record_response(&instance(1), NOW + HOUR), Vec::new());
     assert!(watch.is_empty(), "an answer explains it");
 }
+
 #[test]
 fn another_incarnation_soon_after_explains_a_lost_answer() {
     let mut watch = CrashDetector::default();
@@ -36,12 +40,14 @@
     assert_eq!(explained.len(), 1);
     assert_eq!((explained[0].identity, explained[0].at), (identity(1), NOW));
     assert!(watch.is_empty());
+
     watch.record_loss(&lost(1, 2), false);
     assert_eq!(
         watch.record_replacement(&instance(3), NOW + HOUR),
         Vec::new()
     );
 }
+
 #[test]
 fn an_answer_to_a_call_that_began_later_withdraws_a_crash() {
     let mut watch = CrashDetector::default();
@@ -53,12 +59,14 @@
     assert_eq!(withdrawn.len(), 1);
     assert_eq!(withdrawn[0].identity, identity(1));
 }
+
 #[test]
 fn a_reported_crash_is_not_reported_again_by_the_next_incarnation() {
     let mut watch = CrashDetector::default();
     watch.record_loss(&lost(1, 1), true);
     assert_eq!(watch.record_replacement(&instance(2), NOW), Vec::new());
 }
+
 /// What users saw: a request that ends back ends reached one after another, far more often
 /// than allowed, where back ends start again at once under their id. Order of events: the
 /// answer is lost in the crash; the next start answers other calls before it has reported.
@@ -67,12 +75,14 @@
     let born = Some(StartedAt(u64::from(number)));
     BackendIncarnation::new("i-1", born).unwrap().name()
 }
+
 fn lost_at_start(request: u16, number: u32) -> CrashSuspect {
     CrashSuspect {
         instance: start(number),
         ..lost(request, 1)
     }
 }
+
 #[rstest]
 #[case::port_stays_open(false)]
 #[case::port_refuses_connections(true)]
@@ -97,6 +107,7 @@
     let explained = peers.compare(|_| Some(present.clone()), reported);
     assert_eq!(explained.len(), 1);
 }
+
 #[test]
 fn a_report_of_the_same_start_well_after_a_loss_withdraws_it() {
     let mut watch = CrashDetector::default();
@@ -110,6 +121,7 @@
     assert_eq!(withdrawn.len(), 1);
     assert!(watch.is_empty());
 }
+
 #[test]
 fn an_answer_long_before_the_next_start_explains_a_loss() {
     let mut watch = CrashDetector::default();
@@ -118,29 +130,31 @@
     let later = NOW + Duration::from_secs(5);
     assert_eq!(watch.record_replacement(&start(2), later), Vec::new());
 }
+
 proptest! {
-/// What is sent to a back end that has ended is lost as well, and none of it
+    /// What is sent to a back end that has ended is lost as well, and none of it
     /// hides the request that was lost first, nor one that was on trial.
- #[test]
-fn no_flood_of_later_losses_hides_the_first(
-later in prop::collection::vec(2_u16..500, 0..1_000),
-trial_after in 0_usize..1_000,
-) {
-let mut watch = CrashDetector::default();
-watch.record_loss(&lost(1, 1), false);
-for (index, request) in later.iter().enumerate() {
-if index == trial_after {
-watch.record_loss(&CrashSuspect { on_trial: true, ..lost(600, 1) }, false);
-}
-watch.record_loss(&lost(*request, 1), false);
-}
-let explained = watch.record_replacement(&instance(2), NOW);
-prop_assert!(explained.len() <= 128, "{} remembered", explained.len());
-let names = |request| explained.iter().any(|loss| loss.identity == identity(request));
-prop_assert!(names(1));
-prop_assert_eq!(names(600), trial_after < later.len());
-}
+    #[test]
+    fn no_flood_of_later_losses_hides_the_first(
+        later in prop::collection::vec(2_u16..500, 0..1_000),
+        trial_after in 0_usize..1_000,
+    ) {
+        let mut watch = CrashDetector::default();
+        watch.record_loss(&lost(1, 1), false);
+        for (index, request) in later.iter().enumerate() {
+            if index == trial_after {
+                watch.record_loss(&CrashSuspect { on_trial: true, ..lost(600, 1) }, false);
+            }
+            watch.record_loss(&lost(*request, 1), false);
+        }
+        let explained = watch.record_replacement(&instance(2), NOW);
+        prop_assert!(explained.len() <= 128, "{} remembered", explained.len());
+        let names = |request| explained.iter().any(|loss| loss.identity == identity(request));
+        prop_assert!(names(1));
+        prop_assert_eq!(names(600), trial_after < later.len());
+    }
 }
+
 /// A request that is lost again with the same incarnation is one loss: as old as the
 /// first, for what was answered since, and disproved only by calls after the last.
 #[test]
@@ -167,11 +181,13 @@
         }]
     );
 }
+
 /// What an entry sees beside a node.
 fn present(back_end: u32, leaving: bool) -> Option<CurrentBackend> {
     let instance = instance(back_end);
     Some(CurrentBackend { instance, leaving })
 }
+
 #[rstest]
 #[case::the_same_one(present(1, false), false)]
 #[case::another_one(present(2, false), true)]
@@ -194,6 +210,7 @@
     );
     assert!(watch.is_empty());
 }
+
 #[test]
 fn an_entry_forgets_a_lost_answer_that_nothing_explains() {
     let node = NodeId::new("n-1").unwrap();
@@ -205,6 +222,7 @@
     assert_eq!(watch.compare(|_| present(2, false), NOW + HOUR), Vec::new());
     assert!(watch.is_empty());
 }
+
 /// What users would see: a request that crashes back ends goes on doing so, since one of
 /// its crashes is never counted.
 ///
@@ -222,6 +240,7 @@
     let explained = watch.record_replacement(&start(2), NOW + heartbeat);
     assert_eq!(explained.len(), 1);
 }
+
 /// Of a back end that names no start the next one answers under the same name.
 #[test]
 fn an_answer_withdraws_no_crash_after_the_port_has_stayed_closed() {
@@ -234,6 +253,7 @@
     assert_eq!(watch.record_response(&instance(1), NOW + HOUR), Vec::new());
     assert_eq!(watch.reported_alive(&instance(1), NOW + HOUR), Vec::new());
 }
+
 /// Connections end before the port does: the first look may come in between.
 #[test]
 fn a_port_that_closes_just_after_the_loss_makes_it_a_crash() {
@@ -244,6 +264,7 @@
     assert_eq!(watch.port_closed(&lost(2, 1)), None, "it was not lost");
     assert_eq!(watch.ended(&instance(1)), Some(Vec::new()));
 }
+
 #[test]
 fn a_back_end_that_has_answered_meanwhile_has_not_ended() {
     let mut watch = CrashDetector::default();
@@ -254,6 +275,7 @@
     watch.record_loss(&lost(1, 1), false);
     assert_eq!(watch.ended(&instance(1)), None, "nothing was reported");
 }
+
 /// Two crashes under one name are two, and another name is no earlier start.
 #[test]
 fn starts_that_share_a_name_are_told_apart_by_the_ends_that_were_seen() {
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -3,6 +3,7 @@
 //! the agent where the configuration is a document.
 
 mod mesh;
+
 use mesh::{Mesh, agent, document, endpoint_record, machine, name, route, service};
 use proptest::prelude::*;
 use rampthread_core::backend_incarnation::BackendIncarnation;
@@ -26,6 +27,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
+
 fn arrival(call: u64, rank: u32, deadline: Moment, max_wait: Duration) -> Arrival {
     Arrival {
         call,
@@ -37,228 +39,243 @@
         expected_service_time: None,
     }
 }
+
 fn arrival_with_work(call: u64, work_ms: u64) -> Arrival {
     Arrival {
         expected_service_time: Some(Duration::from_millis(work_ms)),
         ..arrival(call, 1, Moment(1) + HOUR, HOUR)
     }
 }
+
 const HOUR: Duration = Duration::from_secs(3_600);
+
 proptest! {
-/// The table finds what a plain search over all routes finds.
- #[test]
-fn the_longest_prefix_of_the_host_wins(
-routes in prop::collection::btree_set((0_u8..3, "(/[ab]){0,3}/"), 1..12),
-host in 0_u8..4,
-path in "(/[ab]){0,4}/",
-) {
-let routes: Vec<(String, String)> = routes
-.into_iter()
-.map(|(host, prefix)| (format!("host-{host}"), prefix))
-.collect();
-let mut resources = vec![service("shop")];
-for (index, (host, prefix)) in routes.iter().enumerate() {
-resources.push(route(&format!("r-{index}"), host, prefix));
-}
-let state = ConfigState::from_document(Version(1), resources, None).unwrap();
-let table = RouteTable::new(&state);
-let host = format!("host-{host}");
-let head = CallHead {
-host: Some(&host),
-path: &path,
-method: &http::Method::GET,
-headers: &http::HeaderMap::new(),
-};
-let wanted = routes
-.iter()
-.filter(|(other, prefix)| *other == host && path.starts_with(prefix.as_str()))
-.map(|(_, prefix)| prefix.clone())
-.max_by_key(String::len);
-let found = table.find(&head).map(|route| route.path.text().to_string());
-prop_assert_eq!(found, wanted);
-}
-/// A document that names what does not exist is refused whole, with every
+    /// The table finds what a plain search over all routes finds.
+    #[test]
+    fn the_longest_prefix_of_the_host_wins(
+        routes in prop::collection::btree_set((0_u8..3, "(/[ab]){0,3}/"), 1..12),
+        host in 0_u8..4,
+        path in "(/[ab]){0,4}/",
+    ) {
+        let routes: Vec<(String, String)> = routes
+            .into_iter()
+            .map(|(host, prefix)| (format!("host-{host}"), prefix))
+            .collect();
+        let mut resources = vec![service("shop")];
+        for (index, (host, prefix)) in routes.iter().enumerate() {
+            resources.push(route(&format!("r-{index}"), host, prefix));
+        }
+        let state = ConfigState::from_document(Version(1), resources, None).unwrap();
+        let table = RouteTable::new(&state);
+        let host = format!("host-{host}");
+        let head = CallHead {
+            host: Some(&host),
+            path: &path,
+            method: &http::Method::GET,
+            headers: &http::HeaderMap::new(),
+        };
+        let wanted = routes
+            .iter()
+            .filter(|(other, prefix)| *other == host && path.starts_with(prefix.as_str()))
+            .map(|(_, prefix)| prefix.clone())
+            .max_by_key(String::len);
+        let found = table.find(&head).map(|route| route.path.text().to_string());
+        prop_assert_eq!(found, wanted);
+    }
+
+    /// A document that names what does not exist is refused whole, with every
     /// fault.
- #[test]
-fn every_dangling_reference_of_a_document_is_found(missing in 1_usize..5) {
-let mut resources = Vec::new();
-for index in 0..missing {
-resources.push(route(&format!("r-{index}"), &format!("host-{index}"), "/"));
-}
-let findings = ConfigState::from_document(Version(1), resources, None).unwrap_err();
-prop_assert_eq!(findings.to_string().matches("no service/shop").count(), missing);
-}
-/// Without patience a call runs now or is refused; it never waits.
- #[test]
-fn without_patience_nobody_waits(slots in 1_u32..10, calls in 1_u64..40) {
-let mut admission = AdmissionController::new(AdmissionLimits { slots, queue: 100 });
-let now = Moment(1);
-for call in 0..calls {
-let answer = admission.arrive(arrival(call, 1, now + HOUR, Duration::ZERO), now);
-prop_assert!(answer != AdmissionDecision::Wait);
-}
-prop_assert_eq!(admission.queued(), 0);
-}
-/// However slow a back end is, the wait stays within a part of the target,
+    #[test]
+    fn every_dangling_reference_of_a_document_is_found(missing in 1_usize..5) {
+        let mut resources = Vec::new();
+        for index in 0..missing {
+            resources.push(route(&format!("r-{index}"), &format!("host-{index}"), "/"));
+        }
+        let findings = ConfigState::from_document(Version(1), resources, None).unwrap_err();
+        prop_assert_eq!(findings.to_string().matches("no service/shop").count(), missing);
+    }
+
+    /// Without patience a call runs now or is refused; it never waits.
+    #[test]
+    fn without_patience_nobody_waits(slots in 1_u32..10, calls in 1_u64..40) {
+        let mut admission = AdmissionController::new(AdmissionLimits { slots, queue: 100 });
+        let now = Moment(1);
+        for call in 0..calls {
+            let answer = admission.arrive(arrival(call, 1, now + HOUR, Duration::ZERO), now);
+            prop_assert!(answer != AdmissionDecision::Wait);
+        }
+        prop_assert_eq!(admission.queued(), 0);
+    }
+
+    /// However slow a back end is, the wait stays within a part of the target,
     /// and a slower one leaves no more of it.
- #[test]
-fn patience_falls_as_work_grows(target in 1_u64..10_000, works in prop::collection::vec(0_u64..20_000, 1..20)) {
-let target = Duration::from_millis(target);
-let mut works = works;
-works.sort_unstable();
-let mut last = target;
-for work in works {
-let mut times = ServiceTimes::default();
-times.record(&name("r"), Duration::from_millis(work));
-let max_wait = times.max_wait(&name("r"), target, Precedence::FirstAttempt, HOUR);
-prop_assert!(max_wait <= last && max_wait <= target.mul_f64(0.4));
-prop_assert!(max_wait >= target.mul_f64(0.15));
-last = max_wait;
-}
-}
-/// What may wait survives its way in a header.
- #[test]
-fn waiting_is_read_as_it_was_written(target in 0_u64..1_000_000) {
-let all = [
-QueueingLimit::Never,
-QueueingLimit::UntilDeadline,
-QueueingLimit::ForTarget(Duration::from_millis(target)),
-];
-for waiting in all {
-prop_assert_eq!(QueueingLimit::parse(Some(&waiting.to_string())), waiting);
-}
-}
-/// Of one caller's waiting calls, the one with the least time left goes first.
- #[test]
-fn the_earliest_deadline_goes_first(
-deadlines in prop::collection::btree_set(1_u64..1_000, 2..20),
-seed in any::<u64>(),
-) {
-use rand::seq::SliceRandom;
-let mut order: Vec<u64> = deadlines.iter().copied().collect();
-order.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
-let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 100 });
-let now = Moment(1);
-admission.arrive(arrival(0, 1, now + HOUR, HOUR), now);
-for deadline in &order {
-let ends = now + HOUR + Duration::from_millis(*deadline);
-admission.arrive(arrival(*deadline, 1, ends, HOUR), now);
-}
-let mut ran = Vec::new();
-while let Some(call) = admission.release(None, now).run {
-ran.push(call);
-}
-prop_assert_eq!(ran, deadlines.into_iter().collect::<Vec<_>>());
-}
-/// Short calls that come later go first, and long ones still get their turns.
- #[test]
-fn short_calls_overtake_long_ones_without_starving_them(long in 1_u64..10, short in 8_u64..40) {
-let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 100 });
-let now = Moment(1);
-admission.arrive(arrival(0, 1, now + HOUR, HOUR), now);
-for call in 0..long {
-admission.arrive(arrival_with_work(1 + call, 200), now);
-}
-for call in 0..short {
-admission.arrive(arrival_with_work(1_000 + call, 20), now);
-}
-let mut ran = Vec::new();
-while let Some(call) = admission.release(None, now).run {
-ran.push(call);
-}
-prop_assert_eq!(ran.len() as u64, long + short);
-prop_assert!(ran[..3].iter().all(|call| *call >= 1_000));
-prop_assert!(ran[..4].contains(&1), "the first long call waits no more than three turns");
-}
-/// In every window, second tries stay within ratio and slack.
- #[test]
-fn the_budget_holds_in_every_window(
-steps in prop::collection::vec((0_u64..700, 0_u32..30, 0_u32..30), 1..60),
-ratio in 0.0_f64..0.5,
-slack in 0.0_f64..20.0,
-) {
-let window = Duration::from_secs(10);
-let mut budget = RetryBudget::new(RetryLimit { ratio, slack, window });
-let mut now = Moment(1);
-let mut made: Vec<(Moment, u32, u32)> = Vec::new();
-for (pause, calls, tries) in steps {
-now = now + Duration::from_millis(pause);
-(0..calls).for_each(|_| budget.call_made(now));
-let taken = (0..tries).filter(|_| budget.take(RetryClass::Nested, now)).count() as u32;
-made.push((now, calls, taken));
-if taken == 0 {
-continue;
-}
-let inside = |moment: Moment, reach: Duration| now.since(moment) <= reach;
-let retries: u32 = made.iter().filter(|(at, ..)| inside(*at, window)).map(|one| one.2).sum();
-// The parts of the window may reach one part further back.
- let reach = window + window / 10;
-let calls: u32 = made.iter().filter(|(at, ..)| inside(*at, reach)).map(|one| one.1).sum();
-prop_assert!(f64::from(retries) <= ratio * f64::from(calls) + slack + 1e-6);
-}
-}
-/// Whatever the order of reports, a back end that has said that it leaves
+    #[test]
+    fn patience_falls_as_work_grows(target in 1_u64..10_000, works in prop::collection::vec(0_u64..20_000, 1..20)) {
+        let target = Duration::from_millis(target);
+        let mut works = works;
+        works.sort_unstable();
+        let mut last = target;
+        for work in works {
+            let mut times = ServiceTimes::default();
+            times.record(&name("r"), Duration::from_millis(work));
+            let max_wait = times.max_wait(&name("r"), target, Precedence::FirstAttempt, HOUR);
+            prop_assert!(max_wait <= last && max_wait <= target.mul_f64(0.4));
+            prop_assert!(max_wait >= target.mul_f64(0.15));
+            last = max_wait;
+        }
+    }
+
+    /// What may wait survives its way in a header.
+    #[test]
+    fn waiting_is_read_as_it_was_written(target in 0_u64..1_000_000) {
+        let all = [
+            QueueingLimit::Never,
+            QueueingLimit::UntilDeadline,
+            QueueingLimit::ForTarget(Duration::from_millis(target)),
+        ];
+        for waiting in all {
+            prop_assert_eq!(QueueingLimit::parse(Some(&waiting.to_string())), waiting);
+        }
+    }
+
+    /// Of one caller's waiting calls, the one with the least time left goes first.
+    #[test]
+    fn the_earliest_deadline_goes_first(
+        deadlines in prop::collection::btree_set(1_u64..1_000, 2..20),
+        seed in any::<u64>(),
+    ) {
+        use rand::seq::SliceRandom;
+        let mut order: Vec<u64> = deadlines.iter().copied().collect();
+        order.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
+        let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 100 });
+        let now = Moment(1);
+        admission.arrive(arrival(0, 1, now + HOUR, HOUR), now);
+        for deadline in &order {
+            let ends = now + HOUR + Duration::from_millis(*deadline);
+            admission.arrive(arrival(*deadline, 1, ends, HOUR), now);
+        }
+        let mut ran = Vec::new();
+        while let Some(call) = admission.release(None, now).run {
+            ran.push(call);
+        }
+        prop_assert_eq!(ran, deadlines.into_iter().collect::<Vec<_>>());
+    }
+
+    /// Short calls that come later go first, and long ones still get their turns.
+    #[test]
+    fn short_calls_overtake_long_ones_without_starving_them(long in 1_u64..10, short in 8_u64..40) {
+        let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 100 });
+        let now = Moment(1);
+        admission.arrive(arrival(0, 1, now + HOUR, HOUR), now);
+        for call in 0..long {
+            admission.arrive(arrival_with_work(1 + call, 200), now);
+        }
+        for call in 0..short {
+            admission.arrive(arrival_with_work(1_000 + call, 20), now);
+        }
+        let mut ran = Vec::new();
+        while let Some(call) = admission.release(None, now).run {
+            ran.push(call);
+        }
+        prop_assert_eq!(ran.len() as u64, long + short);
+        prop_assert!(ran[..3].iter().all(|call| *call >= 1_000));
+        prop_assert!(ran[..4].contains(&1), "the first long call waits no more than three turns");
+    }
+
+    /// In every window, second tries stay within ratio and slack.
+    #[test]
+    fn the_budget_holds_in_every_window(
+        steps in prop::collection::vec((0_u64..700, 0_u32..30, 0_u32..30), 1..60),
+        ratio in 0.0_f64..0.5,
+        slack in 0.0_f64..20.0,
+    ) {
+        let window = Duration::from_secs(10);
+        let mut budget = RetryBudget::new(RetryLimit { ratio, slack, window });
+        let mut now = Moment(1);
+        let mut made: Vec<(Moment, u32, u32)> = Vec::new();
+        for (pause, calls, tries) in steps {
+            now = now + Duration::from_millis(pause);
+            (0..calls).for_each(|_| budget.call_made(now));
+            let taken = (0..tries).filter(|_| budget.take(RetryClass::Nested, now)).count() as u32;
+            made.push((now, calls, taken));
+            if taken == 0 {
+                continue;
+            }
+            let inside = |moment: Moment, reach: Duration| now.since(moment) <= reach;
+            let retries: u32 = made.iter().filter(|(at, ..)| inside(*at, window)).map(|one| one.2).sum();
+            // The parts of the window may reach one part further back.
+            let reach = window + window / 10;
+            let calls: u32 = made.iter().filter(|(at, ..)| inside(*at, reach)).map(|one| one.1).sum();
+            prop_assert!(f64::from(retries) <= ratio * f64::from(calls) + slack + 1e-6);
+        }
+    }
+
+    /// Whatever the order of reports, a back end that has said that it leaves
     /// is never offered again, and an earlier incarnation never comes back.
- #[test]
-fn a_back_end_that_leaves_does_not_come_back(
-reports in prop::collection::vec((0_u8..3, 0_u64..20, any::<bool>(), any::<bool>()), 1..60),
-) {
-let mut reported = BackendTracker::default();
-let mut left = std::collections::BTreeSet::new();
-for (instance, sequence, draining, departs) in reports {
-let instance = format!("i-{instance}");
-let report = if departs {
-left.insert(instance.clone());
-BackendReport::Departure(BackendIncarnation::new(&instance, None).unwrap())
-} else {
-BackendReport::Heartbeat(endpoint_record(&instance, sequence, draining))
-};
-if let ReportStatus::Changed(endpoint) = reported.apply_report(report, Moment(1)) {
-let again = left.contains(endpoint.instance.as_str()) && !endpoint.draining;
-prop_assert!(!again, "{:?} came back", endpoint.instance);
-if endpoint.draining {
-left.insert(endpoint.instance.as_str().to_string());
-}
-}
-}
-}
-/// Lines of one cause stay within burst and rate, and all others are told.
- #[test]
-fn log_lines_are_bounded_and_counted(pauses in prop::collection::vec(0_u64..50, 1..2_000)) {
-let mut budget = LogRateLimiter::default();
-let mut now = Moment(1);
-let (mut written, mut told) = (0_u64, 0_u64);
-for pause in &pauses {
-now = now + Duration::from_millis(*pause);
-written += u64::from(budget.allow("full", now));
-told += budget.summary(now).iter().map(|one| one.lines).sum::<u64>();
-}
-let seconds = now.since(Moment(1)).as_secs_f64();
-prop_assert!(written as f64 <= 21.0 + 5.0 * seconds);
-let later = now + Duration::from_secs(60);
-told += budget.summary(later).iter().map(|one| one.lines).sum::<u64>();
-prop_assert_eq!(written + told, pauses.len() as u64);
-}
-/// The word of a cause leads back to it.
- #[test]
-fn causes_have_words_of_their_own(index in 0_usize..Cause::ALL.len()) {
-let cause = Cause::ALL[index];
-prop_assert_eq!(Cause::parse(cause.as_str()), Some(cause));
-}
-/// A node that holds a document never goes back to an older one.
- #[test]
-fn no_document_brings_an_older_version_back(versions in prop::collection::vec(1_u64..50, 1..40)) {
-let mut agent = agent("node-0", 1);
-let mut highest = 0;
-for (step, version) in versions.into_iter().enumerate() {
-let now = Moment(1_000 * (step as u64 + 1));
-agent.on_document(Arc::new(document(version)), now);
-highest = highest.max(version);
-prop_assert_eq!(agent.active().version(), Version(highest));
-prop_assert!(agent.is_ready());
-}
-}
+    #[test]
+    fn a_back_end_that_leaves_does_not_come_back(
+        reports in prop::collection::vec((0_u8..3, 0_u64..20, any::<bool>(), any::<bool>()), 1..60),
+    ) {
+        let mut reported = BackendTracker::default();
+        let mut left = std::collections::BTreeSet::new();
+        for (instance, sequence, draining, departs) in reports {
+            let instance = format!("i-{instance}");
+            let report = if departs {
+                left.insert(instance.clone());
+                BackendReport::Departure(BackendIncarnation::new(&instance, None).unwrap())
+            } else {
+                BackendReport::Heartbeat(endpoint_record(&instance, sequence, draining))
+            };
+            if let ReportStatus::Changed(endpoint) = reported.apply_report(report, Moment(1)) {
+                let again = left.contains(endpoint.instance.as_str()) && !endpoint.draining;
+                prop_assert!(!again, "{:?} came back", endpoint.instance);
+                if endpoint.draining {
+                    left.insert(endpoint.instance.as_str().to_string());
+                }
+            }
+        }
+    }
+
+    /// Lines of one cause stay within burst and rate, and all others are told.
+    #[test]
+    fn log_lines_are_bounded_and_counted(pauses in prop::collection::vec(0_u64..50, 1..2_000)) {
+        let mut budget = LogRateLimiter::default();
+        let mut now = Moment(1);
+        let (mut written, mut told) = (0_u64, 0_u64);
+        for pause in &pauses {
+            now = now + Duration::from_millis(*pause);
+            written += u64::from(budget.allow("full", now));
+            told += budget.summary(now).iter().map(|one| one.lines).sum::<u64>();
+        }
+        let seconds = now.since(Moment(1)).as_secs_f64();
+        prop_assert!(written as f64 <= 21.0 + 5.0 * seconds);
+        let later = now + Duration::from_secs(60);
+        told += budget.summary(later).iter().map(|one| one.lines).sum::<u64>();
+        prop_assert_eq!(written + told, pauses.len() as u64);
+    }
+
+    /// The word of a cause leads back to it.
+    #[test]
+    fn causes_have_words_of_their_own(index in 0_usize..Cause::ALL.len()) {
+        let cause = Cause::ALL[index];
+        prop_assert_eq!(Cause::parse(cause.as_str()), Some(cause));
+    }
+
+    /// A node that holds a document never goes back to an older one.
+    #[test]
+    fn no_document_brings_an_older_version_back(versions in prop::collection::vec(1_u64..50, 1..40)) {
+        let mut agent = agent("node-0", 1);
+        let mut highest = 0;
+        for (step, version) in versions.into_iter().enumerate() {
+            let now = Moment(1_000 * (step as u64 + 1));
+            agent.on_document(Arc::new(document(version)), now);
+            highest = highest.max(version);
+            prop_assert_eq!(agent.active().version(), Version(highest));
+            prop_assert!(agent.is_ready());
+        }
+    }
 }
+
 #[test]
 fn a_queue_of_long_calls_keeps_no_short_one_out() {
     let mut admission = AdmissionController::new(AdmissionLimits { slots: 2, queue: 4 });
@@ -278,6 +295,7 @@
     };
     assert_eq!(admission.arrive(short, now), AdmissionDecision::Wait);
 }
+
 #[test]
 fn about_one_call_in_sixty_four_is_sampled() {
     let sampled = (0..64_000)
@@ -285,6 +303,7 @@
         .count();
     assert!((700..1_300).contains(&sampled), "{sampled}");
 }
+
 fn endpoint(node: &str, zone: &str) -> Endpoint {
     Endpoint {
         node: NodeId::new(node).unwrap(),
@@ -294,6 +313,7 @@
         speed_percent: 100,
     }
 }
+
 fn chosen(balancer: &mut Balancer, endpoints: &[Endpoint], now: Moment) -> BTreeMap<String, u32> {
     let zone = Zone::new("near").unwrap();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -306,6 +326,7 @@
     }
     counts
 }
+
 #[test]
 fn the_own_zone_comes_first_until_it_is_full_or_slow() {
     let endpoints = [
@@ -331,6 +352,7 @@
     let later = now + Duration::from_secs(60);
     assert_eq!(chosen(&mut balancer, &endpoints, later)["a"], 200);
 }
+
 /// What an entry knows of a gate is old: one of the own zone that seems to be just
 /// full is asked before a call leaves the zone.
 #[test]
@@ -341,6 +363,7 @@
     balancer.record_load(&endpoints[0].node, endpoints[0].slots, now);
     assert_eq!(chosen(&mut balancer, &endpoints, now)["a"], 200);
 }
+
 #[test]
 fn a_back_end_that_answers_others_is_known_to_work() {
     let mut balancer = Balancer::new(BalanceMode::LeastCost, Moment(1));
@@ -357,6 +380,7 @@
     assert!(balancer.answered_since(&node, begun));
     assert!(!balancer.answered_since(&node, later));
 }
+
 #[test]
 fn a_node_that_cannot_be_reached_is_left_alone_for_a_while() {
     let endpoints = [endpoint("a", "near"), endpoint("b", "far")];
@@ -367,6 +391,7 @@
     let later = now + Duration::from_secs(2);
     assert_eq!(chosen(&mut balancer, &endpoints, later)["a"], 200);
 }
+
 #[test]
 fn a_document_that_one_node_reads_reaches_all_from_peers() {
     let mut mesh = Mesh::new(8);
@@ -379,6 +404,7 @@
         assert_eq!(agent.active().version(), Version(7));
     }
 }
+
 #[test]
 fn a_report_reaches_every_node_within_a_second() {
     let mut mesh = Mesh::new(12);
@@ -398,6 +424,7 @@
         }
     }
 }
+
 #[test]
 fn a_node_that_restarts_with_an_earlier_clock_is_heard_again() {
     let mut mesh = Mesh::new(4);
@@ -424,6 +451,7 @@
         assert_eq!(known.instance.as_str(), "i-2", "node-{at}");
     }
 }
+
 #[test]
 fn a_remembered_back_end_that_stays_silent_is_dropped() {
     let remembered = endpoint_record("i-1", 7, false);
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -29,18 +29,22 @@
     /// When each backend came into service.
     ready_since: HashMap<NodeId, Moment>,
 }
+
 impl Versions {
     /// Records when a backend came into service, since it is slow during its warm-up.
     pub(super) fn became_ready(&mut self, node: &NodeId, now: Moment) {
         self.ready_since.insert(node.clone(), now);
     }
+
     /// Drops backends that are out of service.
     pub(super) fn keep_serving<T>(&mut self, serving: &HashMap<NodeId, T>) {
         self.ready_since
             .retain(|node, _| serving.contains_key(node));
     }
 }
+
 type Candidates<'a> = Cow<'a, Vec<Endpoint>>;
+
 impl Entry {
     /// Restricts `candidates` to versions that the call may go to. The version being evaluated
     /// gets the call if its share allows that and one of its backends is untried.
@@ -83,6 +87,7 @@
             }
         }
     }
+
     /// Holds back versions that differ from the presumed one while no rollout is known, until
     /// a rollout would be known.
     fn hold_unknown_versions<'a>(
@@ -108,6 +113,7 @@
         });
         Cow::Owned(known)
     }
+
     fn with_limiter<T>(
         &self,
         call: &Call,
@@ -128,6 +134,7 @@
         }
         act(limiter)
     }
+
     /// Records a result for the rollout of the service, if one is in progress.
     pub(super) fn record_version_result(
         &self,
@@ -178,6 +185,7 @@
         let since = state.versions.ready_since.get(&selected.node);
         since.is_some_and(|since| now.since(*since) < selected.target.cold)
     }
+
     /// Hands the results of versions being evaluated to the control plane client.
     pub fn publish_version_evidence(&self) {
         if self.options.roll_outs.is_none() {
@@ -190,6 +198,7 @@
         }
     }
 }
+
 impl EntryState {
     fn evidence_under_evaluation(&mut self, rules: &VersionRules) -> Vec<VersionEvidence> {
         let evidence = &mut self.versions.evidence;
@@ -200,6 +209,7 @@
         evidence.all()
     }
 }
+
 /// Result of a call at one version.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum VersionResult {
--- a/crates/rampthread-node/src/calls/gate/lost_response.rs
+++ b/crates/rampthread-node/src/calls/gate/lost_response.rs
@@ -17,6 +17,7 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 use std::time::Duration;
+
 /// Time limit for a local connection attempt to be refused.
 const CONNECT_REFUSED_TIMEOUT: Duration = Duration::from_millis(50);
 /// Interval between checks of the backend's port after a lost response. A port that refused
@@ -70,6 +71,7 @@
             ..lost
         }
     }
+
     /// Polls the port of a backend whose reports carry no incarnation, since a restart cannot
     /// be seen in its reports. A port that is closed shortly after the loss means a crash;
     /// closed at two checks in a row, the incarnation has ended.
@@ -126,6 +128,7 @@
         drop(state);
         self.control.report_suspicions(&withdrawn, true);
     }
+
     /// Checks whether a new incarnation of the backend explains lost responses.
     pub fn check_incarnation(&self) {
         if self.state().crash_watch.is_empty() {
@@ -155,10 +158,12 @@
         self.control.report_suspicions(&withdrawn, true);
         self.control.report_suspicions(&explained, false);
     }
+
     pub(super) fn incarnation(&self, backend: &LocalBackend) -> InstanceId {
         self.state().incarnations.present(&instance_of(backend))
     }
 }
+
 /// The incarnation reported by the backend, or else its name in the configuration.
 fn instance_of(backend: &LocalBackend) -> InstanceId {
     let named = backend.instance.clone();
@@ -166,12 +171,14 @@
         InstanceId::new(backend.name.as_str()).expect("resource names are valid instance ids")
     })
 }
+
 /// A response body that is streamed; if it is truncated, the loss is investigated like that of
 /// a whole response.
 pub(super) struct LossDetectingBody<B> {
     inner: B,
     loss: Option<LossContext>,
 }
+
 /// Arguments for investigating a loss.
 struct LossContext {
     gate: Arc<Gate>,
@@ -204,6 +211,7 @@
 {
     type Data = Bytes;
     type Error = B::Error;
+
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -221,9 +229,11 @@
         }
         polled
     }
+
     fn is_end_stream(&self) -> bool {
         self.inner.is_end_stream()
     }
+
     fn size_hint(&self) -> SizeHint {
         self.inner.size_hint()
     }
--- a/crates/rampthread-node/src/control/crashes.rs
+++ b/crates/rampthread-node/src/control/crashes.rs
@@ -8,12 +8,14 @@
 use rampthread_core::fleet::{CrashReport, CrashTable};
 use rampthread_core::time::Moment;
 use std::sync::{Arc, MutexGuard};
+
 impl Control {
     /// What this node knows of crashes. The call path reads it without the
     /// agent's lock; mostly it is empty.
     pub fn crash_table(&self) -> Arc<CrashTable> {
         self.crash_table.load_full()
     }
+
     /// What becomes of a request now. `identity` is made only where some request
     /// is suspected.
     pub fn standing(&self, identity: impl FnOnce() -> RequestIdentity) -> QuarantineState {
@@ -23,6 +25,7 @@
         }
         table.standing(&identity(), self.clock.now())
     }
+
     /// Back ends have crashed under requests, as this node has seen; or they live, and
     /// what was reported of them is withdrawn.
     pub fn report_suspicions(self: &Arc<Self>, suspicions: &[CrashSuspect], withdrawn: bool) {
@@ -42,6 +45,7 @@
         }
         self.report_crashes(&reports);
     }
+
     /// This node has seen crashes, or that they were none: tells the others.
     fn report_crashes(self: &Arc<Self>, reports: &[CrashReport]) {
         if reports.is_empty() {
@@ -52,6 +56,7 @@
         self.perform(actions);
         self.refresh_crash_table();
     }
+
     /// A gate told of a crash with its answer, and tells the others itself.
     pub fn note_crash(self: &Arc<Self>, report: &CrashReport) {
         let now = self.clock.now();
@@ -61,6 +66,7 @@
         self.perform(actions);
         self.refresh_crash_table();
     }
+
     /// A back end has answered a request whole: it is innocent of crashes so far.
     pub fn note_answer(self: &Arc<Self>, identity: RequestIdentity) {
         let now = self.clock.now();
@@ -73,6 +79,7 @@
             self.clear_request(&identity, now, "answered");
         }
     }
+
     /// Clears a request of crashes up to `until`; `origin` says who or what did.
     pub fn clear_request(
         self: &Arc<Self>,
@@ -85,6 +92,7 @@
         self.perform(actions);
         self.store_crash_table();
     }
+
     /// Hands a changed table to the call path, and clears requests that were
     /// answered here after the crashes that the table now holds against them.
     pub(super) fn refresh_crash_table(self: &Arc<Self>) {
@@ -106,11 +114,13 @@
             self.clear_request(&identity, at, "answered since");
         }
     }
+
     fn answers(&self) -> MutexGuard<'_, RecentResponses> {
         self.answers
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
+
     /// True when the table had changed. Under the agent's lock to the end: an earlier
     /// copy must not take the place of a later one.
     fn store_crash_table(&self) -> bool {
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -31,12 +31,14 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::time::Duration;
+
 /// Time between two ticks of the agent.
 const TICK: Duration = Duration::from_millis(100);
 /// Least time between two joins of the endpoints because of messages.
 const LEAST_JOIN_INTERVAL: Duration = Duration::from_millis(20);
 /// Readers look at the machine list this many times as often as others.
 const READER_MACHINE_RATIO: u32 = 15;
+
 /// Loads of all zones that are known.
 #[derive(Debug, Default)]
 pub struct ZoneLoads {
@@ -45,6 +47,7 @@
     /// The loads.
     pub zones: Vec<ZoneLoad>,
 }
+
 impl ZoneLoads {
     /// The loads with their ages at `now`.
     pub fn at(&self, now: Moment) -> Vec<ZoneLoad> {
@@ -56,6 +59,7 @@
         self.zones.iter().map(older).collect()
     }
 }
+
 /// One node's control side, running.
 pub struct Control {
     /// The node's id.
@@ -110,6 +114,7 @@
     pub(super) waiting: Waiting,
     tasks: TaskGroup,
 }
+
 impl Control {
     /// Binds the datagram socket and starts the timers.
     pub fn start(parts: ControlParts) -> Result<Arc<Self>, ControlError> {
@@ -197,6 +202,7 @@
         control.follow(parts.source, wake);
         Ok(control)
     }
+
     /// Starts the loops that follow the configuration and the other nodes.
     fn follow(self: &Arc<Self>, source: SourceParts, wake: async_channel::Receiver<()>) {
         match source {
@@ -222,64 +228,77 @@
             }
         }
     }
+
     /// Ends all timers and sockets at once, as the end of the process would.
     pub async fn stop(&self) {
         self.socket.store(None);
         self.tasks.cancel().await;
     }
+
     pub(super) fn agent(&self) -> MutexGuard<'_, Agent> {
         self.agent
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
+
     /// Looks at the agent.
     pub fn with_agent<T>(&self, look: impl FnOnce(&Agent) -> T) -> T {
         look(&self.agent())
     }
+
     /// Takes the document that the store holds.
     pub fn on_document(self: &Arc<Self>, state: Arc<ConfigState>) {
         let now = self.clock.now();
         let actions = self.agent().on_document(state, now);
         self.perform(actions);
     }
+
     /// Notes whether the store answers this node.
     pub fn store_answers(self: &Arc<Self>, answers: bool) {
         let now = self.clock.now();
         let actions = self.agent().record_store_reachability(answers, now);
         self.perform(actions);
     }
+
     /// How long the next watch at the store may wait, and how long its answer may
     /// take after that.
     pub(super) fn watch_terms(&self) -> (Duration, Duration) {
         let mut agent = self.agent();
         (agent.next_watch_wait(), agent.store_call_timeout())
     }
+
     /// Notes how long the store took to answer.
     pub(super) fn record_store_latency(&self, time: Duration) {
         self.agent().record_store_latency(time);
     }
+
     /// Notes how long the whole document took over this node's link.
     pub(super) fn record_document_transfer(&self, transfer: Transfer) {
         self.agent()
             .record_document_transfer(transfer.bytes, transfer.time);
     }
+
     /// True when this node waits at the store for a new document.
     pub fn is_document_watcher(&self) -> bool {
         self.with_agent(Agent::is_document_watcher)
     }
+
     /// True once this node can tell whether it must watch the document.
     pub fn watcher_selection_known(&self) -> bool {
         self.with_agent(Agent::watcher_selection_known)
     }
+
     /// True when this node knows another one that may be reached.
     pub fn knows_peers(&self) -> bool {
         self.with_agent(|agent| agent.membership().reachable_peers().next().is_some())
     }
+
     /// True when this node must read the document: it watches it, or lacks a
     /// version that others hold.
     pub fn needs_document(&self) -> bool {
         self.with_agent(|agent| agent.is_document_watcher() || agent.lacks_current_document())
     }
+
     /// Takes what the back end beside this node reports; true when all of it is in force
     /// here, so that it may be acknowledged.
     pub fn on_backend_report(self: &Arc<Self>, report: BackendReport) -> bool {
@@ -289,6 +308,7 @@
         self.refresh_endpoints();
         taken.acknowledge
     }
+
     /// The incarnation of the back end beside this node that reported last, and when.
     pub fn last_backend_report(&self) -> Option<(InstanceId, Moment)> {
         self.with_agent(|agent| {
@@ -296,6 +316,7 @@
             Some((instance.clone(), heard))
         })
     }
+
     /// Takes up what an earlier life of this node knew of its back end.
     pub fn restore_backend(self: &Arc<Self>, endpoint: EndpointRecord) {
         let now = self.clock.now();
@@ -303,6 +324,7 @@
         self.perform(actions);
         self.refresh_endpoints();
     }
+
     /// The back end at the address says that it is not `instance`.
     pub fn on_misdirected(self: &Arc<Self>, instance: &InstanceId) {
         let now = self.clock.now();
@@ -310,32 +332,38 @@
         self.perform(actions);
         self.refresh_endpoints();
     }
+
     /// Takes a list of nodes that exist.
     pub fn on_machines(self: &Arc<Self>, machines: &[Machine]) {
         let now = self.clock.now();
         let actions = self.agent().set_machines(machines, now);
         self.perform(actions);
     }
+
     /// Takes nodes that exist besides those that are known.
     pub fn on_further_machines(self: &Arc<Self>, machines: &[Machine]) {
         let now = self.clock.now();
         let actions = self.agent().add_machines(machines, now);
         self.perform(actions);
     }
+
     /// True once the directory was read, or where there is none.
     pub fn is_listed(&self) -> bool {
         let directory = self.directory.as_ref();
         directory.is_none_or(|directory| directory.is_listed())
     }
+
     /// True when this node holds no document, or an older one than a peer.
     pub fn lacks_current_document(&self) -> bool {
         self.with_agent(Agent::lacks_current_document)
     }
+
     /// Takes what this node has to report of its load.
     pub fn record_load(&self, report: LoadReport) {
         let now = self.clock.now();
         self.agent().record_load(report, now);
     }
+
     /// The gate beside the back end has measured its standing speed.
     pub fn record_backend_speed(self: &Arc<Self>, instance: &InstanceId, speed_percent: u16) {
         let known = self.with_agent(|agent| {
@@ -353,44 +381,54 @@
         self.perform(actions);
         tracing::info!(%instance, speed_percent, "speed of the back end");
     }
+
     /// What is known of the load of each zone, as of the last tick.
     pub fn zone_loads(&self) -> Arc<ZoneLoads> {
         self.zone_loads.load_full()
     }
+
     /// The back end beside this node, if there is one.
     pub fn local_backend(&self) -> Option<LocalBackend> {
         let endpoints = self.endpoints();
         endpoints.local.clone()
     }
+
     /// True while callers should come to this node.
     pub fn takes_callers(&self) -> bool {
         self.is_ready() && !self.stopping.load(Ordering::Acquire)
     }
+
     /// A planned stop begins: callers should go elsewhere.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
+
     /// Cuts this node off from `peers`: nothing is sent to them or taken from
     /// them. For experiments; an empty set heals the cut.
     pub fn cut_off(&self, peers: HashSet<NodeId>) {
         self.cut_off.store(Arc::new(peers));
     }
+
     /// The configuration in force.
     pub fn active(&self) -> Arc<ActiveConfig> {
         self.in_force.load()
     }
+
     /// Who may get calls now.
     pub fn endpoints(&self) -> Arc<EndpointMap> {
         self.endpoints.load_full()
     }
+
     /// True while calls may be served.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
+
     /// True while the back end takes no new work.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
+
     // ---- events ----
 
     async fn tick(self: Arc<Self>) {
@@ -407,6 +445,7 @@
             async_std::task::sleep(TICK).await;
         }
     }
+
     async fn watch_machines(self: Arc<Self>, list: Arc<dyn MachineList>, interval: Duration) {
         let mut known = false;
         loop {
@@ -425,6 +464,7 @@
             async_std::task::sleep(base.mul_f64(jitter)).await;
         }
     }
+
     /// In a storm of news the endpoints are joined once for many messages.
     pub(super) fn join_endpoints_soon(self: &Arc<Self>, now: Moment) {
         let last = self.endpoints_joined.load(Ordering::Relaxed);
@@ -444,6 +484,7 @@
             }
         });
     }
+
     /// Joins configuration and membership again if either has changed.
     pub(super) fn refresh_endpoints(&self) {
         // Under the agent's lock to the end: what an earlier look found must not take
@@ -456,6 +497,7 @@
             }
         });
     }
+
     fn join_endpoints(&self, map: EndpointMap) {
         let now = self.clock.now();
         self.endpoints_joined.store(now.0, Ordering::Relaxed);
@@ -463,6 +505,7 @@
         self.metrics.endpoints.set(map.count() as i64);
         self.endpoints.store(Arc::new(map));
     }
+
     fn refresh_zone_loads(&self, now: Moment) {
         let zones = self.with_agent(|agent| agent.zone_loads(now));
         if zones.is_empty() && self.zone_loads.load().zones.is_empty() {
@@ -471,6 +514,7 @@
         let loads = ZoneLoads { as_of: now, zones };
         self.zone_loads.store(Arc::new(loads));
     }
+
     /// Shows how old the store's last answer is, and who watches.
     fn show_store_watch(&self, now: Moment) {
         let (age, watches) =
@@ -481,6 +525,7 @@
         let era = i64::try_from(self.store_era()).unwrap_or(i64::MAX);
         self.metrics.store_era.set(era);
     }
+
     /// Version in force.
     pub fn version(&self) -> Version {
         self.active().state.version()
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -32,6 +32,7 @@
 use std::num::NonZeroU32;
 use std::sync::Arc;
 use std::time::Duration;
+
 /// Connections that peers may hold.
 const PEER_CONNECTIONS: usize = 16_384;
 /// Time between two looks for back ends that came into service.
@@ -42,6 +43,7 @@
 const DOWN_AFTER: u32 = 3;
 /// Pause between two looks at the calls in flight while draining.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
+
 /// Why a node cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
@@ -62,6 +64,7 @@
     #[error("keys: {0}")]
     Key(#[from] InvalidKey),
 }
+
 /// A running node.
 pub struct Node {
     /// Its control side.
@@ -75,6 +78,7 @@
     peers_stop: ShutdownHandle,
     tasks: TaskGroup,
 }
+
 impl Node {
     /// Binds every listener and starts. `adapter` reaches the platform where
     /// the configuration is a document.
@@ -84,6 +88,7 @@
     ) -> Result<Arc<Self>, NodeError> {
         Self::start_with(settings, adapter, EntryMode::default()).await
     }
+
     /// Starts with a way to place calls; for experiments.
     pub async fn start_with(
         settings: NodeSettings,
@@ -118,6 +123,7 @@
             .spawn(notice_changes(control, path.entry, path.gate, path.limits));
         Ok(node)
     }
+
     /// Answers the platform's questions and takes the back end's reports.
     fn serve_platform(
         &self,
@@ -143,6 +149,7 @@
             self.tasks.spawn(serving);
         }
     }
+
     fn serve_callers(&self, listener: TcpListener, entry: Arc<Entry>) {
         let server = Server {
             limits: self.caller_limits(),
@@ -151,6 +158,7 @@
         self.tasks
             .spawn(server.serve(listener, CallerService(entry)));
     }
+
     /// What the configuration in force allows callers, else the settings.
     fn caller_limits(&self) -> LimitsProvider {
         let own = &self.settings.limits;
@@ -174,6 +182,7 @@
             }
         })
     }
+
     fn serve_peers(&self, listener: TcpListener, service: Arc<PeerService>) {
         let limits = ServerLimits {
             max_connections: PEER_CONNECTIONS,
@@ -186,6 +195,7 @@
                 service.clone().handle(request, peer)
             }));
     }
+
     /// The back end's own word is a hint: three failed looks in a row count,
     /// and a back end that wants no new work starts a drain.
     async fn watch_backend(self: Arc<Self>) {
@@ -220,6 +230,7 @@
             self.control.set_backend_up(failures < DOWN_AFTER);
         }
     }
+
     /// A planned stop: no new work, calls in flight end, then everything ends.
     /// Returns the number of calls that the grace cut.
     pub async fn drain(&self) -> u32 {
@@ -248,6 +259,7 @@
         async_std::task::sleep(DRAIN_POLL * 5).await;
         cut
     }
+
     /// Takes over a changed settings file without cutting anything. What only a
     /// restart can change is named in the log.
     pub fn reload(&self, settings: &NodeSettings) {
@@ -266,6 +278,7 @@
         let changed = *before != *self.live.get();
         tracing::info!(changed, ?needs_restart, "settings reloaded");
     }
+
     /// Ends at once, as the end of the process would.
     pub async fn kill(&self) {
         self.tasks.cancel().await;
@@ -274,6 +287,7 @@
         self.control.stop().await;
     }
 }
+
 /// A report is acknowledged once the crash that it shows is known: what ended the
 /// incarnation before would else find this one for up to [`CHANGE_INTERVAL`].
 async fn take_report(
@@ -285,6 +299,7 @@
     gate.check_incarnation();
     response
 }
+
 async fn notice_changes(
     control: Arc<Control>,
     entry: Arc<Entry>,
@@ -308,6 +323,7 @@
         async_std::task::sleep(CHANGE_INTERVAL).await;
     }
 }
+
 fn bind_for(purpose: &'static str, address: SocketAddr) -> Result<TcpListener, NodeError> {
     bind(address).map_err(|source| NodeError::Bind {
         purpose,
@@ -315,6 +331,7 @@
         source,
     })
 }
+
 /// The sockets of a node, bound before anything starts.
 struct Listeners {
     callers: TcpListener,
@@ -323,6 +340,7 @@
     ready: Option<TcpListener>,
     reports: Option<TcpListener>,
 }
+
 impl Listeners {
     fn bind(settings: &NodeSettings) -> Result<Self, NodeError> {
         let listen = &settings.listen;
@@ -340,6 +358,7 @@
         })
     }
 }
+
 /// The parts that a call passes through.
 struct CallPath {
     gate: Arc<Gate>,
@@ -348,6 +367,7 @@
     secrets: Option<Arc<SecretKeeper>>,
     limits: Arc<TenantLimits>,
 }
+
 impl CallPath {
     fn new(
         settings: &NodeSettings,
@@ -413,6 +433,7 @@
         })
     }
 }
+
 /// The fleet's keys of the settings, if there are any.
 pub fn keyring(settings: &NodeSettings) -> Result<Option<Keyring>, InvalidKey> {
     let Some(keys) = &settings.keys else {
@@ -426,6 +447,7 @@
         .collect::<Result<_, _>>()?;
     Ok(Some(Keyring::new(current, accepted)))
 }
+
 /// The control side that the settings ask for.
 pub fn control_parts(
     settings: &NodeSettings,
@@ -476,6 +498,7 @@
         seed: rand::random(),
     })
 }
+
 fn change_log_source(settings: &NodeSettings) -> SourceParts {
     let platform = &settings.platform;
     let client = |address| {
--- a/crates/rampthread-wire/tests/rollouts.rs
+++ b/crates/rampthread-wire/tests/rollouts.rs
@@ -2,6 +2,7 @@
 //! becomes of the roll-out, with nodes that end, a store that is away, and lossy messages.
 
 mod fleet;
+
 use fleet::Fleet;
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::evidence::{EvidenceRecorder, ResponseOutcome, ResponseSource};
@@ -12,6 +13,7 @@
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
+
 const NODES: usize = 24;
 const ZONES: usize = 3;
 const STEP: Duration = Duration::from_millis(100);
@@ -21,12 +23,15 @@
     exposure_slack_calls: 50.0,
     rollback_deadline: Duration::from_secs(5),
 };
+
 fn name(text: &str) -> ResourceName {
     ResourceName::new(text).unwrap()
 }
+
 fn version(text: &str) -> SoftwareVersion {
     SoftwareVersion::new(text).unwrap()
 }
+
 /// A fleet whose even nodes stand beside back ends of the old version, and whose odd ones
 /// beside those of the new one. Callers call from every node.
 struct Play {
@@ -53,6 +58,7 @@
     /// Nodes that peers and the store do not reach.
     out_of_touch: BTreeSet<usize>,
 }
+
 impl Play {
     fn new(seed: u64, fails: f64) -> Self {
         let mut fleet = Fleet::new(NODES, ZONES, seed);
@@ -81,6 +87,7 @@
             out_of_touch: BTreeSet::new(),
         }
     }
+
     fn order(&mut self) {
         self.began = self.fleet.now;
         self.fleet.write_order(RolloutOrder {
@@ -90,9 +97,11 @@
             duration: DURATION,
         });
     }
+
     fn elapsed(&self) -> Duration {
         self.fleet.now.since(self.began)
     }
+
     fn run(&mut self, time: Duration) {
         let end = self.fleet.now + time;
         while self.fleet.now < end {
@@ -107,6 +116,7 @@
             self.fleet.run(STEP);
         }
     }
+
     /// One call of the node's callers, as an entry places it.
     fn call(&mut self, index: usize) {
         let now = self.fleet.now;
@@ -155,6 +165,7 @@
         };
         self.books.entry(index).or_default().record(place, answer);
     }
+
     fn note_bad(&mut self, failed: bool, to_target: bool, index: usize) {
         let now = self.fleet.now;
         self.bad += u64::from(failed);
@@ -168,12 +179,14 @@
             self.too_late += 1;
         }
     }
+
     fn tell(&mut self, index: usize) {
         if let Some(book) = self.books.get(&index) {
             let evidence = book.all();
             self.fleet.record_version_evidence(index, evidence);
         }
     }
+
     fn note_phase(&mut self, index: usize) {
         let states = self.fleet.agent(index).rollouts(self.fleet.now);
         let Some(state) = states.first() else {
@@ -187,12 +200,14 @@
         );
         *known = state.phase;
     }
+
     fn kill(&mut self, index: usize) {
         self.fleet.kill(index);
         self.meters.remove(&index);
         self.books.remove(&index);
         self.phases.remove(&index);
     }
+
     fn decider(&self) -> Option<usize> {
         let now = self.fleet.now;
         let running = self.fleet.running().into_iter();
@@ -200,9 +215,11 @@
             .filter(|index| !self.fleet.frozen.contains(index))
             .find(|index| self.fleet.agent(*index).is_rollout_decider(now))
     }
+
     fn phase(&self) -> Option<Phase> {
         self.fleet.roll_outs.phase()
     }
+
     fn all_know(&self, phase: Phase) -> bool {
         let running = self.fleet.running().into_iter();
         running
@@ -212,6 +229,7 @@
                 states.first().is_some_and(|state| state.phase == phase)
             })
     }
+
     fn check_exposure(&self) {
         let allowed = self.total as f64 * BOUNDS.exposure_share + BOUNDS.exposure_slack_calls;
         let (target, total) = (self.target, self.total);
@@ -224,6 +242,7 @@
             "calls later than the bound after the 50th bad answer"
         );
     }
+
     /// A state on record never goes back, and ends once.
     fn check_records(&self) {
         let written = &self.fleet.roll_outs.written;
@@ -238,6 +257,7 @@
             .collect();
         assert!(ends.len() <= 1, "{written:?}");
     }
+
     fn succeeded_in_time(&self) -> bool {
         let written = self.fleet.roll_outs.written.iter();
         written
@@ -245,6 +265,7 @@
             .any(|(_, _, at)| at.since(self.began) <= DURATION)
     }
 }
+
 #[rstest]
 fn a_good_version_takes_over_before_the_deadline(#[values(1, 2, 3)] seed: u64) {
     let mut play = Play::new(seed, 0.0);
@@ -260,6 +281,7 @@
     // Nobody knew that it was good: the bound holds for it as well.
     play.check_exposure();
 }
+
 #[rstest]
 #[case::at_once(0.3, 0)]
 #[case::seldom(0.15, 0)]
@@ -281,6 +303,7 @@
     play.check_records();
     play.check_exposure();
 }
+
 #[rstest]
 #[case::good(0.0, Phase::Succeeded)]
 #[case::bad(0.5, Phase::RolledBack)]
@@ -303,6 +326,7 @@
     play.check_records();
     assert_eq!(play.too_late, 0);
 }
+
 #[rstest]
 fn a_decider_that_wakes_late_changes_nothing(#[values(1, 2, 3)] seed: u64) {
     let mut play = Play::new(seed, 0.0);
@@ -319,6 +343,7 @@
     assert!(play.all_know(Phase::Succeeded));
     play.check_records();
 }
+
 #[rstest]
 #[case::good(0.0, Phase::Succeeded)]
 #[case::bad(0.5, Phase::RolledBack)]
@@ -344,6 +369,7 @@
     play.check_records();
     assert_eq!(play.too_late, 0);
 }
+
 #[rstest]
 fn a_store_that_is_away_at_the_move_only_delays_the_end(#[values(1, 2, 3)] seed: u64) {
     let mut play = Play::new(seed, 0.0);
@@ -359,6 +385,7 @@
     assert!(calls < 120, "{calls} calls");
     play.check_records();
 }
+
 #[rstest]
 fn a_cut_off_zone_stops_by_itself(#[values(1, 2)] seed: u64) {
     let mut play = Play::new(seed, 0.3);
@@ -373,6 +400,7 @@
     assert!(play.all_know(Phase::RolledBack));
     play.check_records();
 }
+
 #[rstest]
 fn a_whole_fleet_that_restarts_finds_the_end_on_record(#[values(1, 2)] seed: u64) {
     let mut play = Play::new(seed, 0.0);
@@ -390,6 +418,7 @@
     assert!(play.all_know(Phase::Succeeded));
     play.check_records();
 }
+
 /// The time since the order is on record: it does not begin anew.
 #[rstest]
 fn a_fleet_that_restarts_amid_a_roll_out_ends_it_in_time(#[values(1, 2)] seed: u64) {
@@ -410,6 +439,7 @@
     assert!(play.succeeded_in_time(), "{written:?}");
     play.check_records();
 }
+
 #[rstest]
 fn a_record_that_the_store_lost_is_written_again(#[values(1, 2)] seed: u64) {
     let mut play = Play::new(seed, 0.5);
@@ -423,6 +453,7 @@
     assert_eq!(play.phase(), Some(Phase::RolledBack));
     play.check_records();
 }
+
 /// The last rows before the traffic stops get lost: they are told again.
 #[rstest]
 fn evidence_that_was_lost_counts_though_the_traffic_stops(#[values(1, 2, 3)] seed: u64) {
@@ -438,6 +469,7 @@
     play.fleet.run(Duration::from_secs(3));
     assert_eq!(play.phase(), Some(Phase::RolledBack));
 }
+
 #[test]
 fn without_an_order_nothing_is_sent_or_asked() {
     let mut fleet = Fleet::new(NODES, ZONES, 1);
@@ -457,6 +489,7 @@
         .collect();
     assert!(!kinds.contains(&"roll-outs") && !kinds.contains(&"version-evidence"));
 }
+
 /// Versions side by side without an order: peers are asked whether there is one, seldom
 /// after a while.
 #[test]
@@ -474,6 +507,7 @@
         .sum();
     assert!(asked <= 2 * NODES as u64, "{asked} questions");
 }
+
 /// Deaths, suspensions, cuts, an absent store and lost answers, by chance.
 #[rstest]
 fn chance_breaks_no_promise(
