--- a/crates/rampthread-node/src/calls/entry/attempt.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt.rs
@@ -108,7 +108,7 @@
         let now = self.now();
         bytes >= LARGE_BODY_BYTES
             || self
-                .room(call)
+                .acceptance_estimate(call)
                 .should_ask_before_body(&selected.zone, bytes, now)
     }
 
@@ -247,9 +247,9 @@
         if outcome != Outcome::Completed {
             let call_error = error_from_response(&response, outcome);
             // A backend that sheds load had a slot for the call.
-            let had_room = call_error.cause == Cause::Shed;
-            if had_room || call_error.cause.is_out_of_capacity() {
-                self.record_admission(call, selected, !had_room);
+            let had_capacity = call_error.cause == Cause::Shed;
+            if had_capacity || call_error.cause.is_out_of_capacity() {
+                self.record_admission(call, selected, !had_capacity);
             }
             self.record_lost_response(call, selected, &call_error);
             return Err(call_error);
@@ -266,21 +266,21 @@
             whole
         };
         let now = self.now();
-        let took = now.since(started_at);
+        let elapsed = now.since(started_at);
         let route = &call.route.name;
         let failed = parts.status.is_server_error();
         // The time to a failure says nothing about the speed of the backend.
         if !failed {
             self.state()
                 .balancer
-                .record_response(node, route, took, now);
-            let work = took.saturating_sub(Duration::from_millis(waited));
+                .record_response(node, route, elapsed, now);
+            let service_time = elapsed.saturating_sub(Duration::from_millis(waited));
             let bytes = call.content.body_bytes() + declared.unwrap_or(0) as usize;
-            self.record_service_time(call, selected, work, bytes);
+            self.record_service_time(call, selected, service_time, bytes);
         }
         let answer = match failed {
             true => VersionResult::Failure,
-            false => VersionResult::Good(took),
+            false => VersionResult::Success(elapsed),
         };
         self.record_version_result(call, selected, answer);
         self.rewrite_response_headers(call, selected, &mut parts, outcome);
@@ -291,11 +291,11 @@
     /// Records the backend's speed as reported by the gate. A response without the header means
     /// normal speed.
     fn record_speed(&self, node: &NodeId, outcome: Outcome, from: &HeaderMap) {
-        let told = header_filter::header_str(from, headers::PACE).and_then(BackendSpeed::parse);
-        let as_usual = (outcome == Outcome::Completed).then(BackendSpeed::default);
-        if let Some(pace) = told.or(as_usual) {
+        let reported = header_filter::header_str(from, headers::PACE).and_then(BackendSpeed::parse);
+        let normal = (outcome == Outcome::Completed).then(BackendSpeed::default);
+        if let Some(speed) = reported.or(normal) {
             let now = self.now();
-            self.state().balancer.record_speed(node, pace, now);
+            self.state().balancer.record_speed(node, speed, now);
         }
     }
 
--- a/crates/rampthread-node/src/calls/entry/attempt_loop.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt_loop.rs
@@ -50,7 +50,7 @@
 /// Then the call itself is probably long, and would be long at another backend as well.
 const HEDGE_EXTENSION_FACTOR: u32 = 2;
 
-/// NextStep step of a call.
+/// Next event of a call.
 enum Event {
     Finished(Box<FinishedAttempt>),
     /// The only attempt in progress exceeded its expected time.
@@ -79,7 +79,7 @@
         template: &'call Request<Bytes>,
     ) -> Self {
         let mut attempts = Attempts::new(call.repeatable, call.deadline, call.route.max_attempts);
-        attempts.class = call.retry_claim();
+        attempts.class = call.retry_class();
         Self {
             entry,
             call,
@@ -116,9 +116,9 @@
         self.start_next_attempt()?;
         loop {
             progress.attempts = self.tried_nodes.len() as u32;
-            if let Some((zone, sent_away)) = &self.last_zone {
+            if let Some((zone, spilled)) = &self.last_zone {
                 progress.zone = Some(zone.clone());
-                progress.sent_away = *sent_away;
+                progress.spilled = *spilled;
             }
             match self.next_event().await {
                 Event::HedgeDue => self.start_hedge(),
@@ -163,7 +163,7 @@
     fn start_attempt(&mut self, selected: SelectedBackend) {
         let (entry, call, template) = (self.entry, self.call, self.template);
         self.tried_nodes.push(selected.node.clone());
-        self.last_zone = Some((selected.zone.clone(), selected.sent_away));
+        self.last_zone = Some((selected.zone.clone(), selected.spilled));
         let number = self.tried_nodes.len() as u32;
         let attempt = Attempt {
             selected,
@@ -201,12 +201,12 @@
         let (Some(timer), Some(node)) = (self.hedge_timer, self.tried_nodes.last()) else {
             return false;
         };
-        let answers = self
+        let has_answered_others = self
             .entry
             .state()
             .balancer
             .answered_since(node, timer.started_at);
-        if timer.was_extended || !answers {
+        if timer.was_extended || !has_answered_others {
             return false;
         }
         let wait = timer.at.since(timer.started_at) * HEDGE_EXTENSION_FACTOR;
@@ -227,7 +227,7 @@
             return;
         }
         self.hedge_timer = None;
-        if self.entry.standing(self.call) != QuarantineState::Unsuspected {
+        if self.entry.quarantine_state(self.call) != QuarantineState::Unsuspected {
             return;
         }
         let (entry, call, now) = (self.entry, self.call, self.entry.now());
@@ -260,7 +260,7 @@
     fn after_failure(&mut self, attempt: &Attempt, call_error: CallError) -> Result<(), CallError> {
         self.log(attempt, &call_error);
         let quarantined = matches!(
-            self.entry.standing(self.call),
+            self.entry.quarantine_state(self.call),
             QuarantineState::Quarantined { .. }
         );
         let (entry, now) = (self.entry, self.entry.now());
@@ -298,7 +298,7 @@
     fn count_retry(&self) {
         let metrics = &self.entry.control().metrics;
         metrics.retries.inc();
-        let claim = self.call.retry_claim().as_str();
+        let claim = self.call.retry_class().as_str();
         let label = RetryLabel { claim };
         metrics.retries_by_claim.get_or_create(&label).inc();
     }
--- a/crates/rampthread-node/src/calls/entry/call_setup.rs
+++ b/crates/rampthread-node/src/calls/entry/call_setup.rs
@@ -38,7 +38,7 @@
     }
 
     /// Matches the route and resolves the service, tenant, deadline and priority of the call.
-    pub(super) fn plan(
+    pub(super) fn prepare_call(
         &self,
         call_id: &str,
         request: &Request<RequestBody>,
@@ -72,7 +72,7 @@
             caller: self.caller_name(from),
             hops,
             started_at,
-            deadline: started_at + self.patience(&route, requested_timeout),
+            deadline: started_at + self.time_limit(&route, requested_timeout),
             token_tenant,
             rank: admission::rank(tenant.as_deref(), &route),
             precedence: self.precedence(&route, age),
@@ -100,7 +100,7 @@
 
     /// Time limit of the call. Where the platform's dialect is in use, the requested deadline
     /// is capped by the route's timeout; otherwise it may exceed it.
-    fn patience(&self, route: &Route, requested_timeout: Option<Duration>) -> Duration {
+    fn time_limit(&self, route: &Route, requested_timeout: Option<Duration>) -> Duration {
         let timeout = Duration::from_millis(route.timeout_ms);
         match requested_timeout {
             Some(requested_timeout) if self.options.dialect.request_id.is_some() => {
@@ -131,9 +131,9 @@
         if age.is_zero() {
             return Precedence::FirstAttempt;
         }
-        let answer_time = state.balancer.mean_time(&route.name).unwrap_or_default();
+        let response_time = state.balancer.mean_time(&route.name).unwrap_or_default();
         let target = route.target_latency_ms.map(Duration::from_millis);
-        match target.is_some_and(|target| age + answer_time < target) {
+        match target.is_some_and(|target| age + response_time < target) {
             true => Precedence::FirstAttempt,
             false => Precedence::Retry,
         }
--- a/crates/rampthread-node/src/calls/entry/demand.rs
+++ b/crates/rampthread-node/src/calls/entry/demand.rs
@@ -10,26 +10,31 @@
     /// here, or if no other zone has backends of them.
     pub fn service_demand(&self) -> Vec<ServiceLoad> {
         let now = self.now();
-        let home = &self.options.zone;
+        let local_zone = &self.options.zone;
         let endpoints = self.control().endpoints();
-        let news = self.control().zone_loads().at(now);
+        let reports = self.control().zone_loads().at(now);
         let mut state = self.state();
         let zones = &mut state.zones;
-        let beyond = |service: &&ResourceName| {
+        let in_other_zones = |service: &&ResourceName| {
             let known = endpoints.service(service);
-            known.is_some_and(|known| known.is_beyond(home))
+            known.is_some_and(|known| known.is_beyond(local_zone))
         };
-        let services: Vec<ResourceName> = zones.demand.services().filter(beyond).cloned().collect();
+        let services: Vec<ResourceName> = zones
+            .demand
+            .services()
+            .filter(in_other_zones)
+            .cloned()
+            .collect();
         let mut loads = Vec::new();
         for service in services {
-            let publication_windows = zones
+            let window = zones
                 .publication_windows
                 .entry(service.clone())
                 .or_default();
-            if is_loaded(&service, home, &news) {
-                publication_windows.extend(now);
+            if is_loaded(&service, local_zone, &reports) {
+                window.extend(now);
             }
-            if publication_windows.is_reporting(now) {
+            if window.is_reporting(now) {
                 loads.push(ServiceLoad {
                     demand: to_milli_slots(zones.demand.slots(&service, now)),
                     ..ServiceLoad::zero(service)
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -63,8 +63,8 @@
 /// is for nodes that have not yet discovered each other.
 const USED_SLACK_RATIO: f64 = 0.7;
 
-/// Lowest acceptance probability, estimated from this entry's recent attempts, at which a call
-/// follows the zone plan. Below it the zone rejects more of these calls than it accepts, so its
+/// Minimum admission probability, estimated from this entry's recent attempts, at which a call
+/// is spilled by the zone plan. Below it the zone rejects more of these calls than it accepts, so its
 /// published capacity is stale.
 const MIN_SPILL_ADMISSION_PROBABILITY: f64 = 0.5;
 
@@ -96,7 +96,7 @@
     pub peers: Arc<PeerClient>,
     /// Gate of this node, called directly rather than over the network.
     pub gate: Arc<Gate>,
-    /// IdempotencyClaims of idempotency keys; `None` where callers send no keys.
+    /// Claims of idempotency keys; `None` where callers send no keys.
     pub claims: Option<Arc<IdempotencyClaims>>,
     /// Rate limits of tenants.
     pub tenant_limits: Arc<TenantLimits>,
@@ -119,7 +119,7 @@
     budgets: HashMap<ResourceName, RetryBudget>,
     serving: HashMap<NodeId, ResourceName>,
     attempt_ages: AttemptAges,
-    rooms: HashMap<ResourceName, AcceptanceEstimator>,
+    acceptance: HashMap<ResourceName, AcceptanceEstimator>,
     nested_routes: NestedRoutes,
     /// Lost responses of backends at other nodes, kept until a new incarnation shows a crash.
     lost_responses: PeerCrashDetector,
@@ -165,7 +165,7 @@
     /// Zone of the backend.
     zone: Zone,
     /// The call was spilled to another zone by the zone plan.
-    sent_away: bool,
+    spilled: bool,
     /// The backend appears to have a free slot.
     has_free_slot: bool,
     /// Another backend, not tried yet, appears to have a free slot.
@@ -190,7 +190,7 @@
                 budgets: HashMap::new(),
                 serving: HashMap::new(),
                 attempt_ages: AttemptAges::default(),
-                rooms: HashMap::new(),
+                acceptance: HashMap::new(),
                 nested_routes: NestedRoutes::default(),
                 lost_responses,
                 zones: ZoneRouting::default(),
@@ -298,7 +298,7 @@
             let call_error = CallError::not_run(Cause::NotReady, reason);
             return Err(call_error.retry_after(NO_BACKEND_RETRY_AFTER));
         }
-        let call = self.plan(call_id, &request, started_at)?;
+        let call = self.prepare_call(call_id, &request, started_at)?;
         progress.planned(&call, started_at);
         let token_tenant = call.token_tenant;
         let result = self.run_admitted(call, request, progress).await;
@@ -332,26 +332,26 @@
     }
 
     fn with_budget<T>(&self, call: &Call, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let share = self.retry_share(call);
-        let bounded = self.options.mode.limit_retries;
+        let limit = self.retry_limit(call);
+        let limit_retries = self.options.mode.limit_retries;
         let mut state = self.state();
         let budget = state
             .budgets
             .entry(call.service.clone())
             .or_insert_with(|| {
-                if bounded {
-                    RetryBudget::new(share)
+                if limit_retries {
+                    RetryBudget::new(limit)
                 } else {
                     RetryBudget::unlimited()
                 }
             });
-        budget.set_limit(share);
+        budget.set_limit(limit);
         act(budget)
     }
 
     /// This node's share of the fleet-wide retry limit. The ratio applies to the node's own
     /// calls; the slack is divided by the number of live nodes.
-    fn retry_share(&self, call: &Call) -> RetryLimit {
+    fn retry_limit(&self, call: &Call) -> RetryLimit {
         let Some(fleet) = self.options.live.get().retry_share else {
             let service = call.config.state.service(&call.service);
             let percent = service.map_or(0, |service| service.retry_percent);
@@ -368,7 +368,7 @@
     fn choose(&self, call: &Call, tried: &[NodeId]) -> Option<SelectedBackend> {
         let endpoints = self.control().endpoints();
         let service = endpoints.service(&call.service)?;
-        let on_trial = matches!(self.standing(call), QuarantineState::OnTrial { .. });
+        let on_trial = matches!(self.quarantine_state(call), QuarantineState::OnTrial { .. });
         let candidates = match on_trial {
             true => Cow::Owned(self.trial_endpoints(call, &service.endpoints)),
             false => Cow::Borrowed(&service.endpoints),
@@ -376,23 +376,25 @@
         let candidates = self.filter_by_rollout(call, service, candidates, tried);
         let now = self.now();
         let zone = &self.options.zone;
-        let room = self.room(call);
+        let acceptance_estimate = self.acceptance_estimate(call);
         let may_try = |zone: &Zone| match call.is_nested() {
-            true => room.should_ask_nested(zone, now),
-            false => room.should_ask(zone, now),
+            true => acceptance_estimate.should_ask_nested(zone, now),
+            false => acceptance_estimate.should_ask(zone, now),
         };
         let mut rng = rand::rng();
         let mut state = self.state();
         let plan = state.zones.plan(&call.service).cloned();
         // Where zones publish their capacity, only zones with free capacity are tried.
         let reports_free_slots = |to: &Zone| {
-            let shares = plan.as_ref().map(|plan| &plan.shares);
-            to == zone || shares.is_none_or(|shares| shares.has_spare_slots(to))
+            let spill_plan = plan.as_ref().map(|plan| &plan.spill_plan);
+            to == zone || spill_plan.is_none_or(|spill_plan| spill_plan.has_spare_slots(to))
         };
         let may_go_to = |to: &Zone| may_try(to) && reports_free_slots(to);
         let spill_zone = (plan.as_ref())
             .and_then(|plan| plan.draw(&call.route.name, &mut rng))
-            .filter(|zone| room.probability(zone, now) >= MIN_SPILL_ADMISSION_PROBABILITY);
+            .filter(|zone| {
+                acceptance_estimate.probability(zone, now) >= MIN_SPILL_ADMISSION_PROBABILITY
+            });
         let spilled = spill_zone.and_then(|zone| {
             let balancer = &state.balancer;
             balancer.choose_in(&candidates, tried, zone, now, &mut rng)
@@ -405,18 +407,18 @@
             other.node != chosen.node
                 && !tried.contains(&other.node)
                 && may_go_to(&other.zone)
-                && room.is_acceptance_likely(&other.zone, now)
+                && acceptance_estimate.is_acceptance_likely(&other.zone, now)
                 && state.balancer.has_free_slot(other, now)
         });
         Some(SelectedBackend {
-            sent_away: spilled.is_some(),
+            spilled: spilled.is_some(),
             zone: chosen.zone.clone(),
             has_free_slot: state.balancer.has_free_slot(chosen, now),
             node: chosen.node.clone(),
             target: service.targets.get(&chosen.node)?.clone(),
             others_have_free_slot,
             seen_load: state.balancer.seen_load(&chosen.node, now),
-            room_percent: (room.probability(&chosen.zone, now) * 100.0) as u32,
+            room_percent: (acceptance_estimate.probability(&chosen.zone, now) * 100.0) as u32,
             on_trial,
         })
     }
@@ -424,9 +426,9 @@
 
 impl Entry {
     /// Capacity estimate for the call's service, from recent attempts.
-    fn room(&self, call: &Call) -> AcceptanceEstimator {
+    fn acceptance_estimate(&self, call: &Call) -> AcceptanceEstimator {
         let state = self.state();
-        let known = state.rooms.get(&call.service).cloned();
+        let known = state.acceptance.get(&call.service).cloned();
         known.unwrap_or_else(|| AcceptanceEstimator::new(self.options.zone.clone()))
     }
 
@@ -436,11 +438,11 @@
         let now = self.now();
         let mut state = self.state();
         let unknown = || AcceptanceEstimator::new(self.options.zone.clone());
-        let room = state
-            .rooms
+        let acceptance_estimate = state
+            .acceptance
             .entry(call.service.clone())
             .or_insert_with(unknown);
-        room.record(&selected.zone, was_rejected, now);
+        acceptance_estimate.record(&selected.zone, was_rejected, now);
         if was_rejected {
             state.zones.record_rejection(&call.service, now);
         }
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -13,7 +13,7 @@
         self.precedence == Precedence::Nested
     }
 
-    pub(super) fn retry_claim(&self) -> RetryClass {
+    pub(super) fn retry_class(&self) -> RetryClass {
         match self.is_nested() {
             true => RetryClass::Nested,
             false => RetryClass::Caller,
--- a/crates/rampthread-node/src/calls/entry/progress.rs
+++ b/crates/rampthread-node/src/calls/entry/progress.rs
@@ -43,14 +43,14 @@
 pub(super) struct Progress {
     route: Option<Arc<Route>>,
     service: Option<ResourceName>,
-    standing: Option<CallPriority>,
+    priority: Option<CallPriority>,
     version: u64,
     pub(super) attempts: u32,
     allowed: Option<Duration>,
     /// Zone of the last attempt.
     pub(super) zone: Option<Zone>,
     /// The last attempt was spilled to another zone.
-    pub(super) sent_away: bool,
+    pub(super) spilled: bool,
     /// Identity of the request, set once a response to it was lost.
     pub(super) identity: Option<RequestIdentity>,
 }
@@ -59,23 +59,23 @@
     pub(super) fn planned(&mut self, call: &Call, started_at: Moment) {
         self.route = Some(call.route.clone());
         self.service = Some(call.service.clone());
-        self.standing = Some(CallPriority::of(call));
+        self.priority = Some(CallPriority::of(call));
         self.version = call.config.state.version().0;
         self.allowed = Some(call.deadline.since(started_at));
     }
 
-    pub(super) fn ended<'a>(&'a self, request_id: &'a str, took: Duration) -> EndedCall<'a> {
+    pub(super) fn ended<'a>(&'a self, request_id: &'a str, elapsed: Duration) -> EndedCall<'a> {
         let route = self.route.as_ref();
         EndedCall {
             request_id,
             route: route.map(|route| route.name.as_str()),
             service: self.service.as_ref().map(ResourceName::as_str),
-            standing: self.standing.as_ref().map(CallPriority::line),
+            standing: self.priority.as_ref().map(CallPriority::line),
             version: self.version,
             tries: self.attempts,
             zone: self.zone.as_ref().map(Zone::as_str),
-            sent_away: self.sent_away,
-            took,
+            sent_away: self.spilled,
+            took: elapsed,
             allowed: self.allowed,
             target: route
                 .and_then(|route| route.target_latency_ms)
--- a/crates/rampthread-node/src/calls/entry/quarantine.rs
+++ b/crates/rampthread-node/src/calls/entry/quarantine.rs
@@ -21,7 +21,7 @@
         call.content.identity(&self.control().identity_key)
     }
 
-    pub(super) fn standing(&self, call: &Call) -> QuarantineState {
+    pub(super) fn quarantine_state(&self, call: &Call) -> QuarantineState {
         self.control().standing(|| self.identity(call))
     }
 
@@ -31,7 +31,7 @@
         call: &Call,
         progress: &mut Progress,
     ) -> Result<(), CallError> {
-        let QuarantineState::Quarantined { crashes, left } = self.standing(call) else {
+        let QuarantineState::Quarantined { crashes, left } = self.quarantine_state(call) else {
             return Ok(());
         };
         progress.identity = Some(self.identity(call));
--- a/crates/rampthread-node/src/calls/entry/retry_advice.rs
+++ b/crates/rampthread-node/src/calls/entry/retry_advice.rs
@@ -22,9 +22,9 @@
         if !shed {
             return call_error;
         }
-        let answer_time = self.state().balancer.mean_time(&call.route.name);
+        let response_time = self.state().balancer.mean_time(&call.route.name);
         let advice = self.remaining_target(call).and_then(|left| {
-            retry_after::after_shed(left, answer_time.unwrap_or_default(), rand::random())
+            retry_after::after_shed(left, response_time.unwrap_or_default(), rand::random())
         });
         match advice {
             Some(wait) => call_error.retry_after(wait),
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -159,15 +159,15 @@
             return;
         }
         let failed = matches!(answer, VersionResult::Failure);
-        let of_target = *version == rule.target;
+        let is_target = *version == rule.target;
         let metrics = &self.control().metrics;
-        metrics.count_judged_call(of_target, failed);
+        metrics.count_judged_call(is_target, failed);
         let answer = match answer {
             VersionResult::Failure => ResponseOutcome::Failure,
-            VersionResult::Good(_) if self.is_cold(selected) => {
+            VersionResult::Success(_) if self.is_warming_up(selected) => {
                 ResponseOutcome::SuccessDuringWarmUp
             }
-            VersionResult::Good(took) => ResponseOutcome::Success(took),
+            VersionResult::Success(elapsed) => ResponseOutcome::Success(elapsed),
         };
         let place = ResponseSource {
             service: &call.service,
@@ -179,7 +179,7 @@
         self.state().versions.evidence.record(place, answer);
     }
 
-    fn is_cold(&self, selected: &SelectedBackend) -> bool {
+    fn is_warming_up(&self, selected: &SelectedBackend) -> bool {
         let now = self.now();
         let state = self.state();
         let since = state.versions.ready_since.get(&selected.node);
@@ -216,5 +216,5 @@
     /// The backend failed, or did not respond before the deadline.
     Failure,
     /// Successful response after this time.
-    Good(Duration),
+    Success(Duration),
 }
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -20,9 +20,9 @@
 
 /// Present distribution of the calls to one service.
 pub(super) struct ZonePlan {
-    pub(super) shares: SpillPlan,
+    pub(super) spill_plan: SpillPlan,
     /// Probability that a call goes to another zone, by route.
-    chances: HashMap<ResourceName, f64>,
+    spill_probabilities: HashMap<ResourceName, f64>,
 }
 
 /// Demand and zone plans known to this entry.
@@ -45,17 +45,17 @@
     /// Keeps publishing the demand for `service` after a gate rejected a call for lack of
     /// capacity.
     pub(super) fn record_rejection(&mut self, service: &ResourceName, now: Moment) {
-        let publication_windows = self.publication_windows.entry(service.clone()).or_default();
-        publication_windows.extend(now);
+        let window = self.publication_windows.entry(service.clone()).or_default();
+        window.extend(now);
     }
 }
 
 impl ZonePlan {
     /// Draws the zone that a call of `route` is sent to; `None` keeps it local.
     pub(super) fn draw(&self, route: &ResourceName, rng: &mut impl Rng) -> Option<&Zone> {
-        let chance = *self.chances.get(route)?;
-        let leaves = rng.random_bool(chance.clamp(0.0, 1.0));
-        leaves.then(|| self.shares.pick_zone(rng)).flatten()
+        let spill_probability = *self.spill_probabilities.get(route)?;
+        let spills = rng.random_bool(spill_probability.clamp(0.0, 1.0));
+        spills.then(|| self.spill_plan.pick_zone(rng)).flatten()
     }
 }
 
@@ -67,17 +67,17 @@
         demand.record_request(&call.service, &call.route.name, bytes, now);
     }
 
-    /// Records a response whose call held a slot for `work`.
+    /// Records a response whose call held a slot for `service_time`.
     pub(super) fn record_service_time(
         &self,
         call: &Call,
         selected: &SelectedBackend,
-        work: Duration,
+        service_time: Duration,
         bytes: usize,
     ) {
         let mut state = self.state();
         let demand = &mut state.zones.demand;
-        demand.record_response(&call.service, &call.route.name, work, bytes);
+        demand.record_response(&call.service, &call.route.name, service_time, bytes);
         drop(state);
         if selected.zone != self.options.zone {
             let label = SentAwayLabel {
@@ -96,9 +96,9 @@
     /// Recomputes the distribution over zones from the latest reports.
     pub(super) fn plan_zones(&self) {
         let now = self.now();
-        let home = &self.options.zone;
+        let local_zone = &self.options.zone;
         let endpoints = self.control().endpoints();
-        let news = self.control().zone_loads().at(now);
+        let reports = self.control().zone_loads().at(now);
         let mut state = self.state();
         let zones = &mut state.zones;
         zones.demand.forget_idle(now);
@@ -108,17 +108,22 @@
         for service in services {
             let known = endpoints.service(&service);
             let slots = known.map(|known| known.slots_by_zone()).unwrap_or_default();
-            let Some(mut zone_demands) = zone_demands(&service, home, &slots, &news) else {
+            let Some(mut zone_demands) = zone_demands(&service, local_zone, &slots, &reports)
+            else {
                 zones.plans.remove(&service);
                 continue;
             };
             zones.trends.forecast(&service, &mut zone_demands, now);
-            let shares = plan_spill(home, &zone_demands);
-            zones.log(&service, home, &shares, &zone_demands, now);
-            let chances = zones
-                .demand
-                .spill_probabilities(&service, shares.spill_fraction, now);
-            let plan = Arc::new(ZonePlan { shares, chances });
+            let spill_plan = plan_spill(local_zone, &zone_demands);
+            zones.log(&service, local_zone, &spill_plan, &zone_demands, now);
+            let spill_probabilities =
+                zones
+                    .demand
+                    .spill_probabilities(&service, spill_plan.spill_fraction, now);
+            let plan = Arc::new(ZonePlan {
+                spill_plan,
+                spill_probabilities,
+            });
             zones.plans.insert(service, plan);
         }
     }
@@ -129,25 +134,27 @@
     fn log(
         &mut self,
         service: &ResourceName,
-        home: &Zone,
-        shares: &SpillPlan,
+        local_zone: &Zone,
+        spill_plan: &SpillPlan,
         zone_demands: &[ZoneDemand],
         now: Moment,
     ) {
-        let (share, at) = self.logged.get(service).copied().unwrap_or_default();
-        let changed = (shares.spill_fraction - share).abs() >= MIN_LOGGED_CHANGE;
+        let (logged_fraction, at) = self.logged.get(service).copied().unwrap_or_default();
+        let changed = (spill_plan.spill_fraction - logged_fraction).abs() >= MIN_LOGGED_CHANGE;
         if !changed || now.since(at) < MIN_LOG_INTERVAL {
             return;
         }
         self.logged
-            .insert(service.clone(), (shares.spill_fraction, now));
-        let own = zone_demands.iter().find(|standing| standing.zone == *home);
+            .insert(service.clone(), (spill_plan.spill_fraction, now));
+        let own = zone_demands
+            .iter()
+            .find(|demand| demand.zone == *local_zone);
         tracing::info!(
             %service,
-            away_percent = (shares.spill_fraction * 100.0).round(),
+            away_percent = (spill_plan.spill_fraction * 100.0).round(),
             demand = own.map(|own| own.demand.round()),
             capacity = own.map(|own| own.capacity.round()),
-            rooms = ?shares.spare_slots,
+            rooms = ?spill_plan.spare_slots,
             "share of spilled calls changed"
         );
     }
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -64,14 +64,14 @@
     admission: AdmissionController,
     fences: FenceTable,
     service_times: ServiceTimes,
-    dependencies: NestedCallDetector,
+    nested_calls: NestedCallDetector,
     transfers: BodyTransfers,
     /// Large bodies that are queued for a transfer permit.
     queued_bodies: HashMap<CallNumber, async_channel::Sender<()>>,
     /// Transfer permits by call id, until the body starts to arrive.
     permits: HashMap<String, TransferPermit>,
     /// Responses that the backend lost, until it is known whether it crashed.
-    crash_watch: CrashDetector,
+    crash_detector: CrashDetector,
     /// Numbers the incarnations of a backend that does not report them itself.
     incarnations: IncarnationNames,
     /// The request on trial, if any.
@@ -173,11 +173,11 @@
                 admission: AdmissionController::new(limits),
                 fences: FenceTable::new(now),
                 service_times: ServiceTimes::default(),
-                dependencies: NestedCallDetector::default(),
+                nested_calls: NestedCallDetector::default(),
                 transfers: BodyTransfers::default(),
                 queued_bodies: HashMap::new(),
                 permits: HashMap::new(),
-                crash_watch: CrashDetector::with_heartbeat(options.heartbeat),
+                crash_detector: CrashDetector::with_heartbeat(options.heartbeat),
                 incarnations: IncarnationNames::default(),
                 trial: None,
                 measured_backend: None,
@@ -262,7 +262,7 @@
 
     /// Tells the entry that `route` carries nested calls, which only the gate can see.
     fn add_nested_header(&self, route: &ResourceName, response: &mut Response<Body>) {
-        if self.state().dependencies.is_nested(route) {
+        if self.state().nested_calls.is_nested(route) {
             let word = Precedence::Nested.as_str();
             set_response_header(response, headers::PRECEDENCE, word);
         }
--- a/crates/rampthread-node/src/calls/gate/admission.rs
+++ b/crates/rampthread-node/src/calls/gate/admission.rs
@@ -45,7 +45,7 @@
         if state.measured_backend.as_ref() != Some(&backend.name) {
             state.measured_backend = Some(backend.name.clone());
             state.service_times.clear();
-            state.dependencies.clear();
+            state.nested_calls.clear();
             state.speed = SpeedMeter::starting(backend.cold, self.control.clock.now());
         }
         state.admission.set_draining(draining);
@@ -73,7 +73,7 @@
         let now = self.control.clock.now();
         let waiting = {
             let mut state = self.state();
-            let precedence = precedence(&mut state.dependencies, hop);
+            let precedence = precedence(&mut state.nested_calls, hop);
             let arrival = self.arrival(&state, hop, number, precedence, now);
             let (max_wait, left) = (arrival.max_wait, hop.deadline.since(now));
             match state.admission.arrive(arrival, now) {
@@ -89,8 +89,8 @@
                 }
             }
         };
-        if let Some((turn, longest)) = waiting {
-            self.wait_in_queue(number, turn, longest).await?;
+        if let Some((signal, longest)) = waiting {
+            self.wait_in_queue(number, signal, longest).await?;
         }
         let waited = self.control.clock.now().since(now);
         self.count_late_start(hop, waited);
@@ -102,8 +102,8 @@
         let QueueingLimit::ForTarget(target) = hop.queueing_limit else {
             return;
         };
-        let work = self.state().service_times.expected(&hop.route);
-        if waited + work.unwrap_or_default() > target {
+        let service_time = self.state().service_times.expected(&hop.route);
+        if waited + service_time.unwrap_or_default() > target {
             self.control.metrics.gate_late_calls.inc();
         }
     }
@@ -175,18 +175,18 @@
     CallError::not_run(Cause::QueueFull, reason).retry_after(retry_after)
 }
 
-/// Effective precedence. Calls of other backends rank as dependencies; only the gate sees who
+/// Effective precedence. Calls of other backends are nested calls; only the gate sees who
 /// calls a route.
-fn precedence(dependencies: &mut NestedCallDetector, hop: &Hop) -> Precedence {
-    if dependencies.observe(&hop.route, &hop.caller) {
+fn precedence(nested_calls: &mut NestedCallDetector, hop: &Hop) -> Precedence {
+    if nested_calls.observe(&hop.route, &hop.caller) {
         return Precedence::Nested;
     }
     hop.precedence
 }
 
 /// Like [`precedence`], without counting the hop among the route's callers. For reservations.
-pub(super) fn precedence_for_query(dependencies: &NestedCallDetector, hop: &Hop) -> Precedence {
-    match dependencies.is_nested(&hop.route) {
+pub(super) fn precedence_for_query(nested_calls: &NestedCallDetector, hop: &Hop) -> Precedence {
+    match nested_calls.is_nested(&hop.route) {
         true => Precedence::Nested,
         false => hop.precedence,
     }
--- a/crates/rampthread-node/src/calls/gate/exchange.rs
+++ b/crates/rampthread-node/src/calls/gate/exchange.rs
@@ -49,9 +49,9 @@
         } = call;
         let started_at = self.control.clock.now();
         let on_trial = trial.is_some();
-        let answered = match self.send(&hop, request, &backend).await {
+        let response = match self.send(&hop, request, &backend).await {
             Ok(response) => {
-                let watched = |body| {
+                let wrap_body = |body| {
                     let (backend, content) = (backend.clone(), content.clone());
                     boxed(LossDetectingBody::new(
                         body,
@@ -61,12 +61,12 @@
                         on_trial,
                     ))
                 };
-                self.process_response(&hop, response, &backend, slot, watched)
+                self.process_response(&hop, response, &backend, slot, wrap_body)
                     .await
             }
             Err(call_error) => Err(call_error),
         };
-        let result = match answered {
+        let result = match response {
             Ok(response) => {
                 self.record_response(&backend, started_at);
                 Ok(response)
@@ -108,18 +108,18 @@
         response: Response<PooledBody>,
         backend: &LocalBackend,
         mut slot: Slot,
-        watched: impl FnOnce(GuardedBody<PooledBody, Slot>) -> Body,
+        wrap_body: impl FnOnce(GuardedBody<PooledBody, Slot>) -> Body,
     ) -> Result<Response<Body>, CallError> {
         let (mut parts, body) = response.into_parts();
         let head = ResponseHead {
             status: parts.status,
             headers: &parts.headers,
         };
-        let names = CallIds {
+        let ids = CallIds {
             request_id: hop.request_id(),
             call_id: &hop.call_id,
         };
-        match head.check(names, &self.dialect) {
+        match head.check(ids, &self.dialect) {
             ResponseCheck::Answered => {}
             ResponseCheck::NotRun => {
                 let reason = format!(
@@ -143,21 +143,25 @@
             }
         }
         self.record_backend_load(&parts.headers);
-        slot.answered(&hop.route, parts.status);
+        slot.record_response(&hop.route, parts.status);
         let status = parts.status.as_u16();
         let log = &self.control.call_log;
         log.hop_answered(hop.request_id(), backend.name.as_str(), status, slot.waited);
         header_filter::remove_hop_by_hop(&mut parts.headers);
         header_filter::remove_internal(&mut parts.headers);
-        let answer = &mut parts.headers;
-        header_filter::set_internal(answer, headers::OUTCOME, Outcome::Completed.as_str());
+        let response_headers = &mut parts.headers;
+        header_filter::set_internal(
+            response_headers,
+            headers::OUTCOME,
+            Outcome::Completed.as_str(),
+        );
         let waited = slot.waited.as_millis();
         if waited > 0 {
-            header_filter::set_internal(answer, headers::WAITED_MS, &waited.to_string());
+            header_filter::set_internal(response_headers, headers::WAITED_MS, &waited.to_string());
         }
         let body = match self.read_body(hop, &parts, body).await? {
             ResponseBody::Buffered(bytes) => full(bytes),
-            ResponseBody::Streamed(body) => watched(GuardedBody::new(body, slot)),
+            ResponseBody::Streamed(body) => wrap_body(GuardedBody::new(body, slot)),
         };
         header_filter::set_internal(&mut parts.headers, headers::LOAD, &self.load().to_string());
         self.add_speed_header(&mut parts.headers);
--- a/crates/rampthread-node/src/calls/gate/load.rs
+++ b/crates/rampthread-node/src/calls/gate/load.rs
@@ -21,18 +21,18 @@
         let now = self.control.clock.now();
         let slots = f64::from(backend.slots.min(backend.connections));
         let loads = self.control.zone_loads();
-        let zone_at_work = is_loaded(&backend.service, &own.zone, &loads.at(now));
+        let zone_is_loaded = is_loaded(&backend.service, &own.zone, &loads.at(now));
         let mut state = self.state();
         let (running, queued) = (state.admission.running(), state.admission.queued());
-        let watch = &mut state.load_average;
-        watch.record(running, queued, slots, now);
-        if zone_at_work {
-            watch.zone_is_loaded(now);
+        let load_average = &mut state.load_average;
+        load_average.record(running, queued, slots, now);
+        if zone_is_loaded {
+            load_average.zone_is_loaded(now);
         }
-        watch.is_reporting(now).then(|| ServiceLoad {
+        load_average.is_reporting(now).then(|| ServiceLoad {
             capacity: to_milli_slots(slots),
-            busy: to_milli_slots(watch.busy),
-            waiting: to_milli_slots(watch.waiting),
+            busy: to_milli_slots(load_average.busy),
+            waiting: to_milli_slots(load_average.waiting),
             ..ServiceLoad::zero(backend.service.clone())
         })
     }
--- a/crates/rampthread-node/src/calls/gate/lost_response.rs
+++ b/crates/rampthread-node/src/calls/gate/lost_response.rs
@@ -35,30 +35,33 @@
         on_trial: bool,
         lost: CallError,
     ) -> CallError {
-        let leaving = self
+        let is_leaving = self
             .control
             .local_backend()
             .is_some_and(|now| now.name == backend.name && self.is_draining(&now));
-        if leaving {
+        if is_leaving {
             return lost;
         }
-        let refuses = refuses_connections(backend.address, CONNECT_REFUSED_TIMEOUT).await;
+        let port_is_closed = refuses_connections(backend.address, CONNECT_REFUSED_TIMEOUT).await;
         let suspicion = CrashSuspect {
             identity: content.identity(&self.control.identity_key),
             instance: self.incarnation(backend),
             at: self.control.clock.now(),
             on_trial,
         };
-        self.state().crash_watch.record_loss(&suspicion, refuses);
+        self.state()
+            .crash_detector
+            .record_loss(&suspicion, port_is_closed);
         if BackendIncarnation::from_name(&suspicion.instance)
             .started_at()
             .is_none()
         {
             let polling = self.clone();
-            let polling = polling.poll_closed_port(backend.clone(), suspicion.clone(), refuses);
+            let polling =
+                polling.poll_closed_port(backend.clone(), suspicion.clone(), port_is_closed);
             async_std::task::spawn(polling);
         }
-        if !refuses {
+        if !port_is_closed {
             return lost;
         }
         self.control.metrics.crashed_calls.inc();
@@ -89,7 +92,7 @@
             if was_closed {
                 return self.record_end(&backend, &lost.instance);
             }
-            let Some(crash) = self.state().crash_watch.port_closed(&lost) else {
+            let Some(crash) = self.state().crash_detector.port_closed(&lost) else {
                 return;
             };
             self.control.metrics.crashed_calls.inc();
@@ -99,39 +102,39 @@
     }
 
     fn record_end(&self, backend: &LocalBackend, instance: &InstanceId) {
-        let explained = {
+        let suspects = {
             let mut state = self.state();
-            let Some(explained) = state.crash_watch.ended(instance) else {
+            let Some(suspects) = state.crash_detector.ended(instance) else {
                 return;
             };
             state.incarnations.note_end(&instance_of(backend));
-            explained
+            suspects
         };
-        self.control.report_suspicions(&explained, false);
+        self.control.report_suspicions(&suspects, false);
     }
 
     /// Records a response to a call that started at `started_at`, which shows that the backend is
     /// alive.
     pub(super) fn record_response(&self, backend: &LocalBackend, started_at: Moment) {
         let mut state = self.state();
-        if state.crash_watch.is_empty() {
+        if state.crash_detector.is_empty() {
             return;
         }
         let name = instance_of(backend);
         let instance = state.incarnations.present(&name);
-        let withdrawn = state.crash_watch.record_response(&instance, started_at);
-        if backend.instance.is_none() && !withdrawn.is_empty() {
+        let cleared = state.crash_detector.record_response(&instance, started_at);
+        if backend.instance.is_none() && !cleared.is_empty() {
             // It does not report its incarnation; this is most likely the next one.
             state.incarnations.note_end(&name);
             return;
         }
         drop(state);
-        self.control.report_suspicions(&withdrawn, true);
+        self.control.report_suspicions(&cleared, true);
     }
 
     /// Checks whether a new incarnation of the backend explains lost responses.
     pub fn check_incarnation(&self) {
-        if self.state().crash_watch.is_empty() {
+        if self.state().crash_detector.is_empty() {
             return;
         }
         let Some(backend) = self.control.local_backend() else {
@@ -141,22 +144,23 @@
             return;
         };
         let now = self.control.clock.now();
-        let heard = self.control.last_backend_report();
-        let (explained, withdrawn) = {
+        let reported = self.control.last_backend_report();
+        let (suspects, cleared) = {
             let mut state = self.state();
             let instance = state.incarnations.present(name);
-            let heard = heard.map(|(present, heard)| (state.incarnations.present(&present), heard));
-            let watch = &mut state.crash_watch;
+            let reported = reported
+                .map(|(present, reported)| (state.incarnations.present(&present), reported));
+            let detector = &mut state.crash_detector;
             if backend.draining {
-                watch.record_departure(&instance);
+                detector.record_departure(&instance);
             }
-            let withdrawn = heard
-                .map(|(present, heard)| watch.reported_alive(&present, heard))
+            let cleared = reported
+                .map(|(present, reported)| detector.reported_alive(&present, reported))
                 .unwrap_or_default();
-            (watch.record_replacement(&instance, now), withdrawn)
+            (detector.record_replacement(&instance, now), cleared)
         };
-        self.control.report_suspicions(&withdrawn, true);
-        self.control.report_suspicions(&explained, false);
+        self.control.report_suspicions(&cleared, true);
+        self.control.report_suspicions(&suspects, false);
     }
 
     pub(super) fn incarnation(&self, backend: &LocalBackend) -> InstanceId {
--- a/crates/rampthread-node/src/calls/gate/reservation.rs
+++ b/crates/rampthread-node/src/calls/gate/reservation.rs
@@ -59,7 +59,7 @@
 struct PermitQueueEntry {
     gate: Arc<Gate>,
     number: CallNumber,
-    turn: async_channel::Receiver<()>,
+    signal: async_channel::Receiver<()>,
     granted: bool,
 }
 
@@ -68,12 +68,12 @@
         if self.granted {
             return;
         }
-        let withdrawn = {
+        let was_withdrawn = {
             let mut state = self.gate.state();
             state.queued_bodies.remove(&self.number);
             state.transfers.cancel(self.number)
         };
-        if !withdrawn {
+        if !was_withdrawn {
             // The permit was issued concurrently with the withdrawal.
             drop(self.gate.permit(self.number));
         }
@@ -149,7 +149,7 @@
         self.check_backend(hop)?;
         let now = self.control.clock.now();
         let state = self.state();
-        let precedence = precedence_for_query(&state.dependencies, hop);
+        let precedence = precedence_for_query(&state.nested_calls, hop);
         let arrival = self.arrival(&state, hop, NO_CALL_NUMBER, precedence, now);
         match state.admission.decide(&arrival, now) {
             AdmissionDecision::Refused { retry_after } => {
@@ -167,7 +167,7 @@
         self.check_backend(hop)?;
         let number = self.next_call.fetch_add(1, Ordering::Relaxed);
         let now = self.control.clock.now();
-        let (turn, longest) = {
+        let (signal, longest) = {
             let mut state = self.state();
             let offer = BodyOffer {
                 call: number,
@@ -184,20 +184,20 @@
                     );
                 }
                 OfferDecision::Queued => {
-                    let (sender, turn) = async_channel::bounded(1);
+                    let (sender, signal) = async_channel::bounded(1);
                     state.queued_bodies.insert(number, sender);
-                    (turn, offer.max_wait.mul_f64(OVERTAKEN_WAIT_RATIO))
+                    (signal, offer.max_wait.mul_f64(OVERTAKEN_WAIT_RATIO))
                 }
             }
         };
         let mut queue_entry = PermitQueueEntry {
             gate: self.clone(),
             number,
-            turn,
+            signal,
             granted: false,
         };
         let longest = longest.min(hop.deadline.since(now));
-        match rampthread_http::timeout(longest, queue_entry.turn.recv()).await {
+        match rampthread_http::timeout(longest, queue_entry.signal.recv()).await {
             Ok(Ok(())) => {
                 queue_entry.granted = true;
                 Ok(self.permit(number))
--- a/crates/rampthread-node/src/calls/gate/slot.rs
+++ b/crates/rampthread-node/src/calls/gate/slot.rs
@@ -26,14 +26,14 @@
     /// Queueing time of the call.
     pub(super) waited: Duration,
     /// Set once the backend has responded.
-    answered: Option<BackendResponse>,
+    response: Option<BackendResponse>,
 }
 
 /// A response of the backend.
 struct BackendResponse {
     route: ResourceName,
     /// False for a server error, whose duration says nothing about the backend's speed.
-    worked: bool,
+    succeeded: bool,
 }
 
 impl Slot {
@@ -42,29 +42,29 @@
             gate: gate.clone(),
             started_at: gate.control.clock.now(),
             waited,
-            answered: None,
+            response: None,
         }
     }
 
     /// Records the backend's response to a call of `route`.
-    pub(super) fn answered(&mut self, route: &ResourceName, status: StatusCode) {
-        self.answered = Some(BackendResponse {
+    pub(super) fn record_response(&mut self, route: &ResourceName, status: StatusCode) {
+        self.response = Some(BackendResponse {
             route: route.clone(),
-            worked: !status.is_server_error(),
+            succeeded: !status.is_server_error(),
         });
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let took = self.gate.control.clock.now().since(self.started_at);
-        let answered = self.answered.take();
-        if let Some(answered) = answered.as_ref().filter(|answered| answered.worked) {
-            let route = &answered.route;
-            self.gate.state().service_times.record(route, took);
-            self.gate.record_service_time(route, took);
+        let elapsed = self.gate.control.clock.now().since(self.started_at);
+        let response = self.response.take();
+        if let Some(response) = response.as_ref().filter(|response| response.succeeded) {
+            let route = &response.route;
+            self.gate.state().service_times.record(route, elapsed);
+            self.gate.record_service_time(route, elapsed);
         }
-        self.gate.release(answered.is_some().then_some(took));
+        self.gate.release(response.is_some().then_some(elapsed));
     }
 }
 
@@ -72,15 +72,15 @@
     pub(super) async fn wait_in_queue(
         self: &Arc<Self>,
         number: CallNumber,
-        turn: async_channel::Receiver<QueueSignal>,
+        signal: async_channel::Receiver<QueueSignal>,
         wait: Duration,
     ) -> Result<(), CallError> {
         let queue_entry = QueueEntry {
             gate: self.clone(),
             number,
-            turn,
+            signal,
         };
-        let granted = rampthread_http::timeout(wait, queue_entry.turn.recv()).await;
+        let granted = rampthread_http::timeout(wait, queue_entry.signal.recv()).await;
         if matches!(granted, Ok(Ok(QueueSignal::Run))) {
             return Ok(());
         }
@@ -102,7 +102,7 @@
             .run
             .and_then(|next| state.queued_calls.remove(&next))
         {
-            // The receiver lives as long as its entry in `waiting`; see `QueueEntry`.
+            // The receiver lives as long as its entry in `queued_calls`; see `QueueEntry`.
             let _ = sender.try_send(QueueSignal::Run);
         }
     }
@@ -113,7 +113,7 @@
 struct QueueEntry {
     gate: Arc<Gate>,
     number: CallNumber,
-    turn: async_channel::Receiver<QueueSignal>,
+    signal: async_channel::Receiver<QueueSignal>,
 }
 
 impl Drop for QueueEntry {
@@ -122,7 +122,7 @@
             let mut state = self.gate.state();
             state.queued_calls.remove(&self.number);
             state.admission.cancel(self.number);
-            self.turn.try_recv()
+            self.signal.try_recv()
         };
         if unread == Ok(QueueSignal::Run) {
             self.gate.release(None);
--- a/crates/rampthread-node/src/calls/gate/speed.rs
+++ b/crates/rampthread-node/src/calls/gate/speed.rs
@@ -57,20 +57,20 @@
         }
     }
 
-    /// Records that a call of `route` held a slot for `taken`.
-    pub(super) fn record_service_time(&self, route: &ResourceName, taken: Duration) {
+    /// Records that a call of `route` held a slot for `service_time`.
+    pub(super) fn record_service_time(&self, route: &ResourceName, service_time: Duration) {
         let now = self.control.clock.now();
         let mut state = self.state();
-        if let Some(usual) = state.reference_times.get(route).copied() {
-            state.speed.record_response(usual, taken, now);
+        if let Some(reference_time) = state.reference_times.get(route).copied() {
+            state.speed.record_response(reference_time, service_time, now);
         }
     }
 
     /// Adds the backend's speed to the response, unless it is the default.
     pub(super) fn add_speed_header(&self, response_headers: &mut HeaderMap) {
-        let pace = self.state().speed.speed(self.control.clock.now());
-        if pace != BackendSpeed::default() {
-            header_filter::set_internal(response_headers, headers::PACE, &pace.to_string());
+        let speed = self.state().speed.speed(self.control.clock.now());
+        if speed != BackendSpeed::default() {
+            header_filter::set_internal(response_headers, headers::PACE, &speed.to_string());
         }
     }
 }
--- a/crates/rampthread-node/src/calls/gate/trial.rs
+++ b/crates/rampthread-node/src/calls/gate/trial.rs
@@ -60,7 +60,7 @@
     ) -> Result<Trial, CallError> {
         let (instance, now) = (self.incarnation(backend), self.control.clock.now());
         let mut state = self.state();
-        if state.crash_watch.may_have_ended(&instance, now) {
+        if state.crash_detector.may_have_ended(&instance, now) {
             let reason =
                 "no trial possible: the backend lost responses and has not responded since";
             return Err(
