--- a/crates/rampthread-node/src/calls/gate/speed.rs
+++ b/crates/rampthread-node/src/calls/gate/speed.rs
@@ -62,7 +62,9 @@
         let now = self.control.clock.now();
         let mut state = self.state();
         if let Some(reference_time) = state.reference_times.get(route).copied() {
-            state.speed.record_response(reference_time, service_time, now);
+            state
+                .speed
+                .record_response(reference_time, service_time, now);
         }
     }
 
