--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -301,7 +301,7 @@
     },
     /// The local backend's departure was acknowledged. Record it in the directory for the next
     /// run of this node.
-    RecordLeave(EndpointRecord),
+    RecordDeparture(EndpointRecord),
     /// Record these backend crashes in the store, so that they survive a restart of all nodes.
     RecordCrashes(Vec<CrashReport>),
     /// Delete the records of these crashes from the store.
--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -90,7 +90,7 @@
     fn apply_reported_endpoint(&mut self, endpoint: EndpointRecord, now: Moment) -> Vec<Action> {
         let mut actions = self.announce_endpoint(Some(endpoint.clone()), now);
         if endpoint.draining {
-            actions.push(Action::RecordLeave(endpoint));
+            actions.push(Action::RecordDeparture(endpoint));
         }
         actions
     }
--- a/crates/rampthread-core/src/fleet/mod.rs
+++ b/crates/rampthread-core/src/fleet/mod.rs
@@ -57,5 +57,5 @@
 };
 pub use settings::{ConfigSource, DistributionMode, FleetSettings};
 pub use zone_directory::{
-    LeaveId, ZoneDirectory, ZoneSnapshot, ZoneStep, ZoneWrite, recorded_backend,
+    DepartureId, ZoneDirectory, ZoneSnapshot, ZoneStep, ZoneWrite, recorded_backend,
 };
--- a/crates/rampthread-core/src/fleet/zone_directory.rs
+++ b/crates/rampthread-core/src/fleet/zone_directory.rs
@@ -28,32 +28,32 @@
 /// Minimum time for which the zone must differ from its snapshot before a write. Changes come
 /// in groups and each write costs a store call. A new node does not depend on an up-to-date
 /// snapshot, since the members in it tell it the rest.
-const SETTLE_TIME: Duration = Duration::from_secs(2);
+const SETTLE_DELAY: Duration = Duration::from_secs(2);
 /// Additional delay for each further member in the rendezvous order. It leaves the previous
 /// member enough time to repeat a lost write.
-const SUCCESSION_STEP: Duration = Duration::from_secs(5);
+const TAKEOVER_DELAY_PER_RANK: Duration = Duration::from_secs(5);
 /// Number of members that may write. One remains if the writer and two others fail at once.
-const CANDIDATES: usize = 4;
+const WRITER_CANDIDATE_COUNT: usize = 4;
 /// Time after which an unreachable member is dropped from the snapshot. Members hidden by a
 /// network partition must be found again when it heals.
-const GONE_AFTER: Duration = Duration::from_secs(600);
+const UNREACHABLE_RETENTION: Duration = Duration::from_secs(600);
 /// Interval between renewals of the snapshot's lease. A third of the lease, so that a failed
 /// renewal can be repeated in time.
 const RENEW_INTERVAL: Duration = Duration::from_secs(200);
 /// While the store is empty, one in this many nodes writes early. With 1,000 nodes that makes
 /// about 60 calls, most of which are rejected.
-const EARLY_ONE_IN: u32 = 16;
+const EARLY_WRITE_ONE_IN: u32 = 16;
 /// Delay of an early first write in milliseconds, after the first read.
-const EARLY_MS: std::ops::Range<u64> = 200..1_000;
+const EARLY_WRITE_DELAY_MS: std::ops::Range<u64> = 200..1_000;
 /// Delay of the second read of all other nodes in milliseconds, after the first one. Eventually
 /// consistent reads can lag by two seconds.
-const LATE_MS: std::ops::Range<u64> = 3_000..3_800;
+const SECOND_READ_DELAY_MS: std::ops::Range<u64> = 3_000..3_800;
 /// Delay per rank for reads after the store was restored, so that members earlier in the
 /// rendezvous order read and write first.
-const RESTORED_STEP: Duration = Duration::from_secs(3);
+const RESTORED_DELAY_PER_RANK: Duration = Duration::from_secs(3);
 /// Maximum number of departure records deleted by one write. The platform limits a transaction
 /// to 32 changes, and the snapshot takes two of them.
-const MAX_LEAVES: usize = 30;
+const MAX_DEPARTURES_PER_WRITE: usize = 30;
 
 /// Snapshot of a zone as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -68,7 +68,7 @@
 
 /// Key of a recorded backend departure.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LeaveId {
+pub struct DepartureId {
     /// Node that acknowledged the departure.
     pub node: NodeId,
     /// Incarnation of the backend that departed.
@@ -82,18 +82,18 @@
     pub snapshot: ZoneSnapshot,
     /// True if the snapshot needs a lease. The first snapshot of a zone is written without one:
     /// most first writes are rejected, and a lease costs another call.
-    pub under_lease: bool,
+    pub with_lease: bool,
     /// Departure records that are redundant after this write.
-    pub leaves: Vec<LeaveId>,
+    pub departures: Vec<DepartureId>,
 }
 
 /// Store operation requested by [`ZoneDirectory::next_step`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ZoneStep {
     /// Read the directory.
-    Look {
+    Read {
         /// True if the read must not be stale.
-        current: bool,
+        consistent: bool,
     },
     /// Write the snapshot.
     Write(ZoneWrite),
@@ -107,7 +107,7 @@
 struct FirstWrite {
     at: Moment,
     /// True if the node has to read again before the write.
-    looks: bool,
+    reads_again: bool,
 }
 
 /// State of one node for maintaining the snapshot of its zone.
@@ -117,7 +117,7 @@
     stored: ZoneSnapshot,
     /// Time of the last read. `None` before the first read, and after a write with unknown
     /// outcome.
-    looked: Option<Moment>,
+    last_read: Option<Moment>,
     first_write: Option<FirstWrite>,
     /// Since when the zone differs from the snapshot.
     differs_since: Option<Moment>,
@@ -127,13 +127,13 @@
     rank: usize,
     ranked_at: Option<u64>,
     /// Revisions of the member table and of the snapshot at which both had the same content.
-    alike_at: Option<(u64, u64)>,
+    in_sync_at: Option<(u64, u64)>,
     /// Departure records from the last read.
-    leaves: BTreeSet<LeaveId>,
+    departures: BTreeSet<DepartureId>,
     /// Time at which the store was restored from an older copy, until the next read.
     restored: Option<Moment>,
     /// Members from before the restore, which the restored copy may lack.
-    remembered: BTreeMap<NodeId, Machine>,
+    members_before_restore: BTreeMap<NodeId, Machine>,
 }
 
 impl ZoneDirectory {
@@ -142,16 +142,16 @@
         Self {
             zone,
             stored: ZoneSnapshot::default(),
-            looked: None,
+            last_read: None,
             first_write: None,
             differs_since: None,
             next_renewal: Moment::default(),
             rank: 0,
             ranked_at: None,
-            alike_at: None,
-            leaves: BTreeSet::new(),
+            in_sync_at: None,
+            departures: BTreeSet::new(),
             restored: None,
-            remembered: BTreeMap::new(),
+            members_before_restore: BTreeMap::new(),
         }
     }
 
@@ -160,13 +160,13 @@
     pub fn on_read(
         &mut self,
         snapshot: Option<&ZoneSnapshot>,
-        leaves: impl IntoIterator<Item = LeaveId>,
+        departures: impl IntoIterator<Item = DepartureId>,
         now: Moment,
         rng: &mut impl Rng,
     ) {
-        let first = self.looked.is_none();
-        self.looked = Some(now);
-        self.leaves = leaves.into_iter().collect();
+        let first = self.last_read.is_none();
+        self.last_read = Some(now);
+        self.departures = departures.into_iter().collect();
         match snapshot {
             Some(snapshot) if snapshot.revision >= self.stored.revision => {
                 self.stored = snapshot.clone();
@@ -184,35 +184,35 @@
         if let Some(restored) = self.restored {
             return self.step_after_restore(restored, now, membership);
         }
-        if self.looked.is_none() {
-            return Some(ZoneStep::Look { current: true });
+        if self.last_read.is_none() {
+            return Some(ZoneStep::Read { consistent: true });
         }
         if self.stored.revision == 0 && membership.same_zone_peers().next().is_none() {
             return self.first_step(now, membership);
         }
         self.rank(membership);
-        if self.rank >= CANDIDATES {
+        if self.rank >= WRITER_CANDIDATE_COUNT {
             self.differs_since = None;
             return None;
         }
         let compared = (membership.revision(), self.stored.revision);
-        if self.alike_at == Some(compared) {
+        if self.in_sync_at == Some(compared) {
             return self.renewal(now);
         }
-        let members = self.wanted(now, membership);
+        let members = self.desired_members(now, membership);
         if members == self.stored.members && self.stored.lease != 0 {
-            self.remembered.clear();
-            self.alike_at = Some(compared);
+            self.members_before_restore.clear();
+            self.in_sync_at = Some(compared);
             self.differs_since = None;
             return self.renewal(now);
         }
         let since = *self.differs_since.get_or_insert(now);
-        let due = since + SETTLE_TIME + SUCCESSION_STEP * self.rank as u32;
+        let due = since + SETTLE_DELAY + TAKEOVER_DELAY_PER_RANK * self.rank as u32;
         if now < due {
             return None;
         }
-        if self.rank > 0 && self.looked.is_some_and(|looked| looked < due) {
-            return Some(ZoneStep::Look { current: false });
+        if self.rank > 0 && self.last_read.is_some_and(|last_read| last_read < due) {
+            return Some(ZoneStep::Read { consistent: false });
         }
         Some(self.write(members))
     }
@@ -220,7 +220,7 @@
     /// Handles a successful write.
     pub fn on_written(&mut self, written: ZoneSnapshot, now: Moment) {
         self.stored = written;
-        self.remembered.clear();
+        self.members_before_restore.clear();
         self.first_write = None;
         self.differs_since = None;
         self.next_renewal = now + RENEW_INTERVAL;
@@ -232,7 +232,7 @@
         self.differs_since = Some(now);
         match current {
             Some(current) => self.stored = current.clone(),
-            None => self.forget_stored(),
+            None => self.reset_stored(),
         }
     }
 
@@ -242,39 +242,39 @@
     }
 
     /// Handles a write with unknown outcome: it may have taken effect, or may still do so.
-    pub fn on_unknown(&mut self) {
-        self.looked = None;
+    pub fn on_write_unknown(&mut self) {
+        self.last_read = None;
     }
 
     /// Handles the result of a lease renewal. If the lease has expired, the snapshot is gone as
     /// well.
-    pub fn on_renewed(&mut self, stands: bool, now: Moment) {
+    pub fn on_renewed(&mut self, exists: bool, now: Moment) {
         self.next_renewal = now + RENEW_INTERVAL;
-        if !stands {
-            self.forget_stored();
+        if !exists {
+            self.reset_stored();
         }
     }
 
     /// Handles a restore of the store from an older copy. Previous revisions and leases are
     /// invalid. The previous members are kept for the next write.
     pub fn on_store_restored(&mut self, now: Moment) {
-        self.remembered
+        self.members_before_restore
             .extend(std::mem::take(&mut self.stored.members));
-        self.forget_stored();
+        self.reset_stored();
         self.first_write = None;
-        self.alike_at = None;
+        self.in_sync_at = None;
         self.differs_since = None;
-        self.leaves.clear();
+        self.departures.clear();
         self.next_renewal = now;
         self.restored = Some(now);
     }
 
     /// Handles a notice from a peer that the store was restored: the writer of the zone reads
     /// again.
-    pub fn on_restore_told(&mut self, membership: &Membership) {
+    pub fn on_restore_notice(&mut self, membership: &Membership) {
         self.rank(membership);
         if self.rank == 0 {
-            self.looked = None;
+            self.last_read = None;
         }
     }
 
@@ -287,17 +287,19 @@
         membership: &Membership,
     ) -> Option<ZoneStep> {
         self.rank(membership);
-        if self.rank >= CANDIDATES || now < restored + RESTORED_STEP * self.rank as u32 {
+        if self.rank >= WRITER_CANDIDATE_COUNT
+            || now < restored + RESTORED_DELAY_PER_RANK * self.rank as u32
+        {
             return None;
         }
         self.restored = None;
-        Some(ZoneStep::Look { current: true })
+        Some(ZoneStep::Read { consistent: true })
     }
 
     /// Forgets the stored snapshot. The next step is a read, as after a start.
-    fn forget_stored(&mut self) {
+    fn reset_stored(&mut self) {
         self.stored = ZoneSnapshot::default();
-        self.looked = None;
+        self.last_read = None;
     }
 
     fn first_step(&mut self, now: Moment, membership: &Membership) -> Option<ZoneStep> {
@@ -305,10 +307,10 @@
         if now < first.at {
             return None;
         }
-        if std::mem::replace(&mut first.looks, false) {
-            return Some(ZoneStep::Look { current: false });
+        if std::mem::replace(&mut first.reads_again, false) {
+            return Some(ZoneStep::Read { consistent: false });
         }
-        let members = self.wanted(now, membership);
+        let members = self.desired_members(now, membership);
         Some(self.write(members))
     }
 
@@ -318,17 +320,20 @@
     }
 
     fn write(&self, members: BTreeMap<NodeId, Machine>) -> ZoneStep {
-        let recorded = self.leaves.iter().filter(|leave| {
-            let machine = members.get(&leave.node);
-            machine.is_some_and(|machine| makes_needless(machine, leave))
+        let recorded = self.departures.iter().filter(|departure| {
+            let machine = members.get(&departure.node);
+            machine.is_some_and(|machine| implies_departure(machine, departure))
         });
-        let mut leaves: BTreeSet<LeaveId> = recorded.cloned().collect();
+        let mut departures: BTreeSet<DepartureId> = recorded.cloned().collect();
         for machine in members.values() {
-            leaves.extend(self.leave_taken_in(machine));
+            departures.extend(self.redundant_departure(machine));
         }
         ZoneStep::Write(ZoneWrite {
-            leaves: leaves.into_iter().take(MAX_LEAVES).collect(),
-            under_lease: self.stored.revision > 0,
+            departures: departures
+                .into_iter()
+                .take(MAX_DEPARTURES_PER_WRITE)
+                .collect(),
+            with_lease: self.stored.revision > 0,
             snapshot: ZoneSnapshot {
                 members,
                 ..self.stored
@@ -339,7 +344,7 @@
     /// Returns the departure that may be on record for `machine` and that the snapshot makes
     /// redundant: it says itself that the backend departs, or that another incarnation has
     /// followed.
-    fn leave_taken_in(&self, machine: &Machine) -> Option<LeaveId> {
+    fn redundant_departure(&self, machine: &Machine) -> Option<DepartureId> {
         let endpoint = machine.endpoint.as_ref()?;
         let stored = self.stored.members.get(&machine.id);
         let stored = stored.and_then(|machine| machine.endpoint.as_ref());
@@ -349,7 +354,7 @@
             _ if endpoint.draining => &endpoint.instance,
             _ => return None,
         };
-        Some(LeaveId {
+        Some(DepartureId {
             node: machine.id.clone(),
             instance: instance.clone(),
         })
@@ -364,20 +369,20 @@
         self.ranked_at = Some(membership.revision());
         let me = &membership.me().id;
         let rank = rendezvous::rank(self.zone.as_str(), me, membership.same_zone_peers());
-        self.rank = rank.min(CANDIDATES);
+        self.rank = rank.min(WRITER_CANDIDATE_COUNT);
     }
 
     /// Returns the members that the snapshot should have: the stored and the known ones,
-    /// without those that have been unreachable for [`GONE_AFTER`].
-    fn wanted(&self, now: Moment, membership: &Membership) -> BTreeMap<NodeId, Machine> {
+    /// without those that have been unreachable for [`UNREACHABLE_RETENTION`].
+    fn desired_members(&self, now: Moment, membership: &Membership) -> BTreeMap<NodeId, Machine> {
         let mut members = self.stored.members.clone();
-        members.extend(self.remembered.clone());
+        members.extend(self.members_before_restore.clone());
         for record in membership.records() {
             if record.zone != self.zone || record.incarnation == 0 {
                 continue;
             }
-            let gone = membership.unreachable_since(&record.id);
-            if gone.is_some_and(|since| now.since(since) >= GONE_AFTER) {
+            let unreachable_since = membership.unreachable_since(&record.id);
+            if unreachable_since.is_some_and(|since| now.since(since) >= UNREACHABLE_RETENTION) {
                 members.remove(&record.id);
                 continue;
             }
@@ -393,13 +398,13 @@
 fn known_endpoint(record: &MemberRecord, stored: Option<&Machine>) -> Option<EndpointRecord> {
     let announced = record.endpoint.clone();
     let stored = stored.and_then(|machine| machine.endpoint.clone());
-    let ageless = |endpoint| EndpointRecord {
+    let without_age = |endpoint| EndpointRecord {
         sequence: 0,
         cold_ms: 0,
         speed_percent: None,
         ..endpoint
     };
-    announced.or(stored).map(ageless)
+    announced.or(stored).map(without_age)
 }
 
 fn machine(record: &MemberRecord, endpoint: Option<EndpointRecord>) -> Machine {
@@ -414,13 +419,13 @@
 }
 
 /// Returns true if the entry of `machine` implies the departure.
-fn makes_needless(machine: &Machine, leave: &LeaveId) -> bool {
+fn implies_departure(machine: &Machine, departure: &DepartureId) -> bool {
     let Some(endpoint) = &machine.endpoint else {
         return false;
     };
-    match endpoint.instance == leave.instance {
+    match endpoint.instance == departure.instance {
         true => endpoint.draining,
-        false => started_before(&leave.instance, &endpoint.instance),
+        false => started_before(&departure.instance, &endpoint.instance),
     }
 }
 
@@ -434,14 +439,14 @@
 }
 
 fn draw_first_write(now: Moment, rng: &mut impl Rng) -> FirstWrite {
-    let early = rng.random_ratio(1, EARLY_ONE_IN);
+    let early = rng.random_ratio(1, EARLY_WRITE_ONE_IN);
     let delay = match early {
-        true => rng.random_range(EARLY_MS),
-        false => rng.random_range(LATE_MS),
+        true => rng.random_range(EARLY_WRITE_DELAY_MS),
+        false => rng.random_range(SECOND_READ_DELAY_MS),
     };
     FirstWrite {
         at: now + Duration::from_millis(delay),
-        looks: !early,
+        reads_again: !early,
     }
 }
 
@@ -450,12 +455,12 @@
 /// acknowledged departure survives the loss of all nodes that knew about it.
 pub fn recorded_backend(
     snapshot: Option<EndpointRecord>,
-    leaves: impl IntoIterator<Item = EndpointRecord>,
+    departures: impl IntoIterator<Item = EndpointRecord>,
 ) -> Option<EndpointRecord> {
-    leaves
+    departures
         .into_iter()
-        .fold(snapshot, |known, leave| match known {
-            Some(known) if started_before(&leave.instance, &known.instance) => Some(known),
-            _ => Some(leave),
+        .fold(snapshot, |known, departure| match known {
+            Some(known) if started_before(&departure.instance, &known.instance) => Some(known),
+            _ => Some(departure),
         })
 }
--- a/crates/rampthread-core/tests/zone_directory.rs
+++ b/crates/rampthread-core/tests/zone_directory.rs
@@ -45,7 +45,7 @@
     for _ in 0..100 {
         match directory.next_step(now, agent.membership()) {
             Some(ZoneStep::Write(write)) => return (write, now),
-            Some(ZoneStep::Look { .. }) => look(directory, None, now),
+            Some(ZoneStep::Read { .. }) => look(directory, None, now),
             _ => now = now + Duration::from_millis(250),
         }
     }
@@ -65,7 +65,7 @@
     let (agent, mut directory) = (alone(), ZoneDirectory::new(zone()));
     look(&mut directory, None, START);
     let (write, _) = first_write(&mut directory, &agent, START);
-    assert_eq!((write.snapshot.revision, write.under_lease), (0, false));
+    assert_eq!((write.snapshot.revision, write.with_lease), (0, false));
     assert_eq!(write.snapshot.members.len(), 1);
 }
 
@@ -110,9 +110,9 @@
     let (agent, mut directory) = (alone(), ZoneDirectory::new(zone()));
     look(&mut directory, None, START);
     let (_, now) = first_write(&mut directory, &agent, START);
-    directory.on_unknown();
+    directory.on_write_unknown();
     let step = directory.next_step(now, agent.membership());
-    assert_eq!(step, Some(ZoneStep::Look { current: true }));
+    assert_eq!(step, Some(ZoneStep::Read { consistent: true }));
 }
 
 /// The snapshot that the copy holds, if any.
@@ -152,13 +152,13 @@
     let mut now = now + LONG;
     directory.on_store_restored(now);
     let step = directory.next_step(now, agent.membership());
-    assert_eq!(step, Some(ZoneStep::Look { current: true }));
+    assert_eq!(step, Some(ZoneStep::Read { consistent: true }));
     look(&mut directory, copy.as_ref(), now);
     let written = loop {
         now = now + Duration::from_millis(250);
         match directory.next_step(now, agent.membership()) {
             Some(ZoneStep::Write(write)) => break write,
-            Some(ZoneStep::Look { .. }) => look(&mut directory, copy.as_ref(), now),
+            Some(ZoneStep::Read { .. }) => look(&mut directory, copy.as_ref(), now),
             Some(step) => panic!("{step:?}"),
             None => {}
         }
@@ -192,7 +192,7 @@
     let written = loop {
         match directory.next_step(now, agent.membership()) {
             Some(ZoneStep::Write(write)) => break write,
-            Some(ZoneStep::Look { .. }) => look(&mut directory, Some(&older), now),
+            Some(ZoneStep::Read { .. }) => look(&mut directory, Some(&older), now),
             Some(step) => panic!("{step:?}"),
             None => now = now + Duration::from_millis(250),
         }
@@ -216,7 +216,7 @@
     directory.on_written(stands(write, 5), now);
     directory.on_store_restored(now);
     let step = directory.next_step(now, agent.membership());
-    assert_eq!(step, Some(ZoneStep::Look { current: true }));
+    assert_eq!(step, Some(ZoneStep::Read { consistent: true }));
     look(&mut directory, Some(&copy), now);
     let step = directory.next_step(now, agent.membership());
     assert_eq!(step, Some(ZoneStep::Renew(2)));
--- a/crates/rampthread-core/tests/zone_directory_restored.rs
+++ b/crates/rampthread-core/tests/zone_directory_restored.rs
@@ -137,7 +137,7 @@
         let now = self.mesh.now;
         for node in 0..NODES {
             if number % LIST_STEPS == node {
-                self.call(node, Some(ZoneStep::Look { current: false }), lost);
+                self.call(node, Some(ZoneStep::Read { consistent: false }), lost);
             }
             let membership = self.mesh.agents[node].membership();
             let step = self.directories[node].next_step(now, membership);
@@ -157,7 +157,7 @@
         let risen = self.eras[node] < self.era;
         if lost || risen {
             if matches!(step, ZoneStep::Write(_)) {
-                directory.on_unknown();
+                directory.on_write_unknown();
             }
             if risen && !lost {
                 self.eras[node] = self.era;
@@ -166,7 +166,7 @@
             return;
         }
         match (step, written) {
-            (ZoneStep::Look { .. }, _) => {
+            (ZoneStep::Read { .. }, _) => {
                 let found = self.store.snapshot.as_ref();
                 directory.on_read(found, [], now, &mut self.rng);
             }
--- a/crates/rampthread-node/src/control/actions.rs
+++ b/crates/rampthread-node/src/control/actions.rs
@@ -24,7 +24,7 @@
                     request_id,
                     request,
                 } => self.ask_store(request_id, request),
-                Action::RecordLeave(endpoint) => {
+                Action::RecordDeparture(endpoint) => {
                     if let Some(directory) = &self.directory {
                         directory.record_leave(endpoint);
                     }
--- a/crates/rampthread-node/src/control/directory.rs
+++ b/crates/rampthread-node/src/control/directory.rs
@@ -111,7 +111,7 @@
     /// The store is said to have come back from an older copy.
     pub(super) fn on_restore_told(&self) {
         if let Some(control) = self.control.upgrade() {
-            control.with_agent(|agent| self.zone_directory().on_restore_told(agent.membership()));
+            control.with_agent(|agent| self.zone_directory().on_restore_notice(agent.membership()));
         }
     }
 
@@ -157,7 +157,7 @@
             sleep(jittered(STEP_INTERVAL)).await;
             let done = match self.next_step() {
                 None => continue,
-                Some(ZoneStep::Look { current }) => self.look(current).await,
+                Some(ZoneStep::Read { consistent }) => self.look(consistent).await,
                 Some(ZoneStep::Write(write)) => self.write(&write).await,
                 Some(ZoneStep::Renew(lease)) => self.renew(lease).await,
             };
@@ -198,7 +198,7 @@
         let writing = self.directory.write_zone(&self.zone, write, SNAPSHOT_LIFE);
         let written = within_era(&self.eras, writing).await.inspect_err(|error| {
             if !matches!(error, PlatformError::NotRun { .. }) {
-                self.zone_directory().on_unknown();
+                self.zone_directory().on_write_unknown();
             }
         })?;
         let Some(control) = self.control.upgrade() else {
--- a/crates/rampthread-platform/src/adapter.rs
+++ b/crates/rampthread-platform/src/adapter.rs
@@ -14,7 +14,7 @@
 use rampthread_core::config::ConfigState;
 use rampthread_core::findings::Findings;
 use rampthread_core::fleet::{
-    BackendReport, EndpointRecord, LeaseId, LeaveId, Machine, ZoneSnapshot, ZoneWrite,
+    BackendReport, DepartureId, EndpointRecord, LeaseId, Machine, ZoneSnapshot, ZoneWrite,
 };
 use rampthread_core::ids::{InstanceId, NodeId, Zone};
 use rampthread_core::rollout::{DeciderRequest, DeciderResponse, RolloutOrder};
@@ -120,8 +120,8 @@
 
 impl RecordedLeave {
     /// Names this record.
-    pub fn id(&self) -> LeaveId {
-        LeaveId {
+    pub fn id(&self) -> DepartureId {
+        DepartureId {
             node: self.node.clone(),
             instance: self.endpoint.instance.clone(),
         }
--- a/crates/rampthread-wire/tests/fleet/directory.rs
+++ b/crates/rampthread-wire/tests/fleet/directory.rs
@@ -180,10 +180,10 @@
                 .entry(index)
                 .and_modify(|client| client.looks_at = Some(looks_at));
         }
-        let grants = write.under_lease && write.snapshot.lease == 0;
+        let grants = write.with_lease && write.snapshot.lease == 0;
         self.price += if grants { 2.0 } else { 1.0 };
         let snapshot = ZoneSnapshot {
-            lease: u64::from(write.under_lease),
+            lease: u64::from(write.with_lease),
             ..write.snapshot
         };
         let present = self.present().remove(&zone);
@@ -230,7 +230,7 @@
         };
         match decide(&mut client.directory) {
             None => {}
-            Some(ZoneStep::Look { current }) => self.read(index, current, now),
+            Some(ZoneStep::Read { consistent }) => self.read(index, consistent, now),
             Some(ZoneStep::Write(write)) => self.write(index, write, now),
             Some(ZoneStep::Renew(_)) => {
                 client.directory.on_renewed(true, now);
@@ -278,7 +278,7 @@
             }
             Answer::Written(snapshot) => client.directory.on_written(snapshot.clone(), now),
             Answer::Conflict(current) => client.directory.on_conflict(current.as_ref(), now),
-            Answer::Refused if client.listed => client.directory.on_unknown(),
+            Answer::Refused if client.listed => client.directory.on_write_unknown(),
             Answer::Refused => self.read(index, false, now),
             Answer::Document => {}
         }
