--- a/crates/rampthread-core/src/fleet/agent/conditions.rs
+++ b/crates/rampthread-core/src/fleet/agent/conditions.rs
@@ -46,7 +46,9 @@
     pub(super) fn announce(&mut self, now: Moment) {
         let reader = match self.settings.source {
             ConfigSource::ChangeLog => self.reader.holds_lease(now),
-            ConfigSource::Document => self.store_watch.answers(now) && self.has_fast_store_link(),
+            ConfigSource::Document => {
+                self.store_watch.is_reachable(now) && self.has_fast_store_link()
+            }
         };
         let conditions = Conditions {
             reader,
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -191,7 +191,7 @@
         let mut outbox = Outbox::default();
         let was_reader = self.membership.me().conditions.reader;
         if answers {
-            self.store_watch.answered(now);
+            self.store_watch.on_answer(now);
         } else {
             self.request_peer_reads(now, &mut outbox);
         }
@@ -207,7 +207,7 @@
     fn request_peer_reads(&mut self, now: Moment, outbox: &mut Outbox) {
         let asked = self
             .store_watch
-            .lost(now, &self.membership, &mut self.watch_rng);
+            .on_failure(now, &self.membership, &mut self.watch_rng);
         let nonce = self.watch_rng.random();
         for peer in asked {
             outbox.send(&peer, Message::HeadQuery { nonce });
@@ -217,22 +217,22 @@
     /// Handles the request of a watcher that lost the store: reads the store soon. A newer
     /// version is then announced as usual.
     pub(super) fn on_document_query(&mut self, now: Moment) {
-        self.store_watch.hedge(now, &mut self.watch_rng);
+        self.store_watch.request_hedge(now, &mut self.watch_rng);
     }
 
     /// How long the next watch request may wait at the store for a change.
     pub fn next_watch_wait(&mut self) -> Duration {
-        self.store_watch.wait(&mut self.watch_rng)
+        self.store_watch.next_wait(&mut self.watch_rng)
     }
 
     /// Timeout of a store call, in addition to the wait that the call itself requests.
     pub fn store_call_timeout(&self) -> Duration {
-        self.store_watch.patience()
+        self.store_watch.call_timeout()
     }
 
     /// Records the store's response time, excluding the wait that the call requested.
     pub fn record_store_latency(&mut self, took: Duration) {
-        self.store_watch.took(took);
+        self.store_watch.record_latency(took);
     }
 
     /// True when a full document read is fast enough for this node to be a watcher.
@@ -270,7 +270,7 @@
     /// others receive new versions from peers. Nodes that the store answers are preferred,
     /// distributed over the zones.
     pub fn is_document_watcher(&self) -> bool {
-        self.store_watch.watches()
+        self.store_watch.is_watching()
     }
 
     /// Time since the store last answered a document request of this node.
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -130,7 +130,8 @@
         let learnt_from = self.learnt_from;
         let store_answer_ms = self.store_watch.answer_age(now);
         let store_answer_ms = store_answer_ms.map(|age| age.as_millis() as u64);
-        let watcher = self.settings.source == ConfigSource::Document && self.store_watch.watches();
+        let watcher =
+            self.settings.source == ConfigSource::Document && self.store_watch.is_watching();
         outbox.explain(Decision::VersionAdopted {
             version,
             learnt_from,
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -190,7 +190,7 @@
             return;
         }
         let rank = self.decider_rank();
-        let eligible = self.store_watch.watches();
+        let eligible = self.store_watch.is_watching();
         let Some(rollouts) = &mut self.rollouts else {
             return;
         };
@@ -286,7 +286,7 @@
     fn decider_rank(&self) -> u32 {
         let me = &self.identity.id;
         let mine = rendezvous::weight(DECIDERS_KEY, me);
-        let watchers = self.store_watch.chosen_watchers().iter();
+        let watchers = self.store_watch.selected_watchers().iter();
         watchers
             .filter(|peer| *peer != me && rendezvous::weight(DECIDERS_KEY, peer) > mine)
             .count() as u32
--- a/crates/rampthread-core/src/fleet/agent/store_era.rs
+++ b/crates/rampthread-core/src/fleet/agent/store_era.rs
@@ -32,7 +32,7 @@
     /// snapshot of this zone.
     fn restore_notification_targets(&mut self) -> Vec<NodeId> {
         let me = &self.identity.id;
-        let watchers = self.store_watch.chosen_watchers().iter();
+        let watchers = self.store_watch.selected_watchers().iter();
         let others = watchers.filter(|id| *id != me);
         let mut targets: Vec<NodeId> = others
             .choose_multiple(&mut self.watch_rng, WATCHER_FANOUT)
