--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::fleet::ConfigSource;
 use crate::fleet::action::Outbox;
 use crate::fleet::message::{Envelope, Message, ProbeBody};
-use crate::fleet::writer::Asker;
+use crate::fleet::writer::Requester;
 use crate::ids::{NodeId, Version};
 use crate::time::Moment;
 impl Agent {
@@ -64,9 +64,9 @@
             Message::PullEntries { first, entries } => {
                 let before = self.replica.version();
                 self.ingest_entries(first, entries, now, outbox);
-                let had_news = self.replica.version() > before;
-                self.distribution.pull_ended(had_news, now);
-                if self.replica.lags() {
+                let found_new = self.replica.version() > before;
+                self.distribution.on_pull_reply(found_new, now);
+                if self.replica.is_behind() {
                     self.distribution
                         .pull_from(&from, &self.replica, now, outbox);
                 }
@@ -77,7 +77,7 @@
                 self.apply_snapshot(&snapshot, now, outbox);
             }
             Message::PullSnapshot { snapshot } => {
-                self.distribution.pull_ended(true, now);
+                self.distribution.on_pull_reply(true, now);
                 self.restore_snapshot(&snapshot, now, outbox);
             }
             Message::PullRefused { retry_after, .. }
@@ -88,7 +88,7 @@
             Message::PullRefused {
                 retry_after,
                 instead,
-            } => self.distribution.pull_refused(
+            } => self.distribution.on_pull_refused(
                 retry_after,
                 instead,
                 &self.replica,
@@ -107,7 +107,7 @@
             }
             Message::HeadQuery { nonce } => {
                 if self.reader.holds_lease(now) {
-                    self.reader.ask_head(from, nonce);
+                    self.reader.request_head(from, nonce);
                     self.tick_reader(now, outbox);
                 }
             }
@@ -166,11 +166,11 @@
                 reader_epoch,
                 entry,
             } => {
-                let asker = Asker {
+                let requester = Requester {
                     node: from,
                     submission,
                 };
-                self.on_propose(asker, reader_epoch, entry, now, outbox);
+                self.on_propose(requester, reader_epoch, entry, now, outbox);
             }
             Message::ProposeReply {
                 submission, answer, ..
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -80,7 +80,7 @@
         };
         self.learnt_from = learnt_from;
         self.history.push(state.clone());
-        self.distribution.ask_for_all(false);
+        self.distribution.set_pull_all(false);
         self.distribution
             .start(state.version(), learnt_from, now, &self.settings);
         self.adoption.stage(state, now, &self.settings, outbox);
@@ -114,7 +114,7 @@
     /// Reads the store when peers did not supply the newer version within the grace period,
     /// and then periodically.
     fn read_store_if_lagging(&mut self, now: Moment, outbox: &mut Outbox) {
-        if !self.replica.lags() {
+        if !self.replica.is_behind() {
             self.next_store_read = None;
         }
         if self.next_store_read.is_some_and(|due| now >= due) {
@@ -146,13 +146,13 @@
                         reason: error.to_string(),
                     });
                     outbox.actions.push(Action::ReadDocument);
-                    self.distribution.ask_for_all(true);
+                    self.distribution.set_pull_all(true);
                 }
             }
         }
-        let had_news = self.replica.version() > before;
-        self.distribution.pull_ended(had_news, now);
-        if had_news && self.replica.lags() {
+        let found_new = self.replica.version() > before;
+        self.distribution.on_pull_reply(found_new, now);
+        if found_new && self.replica.is_behind() {
             self.distribution
                 .pull_from(from, &self.replica, now, outbox);
         }
@@ -160,7 +160,7 @@
 
     /// Applies a full snapshot from a peer.
     pub(super) fn apply_snapshot(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
-        self.distribution.pull_ended(true, now);
+        self.distribution.on_pull_reply(true, now);
         match ConfigState::decode_snapshot(snapshot) {
             Ok(state) => self.apply_document(Arc::new(state), LearntFrom::Peer, now, outbox),
             Err(error) => outbox.explain(Decision::VersionRefused {
@@ -178,9 +178,9 @@
         now: Moment,
         outbox: &mut Outbox,
     ) {
-        self.distribution.pull_ended(false, now);
-        self.distribution.ask_for_all(true);
-        self.distribution.wait_before_pull(now + pause);
+        self.distribution.on_pull_reply(false, now);
+        self.distribution.set_pull_all(true);
+        self.distribution.delay_pulls_until(now + pause);
         self.next_store_read = Some(now + pause);
         outbox.actions.push(Action::ReadDocument);
     }
@@ -248,12 +248,12 @@
         self.estimated_read_time =
             Duration::from_secs_f64(bytes as f64 / self.link_bytes_per_second.max(1.0));
         self.distribution
-            .set_least_patience(self.estimated_read_time.mul_f64(PEER_TIMEOUT_FRACTION));
+            .set_min_pull_timeout(self.estimated_read_time.mul_f64(PEER_TIMEOUT_FRACTION));
     }
 
     /// True when this node has no document, or an older one than a peer.
     pub fn lacks_current_document(&self) -> bool {
-        self.replica.version() == Version::ZERO || self.replica.lags()
+        self.replica.version() == Version::ZERO || self.replica.is_behind()
     }
 
     /// Delay of the initial document read, which gives peers time to supply it. Zero for
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -24,7 +24,7 @@
         }
         self.request_head(outbox);
         let nonce = self.rng.random();
-        self.floor_query.ask(
+        self.floor_query.send(
             &self.identity.id,
             &self.identity.region,
             self.replica.staged(),
@@ -38,7 +38,7 @@
         let nonce = self.head_nonce;
         let me = &self.identity.id;
         if self.membership.me().conditions.reader {
-            self.reader.ask_head(me.clone(), nonce);
+            self.reader.request_head(me.clone(), nonce);
         }
         let readers = self.membership.readers().filter(|reader| reader.id != *me);
         for reader in readers {
@@ -50,7 +50,7 @@
         if nonce != self.head_nonce || self.floor.is_some() {
             return;
         }
-        self.replica.hear(head);
+        self.replica.observe_version(head);
         self.apply_head(head, now, outbox);
     }
 
@@ -76,7 +76,7 @@
         }
         match self.floor_query.status(self.replica.version()) {
             FloorStatus::Undecided => {}
-            FloorStatus::CatchUp(version) => self.replica.hear(version),
+            FloorStatus::CatchUp(version) => self.replica.observe_version(version),
             FloorStatus::Confirmed(floor) => {
                 self.adoption.start_from(self.floor_query.set().clone());
                 self.confirm_floor(floor, FloorSource::Witnesses, now, outbox);
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -22,8 +22,8 @@
         if self.settings.source == ConfigSource::Document {
             self.holders.note(peer, version);
         }
-        let lagged = self.replica.lags();
-        self.replica.hear(version);
+        let lagged = self.replica.is_behind();
+        self.replica.observe_version(version);
         let may_pull =
             self.settings.distribution == DistributionMode::Gossip || self.floor.is_none();
         if may_pull && version > self.replica.version() {
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -45,7 +45,7 @@
 use crate::fleet::settings::{ConfigSource, FleetSettings};
 use crate::fleet::store_watch::StoreWatch;
 use crate::fleet::witness::{Adoption, FloorQuery, WitnessRecords};
-use crate::fleet::writer::{Asker, Writer};
+use crate::fleet::writer::{Requester, Writer};
 use crate::ids::{NodeId, OperationId, Region, Version, Zone};
 use crate::time::Moment;
 pub use backend::HandledReport;
@@ -95,7 +95,7 @@
     operation_id: OperationId,
     version: Version,
     outcome: Outcome,
-    askers: Vec<Asker>,
+    requesters: Vec<Requester>,
     since: Moment,
 }
 
@@ -145,7 +145,7 @@
     reader: Reader,
     writer: Writer,
     pending_replications: Vec<PendingReplication>,
-    refused: VecDeque<Asker>,
+    refused: VecDeque<Requester>,
     holders: Holders,
     reports: HeldReports,
     proposals: Proposals,
@@ -344,7 +344,7 @@
         let mut outbox = Outbox::default();
         if self.snapshot_request == Some(request_id) {
             self.snapshot_request = None;
-        } else if self.writer.owns(request_id) {
+        } else if self.writer.owns_request(request_id) {
             self.on_write_answer(result, now, &mut outbox);
         } else {
             let news = self.reader.on_store(
@@ -443,7 +443,7 @@
         self.membership.reset_after_freeze(now);
         self.crashes.schedule_comparisons();
         if !self.reader.holds_lease(now) {
-            self.reader.give_up("the process was frozen", outbox);
+            self.reader.abandon_lease("the process was frozen", outbox);
         }
     }
 }
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -4,7 +4,7 @@
 use crate::config::{LogEntry, Outcome};
 use crate::fleet::action::{Action, Outbox};
 use crate::fleet::message::{Message, ProcessEpoch, PropagationStatus, ProposalReply, SharedBytes};
-use crate::fleet::writer::Asker;
+use crate::fleet::writer::Requester;
 use crate::ids::{OperationId, Version};
 use crate::time::Moment;
 
@@ -21,17 +21,17 @@
         );
         let process_epoch = self.identity.process_epoch;
         for proposal in own {
-            let asker = Asker {
+            let requester = Requester {
                 node: self.identity.id.clone(),
                 submission: proposal.submission,
             };
-            self.on_propose(asker, process_epoch, proposal.entry, now, outbox);
+            self.on_propose(requester, process_epoch, proposal.entry, now, outbox);
         }
     }
 
     pub(super) fn on_propose(
         &mut self,
-        asker: Asker,
+        requester: Requester,
         reader_epoch: ProcessEpoch,
         entry: SharedBytes,
         now: Moment,
@@ -43,30 +43,30 @@
         let operation_id = decoded.change.operation_id.clone();
         if reader_epoch != self.identity.process_epoch {
             let answer = ProposalReply::EpochMismatch;
-            self.answer_proposer(asker, operation_id, answer, outbox);
+            self.answer_proposer(requester, operation_id, answer, outbox);
             return;
         }
-        if self.refused.contains(&asker) {
+        if self.refused.contains(&requester) {
             let retry_after = self.reader.retry_after(now);
             let answer = ProposalReply::NotRun { retry_after };
-            self.answer_proposer(asker, operation_id, answer, outbox);
+            self.answer_proposer(requester, operation_id, answer, outbox);
             return;
         }
         if let Some(recorded) = self.replica.staged().operation(&operation_id) {
             let (version, outcome) = (recorded.version, recorded.outcome.clone());
-            self.await_replication(operation_id, version, outcome, vec![asker], now);
+            self.await_replication(operation_id, version, outcome, vec![requester], now);
             return;
         }
         // Also without a lease: a write of this operation may be in flight.
-        if self.writer.join(&operation_id, &asker) {
+        if self.writer.add_requester(&operation_id, &requester) {
             return;
         }
         let can_write = self.reader.holds_lease(now);
-        let taken = can_write && self.writer.propose(entry, &decoded, asker.clone(), now);
+        let taken = can_write && self.writer.propose(entry, &decoded, requester.clone(), now);
         if !taken {
             let retry_after = self.reader.retry_after(now);
             let answer = ProposalReply::NotRun { retry_after };
-            self.answer_proposer(asker, operation_id, answer, outbox);
+            self.answer_proposer(requester, operation_id, answer, outbox);
             return;
         }
         self.tick_reader(now, outbox);
@@ -74,22 +74,22 @@
 
     pub(super) fn answer_proposer(
         &mut self,
-        asker: Asker,
+        requester: Requester,
         operation_id: OperationId,
         answer: ProposalReply,
         outbox: &mut Outbox,
     ) {
-        if matches!(answer, ProposalReply::NotRun { .. }) && !self.refused.contains(&asker) {
-            self.refused.push_back(asker.clone());
+        if matches!(answer, ProposalReply::NotRun { .. }) && !self.refused.contains(&requester) {
+            self.refused.push_back(requester.clone());
             if self.refused.len() > MAX_REJECTED_SUBMISSIONS {
                 self.refused.pop_front();
             }
         }
-        let submission = asker.submission;
-        if asker.node == self.identity.id {
+        let submission = requester.submission;
+        if requester.node == self.identity.id {
             let process_epoch = self.identity.process_epoch;
             self.proposals
-                .on_answer(&asker.node, process_epoch, submission, answer, outbox);
+                .on_answer(&requester.node, process_epoch, submission, answer, outbox);
             return;
         }
         let message = Message::ProposeReply {
@@ -97,18 +97,18 @@
             operation_id,
             answer,
         };
-        outbox.send(&asker.node, message);
+        outbox.send(&requester.node, message);
     }
 
     pub(super) fn collect_decided_proposals(&mut self, now: Moment) {
-        for finished in self.writer.finished(&self.replica) {
+        for finished in self.writer.take_decided(&self.replica) {
             let recorded = self.replica.staged().operation(&finished.operation_id);
             let outcome = recorded.map(|recorded| recorded.outcome.clone());
             self.await_replication(
                 finished.operation_id,
                 finished.decided_at,
                 outcome.unwrap_or(Outcome::Accepted),
-                finished.askers,
+                finished.requesters,
                 now,
             );
         }
@@ -119,14 +119,14 @@
         operation_id: OperationId,
         version: Version,
         outcome: Outcome,
-        askers: Vec<Asker>,
+        requesters: Vec<Requester>,
         now: Moment,
     ) {
         self.pending_replications.push(PendingReplication {
             operation_id,
             version,
             outcome,
-            askers,
+            requesters,
             since: now,
         });
     }
@@ -143,13 +143,13 @@
                 self.pending_replications.push(hold);
                 continue;
             }
-            for asker in hold.askers {
+            for requester in hold.requesters {
                 let answer = ProposalReply::Decided {
                     version: hold.version,
                     outcome: hold.outcome.clone(),
                     held_by: others.count as u32 + 1,
                 };
-                self.answer_proposer(asker, hold.operation_id.clone(), answer, outbox);
+                self.answer_proposer(requester, hold.operation_id.clone(), answer, outbox);
             }
         }
     }
--- a/crates/rampthread-core/src/fleet/agent/store.rs
+++ b/crates/rampthread-core/src/fleet/agent/store.rs
@@ -3,7 +3,7 @@
 use super::{Agent, Defect, RETAINED_LOG_ENTRIES};
 use crate::fleet::action::{Action, Decision, Outbox, StoreAnswer, StoreFailure, StoreRequest};
 use crate::fleet::message::{Message, ProposalReply};
-use crate::fleet::reader::ReaderNews;
+use crate::fleet::reader::ReaderEvent;
 use crate::ids::Version;
 use crate::time::Moment;
 impl Agent {
@@ -30,10 +30,10 @@
     /// Rejects proposals whose write was not attempted, while no write is possible.
     pub(super) fn reject_unstarted_writes(&mut self, now: Moment, outbox: &mut Outbox) {
         let retry_after = self.reader.retry_after(now);
-        for untried in self.writer.take_untried() {
-            for asker in untried.askers {
+        for unattempted in self.writer.take_unattempted() {
+            for requester in unattempted.requesters {
                 let answer = ProposalReply::NotRun { retry_after };
-                self.answer_proposer(asker, untried.operation_id.clone(), answer, outbox);
+                self.answer_proposer(requester, unattempted.operation_id.clone(), answer, outbox);
             }
         }
     }
@@ -44,7 +44,7 @@
             return;
         }
         self.last_snapshot = version;
-        let request_id = self.reader.fresh_request();
+        let request_id = self.reader.next_request_id();
         self.snapshot_request = Some(request_id);
         let request = StoreRequest::WriteSnapshot {
             version,
@@ -66,12 +66,12 @@
             Ok(_) => self.reader.store_answered(outbox),
             Err(failure) => {
                 self.reader
-                    .note_failure(*failure, now, &self.settings, &mut self.rng, outbox)
+                    .on_store_failure(*failure, now, &self.settings, &mut self.rng, outbox)
             }
         }
         if self.defect == Some(Defect::LostAnswerIsRefusal) && result == Err(StoreFailure::Unknown)
         {
-            self.writer.forget_open();
+            self.writer.discard_pending_write();
             self.reject_unstarted_writes(now, outbox);
             return;
         }
@@ -79,22 +79,22 @@
             self.ingest_entry(version, entry, now, outbox);
         }
     }
-    pub(super) fn on_reader_news(&mut self, news: ReaderNews, now: Moment, outbox: &mut Outbox) {
+    pub(super) fn on_reader_news(&mut self, news: ReaderEvent, now: Moment, outbox: &mut Outbox) {
         match news {
-            ReaderNews::Entries { first, entries } => {
+            ReaderEvent::Entries { first, entries } => {
                 self.ingest_entries(first, entries, now, outbox);
             }
-            ReaderNews::Snapshot(snapshot) => self.restore_snapshot(&snapshot, now, outbox),
-            ReaderNews::Heads { head, askers } => {
+            ReaderEvent::Snapshot(snapshot) => self.restore_snapshot(&snapshot, now, outbox),
+            ReaderEvent::Heads { head, requesters } => {
                 let held = self.adoption.version();
                 if head < held {
                     outbox.explain(Decision::StoreBehind { head, held });
                 }
-                for (asker, nonce) in askers {
-                    if asker == self.identity.id {
+                for (requester, nonce) in requesters {
+                    if requester == self.identity.id {
                         self.on_head(nonce, head, now, outbox);
                     } else {
-                        outbox.send(&asker, Message::HeadReply { nonce, head });
+                        outbox.send(&requester, Message::HeadReply { nonce, head });
                     }
                 }
             }
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -16,9 +16,9 @@
 use std::time::Duration;
 
 /// Maximum size of the entries in one reply to a pull, in bytes.
-const PULL_ANSWER_BYTES: usize = 256 * 1024;
+const MAX_PULL_REPLY_BYTES: usize = 256 * 1024;
 /// Delay requested from peers when the pull rate limit is exceeded.
-const BUSY_RETRY: Duration = Duration::from_millis(250);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Pause after a pull that returned nothing new.
 const EMPTY_PULL_PAUSE: Duration = Duration::from_millis(50);
 /// Interval between polls in [`DistributionMode::PollReader`].
@@ -26,12 +26,12 @@
 
 /// Round of notices in which a node that read a document from the store also notifies other
 /// zones. One round after its own zone, since most zones have a watcher of their own.
-const FAR_NOTICE_ROUND: u32 = 1;
+const OTHER_ZONE_NOTICE_ROUND: u32 = 1;
 
 /// Rounds of notices if fewer peers are known in the zone than are notified per round. At a
 /// message loss of 30 %, a peer misses all of three notices in 27 of 1,000 cases, and all of
 /// eight in 7 of 100,000.
-const ROUNDS_TO_FEW: u32 = 8;
+const MIN_ROUNDS_FEW_PEERS: u32 = 8;
 
 #[derive(Debug)]
 struct OpenPull {
@@ -56,10 +56,10 @@
     /// Number of consecutive pulls that timed out.
     timeouts: u32,
     /// Minimum timeout of a pull, depending on the bandwidth of this node's link.
-    least_patience: Duration,
+    min_pull_timeout: Duration,
     pull_not_before: Moment,
     /// True if pulls request the full state, whatever version this node holds.
-    whole: bool,
+    pull_all: bool,
     /// Peer known to hold a newer version than this node.
     source: Option<NodeId>,
     next_poll: Moment,
@@ -97,22 +97,22 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        self.spread(now, membership, replica, settings, rng, outbox);
+        self.send_notices(now, membership, replica, settings, rng, outbox);
         if settings.distribution == DistributionMode::PollReader && now >= self.next_poll {
             self.next_poll = now + POLL_INTERVAL;
-            self.ask_reader(membership, replica, rng, outbox);
+            self.poll_reader(membership, replica, rng, outbox);
         }
-        let patience = settings.pull_timeout.max(self.least_patience);
+        let pull_timeout = settings.pull_timeout.max(self.min_pull_timeout);
         let timed_out = self
             .pull
             .as_ref()
-            .is_some_and(|pull| now.since(pull.sent) >= patience);
+            .is_some_and(|pull| now.since(pull.sent) >= pull_timeout);
         if timed_out {
             self.pull = None;
             self.timeouts += 1;
         }
         let by_gossip = settings.distribution == DistributionMode::Gossip;
-        if by_gossip && replica.lags() && self.pull.is_none() && now >= self.pull_not_before {
+        if by_gossip && replica.is_behind() && self.pull.is_none() && now >= self.pull_not_before {
             let source = self.source.take();
             if let Some(peer) = source.or_else(|| membership.random_peer_preferring_zone(rng)) {
                 self.pull_from(&peer, replica, now, outbox);
@@ -133,7 +133,7 @@
         outbox: &mut Outbox,
     ) {
         let held = replica.version();
-        if self.timeouts == 0 || self.whole || held == Version::ZERO || self.pull.is_none() {
+        if self.timeouts == 0 || self.pull_all || held == Version::ZERO || self.pull.is_none() {
             return;
         }
         let second = membership.random_peer_preferring_zone(rng);
@@ -142,7 +142,7 @@
         }
     }
 
-    fn spread(
+    fn send_notices(
         &mut self,
         now: Moment,
         membership: &Membership,
@@ -160,7 +160,7 @@
         let few = announcement.learnt_from != LearntFrom::Log
             && membership.same_zone_peers().count() < settings.notice_fanout;
         let rounds = match few {
-            true => settings.notice_rounds.max(ROUNDS_TO_FEW),
+            true => settings.notice_rounds.max(MIN_ROUNDS_FEW_PEERS),
             false => settings.notice_rounds,
         };
         if announcement.rounds >= rounds {
@@ -178,7 +178,7 @@
         }
     }
 
-    fn ask_reader(
+    fn poll_reader(
         &self,
         membership: &Membership,
         replica: &Replica,
@@ -214,7 +214,7 @@
             return;
         }
         self.pull = Some(OpenPull { sent: now });
-        let held = if self.whole {
+        let held = if self.pull_all {
             Version::ZERO
         } else {
             replica.version()
@@ -224,34 +224,34 @@
 
     /// Sets the minimum timeout of a pull, so that a slow transfer over a narrow link is not
     /// started again and again.
-    pub fn set_least_patience(&mut self, wait: Duration) {
-        self.least_patience = wait;
+    pub fn set_min_pull_timeout(&mut self, timeout: Duration) {
+        self.min_pull_timeout = timeout;
     }
 
     /// Sets whether pulls request the full state.
-    pub fn ask_for_all(&mut self, whole: bool) {
-        self.whole = whole;
+    pub fn set_pull_all(&mut self, pull_all: bool) {
+        self.pull_all = pull_all;
     }
 
     /// Suspends pulls until `moment`, while the version may still arrive by other means.
-    pub fn wait_before_pull(&mut self, moment: Moment) {
+    pub fn delay_pulls_until(&mut self, moment: Moment) {
         self.pull_not_before = self.pull_not_before.max(moment);
     }
 
     /// Handles a reply to a pull. If it contained nothing new, the next pull is delayed: the
     /// peer may know of the version without having it yet.
-    pub fn pull_ended(&mut self, had_news: bool, now: Moment) {
+    pub fn on_pull_reply(&mut self, found_new: bool, now: Moment) {
         self.pull = None;
-        if had_news {
+        if found_new {
             self.timeouts = 0;
         }
-        if !had_news {
+        if !found_new {
             self.pull_not_before = now + EMPTY_PULL_PAUSE;
         }
     }
 
     /// Handles a pull rejected by the rate limit.
-    pub fn pull_refused(
+    pub fn on_pull_refused(
         &mut self,
         retry_after: Duration,
         instead: Option<NodeId>,
@@ -300,7 +300,7 @@
                 .filter(|peer| peer.id != *from && peer.id != *me && peer.conditions.ready)
                 .map(|peer| peer.id.clone())
                 .choose(rng);
-            let retry_after = BUSY_RETRY;
+            let retry_after = BUSY_RETRY_DELAY;
             outbox.send(
                 from,
                 Message::PullRefused {
@@ -310,12 +310,12 @@
             );
             return;
         }
-        outbox.send(from, pull_answer(replica, held));
+        outbox.send(from, pull_reply(replica, held));
     }
 }
 
-fn pull_answer(replica: &Replica, held: Version) -> Message {
-    match replica.entries_after(held, PULL_ANSWER_BYTES) {
+fn pull_reply(replica: &Replica, held: Version) -> Message {
+    match replica.entries_after(held, MAX_PULL_REPLY_BYTES) {
         Some(entries) => Message::PullEntries {
             first: held.next(),
             entries,
@@ -341,7 +341,9 @@
         return mixed_targets(membership, fanout, rng);
     }
     let mut targets = membership.random_same_zone_peers(fanout, rng);
-    if announcement.learnt_from == LearntFrom::Store && announcement.rounds == FAR_NOTICE_ROUND {
+    if announcement.learnt_from == LearntFrom::Store
+        && announcement.rounds == OTHER_ZONE_NOTICE_ROUND
+    {
         targets.extend(membership.random_other_zone_peers(1, rng));
     }
     targets
@@ -349,10 +351,10 @@
 
 /// Returns random peers, half of them from other zones.
 fn mixed_targets(membership: &Membership, fanout: usize, rng: &mut impl Rng) -> Vec<NodeId> {
-    let far = membership.other_zone_peers().into_values().flatten();
-    let far_share = fanout.div_ceil(2);
-    let mut targets: Vec<NodeId> = far
-        .choose_multiple(rng, far_share)
+    let other_zones = membership.other_zone_peers().into_values().flatten();
+    let other_zone_count = fanout.div_ceil(2);
+    let mut targets: Vec<NodeId> = other_zones
+        .choose_multiple(rng, other_zone_count)
         .into_iter()
         .cloned()
         .collect();
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -15,22 +15,22 @@
 use std::time::Duration;
 
 /// Time after which an unanswered proposal is sent again.
-const REPEAT_AFTER: Duration = Duration::from_millis(300);
+const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 /// Time for which a proposal waits for a reader to be known.
-const READER_WAIT: Duration = Duration::from_secs(2);
+const READER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Delay before another attempt that the operator is told if no reader is known.
-const NO_READER_RETRY: Duration = Duration::from_secs(2);
+const NO_READER_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
 struct OpenProposal {
     ticket: Ticket,
     submission: u64,
     entry: SharedBytes,
-    begun: Moment,
+    submitted_at: Moment,
     target: Option<(NodeId, ProcessEpoch)>,
     sent: Moment,
     /// True if the proposal was sent to more than one reader or to several runs of one.
-    spread_out: bool,
+    sent_to_several: bool,
 }
 
 /// Proposals submitted at this node.
@@ -42,7 +42,7 @@
 
 /// A proposal that this node, being a reader itself, processes locally.
 #[derive(Debug)]
-pub struct OwnProposal {
+pub struct LocalProposal {
     /// Number of the submission.
     pub submission: u64,
     /// The encoded entry.
@@ -66,10 +66,10 @@
             ticket,
             submission: self.next_submission,
             entry,
-            begun: now,
+            submitted_at: now,
             target: None,
             sent: Moment::default(),
-            spread_out: false,
+            sent_to_several: false,
         });
     }
 
@@ -84,15 +84,15 @@
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
-    ) -> Vec<OwnProposal> {
+    ) -> Vec<LocalProposal> {
         let mut own = Vec::new();
         let mut ended = Vec::new();
         for open in &mut self.open {
-            if let Some(answer) = impatient(open, now, settings) {
+            if let Some(answer) = timed_out(open, now, settings) {
                 ended.push((open.ticket, answer));
                 continue;
             }
-            if open.target.is_some() && now.since(open.sent) < REPEAT_AFTER {
+            if open.target.is_some() && now.since(open.sent) < RESEND_INTERVAL {
                 continue;
             }
             let me = &membership.me().id;
@@ -104,11 +104,11 @@
             } else {
                 epochs.get(&reader).copied().unwrap_or_default()
             };
-            open.aim(reader.clone(), process_epoch, now);
+            open.set_target(reader.clone(), process_epoch, now);
             let submission = open.submission;
             let entry = open.entry.clone();
             if reader == *me {
-                own.push(OwnProposal { submission, entry });
+                own.push(LocalProposal { submission, entry });
             } else {
                 let message = Message::Propose {
                     submission,
@@ -140,7 +140,7 @@
         let Some(open) = found else { return };
         let answer = match answer {
             ProposalReply::Decided { .. } => answer,
-            ProposalReply::NotRun { .. } if open.is_sure_of(from, process_epoch) => answer,
+            ProposalReply::NotRun { .. } if open.is_only_target(from, process_epoch) => answer,
             ProposalReply::NotRun { .. } => return,
             ProposalReply::Unknown => ProposalReply::Unknown,
             ProposalReply::EpochMismatch => {
@@ -161,30 +161,31 @@
 }
 
 impl OpenProposal {
-    fn aim(&mut self, reader: NodeId, process_epoch: ProcessEpoch, now: Moment) {
+    fn set_target(&mut self, reader: NodeId, process_epoch: ProcessEpoch, now: Moment) {
         let next = (reader, process_epoch);
         // Epoch 0 means that the reader's process epoch is not known. Such a proposal has no
         // effect.
-        let moved = self.target.as_ref().is_some_and(|(_, process_epoch)| {
+        let changed = self.target.as_ref().is_some_and(|(_, process_epoch)| {
             *process_epoch != 0 && self.target.as_ref() != Some(&next)
         });
-        self.spread_out |= moved;
+        self.sent_to_several |= changed;
         self.target = Some(next);
         self.sent = now;
     }
 
-    fn is_sure_of(&self, from: &NodeId, process_epoch: ProcessEpoch) -> bool {
-        let aimed = self.target.as_ref();
-        !self.spread_out && aimed.is_some_and(|(id, aimed)| id == from && *aimed == process_epoch)
+    fn is_only_target(&self, from: &NodeId, process_epoch: ProcessEpoch) -> bool {
+        let target = self.target.as_ref();
+        !self.sent_to_several
+            && target.is_some_and(|(id, target)| id == from && *target == process_epoch)
     }
 }
 
-fn impatient(open: &OpenProposal, now: Moment, settings: &FleetSettings) -> Option<ProposalReply> {
-    let waited = now.since(open.begun);
+fn timed_out(open: &OpenProposal, now: Moment, settings: &FleetSettings) -> Option<ProposalReply> {
+    let waited = now.since(open.submitted_at);
     let never_sent = open.target.is_none();
-    if never_sent && waited >= READER_WAIT {
+    if never_sent && waited >= READER_TIMEOUT {
         return Some(ProposalReply::NotRun {
-            retry_after: NO_READER_RETRY,
+            retry_after: NO_READER_RETRY_DELAY,
         });
     }
     (waited >= settings.proposal_timeout).then_some(ProposalReply::Unknown)
@@ -197,10 +198,10 @@
     membership: &Membership,
     rng: &mut impl Rng,
 ) -> Option<NodeId> {
-    let aimed = open.target.as_ref().map(|(id, _)| id);
+    let target = open.target.as_ref().map(|(id, _)| id);
     if let Some(same) = membership
         .readers()
-        .find(|reader| Some(&reader.id) == aimed)
+        .find(|reader| Some(&reader.id) == target)
     {
         return Some(same.id.clone());
     }
@@ -208,10 +209,11 @@
     if me.conditions.reader {
         return Some(me.id.clone());
     }
-    let near = membership
+    let same_zone = membership
         .readers()
         .filter(|reader| reader.zone == me.zone)
         .choose(rng);
-    near.or_else(|| membership.readers().choose(rng))
+    same_zone
+        .or_else(|| membership.readers().choose(rng))
         .map(|reader| reader.id.clone())
 }
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -21,7 +21,7 @@
 /// Rendezvous key of the reader candidates.
 const CANDIDATE_KEY: &str = "store-reader";
 /// Number of doublings after which the backoff stays constant.
-const MAX_DOUBLINGS: u32 = 6;
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Purpose {
@@ -50,7 +50,7 @@
 
 /// Queries for the head of the log that share one store read.
 #[derive(Debug, Default)]
-struct HeadReads {
+struct HeadQueries {
     /// Received since the current read began.
     waiting: Vec<(NodeId, u64)>,
     /// Answered by the current read.
@@ -59,7 +59,7 @@
 
 /// Data that the reader passes to the agent.
 #[derive(Debug, PartialEq, Eq)]
-pub enum ReaderNews {
+pub enum ReaderEvent {
     /// Entries of the log.
     Entries {
         /// Version of the first entry.
@@ -74,7 +74,7 @@
         /// Head of the log.
         head: Version,
         /// Nodes that sent a query, with its nonce.
-        askers: Vec<(NodeId, u64)>,
+        requesters: Vec<(NodeId, u64)>,
     },
 }
 
@@ -85,9 +85,9 @@
     open: Vec<OpenRequest>,
     not_before: Moment,
     failures: u32,
-    next_try: Moment,
-    heads: HeadReads,
-    next_request: RequestId,
+    next_acquire_at: Moment,
+    heads: HeadQueries,
+    last_request_id: RequestId,
     store_down: bool,
     needs_snapshot: bool,
 }
@@ -100,9 +100,9 @@
             open: Vec::new(),
             not_before: Moment::default(),
             failures: 0,
-            next_try: Moment::default(),
-            heads: HeadReads::default(),
-            next_request: first_request,
+            next_acquire_at: Moment::default(),
+            heads: HeadQueries::default(),
+            last_request_id: first_request,
             store_down: false,
             needs_snapshot: false,
         }
@@ -124,14 +124,16 @@
     }
 
     /// Returns a new request id. The writer takes its ids from the same sequence.
-    pub fn fresh_request(&mut self) -> RequestId {
-        self.next_request += 1;
-        self.next_request
+    pub fn next_request_id(&mut self) -> RequestId {
+        self.last_request_id += 1;
+        self.last_request_id
     }
 
     /// Records a query for the head of the log.
-    pub fn ask_head(&mut self, from: NodeId, nonce: u64) {
-        self.heads.waiting.retain(|(asker, _)| *asker != from);
+    pub fn request_head(&mut self, from: NodeId, nonce: u64) {
+        self.heads
+            .waiting
+            .retain(|(requester, _)| *requester != from);
         self.heads.waiting.push((from, nonce));
     }
 
@@ -145,23 +147,23 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        self.end_expired(now, outbox);
-        self.drop_overdue(now, settings, rng, outbox);
+        self.abandon_if_expired(now, outbox);
+        self.expire_requests(now, settings, rng, outbox);
         if now < self.not_before {
             return;
         }
         match self.lease {
-            Some(lease) => self.work(lease, now, known, settings, outbox),
+            Some(lease) => self.use_lease(lease, now, known, settings, outbox),
             None => self.try_acquire(now, membership, settings, rng, outbox),
         }
     }
 
     /// Gives up the lease locally, for instance after the process was suspended.
-    pub fn give_up(&mut self, reason: &str, outbox: &mut Outbox) {
+    pub fn abandon_lease(&mut self, reason: &str, outbox: &mut Outbox) {
         let Some(lease) = self.lease.take() else {
             return;
         };
-        self.heads = HeadReads::default();
+        self.heads = HeadQueries::default();
         self.open.clear();
         outbox.explain(Decision::LeaseLost {
             place: lease.place,
@@ -172,8 +174,8 @@
     /// Releases the lease in the store, so that another node can acquire it at once.
     pub fn release(&mut self, outbox: &mut Outbox) {
         if let Some(lease) = self.lease {
-            self.give_up("released at a planned stop", outbox);
-            let request_id = self.fresh_request();
+            self.abandon_lease("released at a planned stop", outbox);
+            let request_id = self.next_request_id();
             let request = StoreRequest::ReleaseLease {
                 lease: lease.id,
                 place: lease.place,
@@ -185,41 +187,41 @@
         }
     }
 
-    fn end_expired(&mut self, now: Moment, outbox: &mut Outbox) {
+    fn abandon_if_expired(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.lease.is_some_and(|lease| now >= lease.expires) {
-            self.give_up("not renewed in time", outbox);
+            self.abandon_lease("not renewed in time", outbox);
         }
     }
 
     /// Treats requests without a timely answer as failed.
-    fn drop_overdue(
+    fn expire_requests(
         &mut self,
         now: Moment,
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        let patience = settings.lease_ttl;
+        let timeout = settings.lease_ttl;
         let overdue = |open: &OpenRequest| {
             let extra = match open.purpose {
                 Purpose::Watch => settings.watch_wait,
                 _ => Duration::ZERO,
             };
-            now.since(open.sent) >= patience + extra
+            now.since(open.sent) >= timeout + extra
         };
         let before = self.open.len();
         self.open.retain(|open| !overdue(open));
         if self.open.len() < before {
-            self.restart_heads();
+            self.requeue_head_queries();
             self.back_off(None, "no answer", now, settings, rng, outbox);
         }
     }
 
     /// Moves the queries of a failed read to the next one.
-    fn restart_heads(&mut self) {
+    fn requeue_head_queries(&mut self) {
         if !self.is_open(Purpose::Head) {
-            let mut askers = std::mem::take(&mut self.heads.running);
-            self.heads.waiting.append(&mut askers);
+            let mut requesters = std::mem::take(&mut self.heads.running);
+            self.heads.waiting.append(&mut requesters);
         }
     }
 
@@ -234,7 +236,7 @@
         now: Moment,
         outbox: &mut Outbox,
     ) {
-        let id = self.fresh_request();
+        let id = self.next_request_id();
         self.open.push(OpenRequest {
             id,
             purpose,
@@ -246,7 +248,7 @@
         });
     }
 
-    fn work(
+    fn use_lease(
         &mut self,
         lease: Lease,
         now: Moment,
@@ -283,15 +285,15 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        let trying = self
+        let acquiring = self
             .open
             .iter()
             .any(|open| matches!(open.purpose, Purpose::Acquire { .. }));
-        if trying || now < self.next_try {
+        if acquiring || now < self.next_acquire_at {
             return;
         }
         let pause = settings.lease_ttl / 2;
-        self.next_try = now + pause.mul_f64(rng.random_range(0.5..1.0));
+        self.next_acquire_at = now + pause.mul_f64(rng.random_range(0.5..1.0));
         if membership.readers().count() >= settings.reader_count {
             return;
         }
@@ -319,7 +321,7 @@
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
-    ) -> Option<ReaderNews> {
+    ) -> Option<ReaderEvent> {
         let index = self.open.iter().position(|open| open.id == id)?;
         let open = self.open.swap_remove(index);
         match result {
@@ -328,12 +330,19 @@
                 self.on_answer(open, answer, now, settings, rng, outbox)
             }
             Err(failure) => {
-                self.restart_heads();
-                let wish = match failure {
+                self.requeue_head_queries();
+                let requested_delay = match failure {
                     StoreFailure::NotRun { retry_after } => retry_after,
                     StoreFailure::Unknown => None,
                 };
-                self.back_off(wish, &failure.to_string(), now, settings, rng, outbox);
+                self.back_off(
+                    requested_delay,
+                    &failure.to_string(),
+                    now,
+                    settings,
+                    rng,
+                    outbox,
+                );
                 None
             }
         }
@@ -347,7 +356,7 @@
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
-    ) -> Option<ReaderNews> {
+    ) -> Option<ReaderEvent> {
         match (open.purpose, answer) {
             (Purpose::Acquire { place }, StoreAnswer::LeaseGranted { lease }) => {
                 self.lease = Some(Lease {
@@ -360,7 +369,7 @@
                 None
             }
             (Purpose::Acquire { .. }, _) => {
-                self.next_try = now + settings.lease_ttl.mul_f64(rng.random_range(0.3..1.0));
+                self.next_acquire_at = now + settings.lease_ttl.mul_f64(rng.random_range(0.3..1.0));
                 None
             }
             (Purpose::Renew, StoreAnswer::LeaseKept) => {
@@ -371,7 +380,7 @@
                 None
             }
             (Purpose::Renew, _) => {
-                self.give_up("the store ended it", outbox);
+                self.abandon_lease("the store ended it", outbox);
                 None
             }
             (Purpose::Watch, StoreAnswer::Truncated) => {
@@ -379,19 +388,19 @@
                 None
             }
             (Purpose::Watch, StoreAnswer::Entries { first, entries, .. }) => {
-                Some(ReaderNews::Entries { first, entries })
+                Some(ReaderEvent::Entries { first, entries })
             }
             (Purpose::Snapshot, StoreAnswer::Snapshot(snapshot)) => {
                 self.needs_snapshot = false;
-                snapshot.map(ReaderNews::Snapshot)
+                snapshot.map(ReaderEvent::Snapshot)
             }
-            (Purpose::Head, StoreAnswer::Entries { head, .. }) => Some(ReaderNews::Heads {
+            (Purpose::Head, StoreAnswer::Entries { head, .. }) => Some(ReaderEvent::Heads {
                 head,
-                askers: std::mem::take(&mut self.heads.running),
+                requesters: std::mem::take(&mut self.heads.running),
             }),
             (Purpose::Head, StoreAnswer::Truncated) => {
                 self.needs_snapshot = true;
-                self.restart_heads();
+                self.requeue_head_queries();
                 None
             }
             _ => None,
@@ -399,7 +408,7 @@
     }
 
     /// Handles a failed store request of the writer.
-    pub fn note_failure(
+    pub fn on_store_failure(
         &mut self,
         failure: StoreFailure,
         now: Moment,
@@ -407,11 +416,18 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        let wish = match failure {
+        let requested_delay = match failure {
             StoreFailure::NotRun { retry_after } => retry_after,
             StoreFailure::Unknown => None,
         };
-        self.back_off(wish, &failure.to_string(), now, settings, rng, outbox);
+        self.back_off(
+            requested_delay,
+            &failure.to_string(),
+            now,
+            settings,
+            rng,
+            outbox,
+        );
     }
 
     /// Handles a successful store request, including those of the writer.
@@ -426,20 +442,20 @@
     /// Exponential backoff with full jitter, but at least the delay requested by the store.
     fn back_off(
         &mut self,
-        wish: Option<Duration>,
+        requested_delay: Option<Duration>,
         reason: &str,
         now: Moment,
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
-        self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
+        self.failures = (self.failures + 1).min(MAX_BACKOFF_DOUBLINGS);
         let ceiling = settings
             .initial_store_backoff
             .saturating_mul(1 << self.failures)
             .min(settings.max_store_backoff);
         let wait = ceiling.mul_f64(rng.random_range(0.0..1.0));
-        self.not_before = now + wait.max(wish.unwrap_or_default());
+        self.not_before = now + wait.max(requested_delay.unwrap_or_default());
         if !self.store_down {
             self.store_down = true;
             outbox.explain(Decision::StoreUnavailable {
--- a/crates/rampthread-core/src/fleet/replica.rs
+++ b/crates/rampthread-core/src/fleet/replica.rs
@@ -10,30 +10,30 @@
 use std::sync::Arc;
 
 /// Maximum number of entries kept that arrived ahead of a gap.
-const MAX_AHEAD: usize = 256;
+const MAX_ENTRIES_AHEAD: usize = 256;
 
 /// Copy of the change log on this node.
 #[derive(Debug)]
 pub struct Replica {
     staged: Arc<ConfigState>,
     /// Entries up to the staged version, kept for lagging peers.
-    kept: BTreeMap<Version, SharedBytes>,
+    retained: BTreeMap<Version, SharedBytes>,
     /// Entries that arrived ahead of a gap.
     ahead: BTreeMap<Version, SharedBytes>,
-    kept_limit: usize,
+    max_retained: usize,
     /// Highest version known to exist.
-    newest_heard: Version,
+    newest_known: Version,
 }
 
 impl Replica {
-    /// Creates an empty copy that keeps up to `kept_limit` entries for peers.
-    pub fn new(kept_limit: usize) -> Self {
+    /// Creates an empty copy that keeps up to `max_retained` entries for peers.
+    pub fn new(max_retained: usize) -> Self {
         Self {
             staged: Arc::new(ConfigState::default()),
-            kept: BTreeMap::new(),
+            retained: BTreeMap::new(),
             ahead: BTreeMap::new(),
-            kept_limit,
-            newest_heard: Version::ZERO,
+            max_retained,
+            newest_known: Version::ZERO,
         }
     }
 
@@ -48,38 +48,38 @@
     }
 
     /// Returns true if a version is known to exist that this node lacks.
-    pub fn lags(&self) -> bool {
-        self.newest_heard > self.version()
+    pub fn is_behind(&self) -> bool {
+        self.newest_known > self.version()
     }
 
     /// Records that `version` exists.
-    pub fn hear(&mut self, version: Version) {
-        self.newest_heard = self.newest_heard.max(version);
+    pub fn observe_version(&mut self, version: Version) {
+        self.newest_known = self.newest_known.max(version);
     }
 
     /// Inserts an entry and returns the resulting states in order. There may be none or
     /// several, depending on gaps.
     pub fn insert(&mut self, version: Version, entry: SharedBytes) -> Vec<Arc<ConfigState>> {
-        self.hear(version);
+        self.observe_version(version);
         if version <= self.version() {
             return Vec::new();
         }
-        if self.ahead.len() < MAX_AHEAD || version == self.version().next() {
+        if self.ahead.len() < MAX_ENTRIES_AHEAD || version == self.version().next() {
             self.ahead.insert(version, entry);
         }
         let mut states = Vec::new();
         while let Some(entry) = self.ahead.remove(&self.version().next()) {
             self.staged = Arc::new(self.staged.apply(&entry));
-            self.keep(self.staged.version(), entry);
+            self.retain_entry(self.staged.version(), entry);
             states.push(self.staged.clone());
         }
         states
     }
 
-    fn keep(&mut self, version: Version, entry: SharedBytes) {
-        self.kept.insert(version, entry);
-        while self.kept.len() > self.kept_limit {
-            self.kept.pop_first();
+    fn retain_entry(&mut self, version: Version, entry: SharedBytes) {
+        self.retained.insert(version, entry);
+        while self.retained.len() > self.max_retained {
+            self.retained.pop_first();
         }
     }
 
@@ -88,10 +88,10 @@
         if state.version() <= self.version() {
             return None;
         }
-        self.hear(state.version());
+        self.observe_version(state.version());
         let state = Arc::unwrap_or_clone(state).share_unchanged_resources(&self.staged);
         self.staged = Arc::new(state);
-        self.kept.clear();
+        self.retained.clear();
         let version = self.version();
         self.ahead.retain(|slot, _| *slot > version);
         Some(self.staged.clone())
@@ -109,12 +109,12 @@
         if held >= self.version() {
             return Some(Vec::new());
         }
-        if !self.kept.contains_key(&held.next()) {
+        if !self.retained.contains_key(&held.next()) {
             return None;
         }
         let mut bytes = 0;
         let mut entries = Vec::new();
-        for entry in self.kept.range(held.next()..).map(|(_, entry)| entry) {
+        for entry in self.retained.range(held.next()..).map(|(_, entry)| entry) {
             bytes += entry.len();
             if !entries.is_empty() && bytes > limit_bytes {
                 break;
@@ -126,6 +126,6 @@
 
     /// Returns the entry of a version if it is still kept.
     pub fn entry(&self, version: Version) -> Option<&SharedBytes> {
-        self.kept.get(&version)
+        self.retained.get(&version)
     }
 }
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -23,10 +23,10 @@
 
 /// Minimum size of a witness set. With fewer candidates no witnesses are used, and a restarted
 /// node has to wait for the store.
-const LEAST_WITNESSES: usize = 3;
+const MIN_WITNESSES: usize = 3;
 /// Maximum number of staged states that await their witnesses. The oldest is dropped beyond
 /// that.
-const MAX_WAITING: usize = 64;
+const MAX_PENDING: usize = 64;
 
 /// The witnesses of a node under a given configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -43,7 +43,7 @@
             .filter(|backend| backend.node != *id && backend.region == *region)
             .map(|backend| (backend.node.clone(), backend.zone.clone()));
         let members = rendezvous::select_across_zones(id.as_str(), candidates, count);
-        if members.len() < LEAST_WITNESSES {
+        if members.len() < MIN_WITNESSES {
             return Self::default();
         }
         Self {
@@ -75,7 +75,7 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct Pending {
     state: Arc<ConfigState>,
     set: WitnessSet,
 }
@@ -98,13 +98,13 @@
     region: Region,
     active: Arc<ConfigState>,
     active_set: WitnessSet,
-    waiting: VecDeque<Waiting>,
+    pending: VecDeque<Pending>,
     /// Highest version acknowledged by each witness.
     acknowledged: BTreeMap<NodeId, Version>,
     /// Latest known process epoch of each witness.
     epochs: BTreeMap<NodeId, ProcessEpoch>,
     next_repeat: Moment,
-    explained: Version,
+    logged: Version,
 }
 
 impl Adoption {
@@ -115,11 +115,11 @@
             region,
             active: Arc::new(ConfigState::default()),
             active_set: WitnessSet::default(),
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             acknowledged: BTreeMap::new(),
             epochs: BTreeMap::new(),
             next_repeat: Moment::default(),
-            explained: Version::ZERO,
+            logged: Version::ZERO,
         }
     }
 
@@ -142,27 +142,27 @@
         outbox: &mut Outbox,
     ) {
         let set = WitnessSet::of(&self.me, &self.region, &state, settings.witness_count);
-        if self.waiting.len() >= MAX_WAITING {
-            self.waiting.pop_front();
+        if self.pending.len() >= MAX_PENDING {
+            self.pending.pop_front();
         }
-        self.waiting.push_back(Waiting { state, set });
+        self.pending.push_back(Pending { state, set });
         self.next_repeat = now + settings.query_retry_interval;
-        self.ask(outbox);
+        self.send_records(outbox);
     }
 
     /// Sends the newest pending version to the witnesses of the active set and all pending
     /// sets.
-    fn ask(&self, outbox: &mut Outbox) {
-        let Some(newest) = self.waiting.back() else {
+    fn send_records(&self, outbox: &mut Outbox) {
+        let Some(newest) = self.pending.back() else {
             return;
         };
         let version = newest.state.version();
         let mut sets = vec![&self.active_set];
-        sets.extend(self.waiting.iter().map(|waiting| &waiting.set));
+        sets.extend(self.pending.iter().map(|pending| &pending.set));
         let receivers: BTreeSet<&NodeId> = sets.iter().flat_map(|set| &set.members).collect();
         for witness in receivers {
             if self.acknowledged.get(witness) < Some(&version) {
-                self.ask_one(witness, outbox);
+                self.send_record(witness, outbox);
             }
         }
     }
@@ -179,17 +179,17 @@
         let known_epoch = self.epochs.insert(from.clone(), process_epoch);
         if known_epoch != Some(process_epoch) {
             self.acknowledged.remove(from);
-            self.ask_one(from, outbox);
+            self.send_record(from, outbox);
         }
         if version == Version::ZERO {
             return;
         }
-        let noted = self.acknowledged.entry(from.clone()).or_default();
-        *noted = version.max(*noted);
+        let acknowledged_version = self.acknowledged.entry(from.clone()).or_default();
+        *acknowledged_version = version.max(*acknowledged_version);
     }
 
-    fn ask_one(&self, witness: &NodeId, outbox: &mut Outbox) {
-        let Some(newest) = self.waiting.back() else {
+    fn send_record(&self, witness: &NodeId, outbox: &mut Outbox) {
+        let Some(newest) = self.pending.back() else {
             return;
         };
         let record = WitnessRecord {
@@ -218,21 +218,22 @@
     /// start from any version in between.
     pub fn advance(&mut self) -> Option<Arc<ConfigState>> {
         let mut ready = None;
-        for (index, waiting) in self.waiting.iter().enumerate() {
-            let version = waiting.state.version();
-            let noted = |member: &NodeId| self.acknowledged.get(member) >= Some(&version);
-            let agreed = self.active_set.agrees(noted)
+        for (index, pending) in self.pending.iter().enumerate() {
+            let version = pending.state.version();
+            let has_acknowledged =
+                |member: &NodeId| self.acknowledged.get(member) >= Some(&version);
+            let agreed = self.active_set.agrees(has_acknowledged)
                 && self
-                    .waiting
+                    .pending
                     .iter()
                     .take(index + 1)
-                    .all(|one| one.set.agrees(noted));
+                    .all(|one| one.set.agrees(has_acknowledged));
             if agreed {
                 ready = Some(index);
             }
         }
         let last = ready?;
-        let adopted = self.waiting.drain(..=last).next_back()?;
+        let adopted = self.pending.drain(..=last).next_back()?;
         self.active = adopted.state;
         self.active_set = adopted.set;
         Some(self.active.clone())
@@ -243,30 +244,30 @@
     #[doc(hidden)]
     pub fn advance_without_witnesses(&mut self) {
         self.active_set = WitnessSet::default();
-        for waiting in &mut self.waiting {
-            waiting.set = WitnessSet::default();
+        for pending in &mut self.pending {
+            pending.set = WitnessSet::default();
         }
     }
 
     /// Repeats unanswered requests to witnesses.
     pub fn tick(&mut self, now: Moment, settings: &FleetSettings, outbox: &mut Outbox) {
-        if self.waiting.is_empty() || now < self.next_repeat {
+        if self.pending.is_empty() || now < self.next_repeat {
             return;
         }
         self.next_repeat = now + settings.query_retry_interval;
-        self.explain_wait(outbox);
-        self.ask(outbox);
+        self.log_pending(outbox);
+        self.send_records(outbox);
     }
 
-    fn explain_wait(&mut self, outbox: &mut Outbox) {
-        let Some(newest) = self.waiting.back() else {
+    fn log_pending(&mut self, outbox: &mut Outbox) {
+        let Some(newest) = self.pending.back() else {
             return;
         };
         let version = newest.state.version();
-        if self.explained >= version {
+        if self.logged >= version {
             return;
         }
-        self.explained = version;
+        self.logged = version;
         let missing = newest
             .set
             .members
@@ -318,7 +319,7 @@
 
 impl FloorQuery {
     /// Queries the witnesses that `state` names for `me`.
-    pub fn ask(
+    pub fn send(
         &mut self,
         me: &NodeId,
         region: &Region,
--- a/crates/rampthread-core/src/fleet/writer.rs
+++ b/crates/rampthread-core/src/fleet/writer.rs
@@ -24,13 +24,13 @@
 /// attempt.
 const MAX_QUEUED: usize = 256;
 /// Delay before a write is repeated after a lost answer.
-const REWRITE_PAUSE: Duration = Duration::from_millis(50);
+const REWRITE_DELAY: Duration = Duration::from_millis(50);
 /// Time after which a queued proposal is dropped, unless a write of it is in progress.
 const ABANDON_AFTER: Duration = Duration::from_secs(30);
 
 /// A node that awaits the outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asker {
+pub struct Requester {
     /// Node that forwarded the proposal; this node itself for its own API.
     pub node: NodeId,
     /// Number of the submission at that node.
@@ -41,14 +41,14 @@
 struct Proposal {
     operation_id: OperationId,
     entry: SharedBytes,
-    askers: Vec<Asker>,
+    requesters: Vec<Requester>,
     accepted_at: Moment,
     /// True if a write of this entry got no answer and may have taken effect.
     maybe_written: bool,
 }
 
 #[derive(Debug)]
-struct OpenWrite {
+struct PendingWrite {
     request: RequestId,
     slot: Version,
     operation_id: OperationId,
@@ -58,20 +58,20 @@
 
 /// A dropped proposal for which no write was attempted.
 #[derive(Debug)]
-pub struct Untried {
+pub struct UnattemptedProposal {
     /// Id of the operation.
     pub operation_id: OperationId,
     /// Nodes that await the outcome.
-    pub askers: Vec<Asker>,
+    pub requesters: Vec<Requester>,
 }
 
 /// A proposal whose outcome is in the log.
 #[derive(Debug)]
-pub struct Finished {
+pub struct DecidedProposal {
     /// Id of the operation.
     pub operation_id: OperationId,
     /// Nodes that await the outcome.
-    pub askers: Vec<Asker>,
+    pub requesters: Vec<Requester>,
     /// Log slot that decided it.
     pub decided_at: Version,
 }
@@ -80,20 +80,22 @@
 #[derive(Debug, Default)]
 pub struct Writer {
     queue: VecDeque<Proposal>,
-    open: Option<OpenWrite>,
+    pending: Option<PendingWrite>,
     not_before: Moment,
 }
 
 impl Writer {
     /// Adds a requester to a queued proposal. Returns false if the operation is not queued.
-    pub fn join(&mut self, operation_id: &OperationId, asker: &Asker) -> bool {
+    pub fn add_requester(&mut self, operation_id: &OperationId, requester: &Requester) -> bool {
         let known = self
             .queue
             .iter_mut()
             .find(|proposal| proposal.operation_id == *operation_id);
         let Some(proposal) = known else { return false };
-        proposal.askers.retain(|other| other.node != asker.node);
-        proposal.askers.push(asker.clone());
+        proposal
+            .requesters
+            .retain(|other| other.node != requester.node);
+        proposal.requesters.push(requester.clone());
         true
     }
 
@@ -102,7 +104,7 @@
         &mut self,
         entry: SharedBytes,
         decoded: &LogEntry,
-        asker: Asker,
+        requester: Requester,
         now: Moment,
     ) -> bool {
         let operation_id = &decoded.change.operation_id;
@@ -112,7 +114,7 @@
         self.queue.push_back(Proposal {
             operation_id: operation_id.clone(),
             entry,
-            askers: vec![asker],
+            requesters: vec![requester],
             accepted_at: now,
             maybe_written: false,
         });
@@ -121,20 +123,23 @@
 
     /// Removes and returns the proposals for which no write was attempted. They can be reported
     /// as not run.
-    pub fn take_untried(&mut self) -> Vec<Untried> {
-        let open = self.open.as_ref().map(|open| open.operation_id.clone());
-        let mut untried = Vec::new();
+    pub fn take_unattempted(&mut self) -> Vec<UnattemptedProposal> {
+        let pending = self
+            .pending
+            .as_ref()
+            .map(|pending| pending.operation_id.clone());
+        let mut unattempted = Vec::new();
         self.queue.retain_mut(|proposal| {
-            if proposal.maybe_written || open.as_ref() == Some(&proposal.operation_id) {
+            if proposal.maybe_written || pending.as_ref() == Some(&proposal.operation_id) {
                 return true;
             }
-            untried.push(Untried {
+            unattempted.push(UnattemptedProposal {
                 operation_id: proposal.operation_id.clone(),
-                askers: std::mem::take(&mut proposal.askers),
+                requesters: std::mem::take(&mut proposal.requesters),
             });
             false
         });
-        untried
+        unattempted
     }
 
     /// Writes the first queued proposal to the next empty slot.
@@ -147,26 +152,29 @@
         outbox: &mut Outbox,
     ) {
         let overdue = self
-            .open
+            .pending
             .as_ref()
-            .is_some_and(|open| now.since(open.sent) >= settings.lease_ttl);
-        if overdue && let Some(open) = self.open.take() {
-            self.mark_maybe_written(&open.operation_id);
+            .is_some_and(|pending| now.since(pending.sent) >= settings.lease_ttl);
+        if overdue && let Some(pending) = self.pending.take() {
+            self.mark_maybe_written(&pending.operation_id);
         }
-        let open = self.open.as_ref().map(|open| open.operation_id.clone());
+        let pending = self
+            .pending
+            .as_ref()
+            .map(|pending| pending.operation_id.clone());
         self.queue.retain(|proposal| {
-            open.as_ref() == Some(&proposal.operation_id)
+            pending.as_ref() == Some(&proposal.operation_id)
                 || now.since(proposal.accepted_at) < ABANDON_AFTER
         });
-        if self.open.is_some() || now < self.not_before {
+        if self.pending.is_some() || now < self.not_before {
             return;
         }
         let Some(proposal) = self.queue.front() else {
             return;
         };
         let slot = replica.version().next();
-        let request = reader.fresh_request();
-        self.open = Some(OpenWrite {
+        let request = reader.next_request_id();
+        self.pending = Some(PendingWrite {
             request,
             slot,
             operation_id: proposal.operation_id.clone(),
@@ -191,10 +199,10 @@
     }
 
     /// Returns true if the request is the writer's pending write.
-    pub fn owns(&self, request: RequestId) -> bool {
-        self.open
+    pub fn owns_request(&self, request: RequestId) -> bool {
+        self.pending
             .as_ref()
-            .is_some_and(|open| open.request == request)
+            .is_some_and(|pending| pending.request == request)
     }
 
     /// Handles the answer to the pending write. Returns the version and entry if this writer's
@@ -204,39 +212,39 @@
         result: &Result<StoreAnswer, StoreFailure>,
         now: Moment,
     ) -> Option<(Version, SharedBytes)> {
-        let open = self.open.take()?;
+        let pending = self.pending.take()?;
         if let Ok(StoreAnswer::Appended) = result {
-            return Some((open.slot, open.entry));
+            return Some((pending.slot, pending.entry));
         }
         if let Err(StoreFailure::Unknown) = result {
-            self.mark_maybe_written(&open.operation_id);
+            self.mark_maybe_written(&pending.operation_id);
         }
         // If the slot was taken, the watch delivers the entry that took it.
-        self.not_before = now + REWRITE_PAUSE;
+        self.not_before = now + REWRITE_DELAY;
         None
     }
 
     /// Discards the pending write as if it was never sent. Incorrect; only for tests.
     #[doc(hidden)]
-    pub fn forget_open(&mut self) {
-        self.open = None;
+    pub fn discard_pending_write(&mut self) {
+        self.pending = None;
     }
 
     /// Removes and returns the proposals that the log has decided.
-    pub fn finished(&mut self, replica: &Replica) -> Vec<Finished> {
+    pub fn take_decided(&mut self, replica: &Replica) -> Vec<DecidedProposal> {
         let state = replica.staged();
-        let mut finished = Vec::new();
+        let mut decided = Vec::new();
         self.queue.retain_mut(|proposal| {
             let Some(recorded) = state.operation(&proposal.operation_id) else {
                 return true;
             };
-            finished.push(Finished {
+            decided.push(DecidedProposal {
                 operation_id: proposal.operation_id.clone(),
-                askers: std::mem::take(&mut proposal.askers),
+                requesters: std::mem::take(&mut proposal.requesters),
                 decided_at: recorded.version,
             });
             false
         });
-        finished
+        decided
     }
 }
