--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -1,9 +1,9 @@
 //! Actions that an agent requests from its driver, and events reported to operators.
 
 use super::crash_table::CrashReport;
-use super::learnt_from::LearntFrom;
 use super::member::EndpointRecord;
 use super::message::{Envelope, Message, PropagationStatus, ProposalReply, SharedBytes};
+use super::version_source::VersionSource;
 use crate::call::identity::RequestIdentity;
 use crate::config::ConfigState;
 use crate::ids::{InstanceId, NodeId, ResourceName, SoftwareVersion, Version};
@@ -132,7 +132,7 @@
         /// The active version.
         version: Version,
         /// Where this node got the version from.
-        learnt_from: LearntFrom,
+        learnt_from: VersionSource,
         /// Milliseconds since the store last answered this node for the document. Absent if it
         /// never did, or if the configuration is a change log.
         store_answer_ms: Option<u64>,
@@ -311,7 +311,7 @@
     /// The routing limits of rollouts changed.
     RolloutsChanged,
     /// A peer reported this store era. Verify it with the store.
-    AskForEra(u64),
+    VerifyStoreEra(u64),
     /// A peer holds a newer document than this node. Read the store now.
     ReadDocument,
     /// Use this configuration for new calls.
@@ -335,7 +335,7 @@
     /// Stop accepting new work for the backend.
     StartDrain,
     /// Report an event to operators.
-    Explain(Decision),
+    LogDecision(Decision),
 }
 
 /// Collects the output of one agent step.
@@ -354,7 +354,7 @@
     }
 
     /// Queues an event for operators.
-    pub fn explain(&mut self, decision: Decision) {
-        self.actions.push(Action::Explain(decision));
+    pub fn log_decision(&mut self, decision: Decision) {
+        self.actions.push(Action::LogDecision(decision));
     }
 }
--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -33,7 +33,7 @@
 
     fn set_endpoint(&mut self, endpoint: Option<EndpointRecord>, outbox: &mut Outbox) {
         let endpoint = endpoint.map(|endpoint| self.with_known_speed(endpoint));
-        outbox.explain(Decision::BackendChanged {
+        outbox.log_decision(Decision::BackendChanged {
             endpoint: endpoint.clone(),
         });
         self.endpoint = endpoint;
--- a/crates/rampthread-core/src/fleet/agent/conditions.rs
+++ b/crates/rampthread-core/src/fleet/agent/conditions.rs
@@ -16,7 +16,7 @@
         self.draining = true;
         self.membership
             .announce(self.conditions(), self.endpoint.as_ref());
-        outbox.explain(Decision::DrainStarted {
+        outbox.log_decision(Decision::DrainStarted {
             origin: origin.to_string(),
         });
         outbox.actions.push(Action::StartDrain);
--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -156,7 +156,7 @@
         let crashes = self.crashes.table.uncleared_reports(identity, now).len();
         let cleared = self.crashes.table.clear(identity, until, now);
         if !cleared.is_empty() {
-            outbox.explain(Decision::RequestCleared {
+            outbox.log_decision(Decision::RequestCleared {
                 identity: *identity,
                 crashes,
                 origin: origin.to_string(),
@@ -342,7 +342,7 @@
             let standing = self.crashes.table.standing(&report.identity, now);
             if let QuarantineState::Quarantined { left, .. } = standing {
                 let against = self.crashes.table.uncleared_reports(&report.identity, now);
-                outbox.explain(quarantined(report.identity, &against, left));
+                outbox.log_decision(quarantined(report.identity, &against, left));
             }
         }
         new
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -7,8 +7,8 @@
 use super::Agent;
 use crate::config::{ConfigState, DeltaError, StateDelta};
 use crate::fleet::action::{Action, Decision, Outbox};
-use crate::fleet::learnt_from::LearntFrom;
 use crate::fleet::message::{Message, SharedBytes};
+use crate::fleet::version_source::VersionSource;
 use crate::ids::{NodeId, Version};
 use crate::rendezvous;
 use crate::time::Moment;
@@ -62,7 +62,7 @@
     /// active one.
     pub fn on_document(&mut self, state: Arc<ConfigState>, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
-        self.apply_document(state, LearntFrom::Store, now, &mut outbox);
+        self.apply_document(state, VersionSource::Store, now, &mut outbox);
         self.activate_ready_versions(now, &mut outbox);
         self.announce(now);
         self.finish(outbox)
@@ -71,7 +71,7 @@
     fn apply_document(
         &mut self,
         state: Arc<ConfigState>,
-        learnt_from: LearntFrom,
+        learnt_from: VersionSource,
         now: Moment,
         outbox: &mut Outbox,
     ) {
@@ -137,11 +137,11 @@
             let applied =
                 StateDelta::decode(delta).and_then(|delta| delta.apply_to(self.replica.staged()));
             match applied {
-                Ok(state) => self.apply_document(Arc::new(state), LearntFrom::Peer, now, outbox),
+                Ok(state) => self.apply_document(Arc::new(state), VersionSource::Peer, now, outbox),
                 // Response to an earlier request; a newer state has arrived since.
                 Err(DeltaError::BaseMismatch { .. }) => {}
                 Err(error) => {
-                    outbox.explain(Decision::VersionRefused {
+                    outbox.log_decision(Decision::VersionRefused {
                         version: before,
                         reason: error.to_string(),
                     });
@@ -162,8 +162,8 @@
     pub(super) fn apply_snapshot(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
         self.distribution.on_pull_reply(true, now);
         match ConfigState::decode_snapshot(snapshot) {
-            Ok(state) => self.apply_document(Arc::new(state), LearntFrom::Peer, now, outbox),
-            Err(error) => outbox.explain(Decision::VersionRefused {
+            Ok(state) => self.apply_document(Arc::new(state), VersionSource::Peer, now, outbox),
+            Err(error) => outbox.log_decision(Decision::VersionRefused {
                 version: self.replica.version(),
                 reason: error.to_string(),
             }),
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -92,7 +92,7 @@
         outbox: &mut Outbox,
     ) {
         self.floor = Some(floor);
-        outbox.explain(Decision::FloorConfirmed { floor, source });
+        outbox.log_decision(Decision::FloorConfirmed { floor, source });
         let staged = self.replica.staged().clone();
         self.adoption.stage(staged, now, &self.settings, outbox);
     }
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -3,8 +3,8 @@
 use super::{Agent, Defect};
 use crate::config::{ConfigState, Outcome};
 use crate::fleet::action::{Action, Decision, Outbox};
-use crate::fleet::learnt_from::LearntFrom;
 use crate::fleet::message::SharedBytes;
+use crate::fleet::version_source::VersionSource;
 use crate::fleet::{ConfigSource, DistributionMode};
 use crate::ids::{NodeId, Version};
 use crate::time::Moment;
@@ -50,7 +50,7 @@
         }
         if let Some(newest) = states.last() {
             self.distribution
-                .start(newest.version(), LearntFrom::Log, now, &self.settings);
+                .start(newest.version(), VersionSource::Log, now, &self.settings);
             self.collect_decided_proposals(now);
         }
         if self.floor.is_none() {
@@ -81,14 +81,14 @@
         match self.replica.restore(snapshot) {
             Ok(Some(state)) => {
                 self.distribution
-                    .start(state.version(), LearntFrom::Log, now, &self.settings);
+                    .start(state.version(), VersionSource::Log, now, &self.settings);
                 self.collect_decided_proposals(now);
                 if self.floor.is_some() {
                     self.adoption.stage(state, now, &self.settings, outbox);
                 }
             }
             Ok(None) => {}
-            Err(error) => outbox.explain(Decision::VersionRefused {
+            Err(error) => outbox.log_decision(Decision::VersionRefused {
                 version: self.replica.version(),
                 reason: error.to_string(),
             }),
@@ -132,7 +132,7 @@
         let store_answer_ms = store_answer_ms.map(|age| age.as_millis() as u64);
         let watcher =
             self.settings.source == ConfigSource::Document && self.store_watch.is_watching();
-        outbox.explain(Decision::VersionAdopted {
+        outbox.log_decision(Decision::VersionAdopted {
             version,
             learnt_from,
             store_answer_ms,
@@ -159,5 +159,5 @@
         Some(Outcome::Refused(findings) | Outcome::Conflict(findings)) => findings.to_string(),
         None => "unreadable, or its operation was decided before".to_string(),
     };
-    outbox.explain(Decision::VersionRefused { version, reason });
+    outbox.log_decision(Decision::VersionRefused { version, reason });
 }
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -32,7 +32,6 @@
 use crate::fleet::distribution::Distribution;
 use crate::fleet::document_history::DocumentHistory;
 use crate::fleet::holders::{HeldReports, Holders};
-use crate::fleet::learnt_from::LearntFrom;
 use crate::fleet::load_exchange::LoadExchange;
 use crate::fleet::member::{
     Conditions, EndpointRecord, Incarnation, Machine, MemberRecord, Status,
@@ -44,6 +43,7 @@
 use crate::fleet::replica::Replica;
 use crate::fleet::settings::{ConfigSource, FleetSettings};
 use crate::fleet::store_watch::StoreWatch;
+use crate::fleet::version_source::VersionSource;
 use crate::fleet::witness::{Adoption, FloorQuery, WitnessRecords};
 use crate::fleet::writer::{Requester, Writer};
 use crate::ids::{NodeId, OperationId, Region, Version, Zone};
@@ -125,7 +125,7 @@
     /// Newest store era seen by this node or announced by a peer.
     newest_known_era: u64,
     /// Source of the newest state.
-    learnt_from: LearntFrom,
+    learnt_from: VersionSource,
     /// Selection of document watchers, and whether the store answers this node.
     store_watch: StoreWatch,
     /// Highest transfer rate seen for a document read, in bytes per second.
@@ -200,7 +200,7 @@
             history: DocumentHistory::default(),
             next_store_read: None,
             newest_known_era: 0,
-            learnt_from: LearntFrom::Log,
+            learnt_from: VersionSource::Log,
             store_watch: StoreWatch::default(),
             link_bytes_per_second: 0.0,
             estimated_read_time: Duration::ZERO,
@@ -437,7 +437,7 @@
         if gap < self.settings.freeze_threshold {
             return;
         }
-        outbox.explain(Decision::Frozen {
+        outbox.log_decision(Decision::Frozen {
             gap_ms: gap.as_millis() as u64,
         });
         self.membership.reset_after_freeze(now);
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -119,7 +119,7 @@
             }
         }
         for state in &new {
-            outbox.explain(decision(state, "the order was read"));
+            outbox.log_decision(decision(state, "the order was read"));
         }
         match source {
             OrderSource::NewWrite => self.broadcast_states(new, now, &mut outbox),
@@ -294,7 +294,7 @@
 
     fn apply_decider_step(&mut self, step: DeciderOutput, now: Moment, outbox: &mut Outbox) {
         for made in &step.decisions {
-            outbox.explain(decision(&made.state, &made.reason));
+            outbox.log_decision(decision(&made.state, &made.reason));
         }
         if let Some(call) = step.request {
             outbox.actions.push(Action::AskDeciderStore(call));
--- a/crates/rampthread-core/src/fleet/agent/store.rs
+++ b/crates/rampthread-core/src/fleet/agent/store.rs
@@ -88,7 +88,7 @@
             ReaderEvent::Heads { head, requesters } => {
                 let held = self.adoption.version();
                 if head < held {
-                    outbox.explain(Decision::StoreBehind { head, held });
+                    outbox.log_decision(Decision::StoreBehind { head, held });
                 }
                 for (requester, nonce) in requesters {
                     if requester == self.identity.id {
--- a/crates/rampthread-core/src/fleet/agent/store_era.rs
+++ b/crates/rampthread-core/src/fleet/agent/store_era.rs
@@ -50,7 +50,7 @@
     pub(super) fn on_store_era(&mut self, era: u64, outbox: &mut Outbox) {
         if era > self.newest_known_era {
             self.newest_known_era = era;
-            outbox.actions.push(Action::AskForEra(era));
+            outbox.actions.push(Action::VerifyStoreEra(era));
         }
     }
 }
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -4,11 +4,11 @@
 //! inner node stalls its subtree) and watches by all nodes (the store can serve only a few).
 
 use super::action::Outbox;
-use super::learnt_from::LearntFrom;
 use super::membership::Membership;
 use super::message::{Message, SharedBytes};
 use super::replica::Replica;
 use super::settings::{DistributionMode, FleetSettings};
+use super::version_source::VersionSource;
 use crate::ids::{NodeId, Version};
 use crate::time::Moment;
 use rand::Rng;
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Announcement {
     version: Version,
-    learnt_from: LearntFrom,
+    version_source: VersionSource,
     /// Number of completed rounds.
     rounds: u32,
 }
@@ -72,7 +72,7 @@
     pub fn start(
         &mut self,
         version: Version,
-        learnt_from: LearntFrom,
+        version_source: VersionSource,
         now: Moment,
         settings: &FleetSettings,
     ) {
@@ -81,7 +81,7 @@
         }
         self.announcement = Some(Announcement {
             version,
-            learnt_from,
+            version_source,
             rounds: 0,
         });
         self.next_round = now;
@@ -157,7 +157,7 @@
         if now < self.next_round {
             return;
         }
-        let few = announcement.learnt_from != LearntFrom::Log
+        let few = announcement.version_source != VersionSource::Log
             && membership.same_zone_peers().count() < settings.notice_fanout;
         let rounds = match few {
             true => settings.notice_rounds.max(MIN_ROUNDS_FEW_PEERS),
@@ -337,11 +337,11 @@
     fanout: usize,
     rng: &mut impl Rng,
 ) -> Vec<NodeId> {
-    if announcement.learnt_from == LearntFrom::Log {
+    if announcement.version_source == VersionSource::Log {
         return mixed_targets(membership, fanout, rng);
     }
     let mut targets = membership.random_same_zone_peers(fanout, rng);
-    if announcement.learnt_from == LearntFrom::Store
+    if announcement.version_source == VersionSource::Store
         && announcement.rounds == OTHER_ZONE_NOTICE_ROUND
     {
         targets.extend(membership.random_other_zone_peers(1, rng));
--- a/crates/rampthread-core/src/fleet/membership/mod.rs
+++ b/crates/rampthread-core/src/fleet/membership/mod.rs
@@ -328,7 +328,7 @@
         }
         let status_changed = known.is_none_or(|member| member.record.status != record.status);
         if status_changed {
-            outbox.explain(Decision::MemberChanged {
+            outbox.log_decision(Decision::MemberChanged {
                 id: record.id.clone(),
                 status: record.status,
                 incarnation: record.incarnation,
--- a/crates/rampthread-core/src/fleet/mod.rs
+++ b/crates/rampthread-core/src/fleet/mod.rs
@@ -24,7 +24,6 @@
 mod distribution;
 mod document_history;
 mod holders;
-mod learnt_from;
 mod load;
 mod load_exchange;
 mod member;
@@ -35,6 +34,7 @@
 mod replica;
 mod settings;
 mod store_watch;
+mod version_source;
 mod witness;
 mod writer;
 mod zone_directory;
@@ -45,7 +45,6 @@
 pub use agent::{Agent, AgentIdentity, Defect, HandledReport};
 pub use backend_tracker::{BackendReport, BackendTracker, MIN_SUPERSEDE_TIME, ReportStatus};
 pub use crash_table::{CrashReport, CrashTable, MAX_SUSPECTS, MergeOutcome};
-pub use learnt_from::LearntFrom;
 pub use load::{
     LoadReport, MILLI_SLOTS_PER_SLOT, MilliSlots, ServiceLoad, TenantHash, TenantLoad, ZoneLoad,
 };
@@ -56,6 +55,7 @@
     SharedBytes, WitnessRecord,
 };
 pub use settings::{ConfigSource, DistributionMode, FleetSettings};
+pub use version_source::VersionSource;
 pub use zone_directory::{
     DepartureId, ZoneDirectory, ZoneSnapshot, ZoneStep, ZoneWrite, recorded_backend,
 };
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -165,7 +165,7 @@
         };
         self.heads = HeadQueries::default();
         self.open.clear();
-        outbox.explain(Decision::LeaseLost {
+        outbox.log_decision(Decision::LeaseLost {
             place: lease.place,
             reason: reason.to_string(),
         });
@@ -365,7 +365,7 @@
                     expires: open.sent + settings.lease_ttl,
                     renew_at: open.sent + settings.lease_ttl / RENEWALS_PER_TTL,
                 });
-                outbox.explain(Decision::LeaseAcquired { place });
+                outbox.log_decision(Decision::LeaseAcquired { place });
                 None
             }
             (Purpose::Acquire { .. }, _) => {
@@ -435,7 +435,7 @@
         self.failures = 0;
         if self.store_down {
             self.store_down = false;
-            outbox.explain(Decision::StoreAvailable);
+            outbox.log_decision(Decision::StoreAvailable);
         }
     }
 
@@ -458,7 +458,7 @@
         self.not_before = now + wait.max(requested_delay.unwrap_or_default());
         if !self.store_down {
             self.store_down = true;
-            outbox.explain(Decision::StoreUnavailable {
+            outbox.log_decision(Decision::StoreUnavailable {
                 reason: reason.to_string(),
             });
         }
--- a/crates/rampthread-core/src/fleet/store_watch.rs
+++ b/crates/rampthread-core/src/fleet/store_watch.rs
@@ -263,7 +263,7 @@
         }
         self.selected = selected;
         let watchers = self.watchers.len();
-        outbox.explain(match selected {
+        outbox.log_decision(match selected {
             true => Decision::WatchBegun { watchers },
             false => Decision::WatchEnded {
                 store_answers: self.reachable,
--- a/crates/rampthread-core/src/fleet/learnt_from.rs
+++ b/crates/rampthread-core/src/fleet/version_source.rs
@@ -3,7 +3,7 @@
 /// Source of a version, which decides which peers the node notifies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LearntFrom {
+pub enum VersionSource {
     /// The change log, directly or through a peer. Any node may be notified.
     Log,
     /// The document store. Other zones may not have the version yet.
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -275,7 +275,7 @@
             .filter(|member| self.acknowledged.get(*member) < Some(&version))
             .cloned()
             .collect();
-        outbox.explain(Decision::AdoptionWaits { version, missing });
+        outbox.log_decision(Decision::AdoptionWaits { version, missing });
     }
 }
 
--- a/crates/rampthread-core/tests/store_era.rs
+++ b/crates/rampthread-core/tests/store_era.rs
@@ -21,7 +21,7 @@
     };
     let actions = agent.on_message(envelope, NOW).into_iter();
     let queried_eras = actions.filter_map(|action| match action {
-        Action::AskForEra(era) => Some(era),
+        Action::VerifyStoreEra(era) => Some(era),
         _ => None,
     });
     queried_eras.collect()
--- a/crates/rampthread-node/src/control/actions.rs
+++ b/crates/rampthread-node/src/control/actions.rs
@@ -39,7 +39,7 @@
                         recorder.forget(&reports);
                     }
                 }
-                Action::AskForEra(era) => self.ask_for_era(era),
+                Action::VerifyStoreEra(era) => self.ask_for_era(era),
                 Action::ReadDocument => {
                     // Full: a wake-up waits already.
                     let _ = self.document_wake.try_send(());
@@ -61,7 +61,7 @@
                 Action::StartDrain => self.draining.store(true, Ordering::Release),
                 Action::AskDeciderStore(call) => self.ask_decider_store(call),
                 Action::RolloutsChanged => self.refresh_version_rules(),
-                Action::Explain(decision) => self.explain(decision),
+                Action::LogDecision(decision) => self.explain(decision),
             }
         }
     }
