--- a/crates/rampthread-core/src/backend_incarnation.rs
+++ b/crates/rampthread-core/src/backend_incarnation.rs
@@ -26,16 +26,17 @@
     started_at: Option<StartedAt>,
 }
 
-/// Reason why an id is not a valid backend id.
+/// Reason why a text is not a valid backend id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidIncarnation {
-    /// The id is not a valid name.
+    /// The backend id is not a valid name.
     #[error(transparent)]
     Name(#[from] InvalidName),
     /// The id is ambiguous or too long: it could not be told from an id with a start time.
     #[error(
         "a backend id must have at most {MAX_BACKEND_ID_BYTES} bytes and not contain {SEPARATOR:?}"
     )]
+    /// The backend id is too long, or contains the separator that marks a start time.
     Reserved,
 }
 
@@ -76,12 +77,12 @@
             .expect("a valid backend id with a start time is a valid name")
     }
 
-    /// Id that the backend reports; may be the same after a restart.
+    /// Id that the backend reports; a restarted backend may report the same one.
     pub fn id(&self) -> &InstanceId {
         &self.id
     }
 
-    /// Start time, if the backend reports it.
+    /// Start time of the process, if the backend reports it.
     pub fn started_at(&self) -> Option<StartedAt> {
         self.started_at
     }
--- a/crates/rampthread-core/src/compression.rs
+++ b/crates/rampthread-core/src/compression.rs
@@ -14,7 +14,8 @@
 /// the platform's store holds.
 pub const MAX_CONTENT_BYTES: usize = 8 << 20;
 
-/// The compressed data is damaged or its content is too large.
+/// Decompression failed: the data is corrupt, or its content would exceed
+/// [`MAX_CONTENT_BYTES`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("corrupt data, or content larger than {MAX_CONTENT_BYTES} bytes: {reason}")]
 pub struct DecompressError {
--- a/crates/rampthread-core/src/config/change.rs
+++ b/crates/rampthread-core/src/config/change.rs
@@ -4,7 +4,7 @@
 use crate::ids::{NodeId, OperationId, Version};
 use serde::{Deserialize, Serialize};
 
-/// Largest encoded log entry, in bytes.
+/// Maximum size of an encoded log entry, in bytes.
 pub const MAX_ENTRY_BYTES: usize = 1 << 20;
 
 /// One operation of a change set.
@@ -55,22 +55,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogEntry {
-    /// Node that wrote the entry as a reader; shown by `explain`.
+    /// Id of the node that wrote the entry as a log reader; shown by `explain`.
     pub author: NodeId,
-    /// The change that the entry applies.
+    /// Operations that the entry applies atomically, or none of them.
     pub change: ChangeSet,
 }
 
-/// Reason why the bytes of a log slot are not a valid entry.
+/// Reason why the bytes of a log slot are not a valid log entry.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
-    /// The entry is larger than [`MAX_ENTRY_BYTES`].
+    /// The encoded entry is larger than [`MAX_ENTRY_BYTES`].
     #[error("log entry of {length} bytes exceeds {MAX_ENTRY_BYTES} bytes")]
     TooLarge {
         /// Length of the encoded entry, in bytes.
         length: usize,
     },
-    /// The entry is not valid JSON of a [`LogEntry`].
+    /// The encoded entry is not valid JSON of a [`LogEntry`].
     #[error("cannot decode the log entry: {reason}")]
     Unreadable {
         /// Message of the JSON decoder.
@@ -79,12 +79,12 @@
 }
 
 impl LogEntry {
-    /// Encodes the entry as JSON, the format of the store.
+    /// Encodes the log entry as JSON, the format in which the store holds it.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a log entry is serializable as JSON")
     }
 
-    /// Decodes an entry read from the store or received from a peer.
+    /// Decodes a log entry that was read from the store or received from a peer.
     pub fn decode(bytes: &[u8]) -> Result<LogEntry, EntryError> {
         if bytes.len() > MAX_ENTRY_BYTES {
             return Err(EntryError::TooLarge {
--- a/crates/rampthread-core/src/config/delta.rs
+++ b/crates/rampthread-core/src/config/delta.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Difference between two states.
+/// Difference between two configuration states, sent to peers that hold the earlier one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDelta {
     /// Version of the state to which the delta applies.
@@ -20,13 +20,12 @@
     put: Vec<Arc<Resource>>,
     /// Keys of resources that were deleted.
     removed: Vec<ResourceKey>,
-    /// Number of resources in the resulting state, as a check.
+    /// Number of resources in the resulting state, to verify the result.
     resources: usize,
     /// Caller limits of the resulting state.
     caller_limits: Option<CallerLimits>,
-    /// Content digest of the resulting state. Detects a base with the same version but
-    /// other content, which two concurrent writers may have produced. Absent from older
-    /// nodes.
+    /// Content digest of the resulting state, absent from older nodes. Detects a base that
+    /// has the same version but other content, which two concurrent writers may produce.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     digest: Option<String>,
 }
@@ -43,15 +42,15 @@
     /// Decompression failed.
     #[error("cannot decompress the delta: {0}")]
     Decompress(#[from] DecompressError),
-    /// The delta applies to another version than the one held.
+    /// The delta applies to another version than the state at hand.
     #[error("the delta applies to version {base}, not to {held}")]
     BaseMismatch {
         /// Version to which the delta applies.
         base: Version,
-        /// Version of the state held.
+        /// Version of the state at hand.
         held: Version,
     },
-    /// The number of resources differs from the sender's.
+    /// The resulting state has another number of resources than the sender's state.
     #[error("the delta produces {found} resources, expected {expected}")]
     ResourceCountMismatch {
         /// Number of resources after the delta was applied.
@@ -59,7 +58,8 @@
         /// Number of resources at the sender.
         expected: usize,
     },
-    /// The content differs from the sender's, so the base had other content.
+    /// The resulting state has other content than the sender's state, so the base state
+    /// differed.
     #[error("the delta applies to different content of version {base}")]
     ContentMismatch {
         /// Version of the base state.
@@ -68,7 +68,7 @@
     /// The resulting state violates a rule of the configuration.
     #[error("the delta produces an invalid configuration: {findings}")]
     Invalid {
-        /// All violations found.
+        /// All violations found in the resulting state.
         findings: Findings,
     },
 }
@@ -117,7 +117,8 @@
         })
     }
 
-    /// Applies the delta to `base` and validates the result. `base` is not modified.
+    /// Applies the delta to `base` and validates the resulting state. `base` is not
+    /// modified.
     pub fn apply_to(&self, base: &ConfigState) -> Result<ConfigState, DeltaError> {
         if self.base != base.version() {
             return Err(DeltaError::BaseMismatch {
@@ -143,6 +144,7 @@
     }
 }
 
+/// True when `state` contains an equal resource of the same key.
 fn contains_equal(state: &ConfigState, stored: &StoredResource) -> bool {
     state.get(&stored.resource.key()).is_some_and(|known| {
         Arc::ptr_eq(&known.resource, &stored.resource) || known.resource == stored.resource
--- a/crates/rampthread-core/src/config/resource.rs
+++ b/crates/rampthread-core/src/config/resource.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Kind of a resource.
+/// Kind of a configuration resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ResourceKind {
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceKey {
-    /// Kind of the resource.
+    /// Kind of the resource, part of its key.
     pub kind: ResourceKind,
     /// Name of the resource, unique within its kind.
     pub name: ResourceName,
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name of the service.
+    /// Unique among services; routes and backends refer to the service by it.
     pub name: ResourceName,
     /// Retry budget, in percent of the calls of the service.
     #[serde(default = "default_retry_percent")]
@@ -112,7 +112,7 @@
 }
 
 impl PathMatch {
-    /// The path or prefix to match.
+    /// Path or prefix with which the path of a call is compared.
     pub fn text(&self) -> &str {
         match self {
             PathMatch::Exact(text) | PathMatch::Prefix(text) => text,
@@ -163,20 +163,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Name of the route.
+    /// Unique among routes.
     pub name: ResourceName,
-    /// Host that the call must name; `None` matches every host.
+    /// Host that a call must name to match; `None` matches every host.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    /// Path that the call must have.
+    /// Path that a call must have to match.
     pub path: PathMatch,
-    /// Methods that match; empty matches every method.
+    /// Methods of calls that match; empty matches every method.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub methods: Vec<String>,
-    /// Headers that the call must have, all of them.
+    /// Headers that a call must have to match, all of them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub headers: Vec<HeaderMatch>,
-    /// Weighted services that receive matching calls.
+    /// Services that receive matching calls, with their weights; 1 to 64.
     pub destinations: Vec<Destination>,
     /// Timeout of a call whose caller sets no deadline, in milliseconds.
     #[serde(default = "default_timeout_ms")]
@@ -190,16 +190,18 @@
     /// Header in which the backend receives the secret.
     #[serde(default = "default_secret_header")]
     pub secret_header: String,
-    /// Maximum number of backends to which one call is sent.
+    /// Maximum number of backends to which one call is sent, including retries.
     #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
     /// Priority of the route's calls when a backend is at capacity; 0 is the highest.
     #[serde(default = "default_priority")]
     pub priority: u32,
-    /// Latency target of responses, in milliseconds; `None` if the operator sets none.
+    /// Time within which responses should arrive, in milliseconds; `None` if the operator
+    /// sets no target.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target_latency_ms: Option<u64>,
-    /// Calls need no tenant key, even if the configuration has tenants.
+    /// True if calls of the route need no tenant key even when the configuration has
+    /// tenants.
     #[serde(default, skip_serializing_if = "is_false")]
     pub public: bool,
 }
@@ -228,7 +230,7 @@
     "authorization".to_string()
 }
 
-/// Limits on requests of callers.
+/// Limits on what callers may send to an entry node, and how long they may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
@@ -246,21 +248,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Secret {
-    /// Name of the secret.
+    /// Unique among secrets; routes refer to the secret by it.
     pub name: ResourceName,
     /// The encrypted value.
     pub sealed: SealedValue,
 }
 
-/// A server process with a local node.
+/// A server process whose calls pass through its local node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
-    /// Name of the backend.
+    /// Unique among backends.
     pub name: ResourceName,
     /// Service that the backend belongs to.
     pub service: ResourceName,
-    /// Local node of the backend, which admits its calls.
+    /// Node that runs next to the backend and admits and forwards its calls.
     pub node: NodeId,
     /// Address at which that node reaches the backend.
     pub address: SocketAddr,
@@ -268,7 +270,7 @@
     pub zone: Zone,
     /// Region of the backend's machine.
     pub region: Region,
-    /// Calls that the backend can process concurrently.
+    /// Number of calls that the backend can process concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
     /// Maximum number of connections that the backend accepts.
@@ -286,19 +288,19 @@
     100
 }
 
-/// A resource of any kind.
+/// A configuration resource of any kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "kind")]
 pub enum Resource {
-    /// A service.
+    /// A named group of backends.
     Service(Service),
-    /// A route.
+    /// A rule that sends matching calls to services.
     Route(Route),
-    /// A secret.
+    /// A sealed value that routes use.
     Secret(Secret),
-    /// A backend.
+    /// A server process with a local node.
     Backend(Backend),
-    /// A tenant.
+    /// A group of callers with its keys and rate limit.
     Tenant(Tenant),
 }
 
--- a/crates/rampthread-core/src/config/state.rs
+++ b/crates/rampthread-core/src/config/state.rs
@@ -17,35 +17,37 @@
 /// recognized.
 pub const MAX_RECORDED_OPERATIONS: usize = 1_024;
 
-/// A resource with the version that last changed it.
+/// A resource of a configuration state, with the version that last changed it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResource {
-    /// Version of the last change (`ETag` in the API).
+    /// Version that last changed the resource (`ETag` in the API).
     pub generation: Version,
-    /// Content of the resource.
+    /// Content of the resource, shared between the states that contain it.
     pub resource: Arc<Resource>,
 }
 
-/// Outcome of an operation.
+/// Outcome of an operator's change set.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Outcome {
-    /// All changes were applied.
+    /// All operations of the change set were applied.
     Accepted,
-    /// The operation violates a rule; nothing was applied.
+    /// The change set violates a rule of the configuration; none of it was applied.
     Refused(Findings),
-    /// A resource had another generation than `If-Match` required; nothing was applied.
+    /// A resource had another generation than `If-Match` required; nothing of the change
+    /// set was applied.
     Conflict(Findings),
 }
 
-/// A decided operation and its outcome.
+/// A change set that the log has decided, with its outcome. Kept to recognize repeated
+/// submissions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedOperation {
-    /// Id of the operation.
+    /// Idempotency key of the change set.
     pub operation_id: OperationId,
-    /// Version of the log slot that decided it.
+    /// Version of the log slot that decided the change set.
     pub version: Version,
-    /// Outcome of the operation.
+    /// Whether the change set was applied, and why not.
     pub outcome: Outcome,
 }
 
@@ -59,37 +61,38 @@
     version: Version,
     #[serde(with = "resource_list")]
     resources: BTreeMap<ResourceKey, StoredResource>,
+    /// Latest decided change sets, oldest first, at most [`MAX_RECORDED_OPERATIONS`].
     recent: VecDeque<RecordedOperation>,
     /// Caller limits of a document; `None` if the node's settings apply.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     caller_limits: Option<CallerLimits>,
 }
 
-/// Reason why a snapshot was rejected.
+/// Reason why a configuration snapshot was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// The content is not valid JSON of a [`ConfigState`].
+    /// The content of the snapshot is not valid JSON of a [`ConfigState`].
     #[error("cannot decode the snapshot: {reason}")]
     Unreadable {
         /// Message of the JSON decoder.
         reason: String,
     },
-    /// Decompression failed.
+    /// The snapshot could not be decompressed.
     #[error("cannot decompress the snapshot: {0}")]
     Decompress(#[from] DecompressError),
-    /// The digest does not match the content.
+    /// The digest of the snapshot does not match its content.
     #[error("the snapshot's digest does not match its content")]
     DigestMismatch,
-    /// The content violates a rule of the configuration.
+    /// The content of the snapshot violates a rule of the configuration.
     #[error("the snapshot is not a valid configuration: {findings}")]
     Invalid {
-        /// All violations found.
+        /// All violations found in the snapshot.
         findings: Findings,
     },
 }
 
 impl ConfigState {
-    /// Version of this state.
+    /// Version of the log slot or document that produced this state.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -342,6 +345,8 @@
     }
 }
 
+/// Applies the operations of `entry` to a copy of the resources; returns an outcome instead
+/// when a condition or rule is violated.
 fn apply_operations(
     current: &BTreeMap<ResourceKey, StoredResource>,
     entry: &LogEntry,
@@ -428,6 +433,7 @@
     check_tenant_keys(resources, findings);
 }
 
+/// Checks that every resource that another one references exists.
 fn check_references(resources: &BTreeMap<ResourceKey, StoredResource>, findings: &mut Findings) {
     let mut require = |place: String, kind: ResourceKind, name: &ResourceName| {
         let key = ResourceKey {
@@ -462,6 +468,7 @@
     }
 }
 
+/// Checks that no two routes match the same calls with the same precedence.
 fn check_route_conflicts(
     resources: &BTreeMap<ResourceKey, StoredResource>,
     findings: &mut Findings,
@@ -497,6 +504,7 @@
     }
 }
 
+/// Checks that no node is the local node of two backends.
 fn check_local_nodes(resources: &BTreeMap<ResourceKey, StoredResource>, findings: &mut Findings) {
     let mut seen = BTreeMap::new();
     for (key, stored) in resources {
--- a/crates/rampthread-core/src/config/tenant.rs
+++ b/crates/rampthread-core/src/config/tenant.rs
@@ -71,7 +71,7 @@
 pub struct InvalidRequestCount(pub f64);
 
 impl RequestCount {
-    /// True for zero, which means "no limit".
+    /// True for a count of zero, which stands for "no limit".
     pub fn is_zero(&self) -> bool {
         self.0 == 0
     }
@@ -96,7 +96,7 @@
     }
 }
 
-/// Rate limit of a tenant, over all nodes together.
+/// Rate limit of one tenant, summed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimit {
     /// Sustained rate in requests per second.
@@ -105,13 +105,13 @@
     pub burst: f64,
 }
 
-/// A group of callers.
+/// A group of callers that is identified by its keys and shares one rate limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Name of the tenant.
+    /// Unique among tenants; shown by the API and in metrics.
     pub name: ResourceName,
-    /// Digests of its keys; they share one limit.
+    /// Digests of the tenant's keys; calls with any of them count toward the same limit.
     pub keys: Vec<KeyDigest>,
     /// Priority of its calls when a backend is at capacity, instead of the priority of the
     /// route; 0 is the highest. `None` uses the priority of the route.
@@ -126,7 +126,7 @@
 }
 
 impl Tenant {
-    /// Rate limit of the tenant; `None` if it has no limit.
+    /// Rate limit of the tenant; `None` if its rate is 0, which means "no limit".
     pub fn limit(&self) -> Option<RateLimit> {
         let limit = RateLimit {
             rate: self.rate.into(),
--- a/crates/rampthread-core/src/findings.rs
+++ b/crates/rampthread-core/src/findings.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// List of errors; empty if the input is valid.
+/// List of the errors found in an input; empty if the input is valid.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Findings(Vec<Finding>);
@@ -38,7 +38,7 @@
         Self::default()
     }
 
-    /// Adds an error.
+    /// Adds an error at `place`, with what was found there and what is accepted.
     pub fn push(
         &mut self,
         place: impl Into<String>,
@@ -72,7 +72,7 @@
         self.0.is_empty()
     }
 
-    /// Number of findings.
+    /// Number of errors found.
     pub fn len(&self) -> usize {
         self.0.len()
     }
--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -11,13 +11,16 @@
 /// Result of handling a report of the local backend.
 #[derive(Debug)]
 pub struct HandledReport {
-    /// Actions to carry out.
+    /// Actions that the driver must carry out.
     pub actions: Vec<Action>,
-    /// True when the content of the report is in effect and may be acknowledged.
+    /// True when the content of the report is in effect at this node; otherwise the report
+    /// must not be acknowledged.
     pub acknowledge: bool,
 }
 
 impl Agent {
+    /// Drops a restored endpoint when its time is over and the backend has not reported
+    /// since.
     pub(super) fn drop_unconfirmed_backend(&mut self, now: Moment, outbox: &mut Outbox) {
         if self
             .restored_endpoint_expiry
@@ -30,7 +33,7 @@
             self.set_endpoint(None, outbox);
         }
     }
-
+    /// Replaces the announced endpoint and logs the change.
     fn set_endpoint(&mut self, endpoint: Option<EndpointRecord>, outbox: &mut Outbox) {
         let endpoint = endpoint.map(|endpoint| self.with_known_speed(endpoint));
         outbox.log_decision(Decision::BackendChanged {
@@ -70,9 +73,7 @@
         };
         self.announce_endpoint(Some(endpoint), now)
     }
-
-    /// Handles a report of the local backend. A report with `acknowledge` false must not be
-    /// acknowledged.
+    /// Handles a report of the local backend.
     pub fn on_backend_report(&mut self, report: BackendReport, now: Moment) -> HandledReport {
         let (actions, acknowledge) = match self.reported.apply_report(report, now) {
             ReportStatus::Changed(endpoint) => (self.apply_reported_endpoint(endpoint, now), true),
@@ -134,15 +135,15 @@
             None => Vec::new(),
         }
     }
-
-    /// Removes the endpoint when the backend at its address denies being `instance`.
+    /// Handles the denial of the backend at the local address to be `instance`: removes the
+    /// endpoint if it is of that instance.
     pub fn on_misdirected(&mut self, instance: &InstanceId, now: Moment) -> Vec<Action> {
         if self.reported.on_instance_mismatch(instance) {
             return self.announce_endpoint(None, now);
         }
         Vec::new()
     }
-
+    /// Replaces the announced endpoint and sends it to peers at once.
     fn announce_endpoint(&mut self, endpoint: Option<EndpointRecord>, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.set_endpoint(endpoint, &mut outbox);
--- a/crates/rampthread-core/src/fleet/agent/conditions.rs
+++ b/crates/rampthread-core/src/fleet/agent/conditions.rs
@@ -9,6 +9,8 @@
 use crate::time::Moment;
 
 impl Agent {
+    /// Announces that this node accepts no new work; `origin` is logged. Has no effect when
+    /// it is draining already.
     pub(super) fn start_drain(&mut self, origin: &str, outbox: &mut Outbox) {
         if self.draining {
             return;
@@ -43,6 +45,7 @@
         }
     }
 
+    /// Updates this node's own member record.
     pub(super) fn announce(&mut self, now: Moment) {
         let reader = match self.settings.source {
             ConfigSource::ChangeLog => self.reader.holds_lease(now),
--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -40,39 +40,41 @@
 const LOCAL_ZONE_FANOUT: usize = 2;
 /// Shortest interval between two comparisons started by this node.
 const MIN_COMPARISON_INTERVAL: Duration = Duration::from_millis(250);
-
-/// Further comparisons after one that found a difference; at 30% message loss, one in four
-/// completes.
+/// Number of further comparisons after one that found a difference; at 30% message loss,
+/// one in four succeeds.
 const COMPARISONS_AFTER_MISMATCH: u32 = 8;
 /// Comparisons that a node starts after its start or a suspension, one per round. More than
 /// one, since the first peer may have just stopped and probes are a second apart.
 const COMPARISONS_AT_START: u32 = 4;
-
-/// Remaining transmissions of a report.
+/// Remaining gossip rounds of a crash report.
 #[derive(Debug, Clone, Copy)]
 struct Transmissions {
+    /// Gossip rounds left.
     left: u32,
-    /// Send to other zones as well.
+    /// Whether the report is also sent to other zones.
     other_zones: bool,
 }
-
-/// Crash table and the reports that are still to be sent.
+/// Crash table of a node, and the reports that it still has to send.
 #[derive(Debug)]
 pub(super) struct CrashGossip {
     table: CrashTable,
+    /// Reports to send in the next gossip rounds.
     pending_gossip: BTreeMap<ReportKey, Transmissions>,
     next_round: Moment,
+    /// Earliest time of the next comparison triggered by a probe.
     next_comparison: Moment,
     /// Comparisons still to be started: after a start, a suspension or a digest mismatch.
     comparisons_left: u32,
+    /// Cached digest of the reports on poison requests.
     digest: u64,
+    /// Revision of the crash table for which `digest` was computed.
     digest_revision: u64,
     /// Time of the last tick or probe; digests in outgoing probes are computed for it.
     now: Moment,
 }
 
 impl CrashGossip {
-    /// Starts with an empty table and comparisons with peers due.
+    /// Creates an empty crash table that is to be compared with those of some peers.
     pub(super) fn new() -> Self {
         Self {
             table: CrashTable::default(),
@@ -90,9 +92,8 @@
     pub(super) fn schedule_comparisons(&mut self) {
         self.comparisons_left = COMPARISONS_AT_START;
     }
-
-    /// Digest carried by probes: reports on quarantined requests and reports of the last
-    /// seconds.
+    /// Digest carried by probes: covers reports on poison requests (those that crashed
+    /// several backends) and reports of the last seconds.
     fn digest(&mut self) -> u64 {
         if self.digest_revision != self.table.revision() {
             self.digest_revision = self.table.revision();
@@ -126,9 +127,8 @@
         self.merge_reports(reports, now, &mut outbox);
         self.finish(outbox)
     }
-
-    /// Stores all crashes of a request that has reached the quarantine threshold. Done by
-    /// the node that observed the last crash.
+    /// Stores all crashes of a request that has crashed enough backends to be quarantined.
+    /// Done by the node that observed the last crash.
     fn persist_poison_crashes(&self, new: &[CrashReport], now: Moment, outbox: &mut Outbox) {
         let identities: BTreeSet<RequestIdentity> = new
             .iter()
@@ -142,9 +142,8 @@
             }
         }
     }
-
-    /// Clears the crashes of a request up to `until`: a backend answered it then, or an
-    /// operator lifted the quarantine.
+    /// Clears the crashes of a request up to `until`: a backend answered the request then,
+    /// or an operator lifted its quarantine.
     pub fn clear_request(
         &mut self,
         identity: &RequestIdentity,
@@ -385,7 +384,7 @@
     fn zone_of(&self, node: &NodeId) -> Option<&Zone> {
         self.membership.record(node).map(|record| &record.zone)
     }
-
+    /// Schedules reports for `left` gossip rounds.
     fn schedule_repeats(
         &mut self,
         reports: Vec<CrashReport>,
@@ -407,9 +406,7 @@
         }
     }
 }
-
-/// Removes withdrawn crashes of quarantined requests from the store, where they may be
-/// recorded.
+/// Removes withdrawn crashes of poison requests from the store, where they may be recorded.
 fn retract_recorded_crashes(recorded: &[CrashReport], new: &[CrashReport], outbox: &mut Outbox) {
     let recorded: BTreeSet<ReportKey> = recorded.iter().map(CrashReport::key).collect();
     let withdrawn: Vec<CrashReport> = new
@@ -421,11 +418,11 @@
         outbox.actions.push(Action::ForgetCrashes(withdrawn));
     }
 }
-
+/// True when two reports are about the same crash under the same conditions.
 fn is_same_report(left: &CrashReport, right: &CrashReport) -> bool {
     left.on_trial == right.on_trial && left.key() == right.key()
 }
-
+/// Log entry for a request that has been quarantined.
 fn quarantined(identity: RequestIdentity, against: &[CrashReport], left: Duration) -> Decision {
     Decision::RequestQuarantined {
         identity,
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -15,27 +15,28 @@
 use rand::Rng;
 use std::sync::Arc;
 use std::time::Duration;
-
-/// Interval between store reads while this node lags and peers do not help.
+/// Interval between document reads while this node lags and peers do not help.
 const STORE_READ_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout for a peer's response, as a fraction of the time of a full document read from
 /// the store. A compressed response is at most a tenth of the document, but the link may be
 /// shared.
 const PEER_TIMEOUT_FRACTION: f64 = 0.25;
-/// A node whose last full read took longer does not watch the document while others can: it
-/// would forward versions late, and frequent versions would saturate its link. One fifth of
-/// the 2 s within which a version must become active.
+/// Maximum time of a full document read for a node to be a watcher while others can. A
+/// slower node would forward versions late, and frequent versions would saturate its link.
+/// One fifth of the 2 s within which a version must become active.
 const MAX_WATCHER_READ_TIME: Duration = Duration::from_millis(400);
 
 /// Rendezvous key that orders the initial document reads of nodes that start together.
 const INITIAL_READERS_KEY: &str = "first readers";
-/// Nodes of a zone that read the document at the same time; tolerates two of them failing.
+/// Number of nodes of a zone that start their initial document read at the same time;
+/// tolerates the failure of two.
 const INITIAL_READERS_PER_STEP: usize = 3;
-/// Additional delay for each further group of nodes. A read of 150 kB takes 60 ms at 20
-/// Mbit/s, and a peer's compressed response a tenth of that.
+/// Additional delay of the initial read for each further group of nodes. A read of 150 kB
+/// takes 60 ms at 20 Mbit/s, and a peer's compressed reply a tenth of that.
 const INITIAL_READ_STEP: Duration = Duration::from_millis(100);
 
 impl Agent {
+    /// Advances all timers in document mode.
     pub(super) fn tick_with_document(&mut self, now: Moment, outbox: &mut Outbox) {
         let held = self.adoption.version();
         self.membership
@@ -67,7 +68,8 @@
         self.announce(now);
         self.finish(outbox)
     }
-
+    /// Replaces the replica with `state` if that is newer, announces it to peers and stages
+    /// it for activation.
     fn apply_document(
         &mut self,
         state: Arc<ConfigState>,
@@ -138,7 +140,7 @@
                 StateDelta::decode(delta).and_then(|delta| delta.apply_to(self.replica.staged()));
             match applied {
                 Ok(state) => self.apply_document(Arc::new(state), VersionSource::Peer, now, outbox),
-                // Response to an earlier request; a newer state has arrived since.
+                // Reply to an earlier pull; a newer state has arrived since.
                 Err(DeltaError::BaseMismatch { .. }) => {}
                 Err(error) => {
                     outbox.log_decision(Decision::VersionRefused {
@@ -169,9 +171,8 @@
             }),
         }
     }
-
-    /// The peer cannot supply a delta: reads the store now, and requests the full state
-    /// from the next peer.
+    /// Handles a peer's reply that it cannot supply the changes: reads the store now, and
+    /// requests the full state from the next peer.
     pub(super) fn on_document_pull_refused(
         &mut self,
         pause: Duration,
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -13,6 +13,7 @@
 use rand::Rng;
 
 impl Agent {
+    /// Sends the queries for the restart floor at the retry interval until it is known.
     pub(super) fn request_floor(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_some() || now < self.next_floor_query {
             return;
@@ -33,7 +34,7 @@
             outbox,
         );
     }
-
+    /// Queries all readers for the head of the log.
     pub(super) fn request_head(&mut self, outbox: &mut Outbox) {
         let nonce = self.head_nonce;
         let me = &self.identity.id;
@@ -45,7 +46,7 @@
             outbox.send(&reader.id, Message::HeadQuery { nonce });
         }
     }
-
+    /// Handles a reader's reply with the head of the log.
     pub(super) fn on_head(&mut self, nonce: u64, head: Version, now: Moment, outbox: &mut Outbox) {
         if nonce != self.head_nonce || self.floor.is_some() {
             return;
@@ -53,9 +54,8 @@
         self.replica.observe_version(head);
         self.apply_head(head, now, outbox);
     }
-
-    /// Takes the store's head as the floor: it is at or above every version that this id
-    /// ever held.
+    /// Takes the head of the log as the restart floor once the replica has reached it. The
+    /// head is at or above every version that this node id ever held.
     pub(super) fn apply_head(&mut self, head: Version, now: Moment, outbox: &mut Outbox) {
         if self.replica.version() >= head {
             self.confirm_floor(head, FloorSource::Store, now, outbox);
@@ -63,13 +63,13 @@
             self.target_head = Some(head);
         }
     }
-
+    /// Sets the floor once the replica has reached a head received earlier.
     pub(super) fn recheck_floor(&mut self, now: Moment, outbox: &mut Outbox) {
         if let Some(head) = self.target_head {
             self.apply_head(head, now, outbox);
         }
     }
-
+    /// Sets the floor once enough witnesses have replied.
     pub(super) fn evaluate_witnesses(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_some() {
             return;
@@ -83,7 +83,7 @@
             }
         }
     }
-
+    /// Sets the restart floor, from which on versions may become active.
     pub(super) fn confirm_floor(
         &mut self,
         floor: Version,
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -11,7 +11,8 @@
 use std::sync::Arc;
 
 impl Agent {
-    /// Records that `peer` holds `version`, and pulls it if it is newer.
+    /// Records that `peer` holds `version`, and pulls the version if it is newer than the
+    /// replica.
     pub(super) fn observe_peer_version(
         &mut self,
         peer: &NodeId,
@@ -36,7 +37,7 @@
                 .pull_from(peer, &self.replica, now, outbox);
         }
     }
-
+    /// Adds a log entry to the replica and stages the resulting states for activation.
     pub(super) fn ingest_entry(
         &mut self,
         version: Version,
@@ -62,7 +63,7 @@
             self.adoption.stage(state, now, &self.settings, outbox);
         }
     }
-
+    /// Adds consecutive log entries, of which `first` is the version of the first.
     pub(super) fn ingest_entries(
         &mut self,
         first: Version,
@@ -76,7 +77,8 @@
             version = version.next();
         }
     }
-
+    /// Replaces the replica with a newer snapshot; a snapshot that cannot be decoded is
+    /// logged.
     pub(super) fn restore_snapshot(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
         match self.replica.restore(snapshot) {
             Ok(Some(state)) => {
@@ -123,7 +125,7 @@
             outbox,
         );
     }
-
+    /// Makes `state` the active configuration and logs where it came from.
     pub(super) fn activate(&mut self, state: Arc<ConfigState>, now: Moment, outbox: &mut Outbox) {
         let version = state.version();
         outbox.actions.push(Action::Adopt(state));
@@ -148,7 +150,7 @@
         }
     }
 }
-
+/// Logs why the entry of the newest version changed nothing, unless it was accepted.
 fn report_rejected_version(state: &ConfigState, outbox: &mut Outbox) {
     let version = state.version();
     let reason = match state
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -55,15 +55,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-
-/// Rejected submissions that a reader remembers, so that a delayed duplicate of one is not
-/// executed later.
+/// Number of rejected submissions that a log reader remembers, so that a delayed duplicate
+/// of one is not executed later.
 const MAX_REJECTED_SUBMISSIONS: usize = 4_096;
 /// Log entries kept behind the newest snapshot when this node, as a reader, truncates the
 /// log.
 const RETAINED_LOG_ENTRIES: u64 = 128;
-
-/// Identity and location of a node.
+/// Id, address and location of the node that an [`Agent`] controls.
 #[derive(Debug, Clone)]
 pub struct AgentIdentity {
     /// Configured id, stable across restarts.
@@ -77,19 +75,19 @@
     /// Wall-clock time at which the process started, in microseconds since the Unix epoch.
     pub process_epoch: ProcessEpoch,
 }
-
-/// Fault that a test injects to show that a property test detects it.
+/// Fault that a test injects to prove that its property check detects the fault.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Defect {
-    /// Versions become active without witness acknowledgements.
+    /// The node activates versions without witness acknowledgements.
     SkipWitnesses,
-    /// A restarted node accepts the first state that a peer sends.
+    /// A restarted node activates the first state that a peer sends, below its restart
+    /// floor.
     SkipFloor,
-    /// A lost response to a write is reported as "not run".
+    /// The node reports a write whose store response was lost as "not run".
     LostAnswerIsRefusal,
 }
-
+/// A decided proposal whose reply waits until enough other nodes hold its version.
 #[derive(Debug)]
 struct PendingReplication {
     operation_id: OperationId,
@@ -98,10 +96,11 @@
     requesters: Vec<Requester>,
     since: Moment,
 }
-
+/// An operator's propagation query that was sent to a log reader.
 #[derive(Debug)]
 struct PropagationQuery {
     ticket: Ticket,
+    /// Random number that the reader's reply must repeat.
     nonce: u64,
     sent: Moment,
 }
@@ -111,20 +110,27 @@
 pub struct Agent {
     settings: FleetSettings,
     identity: AgentIdentity,
+    /// Seeded random numbers, so that a simulation is reproducible.
     rng: ChaCha8Rng,
-    /// Random numbers for store calls in document mode.
+    /// Random numbers for store calls in document mode, separate so that these do not
+    /// change the sequence of `rng`.
     watch_rng: ChaCha8Rng,
     membership: Membership,
+    /// Newest process epoch seen of each peer; a higher one means that the peer has
+    /// restarted.
     epochs: BTreeMap<NodeId, ProcessEpoch>,
+    /// Newest state, and the log entries that led to it.
     replica: Replica,
+    /// Announcements of new versions to peers, and pulls of versions from peers.
     distribution: Distribution,
     /// Recent states in document mode, from which deltas for peers are made.
     history: DocumentHistory,
     /// Time of the next store read in document mode; `None` while this node does not lag.
     next_store_read: Option<Moment>,
-    /// Newest store era seen by this node or announced by a peer.
+    /// Newest era of the store that this node has seen or a peer has announced. The store
+    /// raises its era by one when it is restored from an older copy.
     newest_known_era: u64,
-    /// Source of the newest state.
+    /// Where the newest state came from: the change log, the store's document or a peer.
     learnt_from: VersionSource,
     /// Selection of document watchers, and whether the store answers this node.
     store_watch: StoreWatch,
@@ -132,21 +138,29 @@
     link_bytes_per_second: f64,
     /// Estimated time of a document read at `link_bytes_per_second`.
     estimated_read_time: Duration,
+    /// Active state, and newer states that wait for witness acknowledgements.
     adoption: Adoption,
+    /// Versions that this node has recorded as a witness of other nodes.
     witness_records: WitnessRecords,
+    /// Query for the restart floor to the witnesses of this node.
     floor_query: FloorQuery,
+    /// Lowest version that this process may activate; `None` until it is known.
     floor: Option<Version>,
     /// Head of the log, read after this process asked for it, that the replica has not
     /// reached yet.
     target_head: Option<Version>,
+    /// Random number that replies to this process's head queries must repeat.
     head_nonce: u64,
     next_floor_query: Moment,
     ready: bool,
     reader: Reader,
     writer: Writer,
     pending_replications: Vec<PendingReplication>,
-    refused: VecDeque<Requester>,
+    /// Recently rejected submissions, oldest first.
+    rejected_submissions: VecDeque<Requester>,
+    /// Versions that other nodes have reported to hold.
     holders: Holders,
+    /// Unacknowledged reports of the active version to the readers.
     reports: HeldReports,
     proposals: Proposals,
     propagation_queries: Vec<PropagationQuery>,
@@ -156,16 +170,20 @@
     rollouts: Option<rollouts::RolloutParticipant>,
     draining: bool,
     backend_up: bool,
-    /// Reports received from the local backend.
+    /// Decides which incarnation of the local backend is current, from the reports
+    /// received.
     reported: BackendTracker,
-    /// Until when a restored backend is announced without a new report.
+    /// Time at which an endpoint restored from the store or a peer is dropped unless the
+    /// backend has reported since.
     restored_endpoint_expiry: Option<Moment>,
     /// Endpoint that this node currently announces.
     endpoint: Option<EndpointRecord>,
-    /// Start of this process.
+    /// Time at which this process started.
     started: Moment,
     last_tick: Option<Moment>,
+    /// Version of the last snapshot that this node began to write to the store.
     last_snapshot: Version,
+    /// Store request of the snapshot being written.
     snapshot_request: Option<RequestId>,
     defect: Option<Defect>,
 }
@@ -217,7 +235,7 @@
             reader: Reader::new(0),
             writer: Writer::default(),
             pending_replications: Vec::new(),
-            refused: VecDeque::new(),
+            rejected_submissions: VecDeque::new(),
             holders: Holders::default(),
             reports: HeldReports::default(),
             proposals: Proposals::new(identity.process_epoch),
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -9,6 +9,8 @@
 use crate::time::Moment;
 
 impl Agent {
+    /// Sends and repeats open proposals; those addressed to this node itself are handled
+    /// directly.
     pub(super) fn tick_proposals(&mut self, now: Moment, outbox: &mut Outbox) {
         let own = self.proposals.tick(
             now,
@@ -28,7 +30,8 @@
             self.on_propose(requester, process_epoch, proposal.entry, now, outbox);
         }
     }
-
+    /// Handles a proposal as a reader: answers it if it is decided or cannot be written,
+    /// else queues its write.
     pub(super) fn on_propose(
         &mut self,
         requester: Requester,
@@ -46,7 +49,7 @@
             self.answer_proposer(requester, operation_id, answer, outbox);
             return;
         }
-        if self.refused.contains(&requester) {
+        if self.rejected_submissions.contains(&requester) {
             let retry_after = self.reader.retry_after(now);
             let answer = ProposalReply::NotRun { retry_after };
             self.answer_proposer(requester, operation_id, answer, outbox);
@@ -71,7 +74,8 @@
         }
         self.tick_reader(now, outbox);
     }
-
+    /// Sends the result of a proposal to the node that submitted it, and remembers rejected
+    /// submissions.
     pub(super) fn answer_proposer(
         &mut self,
         requester: Requester,
@@ -79,10 +83,12 @@
         answer: ProposalReply,
         outbox: &mut Outbox,
     ) {
-        if matches!(answer, ProposalReply::NotRun { .. }) && !self.refused.contains(&requester) {
-            self.refused.push_back(requester.clone());
-            if self.refused.len() > MAX_REJECTED_SUBMISSIONS {
-                self.refused.pop_front();
+        if matches!(answer, ProposalReply::NotRun { .. })
+            && !self.rejected_submissions.contains(&requester)
+        {
+            self.rejected_submissions.push_back(requester.clone());
+            if self.rejected_submissions.len() > MAX_REJECTED_SUBMISSIONS {
+                self.rejected_submissions.pop_front();
             }
         }
         let submission = requester.submission;
@@ -99,7 +105,7 @@
         };
         outbox.send(&requester.node, message);
     }
-
+    /// Moves proposals whose log slot is decided to the wait for replication.
     pub(super) fn collect_decided_proposals(&mut self, now: Moment) {
         for finished in self.writer.take_decided(&self.replica) {
             let recorded = self.replica.staged().operation(&finished.operation_id);
@@ -174,7 +180,7 @@
             .actions
             .push(Action::AnswerPropagation { ticket, status });
     }
-
+    /// Answers propagation queries without a result when no reader replied in time.
     pub(super) fn expire_propagation_queries(&mut self, now: Moment, outbox: &mut Outbox) {
         let wait = self.settings.query_retry_interval;
         self.propagation_queries.retain(|request| {
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -28,7 +28,7 @@
 const REMOTE_ZONE_FANOUT: usize = 1;
 /// Members to which the decider sends changes directly.
 const DIRECT_FANOUT: usize = 96;
-/// Rounds in which a node forwards a change that affects callers, [`GOSSIP_INTERVAL`] apart.
+/// Number of gossip rounds in which a node forwards a rollout change that affects callers.
 const CHANGE_GOSSIP_ROUNDS: u32 = 3;
 /// Interval between gossip rounds.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(150);
@@ -47,26 +47,31 @@
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval between queries to peers.
 const QUERY_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval after [`FAST_QUERY_COUNT`] unsuccessful queries.
+/// Interval between queries to peers after [`FAST_QUERY_COUNT`] queries brought no newer
+/// state.
 const SLOW_QUERY_INTERVAL: Duration = Duration::from_secs(10);
-/// Interval after that many queries while a known rollout has stalled: it may have ended
-/// long ago.
+/// Interval between later queries while a known rollout has no confirmations: it may have
+/// ended long ago.
 const STALL_QUERY_INTERVAL: Duration = Duration::from_secs(2);
-/// Queries sent at the short interval.
+/// Number of queries sent at [`QUERY_INTERVAL`] before a node slows down.
 const FAST_QUERY_COUNT: u32 = 8;
 /// Rendezvous key of the order in which watchers take over as decider.
 const DECIDERS_KEY: &str = "roll-out deciders";
-
-/// Rollout state of one node.
+/// Rollout state of a node: known rollouts, its own evidence, and its role as decider.
 #[derive(Debug)]
 pub(super) struct RolloutParticipant {
     bounds: RolloutBounds,
+    /// States of all rollouts that this node knows.
     table: RolloutTable,
+    /// Decision logic, which is active while this node holds the decision lease.
     decider: Decider,
-    /// Services whose state is still to be forwarded, with the rounds left.
+    /// Services whose rollout state is still to be forwarded, with the number of gossip
+    /// rounds left.
     pending_gossip: BTreeMap<ResourceName, u32>,
     next_gossip: Moment,
+    /// Results that callers of this node got from versions in rollout.
     evidence: Vec<VersionEvidence>,
+    /// The evidence has changed since the last report.
     evidence_is_new: bool,
     next_report: Moment,
     /// Evidence as last reported; unchanged rows are omitted until the next full report.
@@ -74,6 +79,7 @@
     next_full_report: Moment,
     /// Time of the next query to a peer.
     next_query: Moment,
+    /// Queries sent in a row while this node is behind.
     unanswered_queries: u32,
 }
 
@@ -132,16 +138,15 @@
         self.tick_rollouts(now, &mut outbox);
         self.finish(outbox)
     }
-
-    /// Invalidates decision leases granted before the store was restored from an older
-    /// copy.
+    /// Invalidates a decision lease that the store granted before it was restored from an
+    /// older copy.
     pub(super) fn invalidate_decision_lease(&mut self, now: Moment) {
         if let Some(rollouts) = &mut self.rollouts {
             rollouts.decider.on_store_restored(&rollouts.table, now);
         }
     }
-
-    /// Records the results that callers of this node got from versions in rollout.
+    /// Records the results that callers of this node got from versions in rollout, to be
+    /// reported to the decider.
     pub fn record_version_evidence(&mut self, evidence: Vec<VersionEvidence>) {
         if let Some(rollouts) = &mut self.rollouts
             && rollouts.evidence != evidence
@@ -282,7 +287,8 @@
         }
         false
     }
-
+    /// Number of document watchers that precede this node in the order of takeover as
+    /// decider.
     fn decider_rank(&self) -> u32 {
         let me = &self.identity.id;
         let mine = rendezvous::weight(DECIDERS_KEY, me);
@@ -291,7 +297,8 @@
             .filter(|peer| *peer != me && rendezvous::weight(DECIDERS_KEY, peer) > mine)
             .count() as u32
     }
-
+    /// Logs the decisions of a decider step, sends its store request and distributes
+    /// changed states.
     fn apply_decider_step(&mut self, step: DeciderOutput, now: Moment, outbox: &mut Outbox) {
         for made in &step.decisions {
             outbox.log_decision(decision(&made.state, &made.reason));
@@ -325,7 +332,7 @@
             outbox.send(peer, Message::Rollouts(states.clone()));
         }
     }
-
+    /// Schedules states for the next gossip rounds.
     fn queue_gossip(&mut self, states: &[RolloutState], rounds: u32, now: Moment) {
         let Some(rollouts) = &mut self.rollouts else {
             return;
@@ -339,7 +346,7 @@
             rollouts.next_gossip = now;
         }
     }
-
+    /// Sends scheduled states to some members when a gossip round is due.
     fn gossip_states(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(rollouts) = &mut self.rollouts else {
             return;
@@ -433,7 +440,7 @@
             rollouts.decider.on_evidence(from, process_epoch, evidence);
         }
     }
-
+    /// Reports evidence to the deciders of the rollouts when a report is due.
     fn report_evidence(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(rollouts) = &mut self.rollouts else {
             return;
@@ -484,7 +491,7 @@
 fn report_interval(members: usize) -> Duration {
     MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_MEMBER * members as u32)
 }
-
+/// Log entry for a decision on a rollout.
 fn decision(state: &RolloutState, reason: &str) -> Decision {
     Decision::Rollout {
         service: state.service.clone(),
--- a/crates/rampthread-core/src/fleet/agent/store.rs
+++ b/crates/rampthread-core/src/fleet/agent/store.rs
@@ -7,6 +7,8 @@
 use crate::ids::Version;
 use crate::time::Moment;
 impl Agent {
+    /// Advances the reader role: renews the lease, watches the log, writes pending
+    /// proposals and due snapshots.
     pub(super) fn tick_reader(&mut self, now: Moment, outbox: &mut Outbox) {
         let known = self.replica.version();
         self.reader.tick(
@@ -37,6 +39,8 @@
             }
         }
     }
+    /// Writes a snapshot when enough versions have passed since the last one, and truncates
+    /// the log behind it.
     pub(super) fn write_snapshot(&mut self, outbox: &mut Outbox) {
         let version = self.replica.version();
         let due = version.0 >= self.last_snapshot.0 + self.settings.versions_per_snapshot;
@@ -56,6 +60,7 @@
             request,
         });
     }
+    /// Handles the store's response to a log write.
     pub(super) fn on_write_answer(
         &mut self,
         result: Result<StoreAnswer, StoreFailure>,
@@ -79,6 +84,8 @@
             self.ingest_entry(version, entry, now, outbox);
         }
     }
+    /// Handles what the reader has read from the store: entries, a snapshot or the head of
+    /// the log.
     pub(super) fn on_reader_news(&mut self, news: ReaderEvent, now: Moment, outbox: &mut Outbox) {
         match news {
             ReaderEvent::Entries { first, entries } => {
--- a/crates/rampthread-core/src/fleet/agent/store_era.rs
+++ b/crates/rampthread-core/src/fleet/agent/store_era.rs
@@ -11,8 +11,8 @@
 use crate::time::Moment;
 use rand::seq::IteratorRandom;
 
-/// Watchers that a node notifies; each of them notifies as many once it has seen the era
-/// itself.
+/// Number of document watchers that a node notifies of a new era; each of them notifies as
+/// many once it has read the era from the store.
 const WATCHER_FANOUT: usize = 3;
 
 impl Agent {
@@ -28,8 +28,8 @@
         self.finish(outbox)
     }
 
-    /// Peers to notify: some document watchers, and the node that writes the directory
-    /// snapshot of this zone.
+    /// Peers to notify of a restore: some document watchers, and the node that writes the
+    /// directory snapshot of this zone.
     fn restore_notification_targets(&mut self) -> Vec<NodeId> {
         let me = &self.identity.id;
         let watchers = self.store_watch.selected_watchers().iter();
@@ -46,7 +46,8 @@
         targets
     }
 
-    /// Handles a peer's announcement of `era`: asks the store for it, once per era.
+    /// Handles a peer's announcement that the store is in `era`: reads the era from the
+    /// store, once per era.
     pub(super) fn on_store_era(&mut self, era: u64, outbox: &mut Outbox) {
         if era > self.newest_known_era {
             self.newest_known_era = era;
--- a/crates/rampthread-core/src/ids.rs
+++ b/crates/rampthread-core/src/ids.rs
@@ -7,7 +7,7 @@
 /// Maximum length of a name, in bytes: the limit of a DNS label (RFC 1035).
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// The text is not a valid name.
+/// A text was rejected because it is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is not a name: 1 to 63 letters, digits, '-', '_' or '.'")]
 pub struct InvalidName {
@@ -36,7 +36,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Maximum length, in bytes.
+            /// Maximum length of a name, in bytes.
             pub const MAX_BYTES: usize = MAX_NAME_BYTES;
 
             /// Validates `text` and wraps it.
@@ -45,7 +45,7 @@
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as a string slice.
+            /// Name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -118,10 +118,10 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// Version of the empty configuration.
+    /// Version of the empty configuration, before any change.
     pub const ZERO: Version = Version(0);
 
-    /// Version of the next log slot.
+    /// Version of the log slot that follows this one.
     pub fn next(self) -> Version {
         Version(self.0 + 1)
     }
--- a/crates/rampthread-core/src/time.rs
+++ b/crates/rampthread-core/src/time.rs
@@ -9,6 +9,8 @@
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
+/// Point in time on the caller's monotonic clock, in microseconds since the caller's
+/// process started.
 #[serde(transparent)]
 pub struct Moment(pub u64);
 
