--- a/crates/rampthread-core/src/call/admission.rs
+++ b/crates/rampthread-core/src/call/admission.rs
@@ -1,8 +1,10 @@
-//! Admission control of a gate: which calls run, wait or are rejected at its backend.
+//! Admission control of a gate, the node that forwards calls to its local backend: which
+//! calls run, wait in the queue or are rejected.
 //!
-//! Invariant: running calls never exceed the slots. A call waits only while its deadline
-//! can be met, and is rejected at once otherwise. Waiting calls are served by the rank of
-//! their tenant, else of their route; for the order within a rank see [`RankQueue`].
+//! Invariant: running calls never exceed the backend's slots. A call waits only while its
+//! deadline can be met, and is rejected at once otherwise. Waiting calls are served by the
+//! rank of their tenant, else of their route; for the order within a rank see
+//! [`RankQueue`].
 
 pub use super::arrival::{Arrival, CallNumber, Rank};
 use super::rank_queue::{Backlog, RankQueue};
@@ -10,58 +12,61 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Weight of the newest service time in the running mean.
+/// Weight of the newest service time in the mean service time.
 const MEAN_WEIGHT: f64 = 0.1;
-/// Mean service time before the first measurement.
+/// Mean service time that is assumed before the first measurement.
 const INITIAL_MEAN: Duration = Duration::from_millis(5);
-/// Minimum retry advice: a caller that returns while the slots are still taken is rejected
-/// again.
+/// Minimum time after which a rejected caller is told to retry; one that returns while the
+/// slots are still taken is rejected again.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Limits of one backend.
+/// Limits of the calls at one backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Calls that may run at a time.
+    /// Maximum number of calls that run at a time.
     pub slots: u32,
-    /// Calls that may wait.
+    /// Maximum number of calls that wait.
     pub queue: u32,
 }
 
-/// What becomes of an arriving call.
+/// What a gate decides about an arriving call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It runs now.
+    /// The call runs now.
     Run,
-    /// It waits; a later `release` returns it.
+    /// The call waits in the queue; a later `release` returns it.
     Wait,
-    /// It was not run and never will be.
+    /// The call is rejected: it was not run and never will be.
     Refused {
-        /// When to retry.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// What a released slot leads to.
+/// Calls that leave the queue when a running call has ended.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Released {
-    /// The call that runs next.
+    /// The waiting call that runs next, if any.
     pub run: Option<CallNumber>,
-    /// Waiting calls whose deadline has passed.
+    /// Waiting calls that are dropped, since their deadline has passed.
     pub expired: Vec<CallNumber>,
 }
 
-/// Slots and queue of one backend.
+/// Decides which calls run at one backend, and keeps the queue of those that wait.
 #[derive(Debug)]
 pub struct AdmissionController {
     limits: AdmissionLimits,
     running: u32,
+    /// Waiting calls by rank; the lowest rank is served first.
     ranks: BTreeMap<Rank, RankQueue>,
+    /// Mean service time of recent calls.
     mean: Duration,
+    /// All new calls are rejected.
     draining: bool,
 }
 
 impl AdmissionController {
-    /// An idle backend.
+    /// Creates the controller of an idle backend.
     pub fn new(limits: AdmissionLimits) -> Self {
         Self {
             limits,
@@ -72,32 +77,32 @@
         }
     }
 
-    /// Sets new limits; running calls are not aborted.
+    /// Sets new limits; calls that already run or wait are kept.
     pub fn set_limits(&mut self, limits: AdmissionLimits) {
         self.limits = limits;
     }
 
-    /// Starts or stops rejecting all new calls.
+    /// Starts or stops rejecting all new calls, for a backend that shuts down.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Number of running calls.
+    /// Number of calls that run.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Number of waiting calls.
+    /// Number of calls that wait.
     pub fn queued(&self) -> u32 {
         self.ranks.values().map(RankQueue::len).sum()
     }
 
-    /// Number of running and waiting calls.
+    /// Number of calls that run or wait.
     pub fn load(&self) -> u32 {
         self.running + self.queued()
     }
 
-    /// Admits, queues or rejects a call.
+    /// Decides about an arriving call, and counts it as running or puts it into the queue.
     pub fn arrive(&mut self, arrival: Arrival, now: Moment) -> AdmissionDecision {
         let admitted = self.decide(&arrival, now);
         match admitted {
@@ -108,7 +113,7 @@
         admitted
     }
 
-    /// What `arrive` would return for this call, without side effects.
+    /// What [`Self::arrive`] would decide about this call, without changing anything.
     pub fn decide(&self, arrival: &Arrival, now: Moment) -> AdmissionDecision {
         if self.draining || arrival.deadline <= now {
             return self.rejection(arrival);
@@ -122,12 +127,14 @@
         AdmissionDecision::Wait
     }
 
+    /// Rejects a call; the retry time is when a slot is expected to be free.
     fn rejection(&self, arrival: &Arrival) -> AdmissionDecision {
         AdmissionDecision::Refused {
             retry_after: self.expected_wait(arrival).max(MIN_RETRY_AFTER),
         }
     }
 
+    /// True if the call can be answered before its deadline after waiting in the queue.
     fn may_wait(&self, arrival: &Arrival, now: Moment) -> bool {
         let wait = self.expected_wait(arrival);
         let answer_expected = now + wait + self.mean;
@@ -136,9 +143,10 @@
             && answer_expected <= arrival.deadline
     }
 
-    /// A caller without calls in the queue may use it up to twice its limit, even when
-    /// others have filled it. Calls that would wait behind this one do not count, but all
-    /// together stay within twice the limit.
+    /// Checks the length of the queue. A caller with calls in the queue gets an equal share
+    /// of the queue limit. A caller without may exceed the limit, up to twice its value, so
+    /// that others cannot lock it out by filling the queue. Only calls that would go before
+    /// `arrival` count.
     fn fits_in_queue(&self, arrival: &Arrival) -> bool {
         let limit = self.limits.queue;
         let ahead = self.ahead_of(arrival).calls;
@@ -154,7 +162,7 @@
         ahead < limit && own_ahead < share && own < share * 2
     }
 
-    /// Waiting calls that go before `arrival`.
+    /// Totals over the waiting calls that go before `arrival`.
     fn ahead_of(&self, arrival: &Arrival) -> Backlog {
         let mut ahead = Backlog::default();
         for (_, queue) in self.ranks.range(..arrival.rank) {
@@ -166,15 +174,15 @@
         ahead
     }
 
-    /// Time until a slot is free for `arrival`, if it waits: the work ahead of it, shared
-    /// by the slots, after the first running call has ended.
+    /// Expected time until a slot is free for `arrival`: the service times of the calls
+    /// before it and of one running call, divided by the number of slots.
     fn expected_wait(&self, arrival: &Arrival) -> Duration {
         let ahead = self.ahead_of(arrival).service_time + self.mean;
         ahead / self.limits.slots.max(1)
     }
 
-    /// Ends a running call and picks the next. `service_time` is `None` if it says nothing
-    /// of the backend.
+    /// Ends a running call and takes the next from the queue. `service_time` is `None` if
+    /// it must not count in the mean, since it does not show the speed of the backend.
     pub fn release(&mut self, service_time: Option<Duration>, now: Moment) -> Released {
         if let Some(service_time) = service_time {
             let newest = service_time.as_secs_f64() * MEAN_WEIGHT;
@@ -185,6 +193,7 @@
         self.next(now)
     }
 
+    /// Takes the next waiting call that can still be answered; drops expired ones.
     fn next(&mut self, now: Moment) -> Released {
         let mut released = Released::default();
         while self.running < self.limits.slots {
@@ -202,13 +211,14 @@
         released
     }
 
+    /// Removes the first call of the lowest rank with waiting calls.
     fn take_next(&mut self) -> Option<Arrival> {
         let rank = *self.ranks.iter().find(|(_, queue)| !queue.is_empty())?.0;
         self.ranks.get_mut(&rank)?.pop()
     }
 
-    /// Removes a waiting call that its caller has abandoned. False if it no longer waits:
-    /// it runs or has ended.
+    /// Removes a waiting call that its caller has abandoned. False if the call does not
+    /// wait: it already runs or has ended.
     pub fn cancel(&mut self, call: CallNumber) -> bool {
         self.ranks
             .values_mut()
--- a/crates/rampthread-core/src/call/arrival.rs
+++ b/crates/rampthread-core/src/call/arrival.rs
@@ -1,31 +1,35 @@
-//! A call that asks a gate for a slot.
+//! A call that asks a gate, the node that forwards calls to its local backend, for a slot
+//! there.
 
 use super::precedence::Precedence;
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Identifies a call within one gate.
+/// Number of a call, unique within one gate.
 pub type CallNumber = u64;
 
-/// Rank of a tenant's or a route's calls; 0 goes first.
+/// Rank of a call in queues, set by its tenant or its route; calls of rank 0 are served
+/// first.
 pub type Rank = u32;
 
-/// A call that asks a gate for a slot of its backend.
+/// A call that asks a gate for a slot of the local backend.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// The call.
+    /// Number by which the gate knows the call.
     pub call: CallNumber,
-    /// Key of fair queueing: the call's tenant, else the service that makes it.
+    /// Name under which the call takes part in fair queueing: its tenant, else the service
+    /// that makes it.
     pub caller: String,
-    /// Time after which its response is useless.
+    /// Time after which the call's response is useless.
     pub deadline: Moment,
-    /// Rank of its tenant, else of its route; 0 goes first.
+    /// Rank of the call's tenant, else of its route.
     pub rank: Rank,
-    /// Precedence within its rank.
+    /// Precedence of the call within its rank.
     pub precedence: Precedence,
-    /// Maximum queueing time; zero: the call runs now or is rejected, since another backend
-    /// may be free.
+    /// Maximum time that the call may wait in the queue. Zero: the call runs now or is
+    /// rejected, since another backend may have a free slot.
     pub max_wait: Duration,
-    /// Expected service time at this backend; `None` while unknown.
+    /// Time for which the call is expected to hold a slot; `None` if its route has not been
+    /// measured yet.
     pub expected_service_time: Option<Duration>,
 }
--- a/crates/rampthread-core/src/call/attempt_age.rs
+++ b/crates/rampthread-core/src/call/attempt_age.rs
@@ -1,34 +1,38 @@
-//! Estimates how long ago a caller made its first attempt.
+//! Estimates how long ago a caller made its first attempt at a request.
 //!
 //! Callers give a first attempt their whole time, and a retry what is left of it. The
-//! timeout of first attempts is learnt by route from the calls themselves; what a call's
-//! timeout lacks of it is the call's age. Where callers use all sorts of timeouts, nothing
-//! is learnt and every call counts as a first attempt.
+//! timeout of first attempts is learnt by route from the calls themselves. The time by
+//! which a call's timeout is shorter is the call's age. Where callers use all sorts of
+//! timeouts, nothing is learnt and every call counts as a first attempt.
 
 use crate::ids::ResourceName;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Distinct timeouts tracked for one route.
+/// Number of different timeouts that are counted for one route.
 const MAX_TIMEOUTS: usize = 8;
-/// Two timeouts count as equal within this ratio of the longer one, since time passes
-/// before a call is read.
+/// Ratio of the longer timeout up to which two timeouts count as equal, since some time
+/// passes before a call is read.
 const SAME_TIMEOUT_RATIO: f64 = 0.02;
-/// Least share of a route's recent calls with the timeout of first attempts. Retries spread
-/// over many timeouts, first attempts do not.
+/// Minimum share of a route's recent calls that must have a timeout for it to be that of
+/// first attempts. Retries spread over many timeouts, first attempts do not.
 const MIN_FIRST_ATTEMPT_SHARE: f64 = 0.2;
-/// Weight that older calls keep at each new one: about 100 calls count.
+/// Factor by which the weight of older calls shrinks with each new one: about 100 calls
+/// count.
 const WEIGHT_DECAY: f64 = 0.99;
-/// Least total weight of calls before anything is concluded.
+/// Minimum weight of a route's calls before a timeout of first attempts is learnt.
 const MIN_WEIGHT: f64 = 10.0;
 
+/// A timeout that recent calls of one route had.
 #[derive(Debug, Clone, Copy)]
 struct SeenTimeout {
     time: Duration,
+    /// Number of recent calls with about this timeout, discounted with each call.
     weight: f64,
 }
 
 impl SeenTimeout {
+    /// True if the two timeouts count as equal.
     fn is_like(&self, time: Duration) -> bool {
         let longer = self.time.max(time);
         longer - self.time.min(time) <= longer.mul_f64(SAME_TIMEOUT_RATIO)
@@ -42,7 +46,8 @@
 }
 
 impl RouteTimeouts {
-    fn note(&mut self, time: Duration) {
+    /// Records the timeout of a call.
+    fn record(&mut self, time: Duration) {
         for known in &mut self.timeouts {
             known.weight *= WEIGHT_DECAY;
         }
@@ -55,6 +60,7 @@
         }
     }
 
+    /// Starts counting a new timeout, in place of the rarest one if there are too many.
     fn add(&mut self, time: Duration) {
         let new = SeenTimeout { time, weight: 1.0 };
         if self.timeouts.len() < MAX_TIMEOUTS {
@@ -68,7 +74,7 @@
         }
     }
 
-    /// The longest timeout that enough calls have.
+    /// The longest timeout that enough calls have; `None` before enough calls were counted.
     fn first_attempt_timeout(&self) -> Option<Duration> {
         let total: f64 = self.timeouts.iter().map(|one| one.weight).sum();
         if total < MIN_WEIGHT {
@@ -82,21 +88,21 @@
     }
 }
 
-/// Learns the timeout of first attempts, by route of the configuration.
+/// Learns the timeout of first attempts for each route.
 #[derive(Debug, Default)]
 pub struct AttemptAges {
     routes: HashMap<ResourceName, RouteTimeouts>,
 }
 
 impl AttemptAges {
-    /// Records a call of `route` with the timeout `time` and returns its age; zero for a
-    /// first attempt.
+    /// Records a call of `route` whose timeout is `time`, and returns how long ago the
+    /// caller made its first attempt; zero if this is the first attempt.
     pub fn age(&mut self, route: &ResourceName, time: Duration) -> Duration {
         let times = match self.routes.get_mut(route) {
             Some(times) => times,
             None => self.routes.entry(route.clone()).or_default(),
         };
-        times.note(time);
+        times.record(time);
         let Some(first) = times.first_attempt_timeout() else {
             return Duration::ZERO;
         };
--- a/crates/rampthread-core/src/call/attempts.rs
+++ b/crates/rampthread-core/src/call/attempts.rs
@@ -1,53 +1,57 @@
-//! Decides whether a retry is safe and within the budget.
+//! Decides whether a call is retried: whether that is safe and within the retry budget.
 //!
-//! Only the entry retries. A call that may not run twice is retried only after `not-run`,
-//! any other also after `unknown`. Attempts that reach a backend beyond the first are a
-//! bounded share of a service's calls, over all nodes; an attempt that a gate rejected
-//! reached no backend and does not count.
+//! Only the entry, the node that received the call, retries. A call that may not run twice
+//! is retried only after `not-run`, any other also after `unknown`. Attempts that reach a
+//! backend beyond the first are a bounded share of a service's calls, over all nodes; an
+//! attempt that a gate rejected reached no backend and does not count.
 
 use super::headers::{Outcome, Reach};
 pub use super::retry_budget::{RetryBudget, RetryClass, RetryLimit};
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Maximum attempts of one call, including the first and those that reach no backend.
+/// Maximum number of attempts of one call, including the first and those that reach no
+/// backend.
 pub const MAX_ATTEMPTS: u32 = 8;
-/// Minimum time left for a retry.
+/// Minimum time before the deadline that a retry needs.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(1);
 
-/// What to do after an attempt without a response.
+/// What to do after an attempt ended without a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Try another backend.
+    /// Send the call to another backend.
     Retry,
-    /// Another attempt is still in progress.
+    /// Wait for the other attempt that is still in progress.
     AwaitOther,
-    /// Respond to the caller now, with this outcome.
+    /// Send the caller an error response with this outcome.
     GiveUp(Outcome),
 }
 
-/// The attempts of one call so far.
+/// State of one call's attempts so far.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempts {
-    /// The call may run twice.
+    /// True if backends may run the call twice.
     pub repeatable: bool,
-    /// Time after which its response is useless.
+    /// Time after which the call's response is useless.
     pub deadline: Moment,
-    /// On whose behalf retries are taken from the budget.
+    /// Class under which the call takes retries from the budget.
     pub class: RetryClass,
+    /// Maximum number of backends that may get the call.
     max_arrivals: u32,
+    /// Number of ended attempts that reached a backend, or may have.
     arrivals: u32,
-    tries: u32,
+    /// Number of ended attempts.
+    attempts: u32,
     /// When a retry was taken from the budget that has not reached a backend yet.
     unsent_retry_at: Option<Moment>,
-    /// Attempts in progress.
+    /// Number of attempts in progress.
     in_progress: u32,
-    /// An attempt may have run.
+    /// True if an attempt may have run at a backend.
     may_have_run: bool,
 }
 
 impl Attempts {
-    /// No attempt yet; at most `max_arrivals` backends may get the call.
+    /// State of a call without attempts, which at most `max_arrivals` backends may get.
     pub fn new(repeatable: bool, deadline: Moment, max_arrivals: u32) -> Self {
         Self {
             repeatable,
@@ -55,7 +59,7 @@
             class: RetryClass::default(),
             max_arrivals,
             arrivals: 0,
-            tries: 0,
+            attempts: 0,
             unsent_retry_at: None,
             in_progress: 0,
             may_have_run: false,
@@ -68,7 +72,7 @@
     }
 
     /// Starts a hedged attempt beside a slow one (hedged request, Dean and Barroso 2013),
-    /// if that is safe and within the budget.
+    /// if that is safe and within the budget. Returns whether it did.
     pub fn begin_hedge(&mut self, now: Moment, budget: &mut RetryBudget) -> bool {
         let allowed = self.may_hedge() && self.take_retry(now, budget);
         if allowed {
@@ -77,7 +81,7 @@
         allowed
     }
 
-    /// Records the end of an attempt and decides what to do next.
+    /// Records the end of an attempt without a response, and decides what to do next.
     pub fn record_outcome(
         &mut self,
         outcome: Outcome,
@@ -85,7 +89,7 @@
         now: Moment,
         budget: &mut RetryBudget,
     ) -> NextStep {
-        self.tries += 1;
+        self.attempts += 1;
         self.in_progress = self.in_progress.saturating_sub(1);
         if reach == Reach::Backend {
             self.arrivals += 1;
@@ -100,7 +104,7 @@
         }
         let safe = self.repeatable || !self.may_have_run;
         let in_time = now + MIN_RETRY_TIME < self.deadline;
-        let below_limits = self.tries < MAX_ATTEMPTS && self.arrivals < self.max_arrivals;
+        let below_limits = self.attempts < MAX_ATTEMPTS && self.arrivals < self.max_arrivals;
         let free = self.arrivals == 0 || reach == Reach::Gate;
         if safe && in_time && below_limits && (free || self.take_retry(now, budget)) {
             return NextStep::Retry;
@@ -108,6 +112,7 @@
         NextStep::GiveUp(self.outcome())
     }
 
+    /// Takes a retry from the budget; false if the budget does not allow it.
     fn take_retry(&mut self, now: Moment, budget: &mut RetryBudget) -> bool {
         let taken = budget.take(self.class, now);
         if taken {
@@ -124,7 +129,7 @@
         }
     }
 
-    /// What the caller must be told if the call ends now without a response.
+    /// Outcome that the caller must be told if the call ends now without a response.
     pub fn outcome(&self) -> Outcome {
         if self.may_have_run {
             Outcome::Unknown
@@ -133,13 +138,13 @@
         }
     }
 
-    /// True when a hedged attempt may run beside the one in progress: the call may run
-    /// twice, and one more backend may get it.
+    /// True if a hedged attempt may run beside the one in progress: the call may run twice,
+    /// and one more backend may get it.
     pub fn may_hedge(&self) -> bool {
         let after_this = self.arrivals + self.in_progress;
         self.repeatable
             && self.in_progress == 1
-            && self.tries + 1 < MAX_ATTEMPTS
+            && self.attempts + 1 < MAX_ATTEMPTS
             && after_this < self.max_arrivals
     }
 
--- a/crates/rampthread-core/src/call/backend_load.rs
+++ b/crates/rampthread-core/src/call/backend_load.rs
@@ -1,32 +1,33 @@
-//! The load that a backend reports in a header of its responses.
+//! Load of a backend, as the backend reports it in a header of its responses.
 
 use thiserror::Error;
 
-/// Maximum number of calls or slots that is accepted.
+/// Maximum number of calls or slots that a report may contain.
 const MAX_CALLS: u32 = 1_000_000;
-/// Maximum service time that is accepted, in percent of the usual one.
+/// Maximum service time that a report may contain, in percent of the usual one.
 const MAX_PERCENT: u16 = 10_000;
 
-/// Load of a backend, as it reports it.
+/// Numbers of calls and slots at a backend, as the backend reports them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendLoad {
-    /// Calls that run.
+    /// Number of calls that the backend runs.
     pub running: u32,
-    /// Calls that wait.
+    /// Number of calls that wait at the backend.
     pub waiting: u32,
-    /// Calls that may run at a time.
+    /// Maximum number of calls that the backend runs at a time.
     pub slots: u32,
-    /// Current service time in percent of its usual value; `None` if not reported.
+    /// Current service time in percent of the usual one; `None` if the backend does not
+    /// report it.
     pub service_time_percent: Option<u16>,
 }
 
-/// Why a header is not a valid load.
+/// Why the value of a load header is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum BackendLoadError {
-    /// It has this many fields instead of three or four.
+    /// The value has this number of fields instead of three or four.
     #[error("expected 3 or 4 comma-separated fields, found {0}")]
     Figures(usize),
-    /// The field with this number, counted from 1, is not a number or out of range.
+    /// The field at this position, counted from 1, is not a number or is out of range.
     #[error("field {0} is not a number in its range")]
     Figure(usize),
 }
--- a/crates/rampthread-core/src/call/backend_speed.rs
+++ b/crates/rampthread-core/src/call/backend_speed.rs
@@ -1,22 +1,23 @@
-//! Speed of a backend, as its gate measured it. An entry that seldom calls the backend
-//! cannot measure it itself.
+//! Speed of a backend, as measured by its gate, the node that forwards calls to it. A node
+//! that seldom sends calls to the backend cannot measure the speed itself.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The usual speed or service time, in percent.
+/// Value in percent that stands for the usual speed or the usual service time.
 pub const USUAL_PERCENT: u16 = 100;
 
-/// The speed of one backend.
+/// Measured speed of one backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendSpeed {
-    /// Long-term speed in percent of its service's: 200 does the same work in half the
-    /// time.
+    /// Long-term speed in percent of the usual speed of the service's backends: at 200 the
+    /// backend does the same work in half the time.
     pub speed_percent: u16,
-    /// Current service time in percent of its usual value: 200 takes twice as long. It
-    /// changes several times a second where others share the machine.
+    /// Current service time in percent of the backend's usual service time: at 200 a call
+    /// takes twice as long. It changes several times a second if other processes share the
+    /// machine.
     pub service_time_percent: u16,
-    /// Rest of the time for which it is slow after its start.
+    /// Time for which the backend remains slow after its start.
     pub warm_up_left: Duration,
 }
 
--- a/crates/rampthread-core/src/call/balance.rs
+++ b/crates/rampthread-core/src/call/balance.rs
@@ -1,7 +1,10 @@
-//! Chooses the backend of a call: the one of least expected cost, which is made of its load
-//! per slot, its slowness and whether it stands in another zone. A backend that has just
-//! become ready gets a growing share of the calls. Ejection always spares half of a
-//! service.
+//! Chooses the backend of a call: the one of least expected cost. The cost is made of the
+//! backend's load per slot, its slowness, and whether it stands in another zone than the
+//! entry, the node that received the call. A backend that has just become ready gets a
+//! growing share of the calls (slow start). Backends that keep failing are ejected, but
+//! never more than half of a service.
+//!
+//! An *endpoint* is a backend together with its gate, the node that forwards calls to it.
 
 use super::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use crate::ids::{NodeId, ResourceName, Zone};
@@ -11,110 +14,126 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Load from which backends of other zones are considered too. Above 1, since what is known
-/// of a gate is out of date, and asking one of the same zone that seems full costs little.
+/// Load per slot of the best backend in the entry's zone from which other zones are
+/// considered too. Above 1, since reports of load are out of date, and asking a gate of the
+/// same zone that seems full costs little.
 const MAX_SAME_ZONE_LOAD: f64 = 1.2;
-/// Load from which a call is expected to wait.
+/// Load per slot from which a call is expected to wait in the gate's queue.
 const QUEUEING_LOAD: f64 = 0.95;
-/// Slowness from which backends of other zones are considered too.
+/// Slowness of the best backend in the entry's zone from which other zones are considered
+/// too.
 const MAX_SAME_ZONE_SLOWNESS: f64 = 2.0;
-/// Cost of one slot's worth of load above [`OVERLOAD`].
+/// Cost of each unit of load above [`QUEUEING_LOAD`].
 const QUEUEING_COST: f64 = 5.0;
 /// Cost of sending a call to another zone, where traffic is expensive.
 const OTHER_ZONE_COST: f64 = 0.3;
-/// Backends compared for one call. If there are more, this many are sampled at random, so
-/// that entries with the same outdated information do not all choose the same one.
+/// Number of backends compared for one call. Of a larger service, this many are sampled at
+/// random, so that entries with the same outdated reports do not all choose the same
+/// backend.
 const SAMPLE_COUNT: usize = 4;
-/// Costs are randomized by up to this ratio, for the same reason.
+/// Each cost is raised by a random ratio up to this, for the same reason as sampling.
 const COST_JITTER_RATIO: f64 = 0.15;
-/// Share of calls that a backend gets when it has just become ready.
+/// Share of its slots that a backend is taken to have when it has just become ready.
 const MIN_SLOW_START_SHARE: f64 = 0.1;
-/// Consecutive failures after which an endpoint is ejected.
+/// Consecutive failed calls after which an endpoint is ejected.
 const EJECT_AFTER_FAILURES: u32 = 5;
-/// Duration of the first ejection; each further one is longer by the same amount.
+/// Duration of an endpoint's first ejection; each further ejection is longer by this.
 const EJECTION_STEP: Duration = Duration::from_secs(3);
-/// Duration of the first ejection of an endpoint whose node is unreachable; doubles with
-/// each further one.
+/// Duration of the first ejection of an endpoint whose node is unreachable; each further
+/// ejection lasts twice as long.
 const UNREACHABLE_EJECTION: Duration = Duration::from_secs(1);
-/// Number of ejections after which their duration no longer grows.
+/// Number of ejections after which further ones do not last longer.
 const MAX_EJECTIONS: u32 = 10;
-/// Number of doublings after which the ejection of an unreachable node no longer grows.
+/// Number of times that the ejection of an unreachable node doubles.
 const MAX_UNREACHABLE_DOUBLINGS: u32 = 2;
-/// Maximum age of a reported load; older ones are ignored.
+/// Age from which a reported load is ignored.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
-/// Weight of the newest response in a route's mean time.
+/// Weight of the newest response in a route's mean response time.
 const ROUTE_MEAN_WEIGHT: f64 = 0.05;
-/// Weight of the newest response in a backend's slowness.
+/// Weight of the newest response in a backend's mean slowness.
 const SLOWNESS_WEIGHT: f64 = 0.2;
-/// Upper bound of the slowness that a single response counts for.
+/// Maximum slowness that a single response may contribute to the mean.
 const MAX_SLOWNESS: f64 = 20.0;
-/// Time for which the speed reported with a response takes precedence over that of the
-/// member record, which may lag by some seconds.
+/// Age up to which the speed that a gate reported with a response is preferred to that of
+/// the member record, which may lag by some seconds.
 const MAX_REPORTED_SPEED_AGE: Duration = Duration::from_secs(5);
-/// Decay time of a backend's reported momentary speed, which changes several times a
-/// second.
+/// Time constant with which a backend's reported current service time is discounted, since
+/// it changes several times a second.
 const MOMENTARY_SPEED_DECAY: Duration = Duration::from_millis(400);
-/// Decay time of the slowness learnt from responses.
+/// Time constant with which the slowness measured by this node is discounted.
 const SLOWNESS_DECAY: Duration = Duration::from_secs(5);
 
-/// A hedged attempt may start after this many mean times of the route.
+/// Mean response times of the route after which a hedged attempt, a second one beside a
+/// slow one, may start.
 const HEDGE_DELAY_MEANS: f64 = 3.0;
-/// Minimum delay of a hedged attempt.
+/// Minimum time before a hedged attempt may start.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(150);
 
-/// Load that a gate reports while it accepts no calls, so that others are chosen until the
-/// membership reports the reason.
+/// Load that a gate reports while it accepts no calls. Entries choose other backends until
+/// the membership shows the reason.
 pub const UNAVAILABLE_LOAD: u32 = u32::MAX;
 
-/// How endpoints are chosen.
+/// Rule by which endpoints are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BalanceMode {
-    /// The endpoint of least expected cost.
+    /// Choose the endpoint of least expected cost.
     LeastCost,
-    /// Round robin without regard to load and failures; a baseline for experiments only.
+    /// Choose endpoints in turn, without regard to load and failures. A baseline for
+    /// experiments only.
     RoundRobin,
 }
 
-/// An endpoint that may get calls now.
+/// A backend that may get calls now, and the node that forwards them to it.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// The node that runs the backend's gate.
+    /// Node that forwards calls to the backend.
     pub node: NodeId,
-    /// Zone of the node.
+    /// Zone of the node and the backend.
     pub zone: Zone,
-    /// Calls that the backend runs at a time.
+    /// Maximum number of calls that the backend runs at a time.
     pub slots: u32,
-    /// Time from becoming ready to its full share of calls; zero: no slow start.
+    /// Time from becoming ready until the backend gets its full share of calls; zero: no
+    /// slow start.
     pub slow_start: Duration,
-    /// Long-term speed from the member record, in percent of the service's usual speed.
+    /// Long-term speed of the backend according to its member record, in percent of the
+    /// service's usual speed.
     pub speed_percent: u16,
 }
 
+/// What this node knows of one endpoint.
 #[derive(Debug, Default)]
-struct Stats {
+struct EndpointStats {
     in_flight: u32,
-    /// Load that the gate reported, and this node's calls in flight there at that time.
+    /// Load that the gate reported last, and how many of this node's calls were in flight
+    /// to it when the report was made.
     reported: u32,
     in_flight_at_report: u32,
     reported_at: Moment,
+    /// When the endpoint became ready.
     first_seen: Moment,
+    /// Consecutive calls without response.
     failures: u32,
+    /// Ejections since the endpoint became ready, up to the maximum.
     ejections: u32,
+    /// Consecutive times that the node was found unreachable.
     unreachable: u32,
     ejected_until: Moment,
-    /// Response time over the mean of the route, averaged.
+    /// Mean ratio of the backend's response times to the mean response time of their
+    /// routes.
     slowness: Option<f64>,
+    /// Time of the last change of `slowness`.
     slowness_at: Moment,
-    /// Time of its last response to a call.
+    /// Time of the backend's last response to this node.
     answered_at: Moment,
-    /// Speed that its gate reported last.
+    /// Speed that the gate reported last.
     reported_speed: Option<BackendSpeed>,
     speed_reported_at: Moment,
 }
 
-impl Stats {
-    /// Slowness learnt from this node's own responses decays, so that a recovered backend
-    /// gets calls again. What remains is the reported slowness, or that of `speed_percent`.
+impl EndpointStats {
+    /// Slowness of the backend: what this node measured, discounted with time in favour of
+    /// what the gate reported or the member record says. So a recovered backend gets calls
+    /// again.
     fn slowness(&self, speed_percent: u16, now: Moment) -> f64 {
         let age = now.since(self.slowness_at).as_secs_f64() / SLOWNESS_DECAY.as_secs_f64();
         let reported = self.reported_slowness(speed_percent, now);
@@ -124,7 +143,8 @@
         }
     }
 
-    /// Service time over its usual value, as the gate measured it.
+    /// Ratio of the backend's service time to the usual one, according to its gate's report
+    /// or, if that is too old, to the member record.
     fn reported_slowness(&self, speed_percent: u16, now: Moment) -> f64 {
         let Some(reported_speed) = self.reported_speed else {
             return speed_slowness(speed_percent);
@@ -139,8 +159,8 @@
         standing * (1.0 + (present - 1.0) * (-age).exp())
     }
 
-    /// Calls at the backend, as far as this node knows: the reported load and what this
-    /// node has sent since.
+    /// Estimate of the calls at the backend: the reported load and the calls that this node
+    /// has sent since.
     fn busy(&self, now: Moment) -> u32 {
         if now.since(self.reported_at) >= MAX_REPORT_AGE {
             return self.in_flight;
@@ -152,7 +172,7 @@
     }
 }
 
-/// Service time at a backend of this speed over its usual value.
+/// Ratio of the service time at a backend with this speed to the usual one.
 fn speed_slowness(speed_percent: u16) -> f64 {
     f64::from(USUAL_PERCENT) / f64::from(speed_percent.max(1))
 }
@@ -177,43 +197,44 @@
         .collect()
 }
 
-/// Chooses endpoints, and records what this node knows of each.
+/// Chooses endpoints for the calls of one node, from what this node knows of each.
 #[derive(Debug)]
 pub struct Balancer {
     mode: BalanceMode,
     started: Moment,
-    endpoints: HashMap<NodeId, Stats>,
+    endpoints: HashMap<NodeId, EndpointStats>,
     /// Mean response time of each route, in seconds.
     route_means: HashMap<ResourceName, f64>,
-    turn: usize,
+    /// Number of choices by round robin.
+    round_robin_count: usize,
 }
 
 impl Balancer {
-    /// A balancer without records. Endpoints first seen right after the start count as
-    /// warm, since it is this process that is new.
+    /// Creates a balancer. Endpoints that are first seen right after `now` get no slow
+    /// start, since it is this process that is new.
     pub fn new(mode: BalanceMode, now: Moment) -> Self {
         Self {
             mode,
             started: now,
             endpoints: HashMap::new(),
             route_means: HashMap::new(),
-            turn: 0,
+            round_robin_count: 0,
         }
     }
 
-    /// Records that an endpoint became ready: its slow start begins, and what was learnt of
-    /// its predecessor is dropped.
+    /// Records that an endpoint became ready: its slow start begins, and measurements of
+    /// the backend that was there before are dropped.
     pub fn became_ready(&mut self, node: &NodeId, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
-        *stats = Stats {
+        *stats = EndpointStats {
             in_flight: stats.in_flight,
             first_seen: now,
-            ..Stats::default()
+            ..EndpointStats::default()
         };
     }
 
-    /// Chooses among `candidates`, leaving out those in `tried`. Where the zone of this
-    /// node has candidates, another zone is considered only if `may_go_to` allows it.
+    /// Chooses among `candidates`, leaving out the nodes in `tried`. If the node's own zone
+    /// has candidates, another zone is considered only if `may_go_to` allows it.
     pub fn choose<'a>(
         &mut self,
         candidates: &'a [Endpoint],
@@ -228,8 +249,10 @@
             .filter(|endpoint| !tried.contains(&endpoint.node))
             .collect();
         if self.mode == BalanceMode::RoundRobin {
-            self.turn += 1;
-            return untried.get(self.turn % untried.len().max(1)).copied();
+            self.round_robin_count += 1;
+            return untried
+                .get(self.round_robin_count % untried.len().max(1))
+                .copied();
         }
         let usable = self.without_ejected(&untried, now);
         let same_zone: Vec<&Endpoint> = usable
@@ -251,8 +274,8 @@
         }
     }
 
-    /// Chooses a backend of `zone` that is expected to have a free slot, leaving out those
-    /// in `tried`.
+    /// Chooses a backend of `zone` that is expected to have a free slot, leaving out the
+    /// nodes in `tried`.
     pub fn choose_in<'a>(
         &self,
         candidates: &'a [Endpoint],
@@ -273,13 +296,14 @@
         chosen.filter(|endpoint| self.is_good_enough(endpoint, now))
     }
 
-    /// True when the endpoint is good enough that other zones need not be considered.
+    /// True when the endpoint's load and slowness are low enough to choose it without
+    /// considering other zones.
     fn is_good_enough(&self, endpoint: &Endpoint, now: Moment) -> bool {
         let slowness = self.slowness(endpoint, now);
         self.load(endpoint, now) < MAX_SAME_ZONE_LOAD && slowness < MAX_SAME_ZONE_SLOWNESS
     }
 
-    /// Leaves out ejected endpoints, but never more than half.
+    /// Leaves out ejected endpoints, unless these are more than half; then all remain.
     fn without_ejected<'a>(&self, endpoints: &[&'a Endpoint], now: Moment) -> Vec<&'a Endpoint> {
         let sound: Vec<&Endpoint> = endpoints
             .iter()
@@ -295,13 +319,14 @@
         all
     }
 
+    /// End of the ejection of `node`; in the past if there is none.
     fn ejected_until(&self, node: &NodeId) -> Moment {
         self.endpoints
             .get(node)
             .map_or(Moment::default(), |stats| stats.ejected_until)
     }
 
-    /// True while the endpoint is ejected.
+    /// True while the endpoint of `node` is ejected.
     pub fn is_ejected(&self, node: &NodeId, now: Moment) -> bool {
         self.ejected_until(node) > now
     }
@@ -326,7 +351,8 @@
         best.map(|(_, endpoint)| endpoint)
     }
 
-    /// Expected response time, in units of a call at a healthy, idle backend of this zone.
+    /// Expected response time of the endpoint, in units of the service time at a healthy,
+    /// idle backend of this zone.
     fn cost(&self, endpoint: &Endpoint, own_zone: &Zone, now: Moment) -> f64 {
         let load = self.load(endpoint, now);
         let overload = (load - QUEUEING_LOAD).max(0.0) * QUEUEING_COST;
@@ -339,7 +365,7 @@
         slowness * (1.0 + overload) + load + distance
     }
 
-    /// Expected service time over its usual value.
+    /// Expected ratio of the endpoint's service time to the usual one.
     fn slowness(&self, endpoint: &Endpoint, now: Moment) -> f64 {
         let speed = endpoint.speed_percent;
         match self.endpoints.get(&endpoint.node) {
@@ -348,17 +374,24 @@
         }
     }
 
-    /// Load per effective slot, the call to be placed included.
+    /// Calls at the endpoint, including the one to be placed, per slot that it effectively
+    /// has.
     fn load(&self, endpoint: &Endpoint, now: Moment) -> f64 {
         let slots = f64::from(endpoint.slots.max(1));
         let Some(stats) = self.endpoints.get(&endpoint.node) else {
             return 1.0 / slots;
         };
         let busy = f64::from(stats.busy(now)) + 1.0;
-        busy / (slots * self.share(stats, endpoint.slow_start, now))
+        busy / (slots * self.effective_slot_share(stats, endpoint.slow_start, now))
     }
 
-    fn share(&self, stats: &Stats, slow_start: Duration, now: Moment) -> f64 {
+    /// Share of its slots that an endpoint effectively has during slow start, up to 1.
+    fn effective_slot_share(
+        &self,
+        stats: &EndpointStats,
+        slow_start: Duration,
+        now: Moment,
+    ) -> f64 {
         if stats.first_seen <= self.started || slow_start.is_zero() {
             return 1.0;
         }
@@ -371,19 +404,19 @@
         self.load(endpoint, now) <= 1.0 && !self.is_ejected(&endpoint.node, now)
     }
 
-    /// Records that a call was sent to `node`.
+    /// Records that this node sent a call to `node`.
     pub fn record_sent(&mut self, node: &NodeId) {
         self.endpoints.entry(node.clone()).or_default().in_flight += 1;
     }
 
-    /// Records that a call to `node` ended.
+    /// Records that a call of this node to `node` ended.
     pub fn record_end(&mut self, node: &NodeId) {
         if let Some(stats) = self.endpoints.get_mut(node) {
             stats.in_flight = stats.in_flight.saturating_sub(1);
         }
     }
 
-    /// Records the load that the gate at `node` reported with a response.
+    /// Records the load that the gate `node` reported with a response.
     pub fn record_load(&mut self, node: &NodeId, load: u32, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.reported = load;
@@ -394,14 +427,14 @@
         stats.unreachable = 0;
     }
 
-    /// Records the speed that the gate at `node` reported.
+    /// Records the speed that the gate `node` reported with a response.
     pub fn record_speed(&mut self, node: &NodeId, reported_speed: BackendSpeed, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.reported_speed = Some(reported_speed);
         stats.speed_reported_at = now;
     }
 
-    /// Records the time of a response of `node` to a call of `route`.
+    /// Records that `node` responded to a call of `route` after `time`.
     pub fn record_response(
         &mut self,
         node: &NodeId,
@@ -414,7 +447,7 @@
         let ratio = (seconds / mean.max(f64::EPSILON)).min(MAX_SLOWNESS);
         *mean += (seconds - *mean) * ROUTE_MEAN_WEIGHT;
         let stats = self.endpoints.entry(node.clone()).or_default();
-        // A single response is weak evidence, so the first one is averaged with the usual
+        // A single response says little, so even the first one is averaged with the usual
         // slowness.
         let previous = stats.slowness.map_or(1.0, |learnt| {
             let age = now.since(stats.slowness_at).as_secs_f64() / SLOWNESS_DECAY.as_secs_f64();
@@ -425,7 +458,7 @@
         stats.answered_at = now;
     }
 
-    /// Mean response time of `route`; `None` before the first response.
+    /// Mean response time of `route` over all backends; `None` before the first response.
     pub fn mean_time(&self, route: &ResourceName) -> Option<Duration> {
         self.route_means
             .get(route)
@@ -440,15 +473,15 @@
         Some(overdue.max(MIN_HEDGE_DELAY))
     }
 
-    /// True when the backend has responded to other calls since `begun`: a call that still
-    /// waits there may just be a long one.
+    /// True when `node` has responded to other calls since `begun`. A call that began then
+    /// and still waits for its response may just be a long one.
     pub fn answered_since(&self, node: &NodeId, begun: Moment) -> bool {
         let stats = self.endpoints.get(node);
         stats.is_some_and(|stats| stats.answered_at >= begun)
     }
 
-    /// Records a call to `node` that got no response; ejects the endpoint after
-    /// [`EJECT_AFTER`] in a row.
+    /// Records that a call to `node` got no response, and ejects the endpoint after several
+    /// failures in a row.
     pub fn record_failure(&mut self, node: &NodeId, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.failures += 1;
@@ -459,7 +492,8 @@
         }
     }
 
-    /// Ejects `node`, which cannot be reached: each attempt there costs its caller time.
+    /// Ejects the endpoint of `node`, which cannot be reached: each attempt there costs its
+    /// caller time.
     pub fn record_unreachable(&mut self, node: &NodeId, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         let doublings = stats.unreachable.min(MAX_UNREACHABLE_DOUBLINGS);
@@ -468,12 +502,12 @@
         stats.ejected_until = stats.ejected_until.max(until);
     }
 
-    /// Calls at `node`, as far as this node knows.
+    /// Estimate of the calls at the backend of `node`; 0 if nothing is known of it.
     pub fn seen_load(&self, node: &NodeId, now: Moment) -> u32 {
         self.endpoints.get(node).map_or(0, |stats| stats.busy(now))
     }
 
-    /// Calls of this node in flight to `node`.
+    /// Number of calls of this node in flight to `node`.
     pub fn in_flight(&self, node: &NodeId) -> u32 {
         self.endpoints.get(node).map_or(0, |stats| stats.in_flight)
     }
--- a/crates/rampthread-core/src/call/body_transfers.rs
+++ b/crates/rampthread-core/src/call/body_transfers.rs
@@ -1,10 +1,11 @@
-//! Flow control for large request bodies on their way to one gate.
+//! Flow control for large request bodies on their way to one gate, the node that forwards
+//! calls to its local backend.
 //!
 //! A body that is sent before its call is admitted takes link capacity from everything
-//! else, and is wasted if the gate rejects the call. So entries ask the gate first. A few
-//! bodies are transferred at a time, so that each arrives soon and small messages find the
-//! link nearly idle; the others wait at their entries, or are rejected at once if their
-//! turn would come too late.
+//! else, and is wasted if the gate rejects the call. So the sending node offers the body
+//! first, and sends it when the gate grants the transfer. A few bodies are transferred at a
+//! time, so that each arrives soon and small messages find the link nearly idle; the other
+//! offers wait, or are rejected at once if their turn would come too late.
 
 use super::admission::CallNumber;
 use crate::time::Moment;
@@ -14,61 +15,64 @@
 /// Maximum number of concurrent transfers. The second keeps the link busy while the end of
 /// the first and the next grant travel.
 const MAX_CONCURRENT: usize = 2;
-/// One in this many bytes of the transfers in progress is assumed to be outstanding, since
-/// their progress is not reported.
+/// Divisor that gives the outstanding bytes of the transfers in progress: half are assumed
+/// to have arrived, since progress is not reported.
 const OUTSTANDING_DIVISOR: u64 = 2;
 /// Weight of the newest measurement in the transfer rate.
 const RATE_WEIGHT: f64 = 0.2;
 /// Transfer rate before the first measurement, in bytes per second: 100 Mbit/s.
 const INITIAL_RATE: f64 = 12.5e6;
-/// A granted transfer expires after this many times its expected duration: its sender is
-/// gone, or its path is much worse than others'.
+/// Multiple of its expected duration after which a granted transfer is given up: its sender
+/// is gone, or its path is much worse than others'.
 const EXPIRY_FACTOR: u32 = 8;
-/// Minimum time until a granted transfer expires, since a path may stall for a lost packet.
+/// Minimum time until a granted transfer is given up, since a path may stall for a lost
+/// packet.
 const MIN_EXPIRY: Duration = Duration::from_millis(500);
-/// Minimum retry advice.
+/// Minimum time after which a rejected sender is told to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A body that an entry asks to send.
+/// A request body that a node asks to send to the gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyOffer {
-    /// The call that it belongs to.
+    /// Call that the body belongs to.
     pub call: CallNumber,
-    /// Its length.
+    /// Length of the body in bytes.
     pub bytes: u64,
-    /// Maximum time that the call may wait for permission.
+    /// Maximum time that the call may wait until the transfer is granted.
     pub max_wait: Duration,
 }
 
-/// What becomes of an offer.
+/// What the gate decides about an offered body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferDecision {
     /// The body may be sent now.
     Granted,
-    /// It waits for its turn.
+    /// The offer waits until another transfer has ended.
     Queued,
-    /// Its turn would come too late.
+    /// The offer is rejected, since its turn would come too late.
     Refused {
-        /// When to retry.
+        /// Time after which the sender should retry.
         retry_after: Duration,
     },
 }
 
+/// A transfer that was granted and has not ended.
 #[derive(Debug, Clone, Copy)]
 struct Transfer {
     call: CallNumber,
     bytes: u64,
+    /// Time at which the transfer is given up.
     expires_at: Moment,
 }
 
-/// The large bodies in transfer to one gate.
+/// Schedules the transfers of large request bodies to one gate.
 #[derive(Debug)]
 pub struct BodyTransfers {
     in_progress: Vec<Transfer>,
     waiting: VecDeque<BodyOffer>,
-    /// Measured rate of all paths to this node together, in bytes per second.
+    /// Measured rate of all transfers to this gate together, in bytes per second.
     rate: f64,
-    /// Start of the current rate measurement.
+    /// Start of the time over which the rate is measured next.
     measured_since: Moment,
 }
 
@@ -84,24 +88,24 @@
 }
 
 impl BodyTransfers {
-    /// Number of bodies in transfer and waiting.
+    /// Number of bodies in transfer or waiting.
     pub fn load(&self) -> u32 {
         (self.in_progress.len() + self.waiting.len()) as u32
     }
 
-    /// Expected duration of a transfer of `bytes`.
+    /// Expected duration of a transfer of this many bytes, at the measured rate.
     pub fn expected(&self, bytes: u64) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.rate)
     }
 
-    /// Time until an offer that arrives now may be sent.
+    /// Expected time until a transfer that is offered now would be granted.
     fn expected_wait(&self) -> Duration {
         let in_progress: u64 = self.in_progress.iter().map(|transfer| transfer.bytes).sum();
         let waiting: u64 = self.waiting.iter().map(|offer| offer.bytes).sum();
         self.expected(in_progress / OUTSTANDING_DIVISOR + waiting)
     }
 
-    /// Grants, queues or rejects a transfer.
+    /// Grants the transfer of a body, queues the offer or rejects it.
     pub fn offer(&mut self, offer: BodyOffer, now: Moment) -> OfferDecision {
         self.remove_expired(now);
         if self.in_progress.len() < MAX_CONCURRENT && self.waiting.is_empty() {
@@ -118,6 +122,7 @@
         OfferDecision::Queued
     }
 
+    /// Starts a transfer.
     fn grant(&mut self, offer: BodyOffer, now: Moment) {
         if self.in_progress.is_empty() {
             self.measured_since = now;
@@ -130,13 +135,14 @@
         });
     }
 
+    /// Gives up transfers that did not end in time.
     fn remove_expired(&mut self, now: Moment) {
         self.in_progress
             .retain(|transfer| transfer.expires_at > now);
     }
 
-    /// Ends a transfer, whose body has arrived or never will. Returns the calls whose
-    /// bodies may be sent now.
+    /// Ends the transfer of the body of `call`, which has arrived or never will. Returns
+    /// the calls whose bodies may be sent now.
     pub fn ended(&mut self, call: CallNumber, arrived: bool, now: Moment) -> Vec<CallNumber> {
         let index = self
             .in_progress
@@ -151,6 +157,7 @@
         self.grant_next(now)
     }
 
+    /// Updates the transfer rate after a body of this many bytes has arrived.
     fn measure(&mut self, bytes: u64, now: Moment) {
         let seconds = now.since(self.measured_since).as_secs_f64();
         self.measured_since = now;
@@ -160,6 +167,7 @@
         }
     }
 
+    /// Grants waiting offers while there are free transfers; returns their calls.
     fn grant_next(&mut self, now: Moment) -> Vec<CallNumber> {
         self.remove_expired(now);
         let mut granted = Vec::new();
@@ -172,8 +180,8 @@
         granted
     }
 
-    /// Removes a waiting offer that its sender has abandoned. False if its body may already
-    /// be in transfer.
+    /// Removes the waiting offer of `call`, whose sender has abandoned it. False if no such
+    /// offer waits: the body may already be in transfer.
     pub fn cancel(&mut self, call: CallNumber) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|offer| offer.call != call);
--- a/crates/rampthread-core/src/call/cause.rs
+++ b/crates/rampthread-core/src/call/cause.rs
@@ -1,9 +1,10 @@
-//! Why a call or one of its attempts ended without a response of the backend. The values
-//! are stable: they are used in logs, in metrics and between nodes.
+//! Why a call, or an attempt to deliver it, ended without a response of the backend. The
+//! values are stable: they are used in logs, in metrics and between nodes.
 
 use http::StatusCode;
 use std::fmt;
 
+/// Declares [`Cause`] with the value and the HTTP status of each variant.
 macro_rules! causes {
     ($($(#[$documentation:meta])* $name:ident = $value:literal, $status:ident;)*) => {
         /// Why there is no response of a backend.
@@ -13,15 +14,15 @@
         }
 
         impl Cause {
-            /// Every cause.
+            /// Every cause, in order of declaration.
             pub const ALL: &'static [Cause] = &[$(Cause::$name,)*];
 
-            /// The value in logs, metrics and headers.
+            /// Value that is logged, counted in metrics and sent in headers.
             pub fn as_str(self) -> &'static str {
                 match self { $(Cause::$name => $value,)* }
             }
 
-            /// Status of the response to the caller.
+            /// Status of the error response that the caller gets.
             pub fn status(self) -> StatusCode {
                 match self { $(Cause::$name => StatusCode::$status,)* }
             }
@@ -32,65 +33,66 @@
 causes! {
     /// The node has no configuration yet.
     NotReady = "not-ready", SERVICE_UNAVAILABLE;
-    /// No route of the configuration matches.
+    /// No route of the configuration matches the request.
     NoRoute = "no-route", NOT_FOUND;
-    /// The route needs a key, and the request has none.
+    /// The route needs an API key, and the request has none.
     KeyMissing = "key-missing", UNAUTHORIZED;
-    /// The request's key belongs to no tenant.
+    /// The API key of the request belongs to no tenant.
     KeyUnknown = "key-unknown", UNAUTHORIZED;
-    /// The tenant exceeds its limit.
+    /// The tenant sends more than its rate limit.
     OverQuota = "over-quota", TOO_MANY_REQUESTS;
     /// The request cannot be parsed.
     BadRequest = "bad-request", BAD_REQUEST;
-    /// The request head is larger than allowed.
+    /// The head of the request is larger than allowed.
     HeadTooLarge = "head-too-large", REQUEST_HEADER_FIELDS_TOO_LARGE;
-    /// The request head did not arrive in time.
+    /// The head of the request did not arrive in time.
     HeadTimeout = "head-timeout", REQUEST_TIMEOUT;
-    /// The body is larger than allowed.
+    /// The body of the request is larger than allowed.
     BodyTooLarge = "body-too-large", PAYLOAD_TOO_LARGE;
-    /// The body did not arrive in time.
+    /// The body of the request did not arrive in time.
     BodyTimeout = "body-timeout", REQUEST_TIMEOUT;
-    /// The idempotency key was used before, or may be in use.
+    /// The idempotency key of the request was used before, or may be in use.
     KeyInUse = "key-in-use", CONFLICT;
-    /// No majority of the holders of the idempotency key replied.
+    /// No majority of the holders, the nodes that store claims of the request's idempotency
+    /// key, replied.
     NoClaimMajority = "key-unclaimed", SERVICE_UNAVAILABLE;
-    /// The service has no backend that is known to accept calls.
+    /// No backend of the service is known to accept calls.
     NoBackend = "no-back-end", SERVICE_UNAVAILABLE;
-    /// The backend has no free slot and its queue is full.
+    /// The backend has no free slot and the queue of its gate is full.
     QueueFull = "full", SERVICE_UNAVAILABLE;
     /// Too many large bodies are in transfer to the backend.
     LinkFull = "link-full", SERVICE_UNAVAILABLE;
-    /// No slot became free before the deadline.
+    /// No slot of the backend became free before the call's deadline.
     QueueDeadline = "queue-deadline", SERVICE_UNAVAILABLE;
     /// The backend is shutting down.
     Draining = "draining", SERVICE_UNAVAILABLE;
-    /// The gate's local backend is another one, or there is none.
+    /// The gate's local backend is not the one that the call was sent to, or there is none.
     WrongBackend = "another-back-end", SERVICE_UNAVAILABLE;
-    /// The gate's configuration lacks what the call needs.
+    /// The configuration of the gate's node does not have yet what the call needs.
     ConfigurationBehind = "configuration-behind", SERVICE_UNAVAILABLE;
     /// The backend reported that it did not run the call.
     Shed = "shed", SERVICE_UNAVAILABLE;
-    /// No connection to the backend or to its gate.
+    /// No connection could be made to the backend or to its gate.
     Unreachable = "unreachable", SERVICE_UNAVAILABLE;
-    /// Backends have crashed under requests with the same content.
+    /// Requests with the same content are in quarantine, since backends crashed under them.
     Quarantined = "quarantined", SERVICE_UNAVAILABLE;
-    /// The attempt was fenced before it started.
+    /// The entry fenced the attempt before it started.
     Fenced = "fenced", SERVICE_UNAVAILABLE;
-    /// The connection was lost after the call was sent.
+    /// The connection to the backend was lost after the call was sent.
     ConnectionLost = "connection-lost", BAD_GATEWAY;
     /// The backend ended while it ran the call: the connection was lost and the backend
     /// accepts no new one.
     BackendCrashed = "back-end-crashed", BAD_GATEWAY;
-    /// The response does not belong to this call.
+    /// The response that came back does not belong to the call.
     MismatchedResponse = "not-its-answer", BAD_GATEWAY;
-    /// The response was truncated.
+    /// The response of the backend was truncated.
     TruncatedResponse = "broken-off", BAD_GATEWAY;
-    /// The attempt exceeded the hedge delay and another backend was free, so that a hedged
-    /// attempt began beside it.
+    /// The attempt exceeded the hedge delay, and another backend was free: a hedged attempt
+    /// began beside it.
     Overdue = "overdue", GATEWAY_TIMEOUT;
-    /// No response before the deadline.
+    /// No response came before the call's deadline.
     Deadline = "deadline", GATEWAY_TIMEOUT;
-    /// The sender is not a member of the fleet.
+    /// The sender of the request between nodes is not a member of the fleet.
     NotAMember = "stranger", FORBIDDEN;
 }
 
@@ -109,7 +111,7 @@
         )
     }
 
-    /// Parses the value; `None` if it is unknown.
+    /// Parses the value of a cause; `None` if it is unknown.
     pub fn parse(value: &str) -> Option<Cause> {
         Self::ALL
             .iter()
--- a/crates/rampthread-core/src/call/demand.rs
+++ b/crates/rampthread-core/src/call/demand.rs
@@ -1,41 +1,44 @@
-//! Measures what the callers of one node need: slots by service, and which routes' calls
-//! are cheap to spill to another zone.
+//! Measures what the callers of one node need: the slots of each service, and which routes'
+//! calls are cheap to send to another zone (spill).
 
 use crate::ids::ResourceName;
 use crate::time::Moment;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Averaging time of the call rate: shorter than swings of demand, long enough for a steady
+/// Time constant of the call rate: shorter than swings of demand, long enough for a steady
 /// sum over a zone.
 pub const DEMAND_WINDOW: Duration = Duration::from_millis(500);
-/// Weight of the newest call in a route's means.
+/// Weight of the newest call in a route's mean service time and mean size.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Time after its last call until a route and its service time are dropped.
+/// Time after a route's last call until its measurements are dropped.
 const ROUTE_TTL: Duration = Duration::from_secs(60);
 
-/// Demand for one route.
+/// Rate, service time and size of the calls of one route.
 #[derive(Debug, Clone)]
 struct RouteDemand {
-    /// Calls per second, as of `at`.
+    /// Calls per second at the time `at`.
     rate: f64,
+    /// Time of the last call.
     at: Moment,
-    /// Mean service time in seconds; 0 before the first response.
+    /// Mean seconds for which a call of the route holds a slot; 0 before the first
+    /// response.
     service_time: f64,
-    /// Mean bytes of a call, request and response.
+    /// Mean bytes of a call of the route, request and response together.
     bytes: f64,
 }
 
-/// Demand for one service.
+/// Demand of all routes of one service.
 #[derive(Debug, Clone, Default)]
 struct ServiceDemand {
     routes: HashMap<ResourceName, RouteDemand>,
-    /// Mean service time in seconds over all routes; stands in for routes without a
-    /// response yet.
+    /// Mean seconds for which a call of any route holds a slot. Stands in for routes
+    /// without a response yet.
     service_time: f64,
 }
 
 impl ServiceDemand {
+    /// Mean seconds for which a call of the route holds a slot.
     fn service_time(&self, route: &RouteDemand) -> f64 {
         match route.service_time > 0.0 {
             true => route.service_time,
@@ -43,36 +46,38 @@
         }
     }
 
+    /// Slots that the calls of one route need at their current rate.
     fn slots(&self, route: &RouteDemand, now: Moment) -> f64 {
         route.rate(now) * self.service_time(route)
     }
 
-    /// Bytes between zones per slot-second that a spilled call frees.
+    /// Bytes that cross zones for each slot-second that spilling the route's calls saves.
     fn bytes_per_slot(&self, route: &RouteDemand) -> f64 {
         route.bytes / self.service_time(route).max(f64::MIN_POSITIVE)
     }
 }
 
 impl RouteDemand {
+    /// Calls per second, discounted by the time since the last call.
     fn rate(&self, now: Moment) -> f64 {
         let age = now.since(self.at).as_secs_f64() / DEMAND_WINDOW.as_secs_f64();
         self.rate * (-age).exp()
     }
 }
 
-/// Moves the mean `known` towards `newest`.
+/// Returns the mean `known`, moved towards `newest`.
 fn mean(known: f64, newest: f64) -> f64 {
     known + (newest - known) * MEAN_WEIGHT
 }
 
-/// Measures demand by service and route.
+/// Measures the calls of one node's callers, by service and route.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
     services: HashMap<ResourceName, ServiceDemand>,
 }
 
 impl DemandMeter {
-    /// Records a call of `route` to `service`, with a request of this many bytes.
+    /// Records a call of `route` to `service`, whose request has this many bytes.
     pub fn record_request(
         &mut self,
         service: &ResourceName,
@@ -91,8 +96,8 @@
         demand.at = now;
     }
 
-    /// Records that a call held a slot for `service_time`; `bytes` counts request and
-    /// response.
+    /// Records that a call held a slot for `service_time`, and had this many bytes in
+    /// request and response.
     pub fn record_response(
         &mut self,
         service: &ResourceName,
@@ -119,7 +124,7 @@
         demand.bytes = mean(demand.bytes, bytes as f64);
     }
 
-    /// Mean service time by route of `service`; routes without a response are missing.
+    /// Mean service time of each route of `service`; routes without a response are missing.
     pub fn service_times(&self, service: &ResourceName) -> HashMap<ResourceName, Duration> {
         let service = self.services.get(service).into_iter();
         let routes = service.flat_map(|service| &service.routes);
@@ -129,12 +134,12 @@
             .collect()
     }
 
-    /// The services that are called.
+    /// Services that were called lately.
     pub fn services(&self) -> impl Iterator<Item = &ResourceName> {
         self.services.keys()
     }
 
-    /// Slots that the current calls to `service` need.
+    /// Slots that calls to `service` need at their current rate.
     pub fn slots(&self, service: &ResourceName, now: Moment) -> f64 {
         let Some(service) = self.services.get(service) else {
             return 0.0;
@@ -143,9 +148,9 @@
         routes.map(|route| service.slots(route, now)).sum()
     }
 
-    /// Probability by route that a call to `service` is spilled, so that the fraction
+    /// Probability, by route, that a call to `service` is spilled, so that the fraction
     /// `spill_fraction` of the demand leaves in total. Calls with the fewest bytes per slot
-    /// leave first; a route that is missing stays.
+    /// leave first; calls of a route that is missing stay.
     pub fn spill_probabilities(
         &self,
         service: &ResourceName,
@@ -177,7 +182,7 @@
         probabilities
     }
 
-    /// Drops routes that are no longer called.
+    /// Drops routes without calls for some time.
     pub fn forget_idle(&mut self, now: Moment) {
         let called = |route: &RouteDemand| now.since(route.at) < ROUTE_TTL;
         for service in self.services.values_mut() {
--- a/crates/rampthread-core/src/call/demand_trend.rs
+++ b/crates/rampthread-core/src/call/demand_trend.rs
@@ -1,9 +1,10 @@
-//! Forecasts current demand from delayed reports.
+//! Forecasts the current demand of a zone from its delayed load reports.
 //!
 //! Demand swings within seconds, and reports of zones are some tenths of a second old: a
 //! plan made from the last report alone would follow the swing late, and send calls to a
-//! zone whose spare slots are gone. Level and slope are tracked by an alpha-beta filter
-//! (Holt's linear smoothing; C. C. Holt, 1957, reprinted in Int. J. Forecasting 20, 2004).
+//! zone whose spare slots are gone. Level and slope of demand are tracked by an alpha-beta
+//! filter (Holt's linear smoothing; C. C. Holt, 1957, reprinted in Int. J. Forecasting 20,
+//! 2004).
 
 use super::demand::DEMAND_WINDOW;
 use super::zone_spill::ZoneDemand;
@@ -12,30 +13,33 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Weight of the newest report in the level.
+/// Weight of the newest report in the level of demand.
 const LEVEL_WEIGHT: f64 = 0.6;
-/// Weight of the newest report in the slope.
+/// Weight of the newest report in the slope of demand.
 const SLOPE_WEIGHT: f64 = 0.15;
 /// Longest time over which the slope is extrapolated.
 const MAX_FORECAST: Duration = Duration::from_secs(2);
-/// Largest change that is forecast, as a fraction of the level.
+/// Largest forecast change of demand, as a ratio of its level.
 const MAX_CHANGE_RATIO: f64 = 0.3;
-/// Gap between reports after which the filter is reset.
+/// Gap between two reports from which the filter starts anew.
 const MAX_REPORT_GAP: Duration = Duration::from_secs(3);
-/// Reports closer to each other than this are skipped, since their slope is mostly noise.
+/// Minimum time between two reports that are used; closer ones give a slope that is mostly
+/// noise.
 const MIN_STEP: Duration = Duration::from_millis(50);
 
-/// Level and slope of demand.
+/// Alpha-beta filter over the demand for one service in one zone.
 #[derive(Debug, Clone, Copy)]
 pub struct DemandTrend {
+    /// Time that the newest report describes.
     at: Moment,
+    /// Filtered demand at the time `at`.
     level: f64,
-    /// Change per second.
+    /// Change of demand per second.
     slope: f64,
 }
 
 impl DemandTrend {
-    /// Starts from a first report: demand was `demand` at `at`.
+    /// Starts the filter with a first report: demand was `demand` at `at`.
     pub fn new(demand: f64, at: Moment) -> Self {
         Self {
             at,
@@ -44,7 +48,8 @@
         }
     }
 
-    /// Updates the filter with a report; one that is not newer is ignored.
+    /// Updates the filter with a report that demand was `demand` at `at`; one that is not
+    /// newer than the last is ignored.
     pub fn update(&mut self, demand: f64, at: Moment) {
         let step = at.since(self.at);
         if step < MIN_STEP {
@@ -62,7 +67,7 @@
         self.at = at;
     }
 
-    /// Forecast of demand at `now`.
+    /// Forecasts demand at `now`, which is at least 0.
     pub fn forecast(&self, now: Moment) -> f64 {
         let ahead = now.since(self.at).min(MAX_FORECAST);
         let largest = self.level * MAX_CHANGE_RATIO;
@@ -71,14 +76,15 @@
     }
 }
 
-/// Demand trends of all services in all zones, as one entry tracks them.
+/// Demand filters of one entry (a node that receives calls), by service and zone.
 #[derive(Debug, Default)]
 pub struct ZoneTrends {
     trends: HashMap<ResourceName, HashMap<Zone, DemandTrend>>,
 }
 
 impl ZoneTrends {
-    /// Replaces the reported demand of `service` in each zone by the forecast for `now`.
+    /// Replaces the reported demand of `service` in each zone by the forecast for `now`. A
+    /// zone without report loses its filter.
     pub fn forecast(
         &mut self,
         service: &ResourceName,
@@ -101,7 +107,7 @@
         }
     }
 
-    /// Drops services that are not in `called`.
+    /// Drops the filters of services that are not in `called`.
     pub fn retain_services(&mut self, called: &[ResourceName]) {
         self.trends.retain(|service, _| called.contains(service));
     }
--- a/crates/rampthread-core/src/call/dialect.rs
+++ b/crates/rampthread-core/src/call/dialect.rs
@@ -1,4 +1,4 @@
-//! Header names and conventions towards callers and backends.
+//! Header names and conventions that a platform uses between callers, nodes and backends.
 //!
 //! [`CallDialect::default`] is rampthread's own; a platform with other names supplies
 //! another dialect through its adapter. No other code knows those names.
@@ -6,33 +6,35 @@
 use super::headers;
 use http::{HeaderName, StatusCode};
 
-/// Names of headers and related conventions.
+/// Header names and conventions of one platform.
 #[derive(Debug, Clone)]
 pub struct CallDialect {
-    /// The caller's own id of the request, passed on to the backend and back. `None`: the
-    /// entry assigns an id.
+    /// Header with the caller's own id of the request, passed on to the backend and back.
+    /// `None`: the entry, the node that received the call, assigns an id.
     pub request_id: Option<HeaderName>,
-    /// Time left, in milliseconds.
+    /// Header with the milliseconds until the call's deadline.
     pub deadline_ms: HeaderName,
-    /// The service on whose machine the call began.
+    /// Header with the name of the service on whose machine the call began.
     pub caller: HeaderName,
-    /// `caller` names the service of a machine that many clients share. It does not tell
-    /// who waits, so calls do not share queues by caller.
+    /// True if `caller` names the service of a machine that many clients share. The header
+    /// then does not tell who waits, so that calls do not share queues by caller.
     pub caller_is_machine: bool,
-    /// The incarnation of the backend that is addressed.
+    /// Header with the backend incarnation that the call is for.
     pub target_instance: Option<HeaderName>,
-    /// The call's tenant, towards backends.
+    /// Header that names the call's tenant to backends.
     pub tenant: HeaderName,
-    /// A backend's load on its responses: slots in use, calls waiting and slots, and
-    /// optionally its current service time in percent of the usual one.
+    /// Header of a response with the backend's load: slots in use, calls waiting and slots,
+    /// and optionally its current service time in percent of the usual one.
     pub backend_load: Option<HeaderName>,
-    /// A backend's signature; where named, a successful response must have it.
+    /// Header of a response with the backend's signature. If named, a successful response
+    /// must have it.
     pub signature: Option<HeaderName>,
-    /// Present when the backend reports that it did not run the request.
+    /// Header of a response by which a backend reports that it did not run the request.
     pub not_executed: Option<HeaderName>,
-    /// Status of a backend that is not the one addressed; the request was not run.
+    /// Status of a response from a backend that is not the one that the call was for, and
+    /// did not run it.
     pub misdirected: Option<StatusCode>,
-    /// `Retry-After` may have fractions of a second.
+    /// True if `Retry-After` may have fractions of a second.
     pub fractional_retry_after: bool,
 }
 
--- a/crates/rampthread-core/src/call/fair_queue.rs
+++ b/crates/rampthread-core/src/call/fair_queue.rs
@@ -1,10 +1,10 @@
-//! Start-time fair queueing (Goyal, Vin and Cheng 1996) among those who share one backend,
+//! Start-time fair queueing (Goyal, Vin and Cheng 1996) among the owners of waiting calls,
 //! by the expected service time of their calls.
 //!
 //! A call's start tag is the finish tag of its owner's previous call, or the start tag of
-//! the call served last if that is later; the smallest start tag goes first. An owner that
-//! asks for ten times as much gets what the others leave, many small calls count like a few
-//! large ones, and an idle owner saves up no credit.
+//! the call served last if that is later; the call with the least start tag goes first. So
+//! an owner that asks for ten times as much gets what the others leave, many small calls
+//! count like a few large ones, and an idle owner saves up no credit.
 //!
 //! Only owners whose finish tag is ahead of the virtual clock are kept: about as many as
 //! calls can wait, however many owners there are.
@@ -12,22 +12,22 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Maximum number of owners kept; a gate's queue holds far fewer calls.
+/// Maximum number of owners with a finish tag; a gate's queue holds far fewer calls.
 const MAX_OWNERS: usize = 1_024;
-/// Service time that a call counts for if it is unknown.
+/// Service time that a call is assumed to need if none is expected.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(1);
 
-/// Virtual clock and finish tags of one queue.
+/// Virtual clock of one queue, and the finish tags of its owners.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     /// Start tag of the call served last.
     clock: Duration,
-    /// Finish tag of an owner's last call, where it is ahead of the clock.
+    /// Finish tag of each owner's last call, where that is ahead of the clock.
     finish_tags: HashMap<String, Duration>,
 }
 
 impl FairQueue {
-    /// Start tag of the next call of `owner`; the smallest goes first.
+    /// Start tag of the next call of `owner`; the owner with the least tag is served next.
     pub fn start_tag(&self, owner: &str) -> Duration {
         let finish = self.finish_tags.get(owner).copied().unwrap_or_default();
         finish.max(self.clock)
@@ -51,8 +51,8 @@
         self.finish_tags.len()
     }
 
-    /// Clears all tags once the queue is empty: service received while others waited is
-    /// settled.
+    /// Clears all tags. To be called when the queue is empty, since service that owners
+    /// received earlier must not count against them any more.
     pub fn reset(&mut self) {
         self.clock = Duration::ZERO;
         self.finish_tags.clear();
--- a/crates/rampthread-core/src/call/fence.rs
+++ b/crates/rampthread-core/src/call/fence.rs
@@ -1,50 +1,54 @@
-//! Prevents the start of a call that its entry has abandoned.
+//! Fences: an entry, the node that received a call, forbids a gate, the node that forwards
+//! calls to its local backend, to start a call that the entry has abandoned.
 //!
-//! An entry that abandons a hop asks the receiving gate to fence the call id. Starts and
-//! fences are recorded in one table: whichever comes first is final within the retention of
-//! the table. A fence that finds the call not started makes a retry elsewhere safe, if the
-//! table reaches back to the time of the hop, which
-//! [`FenceOutcome`](super::fence_outcome::FenceOutcome) decides.
+//! Starts and fences are recorded in one table of the gate: whichever comes first for a
+//! call is final within the retention of the table. A fence that finds the call not started
+//! makes a retry elsewhere safe, if the table reaches back to the time when the call was
+//! sent, which [`FenceOutcome`](super::fence_outcome::FenceOutcome) decides.
 
 use crate::time::Moment;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Minimum time for which a start or fence is retained, not counting time in which the
-/// process was suspended. A reply says how far back the table reaches, so that a call that
-/// lasts longer is not taken for one that never started.
+/// Minimum time for which the table keeps a start or fence, not counting time in which the
+/// process was suspended. The reply to a fence says how far back the table reaches, so that
+/// a call that lasts longer is not taken for one that never started.
 pub const FENCE_RETENTION: Duration = Duration::from_secs(120);
-/// Maximum number of entries; beyond it, new calls are rejected as not run.
+/// Maximum number of calls in the table; while it is full, new calls are rejected as not
+/// run.
 pub const MAX_FENCE_ENTRIES: usize = 1 << 20;
-/// Longest gap between two uses of the table that counts as running time. A gate uses it
-/// ten times per second; after a longer gap the process was suspended, and hops that
-/// arrived meanwhile are not read yet, so that their fences must be retained.
+/// Longest gap between two uses of the table that counts as time in which the process ran.
+/// A gate uses the table ten times per second; after a longer gap the process was
+/// suspended, and hops that arrived meanwhile are not read yet, so that their fences must
+/// be kept.
 pub const MAX_COUNTED_GAP: Duration = Duration::from_secs(1);
 
 /// Id of a call, unique across the fleet.
 pub type CallId = String;
 
+/// What the table records of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
+enum CallState {
     Started,
     Fenced,
 }
 
-/// Whether a fenced call may have started, as far as the gate's table reaches back.
+/// Whether a fenced call has started at the gate, as far as the gate's table reaches back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceStatus {
-    /// It has not started within the gate's retention, and never will.
+    /// The call has not started within the gate's retention, and never will.
     NeverStarts,
-    /// It had started and may have run.
+    /// The call had started before the fence, and may have run.
     Started,
-    /// The gate's table is full, or its reply was not understood.
+    /// The gate cannot record the fence, since its table is full, or its reply was not
+    /// understood.
     Unknown,
 }
 
 impl FenceStatus {
     const ALL: [Self; 3] = [Self::NeverStarts, Self::Started, Self::Unknown];
 
-    /// The value between nodes and in logs.
+    /// Value that is sent between nodes and logged.
     pub fn as_str(self) -> &'static str {
         match self {
             FenceStatus::NeverStarts => "never-starts",
@@ -62,46 +66,50 @@
     }
 }
 
-/// A gate's reply to a fence.
+/// A gate's answer to an entry that fences a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FenceAnswer {
-    /// Whether the call may have started.
+    /// Whether the call has started.
     pub fenced: FenceStatus,
-    /// How far back the gate's table reaches.
+    /// How far back the gate's table of starts reaches.
     pub retention: Duration,
 }
 
-/// Why a call may not start.
+/// Why a gate must not start a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
-    /// It was fenced before.
+    /// The call was fenced before.
     #[error("the call was fenced before it started")]
     Fenced,
-    /// The call id has started before: this hop is a duplicate.
+    /// A call with this id has started before: the request is a duplicate.
     #[error("the call has started before")]
     Duplicate,
-    /// The table is full.
+    /// The table of starts and fences is full.
     #[error("the fence table is full")]
     Full,
 }
 
-/// Starts and fences of calls at one gate.
+/// Table of a gate: which calls have started here, and which were fenced, so that they must
+/// not start.
 #[derive(Debug)]
 pub struct FenceTable {
-    /// Creation of the table; earlier calls are not known here.
+    /// Creation of the table; starts before it are not known here.
     created: Moment,
-    /// Last use of the table.
+    /// Time of the last call to any method of this table; later calls show that the process
+    /// runs.
     last_used: Moment,
-    /// Time for which the process has run since `created`, as far as the uses of the table
-    /// show.
+    /// Time for which the process has run since `created`, without gaps beyond
+    /// [`MAX_COUNTED_GAP`].
     running_time: Duration,
-    states: HashMap<CallId, State>,
-    /// Calls by age, with the value of `running_time` when they were recorded.
+    /// Started and fenced calls.
+    states: HashMap<CallId, CallState>,
+    /// Calls in the order in which they were recorded, with the value of `running_time` at
+    /// that time.
     order: VecDeque<(Duration, CallId)>,
 }
 
 impl FenceTable {
-    /// An empty table of a process that starts at `now`.
+    /// Creates an empty table for a process that starts at `now`.
     pub fn new(now: Moment) -> Self {
         Self {
             created: now,
@@ -112,31 +120,32 @@
         }
     }
 
-    /// Records the start of the call; to be called before any byte of it goes to the
-    /// backend.
+    /// Records that a call starts, unless it was fenced or has started before. To be called
+    /// before any byte of the call goes to the backend.
     pub fn start(&mut self, call: &CallId, now: Moment) -> Result<(), StartError> {
         self.expire(now);
         match self.states.get(call) {
-            Some(State::Fenced) => return Err(StartError::Fenced),
-            Some(State::Started) => return Err(StartError::Duplicate),
+            Some(CallState::Fenced) => return Err(StartError::Fenced),
+            Some(CallState::Started) => return Err(StartError::Duplicate),
             None => {}
         }
         if self.is_full() {
             return Err(StartError::Full);
         }
-        self.record(call, State::Started);
+        self.record(call, CallState::Started);
         Ok(())
     }
 
-    /// Fences the call, which its entry has abandoned.
+    /// Records a fence for a call that its entry has abandoned: if the call has not
+    /// started, it never will. Returns whether it had started.
     pub fn fence(&mut self, call: &CallId, now: Moment) -> FenceAnswer {
         self.expire(now);
         let fenced = match self.states.get(call) {
-            Some(State::Started) => FenceStatus::Started,
-            Some(State::Fenced) => FenceStatus::NeverStarts,
+            Some(CallState::Started) => FenceStatus::Started,
+            Some(CallState::Fenced) => FenceStatus::NeverStarts,
             None if self.is_full() => FenceStatus::Unknown,
             None => {
-                self.record(call, State::Fenced);
+                self.record(call, CallState::Fenced);
                 FenceStatus::NeverStarts
             }
         };
@@ -146,8 +155,8 @@
         }
     }
 
-    /// Drops entries older than [`FENCE_RETENTION`]. To be called regularly, also while
-    /// there are no calls: only uses of the table show that the process is running.
+    /// Drops starts and fences older than [`FENCE_RETENTION`]. To be called regularly, even
+    /// without calls, since only uses of the table show that the process is running.
     pub fn expire(&mut self, now: Moment) {
         self.running_time += now.since(self.last_used).min(MAX_COUNTED_GAP);
         self.last_used = self.last_used.max(now);
@@ -160,7 +169,7 @@
         }
     }
 
-    fn record(&mut self, call: &CallId, state: State) {
+    fn record(&mut self, call: &CallId, state: CallState) {
         self.states.insert(call.clone(), state);
         self.order.push_back((self.running_time, call.clone()));
     }
@@ -169,12 +178,12 @@
         self.states.len() >= MAX_FENCE_ENTRIES
     }
 
-    /// Number of entries.
+    /// Number of calls in the table.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// True without entries.
+    /// True when the table contains no calls.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -1,82 +1,84 @@
-//! Headers that travel with a call, and the outcome that a response carries.
+//! HTTP headers in which nodes pass information along with a call, and back with its
+//! response. The *entry* is the node that receives a call from its caller; the *gate* is
+//! the node that forwards the call to its local backend.
 
 use http::StatusCode;
 use std::fmt;
 use std::time::Duration;
 
-/// Id of the call, unique across the fleet.
+/// Id that the entry gives to a call, unique across the fleet.
 pub const CALL_ID: &str = "rampthread-call-id";
-/// Time left for the call, in milliseconds.
+/// Milliseconds until the call's deadline.
 pub const DEADLINE_MS: &str = "rampthread-deadline-ms";
 /// Number of services that the call has passed through.
 pub const HOPS: &str = "rampthread-hops";
 /// What became of the request: an [`Outcome`].
 pub const OUTCOME: &str = "rampthread-outcome";
-/// The service that makes the call; calling services share a queue fairly.
+/// Name of the service that makes the call. Calling services share a gate's queue fairly.
 pub const CALLER: &str = "rampthread-caller";
-/// The route that the entry chose.
+/// Name of the route that the entry chose.
 pub const ROUTE: &str = "rampthread-route";
-/// The backend that is addressed, or that responded.
+/// On a request: the backend that the call is for. On a response: the backend that sent it.
 pub const BACKEND: &str = "rampthread-backend";
-/// Configuration version under which the call was routed.
+/// Version of the configuration that the entry routed the call by.
 pub const VERSION: &str = "rampthread-version";
-/// Proof that a fleet member sent this hop.
+/// Token by which a node proves that it is a member of the fleet.
 pub const HOP_TOKEN: &str = "rampthread-hop-token";
-/// Calls in flight and queued at the backend, on responses between nodes.
+/// Number of calls that run and wait at the backend, on responses of a gate.
 pub const LOAD: &str = "rampthread-load";
-/// Whether a request that was not run reached the backend: a [`Reach`].
+/// Whether a request that was not run had reached the backend: a [`Reach`].
 pub const REACH: &str = "rampthread-reach";
 /// Why a gate did not run a request: a [`Cause`](super::cause::Cause).
 pub const CAUSE: &str = "rampthread-cause";
 /// Why a gate did not run a request, as free text for logs.
 pub const REASON: &str = "rampthread-reason";
-/// The incarnation of a backend that ended while it ran the request.
+/// Name of the backend incarnation that ended while it ran the request.
 pub const CRASHED: &str = "rampthread-crashed";
-/// When to retry, in milliseconds, on responses between nodes.
+/// Milliseconds after which to retry, on responses of a gate.
 pub const RETRY_AFTER_MS: &str = "rampthread-retry-after-ms";
-/// The call's tenant, identified by its key; absent on calls without a tenant.
+/// Key of the tenant that the call belongs to; absent on calls without a tenant.
 pub const TENANT: &str = "rampthread-tenant";
-/// Speed of the backend, on responses between nodes: a
+/// Speed of the backend, on responses of a gate: a
 /// [`BackendSpeed`](super::backend_speed::BackendSpeed).
 pub const PACE: &str = "rampthread-pace";
-/// Time that the call waited for a slot, in milliseconds, on responses between nodes;
-/// absent where it did not wait.
+/// Milliseconds that the call waited for a slot of the backend, on responses of a gate;
+/// absent if the call did not wait.
 pub const WAITED_MS: &str = "rampthread-waited-ms";
-/// Rank of the call's tenant, else of its route; 0 goes first.
+/// Rank of the call in queues, set by its tenant or else its route; rank 0 is served first.
 pub const RANK: &str = "rampthread-rank";
 /// [`Precedence`](super::precedence::Precedence) of the call within its rank; absent on a
 /// first attempt.
 pub const PRECEDENCE: &str = "rampthread-precedence";
-/// The gate permits the transfer of a large body.
+/// On a reply of a gate: the entry may now send the large request body that it announced.
 pub const GRANTED: &str = "rampthread-granted";
-/// Length of a large body that waits for permission to be sent.
+/// Length in bytes of a large request body that the entry wants to send.
 pub const BODY_BYTES: &str = "rampthread-body-bytes";
-/// When the hop was sent: a [`SentAt`](super::path_delay::SentAt).
+/// When the entry sent the hop: a [`SentAt`](super::path_delay::SentAt).
 pub const SENT_AT: &str = "rampthread-sent";
-/// How long the call may wait for a slot: a [`QueueingLimit`].
+/// How long the call may wait in the gate's queue: a [`QueueingLimit`].
 pub const WAITING: &str = "rampthread-waiting";
-/// Key that a caller chooses for a request that it may send again (IETF draft
+/// Key by which a caller marks a request that it may send again (IETF draft
 /// `idempotency-key-header`).
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Prefix of every header that only nodes may set.
+/// Prefix of the headers that only nodes may set.
 pub const PREFIX: &str = "rampthread-";
 /// Maximum number of services that one call may pass through; guards against routing loops.
 pub const MAX_HOPS: u32 = 32;
 
-/// What became of a request.
+/// What became of a request, as far as the node that responds knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The backend responded.
+    /// A backend responded to the request.
     Completed,
-    /// No byte of it reached a backend and none will.
+    /// No byte of the request reached a backend, and none will.
     NotRun,
-    /// It may have run.
+    /// A backend may have run the request.
     Unknown,
 }
 
 impl Outcome {
-    /// The value of the [`OUTCOME`] header.
+    /// Value of the [`OUTCOME`] header.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Completed => "completed",
@@ -93,8 +95,8 @@
     }
 }
 
-/// True for the statuses by which callers conclude that a request has not run and never
-/// will. No response carries one of them unless that is known.
+/// True for the HTTP statuses by which callers conclude that a request has not run and
+/// never will. No response carries one of them unless that is known.
 pub fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -105,18 +107,18 @@
     )
 }
 
-/// How far an attempt got.
+/// How far an attempt to deliver a call got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
-    /// It reached the backend, or may have: a further attempt is a retry that counts
-    /// against the budget.
+    /// The attempt reached the backend, or may have. A further attempt is then a retry that
+    /// counts against the retry budget.
     Backend,
-    /// The gate rejected it, or could not be reached.
+    /// The gate rejected the attempt, or the entry could not connect to the gate.
     Gate,
 }
 
 impl Reach {
-    /// The value of the [`REACH`] header.
+    /// Value of the [`REACH`] header.
     pub fn as_str(self) -> &'static str {
         match self {
             Reach::Backend => "back-end",
@@ -140,22 +142,27 @@
     }
 }
 
-/// How long a call may wait for a slot.
+/// How long a call may wait in the queue of a gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueingLimit {
-    /// It runs now or is rejected, since another backend seems to have a free slot.
+    /// The gate runs the call at once or rejects it, since another backend seems to have a
+    /// free slot.
     Never,
-    /// While the target latency of its route can be met; the time left for that.
+    /// The call may wait while its response can meet the route's target latency, of which
+    /// this much time is left.
     ForTarget(Duration),
-    /// While its deadline can be met.
+    /// The call may wait while its response can meet the call's deadline.
     UntilDeadline,
 }
 
+/// Header value of [`QueueingLimit::Never`].
 const NEVER: &str = "never";
+/// Header value of [`QueueingLimit::UntilDeadline`].
 const UNTIL_DEADLINE: &str = "until-deadline";
 
 impl QueueingLimit {
-    /// Parses the [`WAITING`] header; any other value does not wait.
+    /// Parses the [`WAITING`] header. An absent or unknown value means
+    /// [`QueueingLimit::Never`].
     pub fn parse(value: Option<&str>) -> QueueingLimit {
         match value {
             Some(UNTIL_DEADLINE) => QueueingLimit::UntilDeadline,
@@ -177,33 +184,33 @@
     }
 }
 
-/// Why the headers of an incoming call are rejected.
+/// Why a node rejects a call for its headers.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
-    /// The deadline is not a number of milliseconds.
+    /// The value of [`DEADLINE_MS`] is not a number of milliseconds.
     #[error("{DEADLINE_MS}: {found:?} is not a number of milliseconds")]
     Deadline {
-        /// The value, cut to 32 characters.
+        /// The invalid value, cut to 32 characters.
         found: String,
     },
-    /// The hop count is not a number.
+    /// The value of [`HOPS`] is not a number.
     #[error("{HOPS}: {found:?} is not a number")]
     Hops {
-        /// The value, cut to 32 characters.
+        /// The invalid value, cut to 32 characters.
         found: String,
     },
-    /// The call has passed through too many services.
+    /// The call has passed through more than [`MAX_HOPS`] services.
     #[error("{HOPS}: {found} is above {MAX_HOPS}; is there a loop?")]
     TooDeep {
-        /// Number of services so far.
+        /// Number of services that the call has passed through.
         found: u32,
     },
 }
 
-/// Longest deadline that a caller may set; longer ones are shortened to it.
+/// Longest deadline that a caller may set; a longer one is cut to this.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Parses the time left from [`DEADLINE_MS`]; `None` where the header is absent.
+/// Parses [`DEADLINE_MS`], the time until the deadline; `None` if the header is absent.
 pub fn parse_deadline(text: Option<&str>) -> Result<Option<Duration>, HeaderError> {
     let Some(text) = text else { return Ok(None) };
     let milliseconds: u64 = text.trim().parse().map_err(|_| HeaderError::Deadline {
@@ -212,7 +219,7 @@
     Ok(Some(Duration::from_millis(milliseconds).min(MAX_DEADLINE)))
 }
 
-/// Parses the hop count and adds this hop.
+/// Parses [`HOPS`] and returns the hop count including the present hop.
 pub fn next_hop(text: Option<&str>) -> Result<u32, HeaderError> {
     let hops: u32 = match text {
         None => 0,
--- a/crates/rampthread-core/src/call/identity.rs
+++ b/crates/rampthread-core/src/call/identity.rs
@@ -1,5 +1,6 @@
 //! Identity of a request: a keyed digest of its content. A caller that retries sends a new
-//! request id with the same content.
+//! request id with the same content, so that the identity shows which requests are the
+//! same.
 //!
 //! The identity covers method, authority, path with query, and body, but not the caller: a
 //! request that crashes a backend does so whoever sends it, and a caller that moves to
@@ -8,28 +9,30 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Length of an identity in bytes; 128 bits resist a second-preimage search.
+/// Length of an identity in bytes: 128 bits, so that no second request with a given
+/// identity can be found by search.
 pub const IDENTITY_BYTES: usize = 16;
-/// Key derivation context; separates these digests from all others.
+/// Context string that separates the key of identities from other keys derived from the
+/// same secret.
 const CONTEXT: &str = "rampthread 2026 request identity";
 
-/// Digest of a request's content.
+/// Keyed digest of a request's content; equal for requests that ask for the same.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RequestIdentity([u8; IDENTITY_BYTES]);
 
-/// The text or bytes do not have the form of an identity.
+/// Error: the text or bytes do not have the form of a request identity.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("invalid request identity: expected {IDENTITY_BYTES} bytes")]
 pub struct InvalidIdentity;
 
 impl RequestIdentity {
-    /// Reads the bytes that another node sent.
+    /// Reads an identity from the bytes that another node sent.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, InvalidIdentity> {
         bytes.try_into().map(Self).map_err(|_| InvalidIdentity)
     }
 
-    /// Parses the hexadecimal form used in logs and commands.
+    /// Parses the hexadecimal form that logs and commands use.
     pub fn parse(text: &str) -> Result<Self, InvalidIdentity> {
         let mut bytes = [0; IDENTITY_BYTES];
         if text.len() != IDENTITY_BYTES * 2 || !text.is_ascii() {
@@ -42,7 +45,7 @@
         Ok(Self(bytes))
     }
 
-    /// The bytes that are sent to other nodes.
+    /// Returns the identity as the bytes that are sent to other nodes.
     pub fn as_bytes(&self) -> &[u8; IDENTITY_BYTES] {
         &self.0
     }
@@ -78,18 +81,18 @@
 /// The parts of a request that its identity covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestContent<'a> {
-    /// HTTP method.
+    /// HTTP method of the request.
     pub method: &'a str,
-    /// The `Host` header, as sent; empty if absent.
+    /// Value of the request's `Host` header, as sent; empty if absent.
     pub authority: &'a str,
-    /// Path and query, as sent.
+    /// Path and query of the request, as sent.
     pub target: &'a str,
-    /// The complete body.
+    /// Complete request body.
     pub body: &'a [u8],
 }
 
-/// Computes identities. The key is derived from a secret of the fleet, so that a digest in
-/// a log reveals nothing of the request; all nodes must use the same key.
+/// Key with which a node computes identities. It is derived from a secret of the fleet, so
+/// that a digest in a log reveals nothing of the request; all nodes must use the same key.
 #[derive(Clone)]
 pub struct IdentityKey([u8; blake3::KEY_LEN]);
 
@@ -120,7 +123,7 @@
 }
 
 impl Default for IdentityKey {
-    /// For a fleet without keys, which trusts its network.
+    /// Key for a fleet that has no secret and trusts its network.
     fn default() -> Self {
         Self::from_secret(&[])
     }
--- a/crates/rampthread-core/src/call/incarnation_names.rs
+++ b/crates/rampthread-core/src/call/incarnation_names.rs
@@ -1,21 +1,24 @@
-//! Distinct names for incarnations of a backend that share an id, told apart by the ends
-//! that were observed: a report without a start time may be of any of them, and the next
-//! incarnation answers under the id of the one that has ended.
+//! Names for the incarnations of a backend that all report the same id and no start time.
+//! They are told apart by the ends that were observed, since the next incarnation answers
+//! under the id of the one that has ended.
 
 use crate::ids::InstanceId;
 
-/// Separates the id from the number of the incarnation.
+/// Separates the id of the backend from the number of the incarnation.
 const SEPARATOR: &str = ".start-";
 
-/// Incarnations under the id whose end was observed last.
+/// Counts the incarnations of the backend whose end was observed last.
 #[derive(Debug, Default)]
 pub struct IncarnationNames {
+    /// Id of the backend.
     name: Option<InstanceId>,
+    /// Number of its incarnations that have ended.
     ended: u64,
 }
+
 impl IncarnationNames {
     /// Name of the current incarnation of the backend with the id `name`: the bare id until
-    /// one is known to have ended.
+    /// an incarnation is known to have ended.
     pub fn present(&self, name: &InstanceId) -> InstanceId {
         if self.name.as_ref() != Some(name) {
             return name.clone();
--- a/crates/rampthread-core/src/call/load_average.rs
+++ b/crates/rampthread-core/src/call/load_average.rs
@@ -1,44 +1,46 @@
-//! Averages the load of a backend and decides whether to report it.
+//! Averages the load of a backend and decides whether its gate, the node that forwards
+//! calls to it, reports that load.
 
 use super::zone_spill::{QUIET_UTILIZATION, REPORTING_TAIL};
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Time constant of the average.
+/// Time constant of the average load.
 const AVERAGING_TIME: Duration = Duration::from_millis(500);
 
-/// Keeps reports going for [`REPORTING_TAIL`] after the last reason to report.
+/// Keeps load reports going for [`REPORTING_TAIL`] after the last reason to send one.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReportingHold {
     last_reason: Option<Moment>,
 }
 
 impl ReportingHold {
-    /// Records a reason to report.
+    /// Records that there is a reason to report at `now`.
     pub fn extend(&mut self, now: Moment) {
         self.last_reason = Some(now);
     }
 
-    /// True while reports are to be sent.
+    /// True while load reports are to be sent.
     pub fn is_reporting(&self, now: Moment) -> bool {
         self.last_reason
             .is_some_and(|at| now.since(at) < REPORTING_TAIL)
     }
 }
 
-/// Averaged load of one backend.
+/// Moving average of the calls at one backend.
 #[derive(Debug, Clone, Default)]
 pub struct LoadAverage {
-    /// Slots in use.
+    /// Mean number of slots in use.
     pub busy: f64,
-    /// Calls in the queue.
+    /// Mean number of calls in the queue.
     pub waiting: f64,
+    /// Time of the last record.
     recorded_at: Option<Moment>,
     hold: ReportingHold,
 }
 
 impl LoadAverage {
-    /// Records the calls that run and wait now at a backend with `slots`.
+    /// Records how many calls run and wait at a backend with this many slots.
     pub fn record(&mut self, running: u32, waiting: u32, slots: f64, now: Moment) {
         let age = self
             .recorded_at
@@ -52,13 +54,13 @@
         }
     }
 
-    /// Records that the backend's zone is loaded, so that each of its members reports its
-    /// part.
+    /// Records that the zone of the backend is loaded: each of its members then reports its
+    /// own load.
     pub fn zone_is_loaded(&mut self, now: Moment) {
         self.hold.extend(now);
     }
 
-    /// True while the load is to be reported.
+    /// True while the load of the backend is to be reported.
     pub fn is_reporting(&self, now: Moment) -> bool {
         self.hold.is_reporting(now)
     }
--- a/crates/rampthread-core/src/call/log_rate_limit.rs
+++ b/crates/rampthread-core/src/call/log_rate_limit.rs
@@ -1,49 +1,50 @@
 //! Limits the log lines about calls and members, so that the log volume stays bounded under
 //! any load and in a fleet of any size.
 //!
-//! Normal outcomes are sampled by request id, so that entry and gate log the same requests.
-//! Failures are logged up to a rate per cause; suppressed lines are counted and summed up
-//! in one line.
+//! Normal outcomes are sampled by request id, so that all nodes log the same requests.
+//! Failures are logged up to a rate per cause; suppressed lines are counted and reported in
+//! one summary line.
 
 use crate::time::Moment;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// One in this many normal calls is logged.
+/// One in this many calls with a normal outcome is logged.
 pub const SAMPLE_INTERVAL: u64 = 64;
-/// Burst of log lines per cause.
+/// Maximum number of log lines of one cause in a burst.
 const BURST_LINES: f64 = 20.0;
-/// Sustained log lines per second and cause.
+/// Sustained rate of log lines per cause.
 const LINES_PER_SECOND: f64 = 5.0;
 /// Time between two summaries of suppressed lines.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// True for calls whose normal outcome is logged.
+/// True for request ids whose calls are logged even if their outcome is normal.
 pub fn is_sampled(request_id: &str) -> bool {
     let mut hasher = DefaultHasher::new();
     request_id.hash(&mut hasher);
     hasher.finish().is_multiple_of(SAMPLE_INTERVAL)
 }
 
-/// Token bucket of one cause.
+/// Token bucket that limits the log lines of one cause.
 #[derive(Debug)]
 struct TokenBucket {
     tokens: f64,
     refilled_at: Moment,
+    /// Lines suppressed since the last summary.
     suppressed: u64,
 }
 
-/// Lines suppressed for one cause since the last summary.
+/// Number of log lines of one cause that were suppressed since the last summary.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuppressedLines {
-    /// The cause.
+    /// Cause of the failures that the lines would have reported.
     pub cause: &'static str,
-    /// Number of lines.
+    /// Number of suppressed lines.
     pub lines: u64,
 }
 
-/// Token buckets of all causes.
+/// Limits log lines by cause.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
     buckets: BTreeMap<&'static str, TokenBucket>,
@@ -51,7 +52,8 @@
 }
 
 impl LogRateLimiter {
-    /// True when a line of `cause` may be logged now; otherwise counts it as suppressed.
+    /// True when a line of `cause` may be logged now; otherwise counts the line as
+    /// suppressed.
     pub fn allow(&mut self, cause: &'static str, now: Moment) -> bool {
         let bucket = self.buckets.entry(cause).or_insert(TokenBucket {
             tokens: BURST_LINES,
@@ -69,7 +71,8 @@
         true
     }
 
-    /// Lines suppressed since the last summary, if a summary is due.
+    /// Returns the causes with lines suppressed since the last summary, once the interval
+    /// between summaries has passed; else nothing.
     pub fn summary(&mut self, now: Moment) -> Vec<SuppressedLines> {
         if now < self.next_summary {
             return Vec::new();
--- a/crates/rampthread-core/src/call/nested_call_detector.rs
+++ b/crates/rampthread-core/src/call/nested_call_detector.rs
@@ -1,28 +1,32 @@
-//! Detects routes that a backend calls while it serves another call.
+//! Detects routes with nested calls: calls that a backend makes while it serves another
+//! call. The detector runs in a gate, the node that forwards calls to its local backend.
 //!
-//! Callers from outside use every entry, so their calls come from nodes of all services. A
-//! route that only one service calls, at a gate that others call too, carries nested calls
-//! of that service: each of them holds a slot there, and the work done for its parent is
-//! lost if it fails.
+//! Callers from outside send to any node, so their calls arrive from nodes of all services.
+//! A route that only one service calls, at a gate that others call too, carries nested
+//! calls of that service: each parent call holds a slot there, and its work is lost if the
+//! nested call fails.
 
 use crate::ids::ResourceName;
 use std::collections::HashMap;
 
-/// Weight that older calls keep at each new one: about 200 calls count.
+/// Factor by which the weight of older calls shrinks with each new one: about 200 calls
+/// count.
 const WEIGHT_DECAY: f64 = 0.995;
-/// Least weight of a route's calls before anything is concluded.
+/// Minimum weight of a route's calls before the detector decides whether they are nested.
 const MIN_WEIGHT: f64 = 20.0;
-/// Share of a route's calls that its main caller makes if they are nested.
+/// Share of a route's calls that one service must make for them to count as nested.
 const MIN_SHARE: f64 = 0.99;
 
-/// Callers of one route, by weight.
+/// Services that call one route, with the weight of their recent calls.
 #[derive(Debug, Default)]
 struct Callers {
+    /// Number of recent calls of each service, discounted with each call.
     weights: HashMap<String, f64>,
 }
 
 impl Callers {
-    fn note(&mut self, caller: &str) {
+    /// Records a call of the service `caller`.
+    fn record(&mut self, caller: &str) {
         for weight in self.weights.values_mut() {
             *weight *= WEIGHT_DECAY;
         }
@@ -34,7 +38,7 @@
         }
     }
 
-    /// Share of the main caller; `None` before enough calls were seen.
+    /// Share of the service that makes most calls; `None` before enough calls were counted.
     fn main_share(&self) -> Option<f64> {
         let total: f64 = self.weights.values().sum();
         let main = self.weights.values().copied().fold(0.0, f64::max);
@@ -42,25 +46,26 @@
     }
 }
 
-/// Learns at one gate which service calls which route.
+/// Detects nested calls at one gate, from which service calls which route.
 #[derive(Debug, Default)]
 pub struct NestedCallDetector {
     routes: HashMap<ResourceName, Callers>,
 }
 
 impl NestedCallDetector {
-    /// Records a call of `route` from a node of the service `caller`. True when it is most
-    /// likely nested.
+    /// Records a call of `route` from a node of the service `caller`. Returns true if it is
+    /// most likely nested.
     pub fn observe(&mut self, route: &ResourceName, caller: &str) -> bool {
         let callers = match self.routes.get_mut(route) {
             Some(callers) => callers,
             None => self.routes.entry(route.clone()).or_default(),
         };
-        callers.note(caller);
+        callers.record(caller);
         self.is_nested(route)
     }
 
-    /// True when the calls of `route` are most likely nested, judging by those seen so far.
+    /// True if calls of `route` are most likely nested, judging by the calls recorded so
+    /// far.
     pub fn is_nested(&self, route: &ResourceName) -> bool {
         let one_caller = |callers: &Callers| callers.main_share().map(|share| share >= MIN_SHARE);
         self.routes.get(route).and_then(one_caller) == Some(true)
@@ -70,7 +75,7 @@
                 .any(|callers| one_caller(callers) == Some(false))
     }
 
-    /// Drops all records; to be called when another backend replaces this one.
+    /// Drops all records. To be called when another backend replaces the local one.
     pub fn clear(&mut self) {
         self.routes.clear();
     }
--- a/crates/rampthread-core/src/call/path_delay.rs
+++ b/crates/rampthread-core/src/call/path_delay.rs
@@ -1,26 +1,28 @@
-//! Measures how long a hop was delayed by congested links on its way to the gate.
+//! Measures how long a hop, a request from one node to another, was delayed by congested
+//! links.
 //!
 //! A hop carries the time that its call has left, as of when it was sent. On a congested
-//! link it may be held up for seconds, and the gate would give its call time that no caller
-//! waits for any more. The clocks of two machines are not compared: each hop carries the
-//! time since its sender's start, and the least difference to the gate's own clock seen so
-//! far stands for an idle path. What another hop's difference exceeds it by is its delay,
-//! as in LEDBAT (RFC 6817).
+//! link the hop may be held up for seconds, and the receiving node would give its call time
+//! that no caller waits for any more. The clocks of two machines are not compared: each hop
+//! carries the time since its sender's start, and the least difference to the receiver's
+//! clock seen so far stands for an idle path. The amount by which another hop's difference
+//! exceeds it is that hop's delay, as in LEDBAT (RFC 6817).
 
 use crate::time::Moment;
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Maximum number of senders kept; beyond it, all are measured anew.
+/// Maximum number of senders whose idle path is kept; beyond it, all are measured anew.
 const MAX_SENDERS: usize = 4_096;
 
-/// When a hop was sent, by its sender's own clock.
+/// Time at which a hop was sent, by the clock of the sending process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentAt {
-    /// Epoch of the sender's process; its clock starts anew in each.
+    /// Number that tells runs of the sending process apart; its clock starts anew with each
+    /// run.
     pub process_epoch: u32,
-    /// Time since the process started.
+    /// Time between the start of the sending process and the sending of the hop.
     pub since_start: Duration,
 }
 
@@ -46,22 +48,23 @@
     }
 }
 
+/// Fastest path seen from one machine.
 #[derive(Debug, Clone, Copy)]
 struct IdlePath {
     process_epoch: u32,
-    /// Least difference seen between the two clocks, in microseconds.
+    /// Least difference between the clocks of receiver and sender, in microseconds.
     least_difference: i64,
 }
 
-/// Delays of hops, by sending machine.
+/// Measures the delays of hops that one node receives, by sending machine.
 #[derive(Debug, Default)]
 pub struct PathDelays {
     senders: HashMap<IpAddr, IdlePath>,
 }
 
 impl PathDelays {
-    /// Records a hop and returns how much longer it took than the fastest hop of its
-    /// sender. The first hop of a process epoch counts as fast.
+    /// Records a hop that arrives at `now`, and returns how much longer it took than the
+    /// fastest hop of the same process. The first hop of a process counts as the fastest.
     pub fn record_arrival(&mut self, sender: IpAddr, sent: SentAt, now: Moment) -> Duration {
         let difference = now.0 as i64 - sent.since_start.as_micros() as i64;
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&sender) {
--- a/crates/rampthread-core/src/call/peer_crash_detector.rs
+++ b/crates/rampthread-core/src/call/peer_crash_detector.rs
@@ -1,7 +1,9 @@
-//! Lost responses as an entry sees them. The gate of a backend notices its crashes first,
-//! but the gate may end with the backend, or before the next incarnation reports; the entry
-//! that sent the calls still knows which responses never came. Both report a crash under
-//! the same names, so that it counts once.
+//! Detects crashes of backends at an entry, the node that sent the calls.
+//!
+//! The gate of a backend, which forwards calls to it, detects crashes first. But the gate
+//! may end together with the backend, or before the next incarnation of the backend
+//! reports; the entry still knows which responses it never got. Gate and entry report a
+//! crash with the same request identity and incarnation, so that it counts once.
 
 use super::crash_detector::{CrashDetector, CrashSuspect};
 use crate::ids::{InstanceId, NodeId};
@@ -9,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The current backend of a node.
+/// The backend that is present at a node now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CurrentBackend {
-    /// Its incarnation.
+    /// Incarnation of the backend.
     pub instance: InstanceId,
-    /// It has announced its departure.
+    /// True if the backend has announced its departure, a planned end.
     pub leaving: bool,
 }
 
@@ -28,7 +30,7 @@
 }
 
 impl PeerCrashDetector {
-    /// No losses; backends report once per `heartbeat`.
+    /// Creates a detector without losses, for backends that report once per `heartbeat`.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
         Self {
             heartbeat,
@@ -36,28 +38,28 @@
         }
     }
 
-    /// Records a call to the backend of `node` whose response was lost.
+    /// Records that the backend of `node` got a call and its response was lost.
     pub fn record_loss(&mut self, node: &NodeId, lost: &CrashSuspect) {
         let detector = self.detectors.entry(node.clone());
         let detector = detector.or_insert_with(|| CrashDetector::with_heartbeat(self.heartbeat));
         detector.record_loss(lost, false);
     }
 
-    /// Records a response of the backend of `node` to a call that began at `begun`.
+    /// Records that the backend of `node` responded to a call that began at `begun`.
     pub fn record_response(&mut self, node: &NodeId, instance: &InstanceId, begun: Moment) {
         if let Some(detector) = self.detectors.get_mut(node) {
             detector.record_response(instance, begun);
         }
     }
 
-    /// True without recent losses.
+    /// True if no responses were lost lately.
     pub fn is_empty(&self) -> bool {
         self.detectors.is_empty()
     }
 
-    /// Compares the losses with the current backends of the nodes and returns those that
-    /// turn out to be crashes. `present` returns `None` for a node that is unknown now; it
-    /// may come back.
+    /// Compares the lost responses with the backends that are present now, and returns the
+    /// requests whose responses were lost in a crash. `present` returns `None` for a node
+    /// that is unknown now, since it may come back.
     pub fn compare(
         &mut self,
         present: impl Fn(&NodeId) -> Option<CurrentBackend>,
--- a/crates/rampthread-core/src/call/rank_queue.rs
+++ b/crates/rampthread-core/src/call/rank_queue.rs
@@ -1,12 +1,12 @@
-//! The waiting calls of one rank.
+//! Queue of the waiting calls of one rank.
 //!
 //! Calls of higher precedence go first. Within a precedence, callers (tenants or calling
 //! services) share slots fairly by service time (see [`FairQueue`]), so that none can
 //! starve the others. Of one caller's calls the shorter goes first (shortest job first):
 //! where slots are scarce, that answers the most callers, and a short call is often one
 //! that a longer call elsewhere holds its slot for. Among calls of about the same length
-//! the earlier deadline goes first. At regular turns the longer call that has waited
-//! longest goes before shorter ones, so that none starves.
+//! the earlier deadline goes first. At regular turns a longer call goes before shorter
+//! ones, so that long calls are not starved.
 
 use super::arrival::{Arrival, CallNumber};
 use super::fair_queue::FairQueue;
@@ -16,19 +16,20 @@
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// Every this many turns, a longer call goes first if one waits.
+/// One in this many calls taken from the queue is a longer one, if one waits.
 const TURNS_PER_LONGER_CALL: u32 = 4;
 
-/// Totals over waiting calls.
+/// Number and total service time of some waiting calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Backlog {
     /// Number of calls.
     pub calls: u32,
-    /// Sum of their expected service times.
+    /// Sum of the calls' expected service times.
     pub service_time: Duration,
 }
 
 impl Backlog {
+    /// Adds a call; one of unknown service time counts as `mean`.
     fn add(&mut self, arrival: &Arrival, mean: Duration) {
         self.calls += 1;
         self.service_time += arrival.expected_service_time.unwrap_or(mean);
@@ -42,26 +43,28 @@
     }
 }
 
-/// Length of a call in powers of two. Calls of one step count as equally long, so that
-/// small errors of the expected service time do not change the order.
+/// Binary logarithm of a call's service time in milliseconds, rounded down. Calls with the
+/// same value count as equally long, so that small errors of the expectation do not change
+/// the order.
 fn length_step(service_time: Option<Duration>) -> u32 {
     service_time.map_or(0, |time| (time.as_millis() as u32).max(1).ilog2())
 }
 
-/// Sort key of a call among those of its caller; the smallest goes first.
+/// Sort key of a call among those of its caller; the call with the least key goes first.
 fn sort_key(arrival: &Arrival) -> (Precedence, u32, Moment) {
     let length = length_step(arrival.expected_service_time);
     (arrival.precedence, length, arrival.deadline)
 }
 
-/// Waiting calls of one rank.
+/// Waiting calls of one rank, by caller.
 #[derive(Debug, Default)]
 pub struct RankQueue {
-    /// By caller; the first of each queue goes next.
+    /// Calls of each caller, in the order in which they are served.
     waiting: HashMap<String, VecDeque<Arrival>>,
     fair_queue: FairQueue,
+    /// Number of waiting calls of all callers.
     length: u32,
-    /// Turns since a longer call went before shorter ones.
+    /// Calls taken since a longer call went before shorter ones.
     turns_taken: u32,
 }
 
@@ -81,7 +84,7 @@
         self.waiting.len() as u32
     }
 
-    /// Inserts `arrival` by its sort key.
+    /// Inserts a call into its caller's queue, by sort key.
     pub fn push(&mut self, arrival: Arrival) {
         if self.is_empty() {
             self.fair_queue.reset();
@@ -92,7 +95,7 @@
         self.length += 1;
     }
 
-    /// Removes the call that goes next.
+    /// Removes and returns the call that is served next.
     pub fn pop(&mut self) -> Option<Arrival> {
         self.turns_taken += 1;
         if self.turns_taken >= TURNS_PER_LONGER_CALL {
@@ -105,7 +108,7 @@
         self.take(next)
     }
 
-    /// The call of the highest precedence, from the caller with the smallest start tag.
+    /// The call of the highest precedence, from the caller with the least start tag.
     fn next_in_turn(&self) -> Option<CallNumber> {
         let heads = self.waiting.iter().filter_map(|(owner, queue)| {
             let head = queue.front()?;
@@ -114,7 +117,7 @@
         heads.min().map(|(_, _, call)| call)
     }
 
-    /// Removes `call` and counts it as served.
+    /// Removes `call` and counts its service time as received by its caller.
     fn take(&mut self, call: CallNumber) -> Option<Arrival> {
         let taken = self.remove(call)?;
         self.fair_queue
@@ -122,8 +125,9 @@
         Some(taken)
     }
 
-    /// Among waiting calls of the highest precedence, the oldest of those longer than the
-    /// shortest.
+    /// The call to serve out of turn, so that long calls are not starved: among waiting
+    /// calls of the highest precedence that are longer than the shortest of them, the one
+    /// that arrived first.
     fn oldest_longer(&self) -> Option<CallNumber> {
         let all = || self.waiting.values().flatten();
         let highest = all().map(|arrival| arrival.precedence).min()?;
@@ -139,7 +143,7 @@
             .min()
     }
 
-    /// Removes `call`; `None` if it does not wait here.
+    /// Removes `call` from the queue; `None` if it is not in it.
     pub fn remove(&mut self, call: CallNumber) -> Option<Arrival> {
         let (caller, index) = self.waiting.iter().find_map(|(caller, queue)| {
             let index = queue.iter().position(|arrival| arrival.call == call)?;
@@ -154,22 +158,24 @@
         removed
     }
 
-    /// Totals over all waiting calls; those of unknown length count as `mean`.
+    /// Totals over all waiting calls; a call of unknown service time counts as `mean`.
     pub fn backlog(&self, mean: Duration) -> Backlog {
-        sum(self.waiting.values().flatten(), mean)
+        backlog_of(self.waiting.values().flatten(), mean)
     }
 
-    /// Totals over waiting calls that go before `arrival`.
+    /// Totals over the waiting calls that go before `arrival`; a call of unknown service
+    /// time counts as `mean`.
     pub fn ahead_of(&self, arrival: &Arrival, mean: Duration) -> Backlog {
         let ahead = |waiting: &&Arrival| sort_key(waiting) <= sort_key(arrival);
-        sum(self.waiting.values().flatten().filter(ahead), mean)
+        backlog_of(self.waiting.values().flatten().filter(ahead), mean)
     }
 
-    /// Totals over waiting calls of the same caller that go before `arrival`.
+    /// Totals over the waiting calls of the same caller that go before `arrival`; a call of
+    /// unknown service time counts as zero.
     pub fn own_ahead_of(&self, arrival: &Arrival) -> Backlog {
         let own = self.waiting.get(&arrival.caller);
         let ahead = |waiting: &&Arrival| sort_key(waiting) <= sort_key(arrival);
-        sum(own.into_iter().flatten().filter(ahead), Duration::ZERO)
+        backlog_of(own.into_iter().flatten().filter(ahead), Duration::ZERO)
     }
 
     /// Number of waiting calls of `caller`.
@@ -178,10 +184,11 @@
     }
 }
 
-fn sum<'a>(arrivals: impl Iterator<Item = &'a Arrival>, mean: Duration) -> Backlog {
-    let mut sum = Backlog::default();
+/// Totals over `arrivals`; a call of unknown service time counts as `mean`.
+fn backlog_of<'a>(arrivals: impl Iterator<Item = &'a Arrival>, mean: Duration) -> Backlog {
+    let mut backlog = Backlog::default();
     for arrival in arrivals {
-        sum.add(arrival, mean);
+        backlog.add(arrival, mean);
     }
-    sum
+    backlog
 }
--- a/crates/rampthread-core/src/call/recent_responses.rs
+++ b/crates/rampthread-core/src/call/recent_responses.rs
@@ -1,28 +1,30 @@
 //! Requests that backends have answered lately. A crash may become known seconds later,
-//! when the next incarnation reports: a request that was answered in between did not cause
-//! it, and once in quarantine it could not be cleared any more.
+//! when the next incarnation of the backend reports. A request that was answered in between
+//! did not cause the crash, and once in quarantine it could not be cleared any more.
 
 use super::identity::RequestIdentity;
 use crate::time::Moment;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Time for which a response is kept: longer than a lost response may take to turn out as a
-/// crash (10 s).
+/// Time for which a response is remembered: longer than the 10 s within which a lost
+/// response may turn out to be a crash.
 const RETENTION: Duration = Duration::from_secs(15);
-/// Maximum number of responses kept, about 100 bytes each; a node is designed for 67 calls
-/// per second.
+/// Maximum number of responses that are remembered, about 100 bytes each; a node is
+/// designed for 67 calls per second.
 const MAX_RESPONSES: usize = 4_096;
 
-/// Responses to one node's callers.
+/// Times of recent responses to requests of one node's callers.
 #[derive(Debug, Default)]
 pub struct RecentResponses {
+    /// Time of the last response to each request.
     last: HashMap<RequestIdentity, Moment>,
+    /// All responses, oldest first; a request that was answered again has several.
     order: VecDeque<(Moment, RequestIdentity)>,
 }
 
 impl RecentResponses {
-    /// Records a complete response of a backend to the request.
+    /// Records that a backend has answered the request with a complete response.
     pub fn note(&mut self, identity: RequestIdentity, now: Moment) {
         self.last.insert(identity, now);
         self.order.push_back((now, identity));
@@ -36,17 +38,17 @@
         }
     }
 
-    /// Time of the last response to the request; `None` if none is kept.
+    /// Time of the last response to the request; `None` if none is remembered.
     pub fn last(&self, identity: &RequestIdentity) -> Option<Moment> {
         self.last.get(identity).copied()
     }
 
-    /// Number of responses kept.
+    /// Number of requests with a remembered response.
     pub fn len(&self) -> usize {
         self.last.len()
     }
 
-    /// True if none is kept.
+    /// True if no response is remembered.
     pub fn is_empty(&self) -> bool {
         self.last.is_empty()
     }
--- a/crates/rampthread-core/src/call/response_check.rs
+++ b/crates/rampthread-core/src/call/response_check.rs
@@ -1,51 +1,54 @@
-//! Checks whether a backend's response belongs to the call, and whether it reports that the
-//! call was not run.
+//! Checks whether a backend's response belongs to the call, and whether the backend reports
+//! that it did not run the call.
 //!
 //! Bytes on a connection may belong to an earlier request, since a backend may respond
 //! twice. So nothing in a response is trusted, least of all that the call was not run,
-//! before it is known to name the call.
+//! before the response is known to name the call.
 
 use super::dialect::CallDialect;
 use super::headers::{self, Outcome, implies_not_run};
 use http::header::CONTENT_ENCODING;
 use http::{HeaderMap, HeaderName, StatusCode};
 
-/// Result of the check.
+/// Result of checking a response against the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseCheck {
-    /// The response belongs to this call.
+    /// The response belongs to the call.
     Answered,
     /// The backend reports that it did not run the call.
     NotRun,
-    /// Another incarnation responded at the address; it did not run the call.
+    /// The response comes from another backend incarnation at the address, which did not
+    /// run the call.
     Misdirected,
-    /// It does not belong to the call, for this reason; the call may have run.
+    /// The response does not belong to the call, for the given reason; the call may have
+    /// run.
     MismatchedResponse(&'static str),
 }
 
-/// The ids of a call.
+/// Ids that a response to a call may name.
 #[derive(Debug, Clone, Copy)]
 pub struct CallIds<'a> {
-    /// Id that its caller chose.
+    /// Id of the request, chosen by the caller or the entry.
     pub request_id: &'a str,
-    /// Id of this attempt.
+    /// Id of the present attempt to deliver the call.
     pub call_id: &'a str,
 }
 
-/// Status and headers of a response.
+/// Status and headers of a backend's response.
 #[derive(Debug, Clone, Copy)]
 pub struct ResponseHead<'a> {
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// Response headers.
+    /// Headers of the response, by which it is checked.
     pub headers: &'a HeaderMap,
 }
 
 impl ResponseHead<'_> {
-    /// Checks the response to `call`.
+    /// Checks that the response belongs to `call`, by the conventions of the platform's
+    /// `dialect`.
     pub fn check(self, call: CallIds<'_>, dialect: &CallDialect) -> ResponseCheck {
         if let Some(header) = &dialect.request_id
-            && self.text(header.as_str()) != Some(call.request_id)
+            && self.header_text(header.as_str()) != Some(call.request_id)
         {
             return ResponseCheck::MismatchedResponse("the response names another request");
         }
@@ -53,7 +56,7 @@
             return ResponseCheck::Misdirected;
         }
         match &dialect.not_executed {
-            Some(header) if self.has(header) => return ResponseCheck::NotRun,
+            Some(header) if self.has_header(header) => return ResponseCheck::NotRun,
             Some(_) if implies_not_run(self.status) => {
                 let reason = "a status that implies not-run, without the header that reports it";
                 return ResponseCheck::MismatchedResponse(reason);
@@ -64,31 +67,33 @@
         let Some(signature) = &dialect.signature else {
             return ResponseCheck::Answered;
         };
-        if self.status.is_success() && !self.has(signature) {
+        if self.status.is_success() && !self.has_header(signature) {
             return ResponseCheck::MismatchedResponse("a successful response without a signature");
         }
-        if self.has(&CONTENT_ENCODING) {
+        if self.has_header(&CONTENT_ENCODING) {
             return ResponseCheck::MismatchedResponse("an encoded body that was not requested");
         }
         ResponseCheck::Answered
     }
 
     /// True when the response reports `not-run` in rampthread's own headers. A backend that
-    /// passes on the error response to a nested call passes on the id of that call too.
+    /// passes on the error response to a call of its own passes on the id of that call too,
+    /// so a response that names another call reports nothing about this one.
     fn reports_not_run(self, call: CallIds<'_>) -> bool {
-        let outcome = self.text(headers::OUTCOME).and_then(Outcome::parse);
-        let named = self.text(headers::CALL_ID);
+        let outcome = self.header_text(headers::OUTCOME).and_then(Outcome::parse);
+        let named = self.header_text(headers::CALL_ID);
         let of_another = named.is_some_and(|name| name != call.request_id && name != call.call_id);
         self.status == StatusCode::SERVICE_UNAVAILABLE
             && outcome == Some(Outcome::NotRun)
             && !of_another
     }
 
-    fn text(&self, name: &str) -> Option<&str> {
+    /// Value of a response header; `None` if it is absent or not ASCII.
+    fn header_text(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    fn has(&self, name: &HeaderName) -> bool {
+    fn has_header(&self, name: &HeaderName) -> bool {
         self.headers.contains_key(name)
     }
 }
--- a/crates/rampthread-core/src/call/retry_after.rs
+++ b/crates/rampthread-core/src/call/retry_after.rs
@@ -7,17 +7,17 @@
 
 use std::time::Duration;
 
-/// Part of the spare time after which to retry; the rest is for the round trip and one more
-/// retry.
+/// Ratio of the spare time after which to retry; the rest is for the round trip and one
+/// more retry.
 const WAIT_RATIO: f64 = 0.5;
 /// Minimum spare time for an early retry; with less, the response is most likely late
 /// anyway.
 const MIN_SPARE: Duration = Duration::from_millis(20);
 
-/// Wait before a retry after a backend with free slots shed the call; `None` if a response
-/// can no longer be in time. `target_left` is the rest of the route's target latency,
-/// `response_time` the mean response time of the route, and `jitter` a random number from 0
-/// to 1 that spreads retries.
+/// Returns how long to wait before a retry after a backend with free slots shed the call;
+/// `None` if a response can no longer be in time. `target_left` is the rest of the route's
+/// target latency, `response_time` the mean response time of the route, and `jitter` a
+/// random number from 0 to 1 that spreads retries.
 pub fn after_shed(target_left: Duration, response_time: Duration, jitter: f64) -> Option<Duration> {
     let spare = target_left.saturating_sub(response_time);
     if spare < MIN_SPARE {
--- a/crates/rampthread-core/src/call/retry_budget.rs
+++ b/crates/rampthread-core/src/call/retry_budget.rs
@@ -1,11 +1,12 @@
-//! The retry budget of a service: how many retries its backends may get, and who may make
-//! them.
+//! The retry budget of a service: how many retries its backends may get, and which calls
+//! may make them.
 //!
 //! The budget is a bounded share of the service's calls over a sliding window. While
 //! backends shed many calls it is used up before the window ends, so it matters who uses
-//! it. Nested calls go first: their parent holds a slot and has done work that is lost with
-//! them. Any other call has lost nothing yet, and its caller may send it again; it gets
-//! what nested calls leave, and a small share in any case.
+//! it. Nested calls, those that a backend makes while it serves another call, go first: if
+//! one fails, the work done for its parent is lost. Any other call has lost nothing yet,
+//! and its caller may send it again; it gets what nested calls leave, and a small share in
+//! any case.
 
 use crate::time::Moment;
 use std::collections::VecDeque;
@@ -13,27 +14,27 @@
 
 /// Window over which retries are counted, unless the settings name one.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(10);
-/// Retries that an idle service may make in a window.
+/// Number of retries in a window that an idle service may make.
 const DEFAULT_SLACK: f64 = 5.0;
-/// Parts into which a window is divided for counting.
+/// Number of parts into which the window is divided for counting.
 const WINDOW_PARTS: u64 = 10;
 /// Share of the budget that calls other than nested ones get in any case: an immediate
 /// retry spares their callers a round trip.
 const MIN_CALLER_SHARE: f64 = 0.25;
 
-/// How many retries a service's backends may get from this node.
+/// Limit of the retries that one node may send to a service's backends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimit {
-    /// Retries per call.
+    /// Number of retries per call, from 0 to 1.
     pub ratio: f64,
-    /// Retries per window beyond the ratio.
+    /// Number of retries per window beyond those that `ratio` allows.
     pub slack: f64,
     /// Length of the sliding window.
     pub window: Duration,
 }
 
 impl RetryLimit {
-    /// A limit of `percent` retries per hundred calls.
+    /// Creates a limit of this many retries per hundred calls.
     pub fn percent(percent: u8) -> Self {
         Self {
             ratio: f64::from(percent) / 100.0,
@@ -43,18 +44,19 @@
     }
 }
 
-/// Who asks for a retry.
+/// Class of a call that asks for a retry.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RetryClass {
-    /// A nested call: if it fails, the work done for its parent is lost.
+    /// A call that a backend makes while it serves another: if it fails, the work done for
+    /// its parent is lost.
     Nested,
-    /// A call from outside, which has lost nothing but time.
+    /// Any other call: if it fails, its caller has lost nothing but time.
     #[default]
     Caller,
 }
 
 impl RetryClass {
-    /// The value in metrics.
+    /// Value of the class in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RetryClass::Nested => "nested",
@@ -63,28 +65,32 @@
     }
 }
 
+/// Counts over one part of the sliding window.
 #[derive(Debug, Clone, Copy)]
 struct WindowPart {
+    /// Time since the epoch of the clock, in lengths of a part.
     number: u64,
     calls: u32,
-    /// Retries of both classes.
+    /// Number of retries of calls of both classes.
     retries: u32,
-    /// Of these, retries of [`RetryClass::Caller`].
+    /// Number of retries of calls of [`RetryClass::Caller`].
     caller_retries: u32,
-    /// Retries that nested calls asked for, including those denied.
+    /// Number of retries that nested calls asked for, including those denied.
     nested_requests: u32,
 }
 
-/// A service's budget of retries over a sliding window.
+/// Counts the calls and retries of one service over a sliding window, and limits the
+/// retries.
 #[derive(Debug)]
 pub struct RetryBudget {
     limit: RetryLimit,
+    /// Every retry is allowed.
     unlimited: bool,
     parts: VecDeque<WindowPart>,
 }
 
 impl RetryBudget {
-    /// A budget with the limit `limit`.
+    /// Creates a budget with this limit.
     pub fn new(limit: RetryLimit) -> Self {
         Self {
             limit,
@@ -93,7 +99,7 @@
         }
     }
 
-    /// No limit; a baseline for experiments.
+    /// Creates a budget without limit; a baseline for experiments.
     pub fn unlimited() -> Self {
         Self {
             unlimited: true,
@@ -101,17 +107,17 @@
         }
     }
 
-    /// Replaces the limit; what was counted stays.
+    /// Replaces the limit; calls and retries counted so far stay.
     pub fn set_limit(&mut self, limit: RetryLimit) {
         self.limit = limit;
     }
 
-    /// Records a call, which adds to the budget.
+    /// Records a call to the service, which adds to the budget.
     pub fn call_made(&mut self, now: Moment) {
         self.part(now).calls += 1;
     }
 
-    /// Takes one retry for `class`, if the budget allows it.
+    /// Takes one retry for a call of this class. False if the budget does not allow it.
     pub fn take(&mut self, class: RetryClass, now: Moment) -> bool {
         let allowed = self.allows(class, now);
         let unlimited = self.unlimited;
@@ -124,7 +130,7 @@
         allowed
     }
 
-    /// Returns a retry, taken at `taken_at`, that reached no backend.
+    /// Returns a retry to the budget that was taken at `taken_at` and reached no backend.
     pub fn refund(&mut self, class: RetryClass, taken_at: Moment) {
         let number = self.part_number(taken_at);
         let Some(part) = self.parts.iter_mut().find(|part| part.number == number) else {
@@ -135,6 +141,7 @@
         part.caller_retries = part.caller_retries.saturating_sub(caller_retry);
     }
 
+    /// True if the budget has a retry left for this class.
     fn allows(&mut self, class: RetryClass, now: Moment) -> bool {
         if self.unlimited {
             return true;
@@ -153,12 +160,14 @@
         class == RetryClass::Nested || fits(caller_retries, caller_limit)
     }
 
+    /// Number of the window part that a time falls into.
     fn part_number(&self, at: Moment) -> u64 {
         let length = (self.limit.window.as_micros() as u64 / WINDOW_PARTS).max(1);
         at.0 / length
     }
 
-    /// The part of the window that `now` falls into; drops parts before the window.
+    /// The part of the window that `now` falls into; drops parts that lie before the
+    /// window.
     fn part(&mut self, now: Moment) -> &mut WindowPart {
         let number = self.part_number(now);
         while let Some(oldest) = self.parts.front()
--- a/crates/rampthread-core/src/call/route_table.rs
+++ b/crates/rampthread-core/src/call/route_table.rs
@@ -1,8 +1,9 @@
-//! Finds the route that a call matches.
+//! Finds the route of the configuration that a call matches.
 //!
 //! Precedence: a route that names the host before one that does not; an exact path before a
 //! prefix; a longer prefix before a shorter one; a route that names the method before one
-//! that does not; more headers before fewer. Ties are rejected when a change is applied.
+//! that does not; more headers before fewer. Ties are rejected when a change of the
+//! configuration is applied.
 
 use crate::config::{ConfigState, Destination, PathMatch, Repeatability, Route};
 use crate::ids::ResourceName;
@@ -11,16 +12,16 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The parts of a call that are matched against routes.
+/// The parts of a call that are compared with routes.
 #[derive(Debug, Clone, Copy)]
 pub struct CallHead<'a> {
-    /// Host of the request, without the port.
+    /// Host that the request names, without the port.
     pub host: Option<&'a str>,
-    /// Path, without the query.
+    /// Path of the request, without the query.
     pub path: &'a str,
-    /// HTTP method.
+    /// Method that the route may restrict.
     pub method: &'a http::Method,
-    /// Request headers.
+    /// Headers that the route may require.
     pub headers: &'a http::HeaderMap,
 }
 
@@ -32,12 +33,12 @@
 pub struct RouteTable {
     /// Routes that name a host, keyed by the host in lower case.
     by_host: HashMap<String, Vec<Arc<Route>>>,
-    /// Routes that match every host; they come after those of the host.
+    /// Routes that match every host; they are tried after those of the call's host.
     any_host: Vec<Arc<Route>>,
 }
 
 impl RouteTable {
-    /// Sorts the routes of `state` by precedence.
+    /// Sorts the routes of `state` by precedence and indexes them by host.
     pub fn new(state: &ConfigState) -> Self {
         let mut routes: Vec<&Route> = state.routes().collect();
         routes.sort_by_key(|route| rank(route));
@@ -52,7 +53,7 @@
         table
     }
 
-    /// Returns the most specific route that matches.
+    /// Returns the most specific route that matches the call.
     pub fn find(&self, head: &CallHead<'_>) -> Option<&Arc<Route>> {
         let host = head.host.map(str::to_ascii_lowercase);
         let host_routes = host.and_then(|host| self.by_host.get(&host));
@@ -61,6 +62,7 @@
     }
 }
 
+/// Sort key of a route: the most specific route has the least key.
 fn rank(route: &Route) -> Reverse<(bool, bool, usize, bool, usize, ResourceName)> {
     Reverse((
         route.host.is_some(),
@@ -78,7 +80,8 @@
         && headers_match(route, head.headers)
 }
 
-/// A prefix ends at a segment boundary: `/a` matches `/a` and `/a/b`, not `/ab`.
+/// Matches a path. A prefix ends at a segment boundary: `/a` matches `/a` and `/a/b`, not
+/// `/ab`.
 fn path_matches(wanted: &PathMatch, path: &str) -> bool {
     match wanted {
         PathMatch::Exact(exact) => path == exact,
@@ -91,10 +94,12 @@
     }
 }
 
+/// A route without methods matches all of them.
 fn method_matches(route: &Route, method: &http::Method) -> bool {
     route.methods.is_empty() || route.methods.iter().any(|wanted| wanted == method.as_str())
 }
 
+/// True if the request has each header that the route requires, with the same value.
 fn headers_match(route: &Route, headers: &http::HeaderMap) -> bool {
     route.headers.iter().all(|wanted| {
         headers
@@ -104,7 +109,7 @@
     })
 }
 
-/// Picks a destination at random, by weight; `None` if all weights are 0.
+/// Picks a destination of a route at random, by weight; `None` if all weights are 0.
 pub fn choose_destination<'a>(
     destinations: &'a [Destination],
     rng: &mut impl Rng,
@@ -124,7 +129,7 @@
     None
 }
 
-/// Returns whether a call of this route may run twice.
+/// Returns whether a backend may run a call of this route twice.
 pub fn is_repeatable(route: &Route, method: &http::Method) -> bool {
     match route.repeatability {
         Repeatability::Always => true,
--- a/crates/rampthread-core/src/call/service_times.rs
+++ b/crates/rampthread-core/src/call/service_times.rs
@@ -1,32 +1,33 @@
-//! Mean service times by route, and how long a call may wait for a slot: the time that its
-//! route's target leaves beside the backend's own work.
+//! Mean service times at one backend, by route, and how long a call may wait for a slot:
+//! the time that the target latency of its route leaves beside its service time.
 
 use super::precedence::Precedence;
 use crate::ids::ResourceName;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Weight of the newest call in a route's mean.
+/// Weight of the newest call in a route's mean service time.
 const MEAN_WEIGHT: f64 = 0.1;
-/// Service time that a call is expected to need, as a multiple of its route's mean.
+/// Service time that a call is assumed to need, as a multiple of its route's mean.
 const EXPECTED_MEANS: f64 = 1.4;
-/// Largest part of the target that a call may wait.
+/// Maximum queueing time of a first attempt, as a ratio of the target latency.
 const MAX_WAIT_RATIO: f64 = 0.4;
-/// Largest part of its remaining time that a nested call may wait. Its parents hold their
-/// slots meanwhile: where services call each other in a ring, longer waits cost more
+/// Maximum queueing time of a nested call, one that a backend makes while it serves
+/// another, as a ratio of the time until its deadline. The parents of a nested call hold
+/// their slots meanwhile: where services call each other in a ring, longer waits cost more
 /// responses than the parents' work is worth.
 const NESTED_WAIT_RATIO: f64 = 0.15;
-/// Part of the target that a call may always wait.
+/// Ratio of the target latency that any call may wait.
 const MIN_WAIT_RATIO: f64 = 0.15;
 
-/// Mean service times at one backend, by route.
+/// Mean time that one backend needs for a call, by route.
 #[derive(Debug, Default)]
 pub struct ServiceTimes {
     means: HashMap<ResourceName, Duration>,
 }
 
 impl ServiceTimes {
-    /// Records the service time of a call of `route`.
+    /// Records that the backend served a call of `route` in this time.
     pub fn record(&mut self, route: &ResourceName, time: Duration) {
         match self.means.get_mut(route) {
             Some(mean) => {
@@ -38,14 +39,15 @@
         }
     }
 
-    /// Expected service time of a call of `route`; `None` before its first response.
+    /// Expected service time of a call of `route`; `None` before the route's first
+    /// response.
     pub fn expected(&self, route: &ResourceName) -> Option<Duration> {
         self.means.get(route).copied()
     }
 
-    /// Maximum queueing time that leaves a call of `route` a chance to meet `target`. A
-    /// retry waits only a little, since its caller needs to know soon. A nested call waits
-    /// longer, whatever its own target; `left` is the time until its deadline.
+    /// Maximum queueing time that leaves a call of `route` a chance to meet the latency
+    /// `target`. A retry waits only a little, since its caller needs to know soon. A nested
+    /// call waits longer, whatever its own target; `left` is the time until its deadline.
     pub fn max_wait(
         &self,
         route: &ResourceName,
@@ -66,7 +68,7 @@
         )
     }
 
-    /// Drops all means; to be called when another backend replaces this one.
+    /// Drops all means. To be called when another backend replaces the measured one.
     pub fn clear(&mut self) {
         self.means.clear();
     }
--- a/crates/rampthread-core/src/call/speed_meter.rs
+++ b/crates/rampthread-core/src/call/speed_meter.rs
@@ -1,42 +1,48 @@
-//! Measures the speed of a gate's local backend, from all its responses and from what it
-//! reports.
+//! Measures the speed of the local backend of a gate, the node that forwards calls to it,
+//! from all responses of the backend and from its own reports.
 //!
-//! The long-term speed is the time that its work would usually take, over the time that it
-//! took: a ratio of sums, so that mixed routes and a few long calls have little effect. The
-//! current service time that the backend reports is factored out, and reported beside it.
+//! The long-term speed is the time that the served calls usually take, divided by the time
+//! that they took: a ratio of sums, so that mixed routes and a few long calls have little
+//! effect. The current slowdown that the backend reports is factored out of it.
 
 use super::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Calls over which the long-term speed is averaged.
+/// Number of recent calls over which the long-term speed is averaged.
 const AVERAGED_CALLS: f64 = 100.0;
-/// Calls from which a speed is reported.
+/// Number of calls from which a long-term speed is reported.
 const MIN_CALLS: f64 = 30.0;
-/// Factor to which the deviation of a single call from its usual time is clamped.
+/// Limit of the ratio, in either direction, between the time of one call and its usual
+/// time.
 const MAX_DEVIATION_RATIO: f64 = 5.0;
-/// Ratio between two steps of the reported speed.
+/// Ratio between two neighbouring values of the long-term speed that can be reported.
 const STEP: f64 = 1.15;
-/// Minimum time between changes of the reported speed, each of which is sent to all nodes.
+/// Minimum time between changes of the reported speed, since each change is sent to all
+/// nodes.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_secs(2);
-/// Steps by which the measured speed must differ from the reported one. Less would let the
-/// report alternate between two steps by chance.
+/// Difference between measured and reported speed, in steps, from which the report changes.
+/// A smaller one would let the report alternate between two values by chance.
 const MIN_STEP_DIFFERENCE: f64 = 0.8;
-/// Time for which a backend's report of its current service time is used.
+/// Age up to which the backend's report of its current service time is used.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(300);
 
-/// Measures one backend.
+/// Measures the long-term speed of one backend, and keeps its report of the current service
+/// time.
 #[derive(Debug, Clone)]
 pub struct SpeedMeter {
+    /// Number of recent calls, discounted with each call.
     calls: f64,
-    /// Seconds that the calls would usually take, and took.
+    /// Seconds that the recent calls usually take, and seconds that they took (`taken`).
     usual: f64,
     taken: f64,
-    /// Reported speed as a power of [`STEP`].
+    /// Reported long-term speed, as an exponent of [`STEP`].
     reported_steps: i32,
+    /// Time of the last change of the reported speed.
     changed: Option<Moment>,
-    /// End of the warm-up after the backend's start.
+    /// Time until which the backend is expected to be slow after its start.
     warm_up_until: Moment,
+    /// The backend's last report of its current service time in percent, and when it came.
     current: Option<(u16, Moment)>,
 }
 
@@ -55,7 +61,7 @@
 }
 
 impl SpeedMeter {
-    /// The meter of a backend that starts now and is slow for `warm_up`.
+    /// Creates the meter of a backend that starts now and is slow for the time `warm_up`.
     pub fn starting(warm_up: Duration, now: Moment) -> Self {
         Self {
             warm_up_until: now + warm_up,
@@ -63,13 +69,14 @@
         }
     }
 
-    /// Records the backend's report of its current service time, in percent of its usual
-    /// value.
+    /// Records the backend's report of its current service time, in percent of the usual
+    /// one.
     pub fn record_report(&mut self, service_time_percent: u16, now: Moment) {
         self.current = Some((service_time_percent, now));
     }
 
-    /// Records a call that took `taken`, and takes `usual` on average over the fleet.
+    /// Records a call that took the time `taken` and takes `usual` in the mean of the
+    /// fleet. Calls during the warm-up are ignored.
     pub fn record_response(&mut self, usual: Duration, taken: Duration, now: Moment) {
         let usual = usual.as_secs_f64();
         let current = f64::from(self.service_time_percent(now)) / f64::from(USUAL_PERCENT);
@@ -85,7 +92,7 @@
         self.update_reported(now);
     }
 
-    /// Reports the measured speed if it clearly differs from the reported one.
+    /// Changes the reported speed if the measured one differs clearly from it.
     fn update_reported(&mut self, now: Moment) {
         let recent = |at: Moment| now.since(at) < MIN_CHANGE_INTERVAL;
         if !self.is_known() || self.changed.is_some_and(recent) {
@@ -98,13 +105,15 @@
         }
     }
 
+    /// Current service time in percent of the usual one; the usual one without a recent
+    /// report.
     fn service_time_percent(&self, now: Moment) -> u16 {
         let fresh = |(_, at): &(u16, Moment)| now.since(*at) < MAX_REPORT_AGE;
         let current = self.current.filter(fresh);
         current.map_or(USUAL_PERCENT, |(percent, _)| percent)
     }
 
-    /// The reported long-term speed, in percent of the usual one.
+    /// Long-term speed that is reported, in percent of the usual speed.
     pub fn speed_percent(&self) -> u16 {
         let speed = STEP.powi(self.reported_steps) * f64::from(USUAL_PERCENT);
         speed.round() as u16
@@ -115,7 +124,7 @@
         self.calls >= MIN_CALLS
     }
 
-    /// The speed to report.
+    /// Speed of the backend to be reported at `now`.
     pub fn speed(&self, now: Moment) -> BackendSpeed {
         BackendSpeed {
             speed_percent: self.speed_percent(),
--- a/crates/rampthread-core/src/call/tenant_table.rs
+++ b/crates/rampthread-core/src/call/tenant_table.rs
@@ -8,33 +8,34 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Authorization scheme of keys (RFC 6750, section 2.1), compared case-insensitively.
+/// Authorization scheme of API keys (RFC 6750, section 2.1), compared case-insensitively.
 const SCHEME: &str = "bearer";
-/// Longest key that is looked up, in bytes.
+/// Longest API key that is looked up, in bytes.
 const MAX_KEY_BYTES: usize = 512;
 
-/// The tenants of one configuration version, indexed by the digests of their keys.
+/// The tenants of one configuration version, indexed by the digests of their API keys.
 #[derive(Debug, Default)]
 pub struct TenantTable {
     by_key: HashMap<KeyDigest, Arc<Tenant>>,
-    /// Tenants with a limit, by the hash that nodes send to each other.
+    /// Tenants with a rate limit, by the hash that nodes send to each other.
     limited: HashMap<TenantHash, Arc<Tenant>>,
+    /// The configuration has tenants.
     in_use: bool,
 }
 
 /// Why no tenant was found for a request that needs one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TenantKeyError {
-    /// It has no key, or none that can be parsed.
+    /// The request has no API key, or none that can be parsed.
     #[error("the request has no key of a tenant")]
     NoKey,
-    /// No tenant has this key.
+    /// No tenant has the API key of the request.
     #[error("the request's key belongs to no tenant")]
     UnknownKey,
 }
 
 impl TenantKeyError {
-    /// The cause that is logged and counted.
+    /// Cause of the error response, for logs and metrics.
     pub fn cause(self) -> Cause {
         match self {
             TenantKeyError::NoKey => Cause::KeyMissing,
@@ -44,7 +45,7 @@
 }
 
 impl TenantTable {
-    /// Builds the table from the tenants of `state`.
+    /// Indexes the tenants of `state`.
     pub fn new(state: &ConfigState) -> Self {
         let mut table = TenantTable::default();
         for tenant in state.tenants() {
@@ -60,29 +61,30 @@
         table
     }
 
-    /// True when the configuration has tenants. Calls then need a key, and keys are not
-    /// forwarded beyond the node that received them.
+    /// True when the configuration has tenants. Calls then need an API key, and API keys
+    /// are not forwarded beyond the node that received them.
     pub fn has_tenants(&self) -> bool {
         self.in_use
     }
 
-    /// The limit of a tenant; `None` if it has none or is unknown.
+    /// Rate limit of a tenant; `None` if the tenant has none or is unknown.
     pub fn limit(&self, tag: TenantHash) -> Option<RateLimit> {
         self.limited.get(&tag)?.limit()
     }
 
-    /// Iterates over the tenants that have a limit.
+    /// Iterates over the tenants that have a rate limit.
     pub fn limited(&self) -> impl Iterator<Item = (TenantHash, &Arc<Tenant>)> {
         self.limited.iter().map(|(tag, tenant)| (*tag, tenant))
     }
 
-    /// True when any tenant has a limit.
+    /// True when any tenant has a rate limit.
     pub fn has_limits(&self) -> bool {
         !self.limited.is_empty()
     }
 
     /// Returns the tenant of a call with these headers; `None` where the configuration has
-    /// no tenants. A call of a public route belongs to a tenant only if its key is known.
+    /// no tenants. A call of a `public` route needs no API key, and belongs to a tenant
+    /// only if it has a known one.
     pub fn identify(
         &self,
         headers: &HeaderMap,
@@ -106,15 +108,15 @@
     }
 }
 
-/// True for a key that fits in an `Authorization` header.
+/// True if `key` can be sent as an API key in an `Authorization` header.
 pub fn is_valid_key(key: &str) -> bool {
     let visible = |byte: u8| byte == b' ' || byte.is_ascii_graphic();
     let whole = !key.is_empty() && key.trim() == key;
     whole && key.len() <= MAX_KEY_BYTES && key.bytes().all(visible)
 }
 
-/// Extracts the key of a request. Two `Authorization` headers are ambiguous and count as
-/// none.
+/// Extracts the API key of a request. Two `Authorization` headers are ambiguous and count
+/// as none.
 fn bearer_key(headers: &HeaderMap) -> Option<&str> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.to_str().ok()?;
--- a/crates/rampthread-core/src/call/zone_spill.rs
+++ b/crates/rampthread-core/src/call/zone_spill.rs
@@ -1,69 +1,71 @@
-//! Plans which part of a zone's calls goes to other zones, from the load reports of zones.
+//! Plans which part of a zone's calls goes to other zones (spills), from the load reports
+//! that zones exchange.
 //!
 //! Demand swings in each zone independently, and backends are not distributed as callers
 //! are. A zone at 1.3 of its capacity and one at 0.7 can together serve all calls, if the
-//! excess leaves before queues form. All entries compute the same plan from the same sums:
-//! each spills the same fraction of its own calls, and to each zone with spare slots in
-//! proportion to these, so that no slot is given away twice though all entries decide at
-//! the same time. Demand counts callers of a zone, wherever their calls are served: spilled
-//! calls do not change the figures that the plan is made from, so that zones do not send
-//! calls back and forth.
+//! excess leaves before queues form. All entries, the nodes that receive calls, compute the
+//! same plan from the same sums: each spills the same fraction of its own calls, and to
+//! each zone with spare slots in proportion to these, so that no slot is given away twice
+//! though all entries decide at the same time. Demand counts the callers of a zone,
+//! wherever their calls are served: spilled calls do not change the figures that the plan
+//! is made from, so that zones do not send calls back and forth.
 
 use crate::fleet::{MILLI_SLOTS_PER_SLOT, MilliSlots, ServiceLoad, ZoneLoad};
 use crate::ids::{ResourceName, Zone};
 use rand::Rng;
 use std::time::Duration;
 
-/// Utilization from which a backend or a zone reports its load. A zone that reports nothing
-/// is assumed to have this utilization.
+/// Ratio of used slots from which a backend or a zone reports its load. A zone without
+/// reports is assumed to use this ratio of its slots.
 pub const QUIET_UTILIZATION: f64 = 0.6;
-/// Time for which a load is still reported after it has fallen below [`QUIET_UTILIZATION`],
-/// so that the last report before a zone falls silent shows a quiet zone.
+/// Time for which reports go on after the load has fallen below [`QUIET_UTILIZATION`], so
+/// that the last report of a zone shows it below that ratio.
 pub const REPORTING_TAIL: Duration = Duration::from_secs(5);
-/// Maximum age of a zone's report. Within this time another node can take over as zone
-/// aggregator, which takes four exchange intervals.
+/// Age from which a zone's report is ignored. Until then another node can take over as zone
+/// aggregator, the node that sends the zone's reports, which takes four exchange intervals.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
-/// Silence after which a zone whose last report showed load counts as quiet: the nodes that
-/// reported it have ended or restarted.
+/// Age of a zone's last report from which the zone counts as quiet, even if the report
+/// showed a high load: the nodes that reported that load have ended or restarted.
 const MAX_LOADED_SILENCE: Duration = Duration::from_secs(10);
-/// Slots kept free, as a multiple of the square root of all slots (square-root staffing):
-/// the random variation of arrivals around their mean.
+/// Slots that a zone keeps free for random variation of arrivals, as a multiple of the
+/// square root of all its slots (square-root staffing).
 const SPARE_SLOT_ROOTS: f64 = 1.0;
-/// Least part of a zone's slots whose load must have been reported. Where less is reported,
-/// the rest counts as quiet; otherwise what is missing has most likely ended.
+/// Ratio of a zone's slots whose load must be reported. Below it, the slots without report
+/// count as quiet; above it, slots without report most likely belong to backends that have
+/// ended.
 const MIN_REPORTED_RATIO: f64 = 0.5;
 
-/// Capacity and demand of one service in one zone.
+/// Capacity of one zone for one service, and the demand of the zone's callers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneDemand {
-    /// The zone.
+    /// Name of the zone.
     pub zone: Zone,
-    /// Slots of its backends.
+    /// Slots of the service's backends in the zone.
     pub capacity: f64,
-    /// Slots that its own callers need, wherever their calls are served.
+    /// Slots that the zone's own callers need, wherever their calls are served.
     pub demand: f64,
-    /// Age of the zone's own report; `None`: the zone is silent.
+    /// Age of the zone's report; `None` if the zone sent none and its demand is assumed.
     pub report_age: Option<Duration>,
 }
 
 impl ZoneDemand {
-    /// Slots up to which a zone keeps or accepts calls while other zones have spare slots.
+    /// Slots up to which the zone serves calls while other zones have spare slots.
     fn comfortable(&self) -> f64 {
         (self.capacity - SPARE_SLOT_ROOTS * self.capacity.sqrt()).max(0.0)
     }
 }
 
-/// How one zone's calls to one service are distributed over the zones.
+/// How the calls of one zone to one service are distributed over zones.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SpillPlan {
-    /// Fraction of the zone's demand that is spilled, from 0 to 1.
+    /// Fraction of the zone's calls to send to other zones, from 0 to 1.
     pub spill_fraction: f64,
-    /// Other zones with spare slots, and how many.
+    /// Other zones that can take calls, and the spare slots of each.
     pub spare_slots: Vec<(Zone, f64)>,
 }
 
 impl SpillPlan {
-    /// True where `zone` has spare slots.
+    /// True if `zone` has spare slots.
     pub fn has_spare_slots(&self, zone: &Zone) -> bool {
         self.spare_slots
             .iter()
@@ -86,8 +88,8 @@
 }
 
 /// Capacity and demand of `service` in each zone, from the `slots` of the member table and
-/// the load `reports`. `None` while the zone `home` itself has no current report of the
-/// service: it is quiet, or its load is unknown.
+/// the load `reports` of zones. `None` while the zone `home` has no current report of the
+/// service: its load is below the reporting threshold or unknown.
 pub fn zone_demands(
     service: &ResourceName,
     home: &Zone,
@@ -110,7 +112,8 @@
     Some(with_slots.chain(without_slots).collect())
 }
 
-/// True while the zone's own report shows `service` above [`QUIET_UTILIZATION`].
+/// True while the report of the zone `home` shows that `service` uses more than
+/// [`QUIET_UTILIZATION`] of its slots.
 pub fn is_loaded(service: &ResourceName, home: &Zone, reports: &[ZoneLoad]) -> bool {
     let fresh = |report: &&ZoneLoad| report.zone == *home && report.age < MAX_REPORT_AGE;
     let own = reports.iter().find(fresh);
@@ -121,7 +124,8 @@
         })
 }
 
-/// Capacity and demand of one zone; `None` if they are unknown.
+/// Capacity and demand of one zone, with assumed demand if the zone is quiet; `None` if its
+/// demand cannot be told.
 fn zone_demand(
     service: &ResourceName,
     zone: &Zone,
@@ -158,11 +162,12 @@
     (!was_at_work || report.age >= MAX_LOADED_SILENCE).then_some(resting)
 }
 
+/// The load of `service` in a zone's report.
 fn load_of<'a>(service: &ResourceName, report: &'a ZoneLoad) -> Option<&'a ServiceLoad> {
     report.services.iter().find(|load| load.service == *service)
 }
 
-/// Converts from the unit of load reports to slots.
+/// Converts a load from the unit of load reports to slots.
 fn from_milli_slots(load: MilliSlots) -> f64 {
     f64::from(load) / MILLI_SLOTS_PER_SLOT
 }
@@ -172,7 +177,7 @@
     (slots * MILLI_SLOTS_PER_SLOT).round() as MilliSlots
 }
 
-/// Plans the spill of the zone `home`.
+/// Plans which part of the calls of the zone `home` is spilled, and to which zones.
 ///
 /// Up to its comfortable load, each zone serves its own callers. The nearer total demand is
 /// to total capacity, the nearer each zone goes to its full capacity. If all zones are
