--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -22,10 +22,10 @@
 /// A request to the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Acquire the reader slot `place` for `ttl` if it is free.
+    /// Acquire the reader slot `reader_slot` for `ttl` if it is free.
     AcquireLease {
         /// Index of the reader slot, from 0.
-        place: usize,
+        reader_slot: usize,
         /// Time to live of the lease.
         ttl: Duration,
     },
@@ -38,8 +38,8 @@
     ReleaseLease {
         /// Lease to release.
         lease: LeaseId,
-        /// Reader slot that the lease holds.
-        place: usize,
+        /// StoreReader slot that the lease holds.
+        reader_slot: usize,
     },
     /// Append an entry as `version` unless that slot is taken.
     Append {
@@ -179,12 +179,12 @@
     },
     /// This node acquired a reader lease.
     LeaseAcquired {
-        /// Reader slot, from 0.
+        /// StoreReader slot, from 0.
         place: usize,
     },
     /// This node lost or gave up its reader lease.
     LeaseLost {
-        /// Reader slot, from 0.
+        /// StoreReader slot, from 0.
         place: usize,
         /// Why the lease ended.
         reason: String,
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -29,23 +29,23 @@
     Action, Decision, Outbox, RequestId, StoreAnswer, StoreFailure, Ticket,
 };
 use crate::fleet::backend_tracker::BackendTracker;
-use crate::fleet::distribution::Distribution;
+use crate::fleet::distribution::VersionDistribution;
 use crate::fleet::document_history::DocumentHistory;
-use crate::fleet::holders::{HeldReports, Holders};
+use crate::fleet::holders::{HeldVersionReports, VersionHolders};
 use crate::fleet::load_exchange::LoadExchange;
 use crate::fleet::member::{
     Conditions, EndpointRecord, Incarnation, Machine, MemberRecord, Status,
 };
 use crate::fleet::membership::Membership;
 use crate::fleet::message::{Envelope, Message, ProcessEpoch, SharedBytes};
-use crate::fleet::proposals::Proposals;
-use crate::fleet::reader::Reader;
-use crate::fleet::replica::Replica;
+use crate::fleet::proposals::ProposalForwarder;
+use crate::fleet::reader::StoreReader;
+use crate::fleet::replica::LogReplica;
 use crate::fleet::settings::{ConfigSource, FleetSettings};
 use crate::fleet::store_watch::StoreWatch;
 use crate::fleet::version_source::VersionSource;
-use crate::fleet::witness::{Adoption, FloorQuery, WitnessRecords};
-use crate::fleet::writer::{Requester, Writer};
+use crate::fleet::witness::{FloorQuery, VersionActivation, WitnessRecords};
+use crate::fleet::writer::{LogWriter, Requester};
 use crate::ids::{NodeId, OperationId, Region, Version, Zone};
 use crate::time::Moment;
 pub use backend::HandledReport;
@@ -120,9 +120,9 @@
     /// restarted.
     epochs: BTreeMap<NodeId, ProcessEpoch>,
     /// Newest state, and the log entries that led to it.
-    replica: Replica,
+    replica: LogReplica,
     /// Announcements of new versions to peers, and pulls of versions from peers.
-    distribution: Distribution,
+    distribution: VersionDistribution,
     /// Recent states in document mode, from which deltas for peers are made.
     history: DocumentHistory,
     /// Time of the next store read in document mode; `None` while this node does not lag.
@@ -139,7 +139,7 @@
     /// Estimated time of a document read at `link_bytes_per_second`.
     estimated_read_time: Duration,
     /// Active state, and newer states that wait for witness acknowledgements.
-    adoption: Adoption,
+    adoption: VersionActivation,
     /// Versions that this node has recorded as a witness of other nodes.
     witness_records: WitnessRecords,
     /// Query for the restart floor to the witnesses of this node.
@@ -153,16 +153,16 @@
     head_nonce: u64,
     next_floor_query: Moment,
     ready: bool,
-    reader: Reader,
-    writer: Writer,
+    reader: StoreReader,
+    writer: LogWriter,
     pending_replications: Vec<PendingReplication>,
     /// Recently rejected submissions, oldest first.
     rejected_submissions: VecDeque<Requester>,
     /// Versions that other nodes have reported to hold.
-    holders: Holders,
+    holders: VersionHolders,
     /// Unacknowledged reports of the active version to the readers.
-    reports: HeldReports,
-    proposals: Proposals,
+    reports: HeldVersionReports,
+    proposals: ProposalForwarder,
     propagation_queries: Vec<PropagationQuery>,
     crashes: crash_gossip::CrashGossip,
     loads: LoadExchange,
@@ -213,8 +213,8 @@
         Self {
             membership,
             epochs: BTreeMap::new(),
-            replica: Replica::new(settings.max_retained_entries),
-            distribution: Distribution::default(),
+            replica: LogReplica::new(settings.max_retained_entries),
+            distribution: VersionDistribution::default(),
             history: DocumentHistory::default(),
             next_store_read: None,
             newest_known_era: 0,
@@ -222,7 +222,7 @@
             store_watch: StoreWatch::default(),
             link_bytes_per_second: 0.0,
             estimated_read_time: Duration::ZERO,
-            adoption: Adoption::new(identity.id.clone(), identity.region.clone()),
+            adoption: VersionActivation::new(identity.id.clone(), identity.region.clone()),
             witness_records: WitnessRecords::default(),
             floor_query: FloorQuery::default(),
             // In document mode the store guarantees order and validity, so no restart floor
@@ -232,13 +232,13 @@
             head_nonce: rng.random(),
             next_floor_query: now,
             ready: false,
-            reader: Reader::new(0),
-            writer: Writer::default(),
+            reader: StoreReader::new(0),
+            writer: LogWriter::default(),
             pending_replications: Vec::new(),
             rejected_submissions: VecDeque::new(),
-            holders: Holders::default(),
-            reports: HeldReports::default(),
-            proposals: Proposals::new(identity.process_epoch),
+            holders: VersionHolders::default(),
+            reports: HeldVersionReports::default(),
+            proposals: ProposalForwarder::new(identity.process_epoch),
             propagation_queries: Vec::new(),
             crashes: crash_gossip::CrashGossip::new(),
             loads: LoadExchange::default(),
--- a/crates/rampthread-core/src/fleet/agent/store.rs
+++ b/crates/rampthread-core/src/fleet/agent/store.rs
@@ -1,4 +1,4 @@
-//! Reader role of the agent: lease, log watch, writes and snapshots.
+//! StoreReader role of the agent: lease, log watch, writes and snapshots.
 
 use super::{Agent, Defect, RETAINED_LOG_ENTRIES};
 use crate::fleet::action::{Action, Decision, Outbox, StoreAnswer, StoreFailure, StoreRequest};
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -1,4 +1,4 @@
-//! Distribution of versions: notices to random peers, pulls by lagging nodes.
+//! VersionDistribution of versions: notices to random peers, pulls by lagging nodes.
 //!
 //! Alternatives are discussed in `docs/DESIGN.md`: a tree from the reader (the failure of an
 //! inner node stalls its subtree) and watches by all nodes (the store can serve only a few).
@@ -6,7 +6,7 @@
 use super::action::Outbox;
 use super::membership::Membership;
 use super::message::{Message, SharedBytes};
-use super::replica::Replica;
+use super::replica::LogReplica;
 use super::settings::{DistributionMode, FleetSettings};
 use super::version_source::VersionSource;
 use crate::ids::{NodeId, Version};
@@ -49,7 +49,7 @@
 
 /// Announcement in progress and pending pull.
 #[derive(Debug, Default)]
-pub struct Distribution {
+pub struct VersionDistribution {
     announcement: Option<Announcement>,
     next_round: Moment,
     pull: Option<OpenPull>,
@@ -67,7 +67,7 @@
     served: u32,
 }
 
-impl Distribution {
+impl VersionDistribution {
     /// Starts announcing a new version.
     pub fn start(
         &mut self,
@@ -92,7 +92,7 @@
         &mut self,
         now: Moment,
         membership: &Membership,
-        replica: &Replica,
+        replica: &LogReplica,
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
@@ -128,7 +128,7 @@
         &self,
         first: &NodeId,
         membership: &Membership,
-        replica: &Replica,
+        replica: &LogReplica,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
@@ -146,7 +146,7 @@
         &mut self,
         now: Moment,
         membership: &Membership,
-        replica: &Replica,
+        replica: &LogReplica,
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
@@ -181,7 +181,7 @@
     fn poll_reader(
         &self,
         membership: &Membership,
-        replica: &Replica,
+        replica: &LogReplica,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) {
@@ -206,7 +206,7 @@
     pub fn pull_from(
         &mut self,
         peer: &NodeId,
-        replica: &Replica,
+        replica: &LogReplica,
         now: Moment,
         outbox: &mut Outbox,
     ) {
@@ -255,7 +255,7 @@
         &mut self,
         retry_after: Duration,
         instead: Option<NodeId>,
-        replica: &Replica,
+        replica: &LogReplica,
         now: Moment,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
@@ -277,7 +277,7 @@
         held: Version,
         now: Moment,
         membership: &Membership,
-        replica: &Replica,
+        replica: &LogReplica,
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
@@ -314,7 +314,7 @@
     }
 }
 
-fn pull_reply(replica: &Replica, held: Version) -> Message {
+fn pull_reply(replica: &LogReplica, held: Version) -> Message {
     match replica.entries_after(held, MAX_PULL_REPLY_BYTES) {
         Some(entries) => Message::PullEntries {
             first: held.next(),
@@ -326,7 +326,7 @@
     }
 }
 
-fn inline_entry(replica: &Replica, version: Version, limit: usize) -> Option<SharedBytes> {
+fn inline_entry(replica: &LogReplica, version: Version, limit: usize) -> Option<SharedBytes> {
     let entry = replica.entry(version)?;
     (entry.len() <= limit).then(|| entry.clone())
 }
--- a/crates/rampthread-core/src/fleet/holders.rs
+++ b/crates/rampthread-core/src/fleet/holders.rs
@@ -13,11 +13,11 @@
 
 /// Versions reported by other nodes, kept by a reader.
 #[derive(Debug, Default)]
-pub struct Holders {
+pub struct VersionHolders {
     held: BTreeMap<NodeId, Version>,
 }
 
-impl Holders {
+impl VersionHolders {
     /// Records a report. After a restart a node may report a lower version than before.
     pub fn note(&mut self, id: &NodeId, version: Version) {
         self.held.insert(id.clone(), version);
@@ -92,12 +92,12 @@
 
 /// Reports of this node to the readers, repeated until acknowledged.
 #[derive(Debug, Default)]
-pub struct HeldReports {
+pub struct HeldVersionReports {
     noted: BTreeMap<NodeId, Version>,
     next_repeat: Moment,
 }
 
-impl HeldReports {
+impl HeldVersionReports {
     /// Sends a report to each reader that has not acknowledged `held`.
     pub fn report(&mut self, held: Version, membership: &Membership, outbox: &mut Outbox) {
         let me = &membership.me().id;
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -33,9 +33,9 @@
     sent_to_several: bool,
 }
 
-/// Proposals submitted at this node.
+/// ProposalForwarder submitted at this node.
 #[derive(Debug)]
-pub struct Proposals {
+pub struct ProposalForwarder {
     open: Vec<OpenProposal>,
     next_submission: u64,
 }
@@ -49,7 +49,7 @@
     pub entry: SharedBytes,
 }
 
-impl Proposals {
+impl ProposalForwarder {
     /// Submissions are numbered from the process epoch on, so that replies to an earlier run of
     /// this node do not match those of the current one.
     pub fn new(process_epoch: ProcessEpoch) -> Self {
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -24,8 +24,8 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Purpose {
-    Acquire { place: usize },
+enum RequestPurpose {
+    Acquire { reader_slot: usize },
     Renew,
     Watch,
     Head,
@@ -33,16 +33,16 @@
 }
 
 #[derive(Debug)]
-struct OpenRequest {
+struct PendingRequest {
     id: RequestId,
-    purpose: Purpose,
+    purpose: RequestPurpose,
     sent: Moment,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     id: LeaseId,
-    place: usize,
+    reader_slot: usize,
     /// Counted from when the request was sent, so never later than the expiry in the store.
     expires: Moment,
     renew_at: Moment,
@@ -80,28 +80,28 @@
 
 /// State of a member as a reader or as a candidate.
 #[derive(Debug)]
-pub struct Reader {
+pub struct StoreReader {
     lease: Option<Lease>,
-    open: Vec<OpenRequest>,
+    pending: Vec<PendingRequest>,
     not_before: Moment,
     failures: u32,
     next_acquire_at: Moment,
-    heads: HeadQueries,
+    head_queries: HeadQueries,
     last_request_id: RequestId,
     store_down: bool,
     needs_snapshot: bool,
 }
 
-impl Reader {
+impl StoreReader {
     /// Creates the state without a lease. Request ids are assigned from `first_request` on.
     pub fn new(first_request: RequestId) -> Self {
         Self {
             lease: None,
-            open: Vec::new(),
+            pending: Vec::new(),
             not_before: Moment::default(),
             failures: 0,
             next_acquire_at: Moment::default(),
-            heads: HeadQueries::default(),
+            head_queries: HeadQueries::default(),
             last_request_id: first_request,
             store_down: false,
             needs_snapshot: false,
@@ -131,17 +131,17 @@
 
     /// Records a query for the head of the log.
     pub fn request_head(&mut self, from: NodeId, nonce: u64) {
-        self.heads
+        self.head_queries
             .waiting
             .retain(|(requester, _)| *requester != from);
-        self.heads.waiting.push((from, nonce));
+        self.head_queries.waiting.push((from, nonce));
     }
 
     /// Acquires, renews and uses the lease.
     pub fn tick(
         &mut self,
         now: Moment,
-        known: Version,
+        known_version: Version,
         membership: &Membership,
         settings: &FleetSettings,
         rng: &mut impl Rng,
@@ -153,7 +153,7 @@
             return;
         }
         match self.lease {
-            Some(lease) => self.use_lease(lease, now, known, settings, outbox),
+            Some(lease) => self.use_lease(lease, now, known_version, settings, outbox),
             None => self.try_acquire(now, membership, settings, rng, outbox),
         }
     }
@@ -163,10 +163,10 @@
         let Some(lease) = self.lease.take() else {
             return;
         };
-        self.heads = HeadQueries::default();
-        self.open.clear();
+        self.head_queries = HeadQueries::default();
+        self.pending.clear();
         outbox.log_decision(Decision::LeaseLost {
-            place: lease.place,
+            place: lease.reader_slot,
             reason: reason.to_string(),
         });
     }
@@ -178,7 +178,7 @@
             let request_id = self.next_request_id();
             let request = StoreRequest::ReleaseLease {
                 lease: lease.id,
-                place: lease.place,
+                reader_slot: lease.reader_slot,
             };
             outbox.actions.push(Action::Store {
                 request_id,
@@ -202,16 +202,16 @@
         outbox: &mut Outbox,
     ) {
         let timeout = settings.lease_ttl;
-        let overdue = |open: &OpenRequest| {
-            let extra = match open.purpose {
-                Purpose::Watch => settings.watch_wait,
+        let overdue = |pending: &PendingRequest| {
+            let extra = match pending.purpose {
+                RequestPurpose::Watch => settings.watch_wait,
                 _ => Duration::ZERO,
             };
-            now.since(open.sent) >= timeout + extra
+            now.since(pending.sent) >= timeout + extra
         };
-        let before = self.open.len();
-        self.open.retain(|open| !overdue(open));
-        if self.open.len() < before {
+        let before = self.pending.len();
+        self.pending.retain(|pending| !overdue(pending));
+        if self.pending.len() < before {
             self.requeue_head_queries();
             self.back_off(None, "no answer", now, settings, rng, outbox);
         }
@@ -219,25 +219,27 @@
 
     /// Moves the queries of a failed read to the next one.
     fn requeue_head_queries(&mut self) {
-        if !self.is_open(Purpose::Head) {
-            let mut requesters = std::mem::take(&mut self.heads.running);
-            self.heads.waiting.append(&mut requesters);
+        if !self.is_pending(RequestPurpose::Head) {
+            let mut requesters = std::mem::take(&mut self.head_queries.running);
+            self.head_queries.waiting.append(&mut requesters);
         }
     }
 
-    fn is_open(&self, purpose: Purpose) -> bool {
-        self.open.iter().any(|open| open.purpose == purpose)
+    fn is_pending(&self, purpose: RequestPurpose) -> bool {
+        self.pending
+            .iter()
+            .any(|pending| pending.purpose == purpose)
     }
 
     fn request(
         &mut self,
-        purpose: Purpose,
+        purpose: RequestPurpose,
         request: StoreRequest,
         now: Moment,
         outbox: &mut Outbox,
     ) {
         let id = self.next_request_id();
-        self.open.push(OpenRequest {
+        self.pending.push(PendingRequest {
             id,
             purpose,
             sent: now,
@@ -252,28 +254,35 @@
         &mut self,
         lease: Lease,
         now: Moment,
-        known: Version,
+        known_version: Version,
         settings: &FleetSettings,
         outbox: &mut Outbox,
     ) {
-        if now >= lease.renew_at && !self.is_open(Purpose::Renew) {
+        if now >= lease.renew_at && !self.is_pending(RequestPurpose::Renew) {
             let request = StoreRequest::RenewLease { lease: lease.id };
-            self.request(Purpose::Renew, request, now, outbox);
+            self.request(RequestPurpose::Renew, request, now, outbox);
         }
-        if self.needs_snapshot && !self.is_open(Purpose::Snapshot) {
-            self.request(Purpose::Snapshot, StoreRequest::ReadSnapshot, now, outbox);
+        if self.needs_snapshot && !self.is_pending(RequestPurpose::Snapshot) {
+            self.request(
+                RequestPurpose::Snapshot,
+                StoreRequest::ReadSnapshot,
+                now,
+                outbox,
+            );
         }
-        if !self.is_open(Purpose::Watch) && !self.needs_snapshot {
+        if !self.is_pending(RequestPurpose::Watch) && !self.needs_snapshot {
             let request = StoreRequest::WatchLog {
-                after: known,
+                after: known_version,
                 wait: settings.watch_wait,
             };
-            self.request(Purpose::Watch, request, now, outbox);
+            self.request(RequestPurpose::Watch, request, now, outbox);
         }
-        if !self.heads.waiting.is_empty() && !self.is_open(Purpose::Head) {
-            self.heads.running = std::mem::take(&mut self.heads.waiting);
-            let request = StoreRequest::ReadLog { after: known };
-            self.request(Purpose::Head, request, now, outbox);
+        if !self.head_queries.waiting.is_empty() && !self.is_pending(RequestPurpose::Head) {
+            self.head_queries.running = std::mem::take(&mut self.head_queries.waiting);
+            let request = StoreRequest::ReadLog {
+                after: known_version,
+            };
+            self.request(RequestPurpose::Head, request, now, outbox);
         }
     }
 
@@ -286,9 +295,9 @@
         outbox: &mut Outbox,
     ) {
         let acquiring = self
-            .open
+            .pending
             .iter()
-            .any(|open| matches!(open.purpose, Purpose::Acquire { .. }));
+            .any(|pending| matches!(pending.purpose, RequestPurpose::Acquire { .. }));
         if acquiring || now < self.next_acquire_at {
             return;
         }
@@ -300,16 +309,21 @@
         let rank = candidate_rank(membership, settings.reader_candidates);
         let Some(rank) = rank else { return };
         // The first candidates try their own slots, the others a random one.
-        let place = if rank < settings.reader_count {
+        let reader_slot = if rank < settings.reader_count {
             rank
         } else {
             rng.random_range(0..settings.reader_count)
         };
         let request = StoreRequest::AcquireLease {
-            place,
+            reader_slot,
             ttl: settings.lease_ttl,
         };
-        self.request(Purpose::Acquire { place }, request, now, outbox);
+        self.request(
+            RequestPurpose::Acquire { reader_slot },
+            request,
+            now,
+            outbox,
+        );
     }
 
     /// Handles a store answer and returns its data. Ignores answers to requests of the writer.
@@ -322,12 +336,12 @@
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) -> Option<ReaderEvent> {
-        let index = self.open.iter().position(|open| open.id == id)?;
-        let open = self.open.swap_remove(index);
+        let index = self.pending.iter().position(|pending| pending.id == id)?;
+        let pending = self.pending.swap_remove(index);
         match result {
             Ok(answer) => {
                 self.store_answered(outbox);
-                self.on_answer(open, answer, now, settings, rng, outbox)
+                self.on_answer(pending, answer, now, settings, rng, outbox)
             }
             Err(failure) => {
                 self.requeue_head_queries();
@@ -350,55 +364,55 @@
 
     fn on_answer(
         &mut self,
-        open: OpenRequest,
+        pending: PendingRequest,
         answer: StoreAnswer,
         now: Moment,
         settings: &FleetSettings,
         rng: &mut impl Rng,
         outbox: &mut Outbox,
     ) -> Option<ReaderEvent> {
-        match (open.purpose, answer) {
-            (Purpose::Acquire { place }, StoreAnswer::LeaseGranted { lease }) => {
+        match (pending.purpose, answer) {
+            (RequestPurpose::Acquire { reader_slot }, StoreAnswer::LeaseGranted { lease }) => {
                 self.lease = Some(Lease {
                     id: lease,
-                    place,
-                    expires: open.sent + settings.lease_ttl,
-                    renew_at: open.sent + settings.lease_ttl / RENEWALS_PER_TTL,
+                    reader_slot,
+                    expires: pending.sent + settings.lease_ttl,
+                    renew_at: pending.sent + settings.lease_ttl / RENEWALS_PER_TTL,
                 });
-                outbox.log_decision(Decision::LeaseAcquired { place });
+                outbox.log_decision(Decision::LeaseAcquired { place: reader_slot });
                 None
             }
-            (Purpose::Acquire { .. }, _) => {
+            (RequestPurpose::Acquire { .. }, _) => {
                 self.next_acquire_at = now + settings.lease_ttl.mul_f64(rng.random_range(0.3..1.0));
                 None
             }
-            (Purpose::Renew, StoreAnswer::LeaseKept) => {
+            (RequestPurpose::Renew, StoreAnswer::LeaseKept) => {
                 if let Some(lease) = &mut self.lease {
-                    lease.expires = open.sent + settings.lease_ttl;
-                    lease.renew_at = open.sent + settings.lease_ttl / RENEWALS_PER_TTL;
+                    lease.expires = pending.sent + settings.lease_ttl;
+                    lease.renew_at = pending.sent + settings.lease_ttl / RENEWALS_PER_TTL;
                 }
                 None
             }
-            (Purpose::Renew, _) => {
+            (RequestPurpose::Renew, _) => {
                 self.abandon_lease("the store ended it", outbox);
                 None
             }
-            (Purpose::Watch, StoreAnswer::Truncated) => {
+            (RequestPurpose::Watch, StoreAnswer::Truncated) => {
                 self.needs_snapshot = true;
                 None
             }
-            (Purpose::Watch, StoreAnswer::Entries { first, entries, .. }) => {
+            (RequestPurpose::Watch, StoreAnswer::Entries { first, entries, .. }) => {
                 Some(ReaderEvent::Entries { first, entries })
             }
-            (Purpose::Snapshot, StoreAnswer::Snapshot(snapshot)) => {
+            (RequestPurpose::Snapshot, StoreAnswer::Snapshot(snapshot)) => {
                 self.needs_snapshot = false;
                 snapshot.map(ReaderEvent::Snapshot)
             }
-            (Purpose::Head, StoreAnswer::Entries { head, .. }) => Some(ReaderEvent::Heads {
+            (RequestPurpose::Head, StoreAnswer::Entries { head, .. }) => Some(ReaderEvent::Heads {
                 head,
-                requesters: std::mem::take(&mut self.heads.running),
+                requesters: std::mem::take(&mut self.head_queries.running),
             }),
-            (Purpose::Head, StoreAnswer::Truncated) => {
+            (RequestPurpose::Head, StoreAnswer::Truncated) => {
                 self.needs_snapshot = true;
                 self.requeue_head_queries();
                 None
--- a/crates/rampthread-core/src/fleet/replica.rs
+++ b/crates/rampthread-core/src/fleet/replica.rs
@@ -14,7 +14,7 @@
 
 /// Copy of the change log on this node.
 #[derive(Debug)]
-pub struct Replica {
+pub struct LogReplica {
     staged: Arc<ConfigState>,
     /// Entries up to the staged version, kept for lagging peers.
     retained: BTreeMap<Version, SharedBytes>,
@@ -25,7 +25,7 @@
     newest_known: Version,
 }
 
-impl Replica {
+impl LogReplica {
     /// Creates an empty copy that keeps up to `max_retained` entries for peers.
     pub fn new(max_retained: usize) -> Self {
         Self {
@@ -42,7 +42,7 @@
         &self.staged
     }
 
-    /// Returns the version of [`Replica::staged`].
+    /// Returns the version of [`LogReplica::staged`].
     pub fn version(&self) -> Version {
         self.staged.version()
     }
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -93,7 +93,7 @@
 
 /// State machine from staged to active versions.
 #[derive(Debug)]
-pub struct Adoption {
+pub struct VersionActivation {
     me: NodeId,
     region: Region,
     active: Arc<ConfigState>,
@@ -107,7 +107,7 @@
     logged: Version,
 }
 
-impl Adoption {
+impl VersionActivation {
     /// Creates an instance without an active version.
     pub fn new(me: NodeId, region: Region) -> Self {
         Self {
--- a/crates/rampthread-core/src/fleet/writer.rs
+++ b/crates/rampthread-core/src/fleet/writer.rs
@@ -11,8 +11,8 @@
 
 use super::action::{Action, Outbox, RequestId, StoreAnswer, StoreFailure, StoreRequest};
 use super::message::SharedBytes;
-use super::reader::Reader;
-use super::replica::Replica;
+use super::reader::StoreReader;
+use super::replica::LogReplica;
 use super::settings::FleetSettings;
 use crate::config::LogEntry;
 use crate::ids::{NodeId, OperationId, Version};
@@ -78,13 +78,13 @@
 
 /// Queue of proposals at a reader.
 #[derive(Debug, Default)]
-pub struct Writer {
+pub struct LogWriter {
     queue: VecDeque<Proposal>,
     pending: Option<PendingWrite>,
     not_before: Moment,
 }
 
-impl Writer {
+impl LogWriter {
     /// Adds a requester to a queued proposal. Returns false if the operation is not queued.
     pub fn add_requester(&mut self, operation_id: &OperationId, requester: &Requester) -> bool {
         let known = self
@@ -146,8 +146,8 @@
     pub fn tick(
         &mut self,
         now: Moment,
-        replica: &Replica,
-        reader: &mut Reader,
+        replica: &LogReplica,
+        reader: &mut StoreReader,
         settings: &FleetSettings,
         outbox: &mut Outbox,
     ) {
@@ -231,7 +231,7 @@
     }
 
     /// Removes and returns the proposals that the log has decided.
-    pub fn take_decided(&mut self, replica: &Replica) -> Vec<DecidedProposal> {
+    pub fn take_decided(&mut self, replica: &LogReplica) -> Vec<DecidedProposal> {
         let state = replica.staged();
         let mut decided = Vec::new();
         self.queue.retain_mut(|proposal| {
--- a/crates/rampthread-core/tests/simulation/store.rs
+++ b/crates/rampthread-core/tests/simulation/store.rs
@@ -88,12 +88,13 @@
     ) -> Option<StoreAnswer> {
         self.leases.retain(|_, (_, expires)| *expires > now);
         Some(match request {
-            StoreRequest::AcquireLease { place, ttl } => {
-                if self.leases.contains_key(place) {
+            StoreRequest::AcquireLease { reader_slot, ttl } => {
+                if self.leases.contains_key(reader_slot) {
                     return Some(StoreAnswer::LeaseTaken);
                 }
                 self.next_lease += 1;
-                self.leases.insert(*place, (self.next_lease, now + *ttl));
+                self.leases
+                    .insert(*reader_slot, (self.next_lease, now + *ttl));
                 StoreAnswer::LeaseGranted {
                     lease: self.next_lease,
                 }
--- a/crates/rampthread-platform/src/log_store.rs
+++ b/crates/rampthread-platform/src/log_store.rs
@@ -47,7 +47,7 @@
     /// Carries out one request.
     pub async fn execute(&self, request: StoreRequest) -> Result<StoreAnswer, StoreFailure> {
         let result = match request {
-            StoreRequest::AcquireLease { place, ttl } => self.acquire(place, ttl).await,
+            StoreRequest::AcquireLease { reader_slot, ttl } => self.acquire(reader_slot, ttl).await,
             StoreRequest::RenewLease { lease } => self.renew(lease).await,
             StoreRequest::ReleaseLease { lease, .. } => self.release(lease).await,
             StoreRequest::Append { version, entry } => self.append(version, entry).await,
@@ -68,10 +68,10 @@
 
     async fn acquire(
         &self,
-        place: usize,
+        reader_slot: usize,
         ttl: std::time::Duration,
     ) -> Result<StoreAnswer, PlatformError> {
-        let key = format!("{READER_PREFIX}{place}");
+        let key = format!("{READER_PREFIX}{reader_slot}");
         if self.store.get(&key).await?.is_some() {
             return Ok(StoreAnswer::LeaseTaken);
         }
