--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -14,7 +14,7 @@
 
 /// Correlates a store answer with its request.
 pub type RequestId = u64;
-/// Correlates an answer with an operator's request at this node.
+/// Identifies a request of an operator at this node, so that its answer finds the way back.
 pub type Ticket = u64;
 /// Identifies a lease in the platform's store.
 pub type LeaseId = u64;
@@ -22,54 +22,55 @@
 /// A request to the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Acquire the reader slot `reader_slot` for `ttl` if it is free.
+    /// Acquire a lease on a reader slot if that slot is free. The number of slots limits how
+    /// many nodes read the log in the store.
     AcquireLease {
-        /// Index of the reader slot, from 0.
+        /// Index of the reader slot, from 0 to `FleetSettings::reader_count` - 1.
         reader_slot: usize,
-        /// Time to live of the lease.
+        /// Time to live of the new lease.
         ttl: Duration,
     },
-    /// Renew a lease.
+    /// Renew a reader lease before it expires.
     RenewLease {
         /// Lease to renew.
         lease: LeaseId,
     },
-    /// Release a lease.
+    /// Release a reader lease, so that another node can acquire its slot at once.
     ReleaseLease {
         /// Lease to release.
         lease: LeaseId,
-        /// StoreReader slot that the lease holds.
+        /// Reader slot that the lease holds.
         reader_slot: usize,
     },
-    /// Append an entry as `version` unless that slot is taken.
+    /// Append an entry to the log, unless its slot is already taken.
     Append {
-        /// Log slot to write.
+        /// Log slot to write, which is also the version of the entry.
         version: Version,
-        /// The encoded entry.
+        /// The entry as encoded by `LogEntry::encode`.
         entry: SharedBytes,
     },
-    /// Read all entries after `after`, without waiting.
+    /// Read all log entries after version `after`, without waiting for new ones.
     ReadLog {
-        /// Version before the first wanted entry.
+        /// Version before the first requested entry.
         after: Version,
     },
-    /// Wait for entries after `after`, at most for `wait`.
+    /// Wait until the log has entries after version `after`, at most for the time `wait`.
     WatchLog {
-        /// Version before the first wanted entry.
+        /// Version before the first requested entry.
         after: Version,
-        /// Maximum wait.
+        /// Time after which the store answers without entries.
         wait: Duration,
     },
-    /// Read the newest snapshot.
+    /// Read the newest snapshot of the configuration.
     ReadSnapshot,
-    /// Write a snapshot, verify it by reading it back, and delete the entries up to
-    /// `truncate_to`.
+    /// Write a snapshot of the configuration, verify it by reading it back, and delete the log
+    /// entries up to `truncate_to`.
     WriteSnapshot {
-        /// Version of the snapshot.
+        /// Version of the configuration in the snapshot.
         version: Version,
-        /// Encoded state.
+        /// The configuration as encoded by `ConfigState::encode_snapshot`.
         snapshot: SharedBytes,
-        /// Last entry to delete.
+        /// Version of the last log entry to delete.
         truncate_to: Version,
     },
 }
@@ -77,61 +78,61 @@
 /// Answer of the store to a [`StoreRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreAnswer {
-    /// The lease was granted.
+    /// The requested reader lease was granted.
     LeaseGranted {
-        /// Id of the lease.
+        /// Id of the granted lease, for renewals.
         lease: LeaseId,
     },
-    /// Another node holds the reader slot.
+    /// Another node holds the requested reader slot.
     LeaseTaken,
-    /// The lease was renewed or released.
+    /// The reader lease was renewed or released.
     LeaseKept,
-    /// The lease has expired.
+    /// The reader lease to renew has expired or was revoked.
     LeaseLost,
-    /// The slot was empty and now holds the entry.
+    /// The log slot was empty and now holds the appended entry.
     Appended,
-    /// The log slot was already taken.
+    /// The log slot already holds another entry.
     SlotTaken,
-    /// Entries from `first` on, without gaps. May be empty.
+    /// Log entries without gaps. The list may be empty.
     Entries {
-        /// Version of the first entry.
+        /// Version of the first entry in the list.
         first: Version,
-        /// The entries.
+        /// Encoded log entries, in order of their versions.
         entries: Vec<SharedBytes>,
-        /// Head of the log at the time of the read.
+        /// Newest version in the log at the time of the read.
         head: Version,
     },
-    /// The requested entries were deleted after a snapshot.
+    /// The requested log entries were deleted because a newer snapshot contains them.
     Truncated,
-    /// The newest snapshot, if any.
+    /// The newest snapshot of the configuration, or `None` if none was written yet.
     Snapshot(Option<SharedBytes>),
-    /// The snapshot was written and verified.
+    /// The snapshot was written and verified, and the older log entries were deleted.
     SnapshotWritten,
 }
 
-/// Failure of a store request.
+/// Why a request to the store has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StoreFailure {
     /// The request had no effect: it did not reach the store, or the store rejected it.
     #[error("the store did not execute the request")]
     NotRun {
-        /// Delay requested by the store.
+        /// Delay that the store asks for before the next request.
         retry_after: Option<Duration>,
     },
-    /// The request may have taken effect.
+    /// It is unknown whether the request has taken effect.
     #[error("the answer of the store was lost")]
     Unknown,
 }
 
-/// Event reported to operators.
+/// Decision of an agent that operators can look up, serialized for `explain`.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case", tag = "decision")]
 pub enum Decision {
     /// A version became active on this node.
     VersionAdopted {
-        /// The active version.
+        /// Version that became active.
         version: Version,
-        /// Where this node got the version from.
+        /// Source from which this node got the version.
         learnt_from: VersionSource,
         /// Milliseconds since the store last answered this node for the document. Absent if it
         /// never did, or if the configuration is a change log.
@@ -139,221 +140,229 @@
         /// True if this node watches the document in the store.
         watcher: bool,
     },
-    /// A version was rejected as a whole. The state is unchanged.
+    /// A version was rejected as a whole. The configuration is unchanged.
     VersionRefused {
-        /// The rejected version.
+        /// Version that was rejected.
         version: Version,
-        /// Findings that led to the rejection.
+        /// Problems that led to the rejection.
         reason: String,
     },
-    /// A version awaits acknowledgement by witnesses.
+    /// A version waits for its witnesses, other nodes that record it before this node activates
+    /// it.
     AdoptionWaits {
-        /// The pending version.
+        /// Version that waits.
         version: Version,
-        /// Witnesses that have not acknowledged it.
+        /// Witnesses that have not acknowledged the version yet.
         missing: Vec<NodeId>,
     },
     /// The version floor after the restart is known.
     FloorConfirmed {
-        /// Lowest version that this node may activate.
+        /// Lowest version that this node may activate, so that it does not go back behind a
+        /// version of its previous run.
         floor: Version,
-        /// Where the floor comes from.
+        /// Source that confirmed the floor.
         source: FloorSource,
     },
-    /// The head of the store is below the active version of this node. This node does not go
-    /// back to it.
+    /// The head of the log in the store is below the active version of this node. This node
+    /// keeps its version.
     StoreBehind {
-        /// The store's head.
+        /// Newest version in the store.
         head: Version,
         /// Active version of this node.
         held: Version,
     },
     /// The status of a member changed in this node's member table.
     MemberChanged {
-        /// Id of the member.
+        /// Id of the member whose status changed.
         id: NodeId,
-        /// The new status.
+        /// Status of the member from now on.
         status: super::member::Status,
-        /// SWIM incarnation of the record.
+        /// SWIM incarnation of the member's record.
         incarnation: u64,
     },
-    /// This node acquired a reader lease.
+    /// This node acquired a reader lease: it now reads the log in the store for the other
+    /// nodes.
     LeaseAcquired {
-        /// StoreReader slot, from 0.
+        /// Index of the reader slot, from 0.
         place: usize,
     },
     /// This node lost or gave up its reader lease.
     LeaseLost {
-        /// StoreReader slot, from 0.
+        /// Index of the reader slot, from 0.
         place: usize,
-        /// Why the lease ended.
+        /// Why the reader lease ended.
         reason: String,
     },
     /// The process was suspended or starved of CPU.
     Frozen {
-        /// Gap between two ticks, in milliseconds.
+        /// Time between two ticks of the agent, in milliseconds.
         gap_ms: u64,
     },
     /// This node accepts no new work for its backend any more.
     DrainStarted {
-        /// What triggered the drain.
+        /// Operator request or condition that triggered the drain.
         origin: String,
     },
-    /// Requests to the store fail.
+    /// This node's requests to the store fail.
     StoreUnavailable {
-        /// First failure.
+        /// Error of the first failed request.
         reason: String,
     },
-    /// The store answers again after failures.
+    /// The store answers this node's requests again.
     StoreAvailable,
-    /// This node was selected to watch the document in the store.
+    /// This node was selected to watch the store for a new document.
     WatchBegun {
-        /// Number of watchers according to this node's member table.
+        /// Number of selected watchers according to this node's member table.
         watchers: usize,
     },
     /// This node no longer watches the document in the store.
     WatchEnded {
         /// True if the store answered this node's last call.
         store_answers: bool,
-        /// Number of watchers according to this node's member table.
+        /// Number of selected watchers according to this node's member table.
         watchers: usize,
     },
-    /// The announced state of the local backend changed.
+    /// This node announces a changed state of its local backend.
     BackendChanged {
-        /// Latest report of the backend. Absent once it is no longer announced.
+        /// Latest report of the backend. Absent once the node no longer announces a backend.
         endpoint: Option<EndpointRecord>,
     },
     /// A request is quarantined because several backends crashed while running it.
     RequestQuarantined {
-        /// Identity of the request.
+        /// Identity of the quarantined request.
         identity: RequestIdentity,
-        /// Crashed backend incarnations, oldest crash first.
+        /// Backend incarnations that crashed while running the request, oldest crash first.
         instances: Vec<InstanceId>,
-        /// Milliseconds since each crash.
+        /// Milliseconds since the crash of each incarnation.
         ages_ms: Vec<u64>,
-        /// Milliseconds until the request gets a trial.
+        /// Milliseconds until one backend may run the request again as a trial.
         left_ms: u64,
     },
-    /// The crashes recorded for a request no longer count.
+    /// The crashes recorded for a request no longer count, so the request is not quarantined.
     RequestCleared {
         /// Identity of the request.
         identity: RequestIdentity,
-        /// Number of crashes that were cleared.
+        /// Number of crashes that no longer count.
         crashes: usize,
-        /// What cleared them.
+        /// What cleared the crashes: a response, an operator, or a backend that turned out to
+        /// be alive.
         origin: String,
     },
     /// A rollout started, advanced or ended.
     #[serde(rename = "roll_out")]
     Rollout {
-        /// Service that is rolled out.
+        /// Service whose version changes.
         service: ResourceName,
-        /// Version that is rolled out.
+        /// Software version that the rollout brings in.
         target: SoftwareVersion,
-        /// New phase of the rollout.
+        /// Phase of the rollout from now on.
         phase: Phase,
         /// Maximum share of calls for the target version, in thousandths.
         share_permille: u16,
-        /// Term of the node that decided.
+        /// Term of the rollout decider that made the decision. It increases with each new
+        /// decider.
         term: u64,
-        /// Inputs of the decision.
+        /// Observations on which the decision is based.
         reason: String,
     },
     /// A call was rejected or ended without a complete response.
     CallFailed {
-        /// Id of the call.
+        /// Id of the call, as in the request headers and log lines.
         call_id: String,
-        /// Cause of the failure.
+        /// Why the call failed.
         reason: String,
     },
 }
 
-/// Source of the version floor after a restart.
+/// Source that confirmed the lowest version that a restarted node may activate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FloorSource {
-    /// A store read that began after the restart.
+    /// A read of the store that began after the restart.
     Store,
-    /// A majority of the witnesses.
+    /// A majority of the node's witnesses.
     Witnesses,
 }
 
-/// Work for the driver.
+/// Work that the agent hands to its driver, which owns the network, the store client and the
+/// clock.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a message to a peer.
     Send {
-        /// Receiver.
+        /// Id of the receiving node.
         to: NodeId,
-        /// Address of the receiver.
+        /// Address of the receiving node.
         address: SocketAddr,
-        /// True if the receiver is in another zone.
+        /// True if the receiving node is in another zone.
         crosses_zones: bool,
-        /// Message with its sender.
+        /// The message, with this node as its sender.
         envelope: Envelope,
     },
     /// Send a request to the store.
     Store {
-        /// Passed back with the answer.
+        /// Id that the driver passes back with the answer of the store.
         request_id: RequestId,
-        /// The request.
+        /// Request to send to the store.
         request: StoreRequest,
     },
-    /// The local backend's departure was acknowledged. Record it in the directory for the next
-    /// run of this node.
+    /// Record in the directory, for the next run of this node, that the local backend has
+    /// deregistered. The deregistration was acknowledged to the backend.
     RecordDeparture(EndpointRecord),
     /// Record these backend crashes in the store, so that they survive a restart of all nodes.
     RecordCrashes(Vec<CrashReport>),
-    /// Delete the records of these crashes from the store.
+    /// Delete the records of these backend crashes from the store, since they no longer count.
     ForgetCrashes(Vec<CrashReport>),
     /// Send a rollout request to the store.
     AskDeciderStore(DeciderRequest),
-    /// The routing limits of rollouts changed.
+    /// The limits that rollouts set for routing have changed; the driver reads them from the
+    /// agent.
     RolloutsChanged,
-    /// A peer reported this store era. Verify it with the store.
+    /// Ask the store for its era, since a peer reported this one. The store raises its era each
+    /// time it is restored from an older copy.
     VerifyStoreEra(u64),
-    /// A peer holds a newer document than this node. Read the store now.
+    /// Read the document from the store now, since a peer holds a newer one than this node.
     ReadDocument,
     /// Use this configuration for new calls.
     Adopt(Arc<ConfigState>),
-    /// The readiness of this node changed.
+    /// This node became ready to serve calls (true), or is no longer ready (false).
     Ready(bool),
-    /// Answer an operator's proposal.
+    /// Answer a proposal that an operator submitted at this node.
     AnswerProposal {
-        /// Ticket of the submission.
+        /// Ticket that the operator's request got at its submission.
         ticket: Ticket,
         /// Outcome of the proposal.
         answer: ProposalReply,
     },
-    /// Answer an operator's query for the propagation of the newest version.
+    /// Answer an operator's query which nodes hold the newest version.
     AnswerPropagation {
-        /// Ticket of the query.
+        /// Ticket that the operator's query got at its submission.
         ticket: Ticket,
-        /// View of a reader, or `None` if no reader answered in time.
+        /// The counts of a reader, or `None` if no reader replied in time.
         status: Option<PropagationStatus>,
     },
-    /// Stop accepting new work for the backend.
+    /// Stop accepting new work for the local backend.
     StartDrain,
-    /// Report an event to operators.
+    /// Log a decision and keep it for operators.
     LogDecision(Decision),
 }
 
-/// Collects the output of one agent step.
+/// Collects the messages and actions of one agent step.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Messages by receiver. The agent resolves the addresses at the end of the step.
+    /// Messages with their receivers. The agent adds addresses at the end of the step.
     pub messages: Vec<(NodeId, Message)>,
-    /// All other actions.
+    /// Actions other than messages to peers.
     pub actions: Vec<Action>,
 }
 
 impl Outbox {
-    /// Queues a message.
+    /// Queues a message to the node `to`.
     pub fn send(&mut self, to: &NodeId, message: Message) {
         self.messages.push((to.clone(), message));
     }
 
-    /// Queues an event for operators.
+    /// Queues a decision for the log.
     pub fn log_decision(&mut self, decision: Decision) {
         self.actions.push(Action::LogDecision(decision));
     }
--- a/crates/rampthread-core/src/fleet/backend_tracker.rs
+++ b/crates/rampthread-core/src/fleet/backend_tracker.rs
@@ -24,17 +24,17 @@
 /// backend.
 const MIN_SUPERSEDE_HEARTBEATS: u32 = 3;
 
-/// Report of a backend to the local node.
+/// Report of a backend to the node on its machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BackendReport {
-    /// The backend is alive.
+    /// The backend is alive and reports its state.
     Heartbeat(EndpointRecord),
-    /// The backend is departing or has departed.
+    /// The backend deregisters: it is departing or has departed.
     Departure(BackendIncarnation),
 }
 
 impl BackendReport {
-    /// Returns the name of the reporting incarnation.
+    /// Returns the name of the backend incarnation that sent the report.
     pub fn incarnation(&self) -> InstanceId {
         match self {
             BackendReport::Heartbeat(record) => record.instance.clone(),
@@ -43,10 +43,10 @@
     }
 }
 
-/// Result of processing a report.
+/// Result of applying a report of a backend.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReportStatus {
-    /// The report changed the state; this is the new record.
+    /// The report changed the state of the backend. Contains the new state.
     Changed(EndpointRecord),
     /// The report contains nothing new.
     Unchanged,
@@ -55,7 +55,7 @@
     PossiblyStale,
 }
 
-/// Incarnation that may replace the current one.
+/// Backend incarnation that may replace the current one if it keeps reporting.
 #[derive(Debug, Clone)]
 struct Candidate {
     incarnation: InstanceId,
@@ -63,20 +63,21 @@
     sequence: u64,
 }
 
-/// A previous incarnation.
+/// Backend incarnation that departed or was replaced.
 #[derive(Debug)]
 struct Retired {
     /// Name of the incarnation. A plain id, if the departure did not include the start time,
     /// matches all incarnations with this id.
     instance: InstanceId,
-    /// True if it departed. Late heartbeats do not revoke a departure.
+    /// True if the incarnation departed. Its late heartbeats do not revoke that.
     departed: bool,
 }
 
-/// The current incarnation and the previous ones, as far as reported.
+/// Knows which incarnation of the local backend is current, based on its reports to this node,
+/// and which incarnations preceded it.
 #[derive(Debug)]
 pub struct BackendTracker {
-    /// Minimum silence of the current incarnation before another may replace it.
+    /// Minimum silence of the current incarnation before another one may replace it.
     supersede_time: Duration,
     current: Option<EndpointRecord>,
     /// Time of the last report of the current incarnation.
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Processes a report.
+    /// Applies a report of the backend that arrived at `now`.
     pub fn apply_report(&mut self, report: BackendReport, now: Moment) -> ReportStatus {
         match report {
             BackendReport::Heartbeat(record) => self.apply_heartbeat(record, now),
@@ -238,7 +239,7 @@
         self.supersede_current(record, now)
     }
 
-    /// Handles a heartbeat of the current incarnation.
+    /// Applies a heartbeat of the current incarnation.
     fn update(&mut self, mut record: EndpointRecord, now: Moment) -> ReportStatus {
         let Some(current) = &self.current else {
             return self.supersede_current(record, now);
@@ -315,7 +316,7 @@
                 ..known
             },
             Some(known) if record.sequence == known.sequence => known,
-            // A lower sequence number belongs to another start under the same name.
+            // A lower sequence number means another start under the same name.
             _ => Candidate {
                 incarnation: record.instance.clone(),
                 since: now,
@@ -441,7 +442,8 @@
     let reported = BackendIncarnation::from_name(&record.instance);
     match (present.started_at(), reported.started_at()) {
         (Some(present), Some(reported)) if reported >= present => Relation::Newer,
-        // A backend that reports its start time always does so.
+        // The current incarnation reports its start time, so any report without a later one may
+        // be stale: a backend that reports its start time does so always.
         (Some(_), _) => Relation::PossiblyStale,
         // The current record comes from a node that ignores start times: it is the same
         // incarnation, unless it accepts work again after its departure.
@@ -451,7 +453,7 @@
                 false => Relation::PossiblyStale,
             }
         }
-        // Only the order of arrival tells which one is later.
+        // Without start times, the order of arrival decides.
         (None, _) => Relation::Newer,
     }
 }
--- a/crates/rampthread-core/src/fleet/crash_table.rs
+++ b/crates/rampthread-core/src/fleet/crash_table.rs
@@ -29,10 +29,10 @@
 /// probes, and peers need not expire it at the same moment.
 const COMPARED_AGE: Duration = Duration::from_secs(10);
 
-/// Report of a backend that crashed while running a request.
+/// Report of a backend that crashed while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashReport {
-    /// Identity of the request.
+    /// Identity of the request, a digest of its content.
     pub identity: RequestIdentity,
     /// Backend incarnation that crashed.
     pub instance: InstanceId,
@@ -45,24 +45,24 @@
     pub cleared: bool,
 }
 
-/// Key of a report: the request and the crashed incarnation.
+/// Identifies a report: the request and the crashed backend incarnation.
 pub type ReportKey = (RequestIdentity, InstanceId);
 
 impl CrashReport {
-    /// Returns the key of the report.
+    /// Returns the request and the incarnation that identify the report.
     pub fn key(&self) -> ReportKey {
         (self.identity, self.instance.clone())
     }
 }
 
-/// Result of merging a report.
+/// Result of merging a report into the crash table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The report changed the table.
+    /// The report changed the crash table.
     New,
-    /// The report was already known.
+    /// The crash table already contained the report.
     Known,
-    /// The report is already cleared here, which its sender does not know.
+    /// The crash table contains the report as cleared, which the sender does not know.
     Outdated,
 }
 
@@ -75,7 +75,7 @@
 
 type Crashes = BTreeMap<InstanceId, Crash>;
 
-/// All reports known to this node.
+/// Crash reports known to this node, by request and crashed incarnation.
 #[derive(Debug, Clone, Default)]
 pub struct CrashTable {
     suspects: BTreeMap<RequestIdentity, Crashes>,
@@ -83,17 +83,18 @@
 }
 
 impl CrashTable {
-    /// Returns true if the table has no requests, including cleared ones.
+    /// Returns true if the table contains no report, neither counting nor cleared ones.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Returns the number of requests, including cleared ones.
+    /// Returns the number of requests with reports, including requests whose reports were all
+    /// cleared.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Returns a counter that is incremented with every change.
+    /// Returns a counter that is incremented with every change of the table.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -143,7 +144,7 @@
         QuarantineState::after(evidence(crashes), now.since(last))
     }
 
-    /// Returns the reports of a request that count, newest last.
+    /// Returns the reports of a request that were not cleared, newest last.
     pub fn uncleared_reports(&self, identity: &RequestIdentity, now: Moment) -> Vec<CrashReport> {
         let crashes = self.suspects.get(identity).into_iter().flatten();
         let mut reports: Vec<CrashReport> = crashes
@@ -163,7 +164,7 @@
             .collect()
     }
 
-    /// Returns the report with this key as the table holds it.
+    /// Returns the report of a request and an incarnation as stored in the table.
     pub fn report(
         &self,
         identity: &RequestIdentity,
@@ -174,7 +175,7 @@
         Some(to_report(*identity, instance, *crash, now))
     }
 
-    /// Returns the requests with reports that count, and the time of the first crash of each.
+    /// Returns the requests with uncleared reports, and the time of the first crash of each.
     pub fn suspects(&self) -> impl Iterator<Item = (&RequestIdentity, Moment)> {
         self.suspects.iter().filter_map(|(identity, crashes)| {
             let counted = crashes.values().filter(|crash| !crash.cleared);
@@ -237,7 +238,7 @@
         digest
     }
 
-    /// Removes expired requests.
+    /// Removes the requests whose newest crash is too old to matter.
     pub fn forget_old(&mut self, now: Moment) {
         let before = self.suspects.len();
         self.suspects.retain(|_, crashes| {
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -1,4 +1,5 @@
-//! VersionDistribution of versions: notices to random peers, pulls by lagging nodes.
+//! Distribution of configuration versions: nodes send notices of a new version to random peers,
+//! and nodes that lag pull the missing log entries.
 //!
 //! Alternatives are discussed in `docs/DESIGN.md`: a tree from the reader (the failure of an
 //! inner node stalls its subtree) and watches by all nodes (the store can serve only a few).
@@ -43,11 +44,12 @@
 struct Announcement {
     version: Version,
     version_source: VersionSource,
-    /// Number of completed rounds.
+    /// Number of completed rounds of notices.
     rounds: u32,
 }
 
-/// Announcement in progress and pending pull.
+/// State of this node in distributing versions: the version that it announces to peers, and its
+/// pull of missing entries from a peer.
 #[derive(Debug, Default)]
 pub struct VersionDistribution {
     announcement: Option<Announcement>,
@@ -68,7 +70,7 @@
 }
 
 impl VersionDistribution {
-    /// Starts announcing a new version.
+    /// Starts to announce a new version to peers.
     pub fn start(
         &mut self,
         version: Version,
@@ -202,7 +204,7 @@
         self.source = Some(peer.clone());
     }
 
-    /// Requests missing entries from `peer` unless a pull is pending.
+    /// Requests the missing entries from `peer`, unless a pull is already pending.
     pub fn pull_from(
         &mut self,
         peer: &NodeId,
@@ -250,7 +252,8 @@
         }
     }
 
-    /// Handles a pull rejected by the rate limit.
+    /// Handles the reply to a pull that exceeded the peer's limit. Pulls from the node
+    /// `instead`, if given, or again after the requested delay.
     pub fn on_pull_refused(
         &mut self,
         retry_after: Duration,
@@ -269,7 +272,8 @@
         self.pull_not_before = now + retry_after.mul_f64(jitter);
     }
 
-    /// Replies to a pull, subject to the rate limit.
+    /// Replies to a pull of the node `from` with the entries after `held`, or rejects it if
+    /// this node has already served its limit of pulls per second.
     #[allow(clippy::too_many_arguments)]
     pub fn on_pull(
         &mut self,
--- a/crates/rampthread-core/src/fleet/document_history.rs
+++ b/crates/rampthread-core/src/fleet/document_history.rs
@@ -10,7 +10,7 @@
 /// Number of states kept. They share unchanged resources.
 const KEPT_STATES: usize = 16;
 
-/// Recent states, oldest first.
+/// The newest states of the document, oldest first.
 #[derive(Debug, Default)]
 pub struct DocumentHistory {
     states: VecDeque<Arc<ConfigState>>,
@@ -22,7 +22,7 @@
 }
 
 impl DocumentHistory {
-    /// Adds a newer state.
+    /// Adds a newer state of the document.
     pub fn push(&mut self, state: Arc<ConfigState>) {
         self.answers.clear();
         self.newest_digest = None;
--- a/crates/rampthread-core/src/fleet/holders.rs
+++ b/crates/rampthread-core/src/fleet/holders.rs
@@ -1,4 +1,5 @@
-//! Tracks which node holds which version. Nodes report to the readers.
+//! Which node holds which version of the configuration. Nodes report their active version to
+//! the readers, the nodes that hold a reader lease.
 
 use super::action::Outbox;
 use super::membership::Membership;
@@ -11,19 +12,20 @@
 /// Maximum number of lagging nodes listed in a reply.
 const MAX_LAGGING: usize = 8;
 
-/// Versions reported by other nodes, kept by a reader.
+/// Active versions of the other nodes, kept by a reader to count how far a version has spread.
 #[derive(Debug, Default)]
 pub struct VersionHolders {
     held: BTreeMap<NodeId, Version>,
 }
 
 impl VersionHolders {
-    /// Records a report. After a restart a node may report a lower version than before.
+    /// Records the active version that node `id` reported. After a restart a node may report a
+    /// lower version than before.
     pub fn note(&mut self, id: &NodeId, version: Version) {
         self.held.insert(id.clone(), version);
     }
 
-    /// Counts the reachable members that hold `version`.
+    /// Counts the reachable members that hold `version`. `own` is the version of this node.
     pub fn propagation_status(
         &self,
         version: Version,
@@ -68,12 +70,12 @@
     }
 }
 
-/// Number of nodes other than the reader that hold a version.
+/// Number of nodes other than the reader that hold a given version.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct OtherHolders {
-    /// In all zones.
+    /// Number of holders in all zones.
     pub count: usize,
-    /// In zones other than the reader's.
+    /// Number of holders in zones other than the reader's.
     pub in_other_zones: usize,
     /// True if any reachable peer is in another zone.
     pub other_zones_exist: bool,
@@ -90,7 +92,8 @@
     }
 }
 
-/// Reports of this node to the readers, repeated until acknowledged.
+/// Reports of this node's active version to the readers, repeated until each reader
+/// acknowledges.
 #[derive(Debug, Default)]
 pub struct HeldVersionReports {
     noted: BTreeMap<NodeId, Version>,
@@ -129,7 +132,7 @@
         self.report(held, membership, outbox);
     }
 
-    /// Handles the acknowledgement of a reader.
+    /// Records that the reader `from` knows that this node holds `version`.
     pub fn on_ack(&mut self, from: &NodeId, version: Version) {
         self.noted.insert(from.clone(), version);
     }
--- a/crates/rampthread-core/src/fleet/load.rs
+++ b/crates/rampthread-core/src/fleet/load.rs
@@ -66,7 +66,7 @@
 /// Request rate of a tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TenantLoad {
-    /// Hash of the tenant's name.
+    /// Hash of the tenant's name, as sent between nodes.
     pub tenant: TenantHash,
     /// Rate of received requests, admitted or not, in thousandths of a request per second.
     pub requested_millirps: u32,
--- a/crates/rampthread-core/src/fleet/load_exchange.rs
+++ b/crates/rampthread-core/src/fleet/load_exchange.rs
@@ -45,29 +45,29 @@
     at: Moment,
 }
 
-/// State of one node in the exchange of loads.
+/// State of one node in the exchange of load reports.
 #[derive(Debug, Default)]
 pub struct LoadExchange {
-    /// This node's own report.
+    /// Latest report of this node about its own load.
     own: Option<Timestamped<LoadReport>>,
-    /// Reports received from members of this zone.
+    /// Latest reports received from members of this zone.
     reports: BTreeMap<NodeId, Timestamped<LoadReport>>,
     /// Latest known load of each zone.
     zones: BTreeMap<Zone, Timestamped<ZoneLoad>>,
-    /// Time of the next message.
+    /// Time at which this node sends its next message.
     due: Moment,
     /// Members of each zone in rendezvous order, as of the member table's revision `ranked_at`.
     /// The first one is the aggregator.
     members_by_zone: BTreeMap<Zone, Vec<NodeId>>,
     ranked_at: Option<u64>,
-    /// Number of silent aggregators of this zone that are skipped.
+    /// Number of silent aggregators of this zone that this node skips.
     skipped: usize,
     /// Since when the current aggregator has been silent. `None` if nothing was reported to it.
     silent_since: Option<Moment>,
 }
 
 impl LoadExchange {
-    /// Sets this node's own report, which expires after some intervals.
+    /// Sets this node's own report. It expires after some intervals unless it is set again.
     pub fn set_own_report(&mut self, report: LoadReport, now: Moment) {
         let report = LoadReport {
             tenants: highest_rates(report.tenants),
@@ -88,7 +88,8 @@
         self.zones.values().map(aged).collect()
     }
 
-    /// Sends a report or, on the aggregator, the sums, if due.
+    /// Sends this node's report to the aggregator or, if this node is the aggregator, the sums
+    /// to the other nodes, once per interval.
     pub fn tick(&mut self, now: Moment, membership: &Membership, outbox: &mut Outbox) {
         if now < self.due {
             return;
@@ -122,7 +123,7 @@
         outbox.send(aggregator, Message::LoadReport(report));
     }
 
-    /// Handles a report from a member of this zone.
+    /// Stores the report of a member of this zone.
     pub fn on_report(
         &mut self,
         from: &NodeId,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Handles the loads sent by an aggregator. The newer value for a zone wins.
+    /// Stores the loads sent by an aggregator. Of two loads of one zone the newer one is kept.
     pub fn on_zones(
         &mut self,
         from: &NodeId,
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Returns the current aggregator of `zone`, if known.
+    /// Returns the member that currently aggregates the loads of `zone`, if any is known.
     fn aggregator(&self, zone: &Zone) -> Option<&NodeId> {
         let order = self.members_by_zone.get(zone)?;
         order.get(self.skipped)
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Sums up this node's own report and the received ones.
+    /// Sums up this node's own report and the reports received from members.
     fn sum(&self) -> LoadReport {
         let mut services: BTreeMap<&ResourceName, ServiceLoad> = BTreeMap::new();
         let mut tenants: BTreeMap<TenantHash, TenantLoad> = BTreeMap::new();
--- a/crates/rampthread-core/src/fleet/member.rs
+++ b/crates/rampthread-core/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! Records of cluster members and their backends.
+//! Records that nodes exchange about cluster members and their backends.
 
 use crate::ids::{InstanceId, NodeId, Region, ResourceName, SoftwareVersion, Zone};
 use serde::{Deserialize, Serialize};
@@ -37,7 +37,7 @@
     pub backend_up: bool,
 }
 
-/// State that a backend reports in a heartbeat.
+/// State of a backend as reported in its heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndpointRecord {
     /// Name of the incarnation. It differs for every start, even under the same id.
@@ -67,21 +67,22 @@
 /// Gossip record of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Id of the node.
+    /// Id of the member's node.
     pub id: NodeId,
     /// Address for peers: UDP for control messages, TCP for calls.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: Zone,
-    /// Its region.
+    /// Region of the member.
     pub region: Region,
     /// Incarnation to which this record applies.
     pub incarnation: Incarnation,
-    /// Status according to the sender of the record.
+    /// Result of failure detection at the node that sends the record.
     pub status: Status,
-    /// Conditions announced by the node.
+    /// Conditions announced by the member.
     pub conditions: Conditions,
-    /// Backend of the node, if backends report their own state.
+    /// Local backend of the member. Absent if backends do not report their own state, or none
+    /// has.
     pub endpoint: Option<EndpointRecord>,
 }
 
@@ -107,9 +108,9 @@
     pub id: NodeId,
     /// Address of the node for peers.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: Zone,
-    /// Its region.
+    /// Region of the machine.
     pub region: Region,
     /// The platform is about to remove the machine.
     #[serde(default)]
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -33,19 +33,19 @@
     sent_to_several: bool,
 }
 
-/// ProposalForwarder submitted at this node.
+/// Proposals submitted by operators at this node that have no outcome yet.
 #[derive(Debug)]
 pub struct ProposalForwarder {
     open: Vec<OpenProposal>,
     next_submission: u64,
 }
 
-/// A proposal that this node, being a reader itself, processes locally.
+/// A proposal that this node handles itself because it is a reader.
 #[derive(Debug)]
 pub struct LocalProposal {
-    /// Number of the submission.
+    /// Number of the proposal at this node.
     pub submission: u64,
-    /// The encoded entry.
+    /// The change as encoded by `LogEntry::encode`.
     pub entry: SharedBytes,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds a proposal, to be sent with the next tick.
+    /// Adds a proposal, which is sent to a reader with the next tick.
     pub fn submit(&mut self, ticket: Ticket, entry: SharedBytes, now: Moment) {
         self.next_submission += 1;
         self.open.push(OpenProposal {
@@ -73,7 +73,7 @@
         });
     }
 
-    /// Sends and repeats proposals. Returns those for this node itself.
+    /// Sends new and unanswered proposals to a reader. Returns those for this node itself.
     #[allow(clippy::too_many_arguments)]
     pub fn tick(
         &mut self,
@@ -124,7 +124,7 @@
         own
     }
 
-    /// Handles the reply of a reader.
+    /// Handles the reply of a reader and ends the proposal if its outcome is certain.
     pub fn on_answer(
         &mut self,
         from: &NodeId,
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -48,37 +48,39 @@
     renew_at: Moment,
 }
 
-/// Queries for the head of the log that share one store read.
+/// Queries of nodes for the head of the log. Those that arrive during a read of the store share
+/// the next read.
 #[derive(Debug, Default)]
 struct HeadQueries {
-    /// Received since the current read began.
+    /// Nodes whose queries arrived since the current read began, with the nonces of the
+    /// queries.
     waiting: Vec<(NodeId, u64)>,
-    /// Answered by the current read.
+    /// Nodes whose queries the current read answers, with the nonces of the queries.
     running: Vec<(NodeId, u64)>,
 }
 
-/// Data that the reader passes to the agent.
+/// Data from the store that the reader passes to the agent.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReaderEvent {
-    /// Entries of the log.
+    /// New entries of the log.
     Entries {
         /// Version of the first entry.
         first: Version,
-        /// Consecutive entries.
+        /// Encoded log entries, without gaps.
         entries: Vec<super::message::SharedBytes>,
     },
-    /// An encoded state.
+    /// Encoded snapshot of the configuration, read because older log entries were deleted.
     Snapshot(super::message::SharedBytes),
-    /// Replies to queries for the head of the log.
+    /// The head of the log, for nodes that sent queries.
     Heads {
-        /// Head of the log.
+        /// Newest version in the log.
         head: Version,
-        /// Nodes that sent a query, with its nonce.
+        /// Nodes that sent queries, with the nonces of the queries.
         requesters: Vec<(NodeId, u64)>,
     },
 }
 
-/// State of a member as a reader or as a candidate.
+/// State of this node as a reader of the log, or as a candidate for a reader lease.
 #[derive(Debug)]
 pub struct StoreReader {
     lease: Option<Lease>,
@@ -93,7 +95,8 @@
 }
 
 impl StoreReader {
-    /// Creates the state without a lease. Request ids are assigned from `first_request` on.
+    /// Creates the state of a node without a lease. Request ids are assigned from
+    /// `first_request` on.
     pub fn new(first_request: RequestId) -> Self {
         Self {
             lease: None,
@@ -123,13 +126,14 @@
         self.not_before.since(now).max(Duration::from_millis(100))
     }
 
-    /// Returns a new request id. The writer takes its ids from the same sequence.
+    /// Returns a new id for a request to the store. The writer takes its ids from the same
+    /// sequence.
     pub fn next_request_id(&mut self) -> RequestId {
         self.last_request_id += 1;
         self.last_request_id
     }
 
-    /// Records a query for the head of the log.
+    /// Adds the query of the node `from` for the head of the log, answered by the next read.
     pub fn request_head(&mut self, from: NodeId, nonce: u64) {
         self.head_queries
             .waiting
@@ -137,7 +141,7 @@
         self.head_queries.waiting.push((from, nonce));
     }
 
-    /// Acquires, renews and uses the lease.
+    /// Acquires or renews the lease as needed and sends the store requests that are due.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -326,7 +330,8 @@
         );
     }
 
-    /// Handles a store answer and returns its data. Ignores answers to requests of the writer.
+    /// Handles the answer to a store request of the reader and returns its data. Answers to
+    /// requests of the writer are ignored.
     pub fn on_store(
         &mut self,
         id: RequestId,
--- a/crates/rampthread-core/src/fleet/replica.rs
+++ b/crates/rampthread-core/src/fleet/replica.rs
@@ -1,7 +1,7 @@
-//! The known log entries and the resulting state.
+//! Known log entries and the configuration that they lead to.
 //!
-//! Invariant: `staged` is the state after all entries up to its version, in order. Its version
-//! never decreases.
+//! Invariant: `staged` is the configuration after all entries up to its version, in order. Its
+//! version never decreases.
 
 use super::message::SharedBytes;
 use crate::config::{ConfigState, SnapshotError};
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Maximum number of entries kept that arrived ahead of a gap.
+/// Maximum number of retained entries that arrived ahead of a gap.
 const MAX_ENTRIES_AHEAD: usize = 256;
 
-/// Copy of the change log on this node.
+/// This node's copy of the configuration log.
 #[derive(Debug)]
 pub struct LogReplica {
     staged: Arc<ConfigState>,
@@ -26,7 +26,7 @@
 }
 
 impl LogReplica {
-    /// Creates an empty copy that keeps up to `max_retained` entries for peers.
+    /// Creates an empty copy of the log that retains up to `max_retained` entries for peers.
     pub fn new(max_retained: usize) -> Self {
         Self {
             staged: Arc::new(ConfigState::default()),
@@ -37,22 +37,22 @@
         }
     }
 
-    /// Returns the state after all consecutive entries.
+    /// Returns the configuration after all entries that arrived without a gap.
     pub fn staged(&self) -> &Arc<ConfigState> {
         &self.staged
     }
 
-    /// Returns the version of [`LogReplica::staged`].
+    /// Returns the version of the staged configuration.
     pub fn version(&self) -> Version {
         self.staged.version()
     }
 
-    /// Returns true if a version is known to exist that this node lacks.
+    /// Returns true if a version is known to exist that this node does not have yet.
     pub fn is_behind(&self) -> bool {
         self.newest_known > self.version()
     }
 
-    /// Records that `version` exists.
+    /// Records that `version` exists, so that this node pulls it if it is newer.
     pub fn observe_version(&mut self, version: Version) {
         self.newest_known = self.newest_known.max(version);
     }
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Replaces the state with a newer one. Returns `None` if `state` is not newer.
+    /// Replaces the staged configuration with a newer one. Returns `None` if `state` is not
+    /// newer.
     pub fn replace(&mut self, state: Arc<ConfigState>) -> Option<Arc<ConfigState>> {
         if state.version() <= self.version() {
             return None;
@@ -97,7 +98,8 @@
         Some(self.staged.clone())
     }
 
-    /// Replaces the state with that of a newer snapshot. Returns `None` if it is not newer.
+    /// Decodes a snapshot and replaces the staged configuration with it. Returns `None` if the
+    /// snapshot is not newer.
     pub fn restore(&mut self, snapshot: &[u8]) -> Result<Option<Arc<ConfigState>>, SnapshotError> {
         let state = ConfigState::decode_snapshot(snapshot)?;
         Ok(self.replace(Arc::new(state)))
@@ -124,7 +126,7 @@
         Some(entries)
     }
 
-    /// Returns the entry of a version if it is still kept.
+    /// Returns the encoded entry of a version if it is still retained.
     pub fn entry(&self, version: Version) -> Option<&SharedBytes> {
         self.retained.get(&version)
     }
--- a/crates/rampthread-core/src/fleet/store_watch.rs
+++ b/crates/rampthread-core/src/fleet/store_watch.rs
@@ -70,8 +70,7 @@
 /// Minimum retry interval of one node.
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Selected watchers according to this node's member table, and the state of this node's own
-/// calls.
+/// Which nodes watch the store for a new document, and how the store answers this node.
 #[derive(Debug)]
 pub struct StoreWatch {
     /// Selected at `revision` of the member table.
@@ -79,18 +78,19 @@
     revision: u64,
     /// True if this node is one of the selected watchers.
     selected: bool,
-    /// True if the store answered the last call.
+    /// True if the store answered this node's last call.
     reachable: bool,
     answered_at: Option<Moment>,
     failed_at: Option<Moment>,
     call_timeout: Duration,
-    /// Time of the scheduled hedge.
+    /// Time of the scheduled hedge, a call to the store in place of a watcher that got no
+    /// answer.
     hedge_at: Option<Moment>,
     /// Time of the last hedge.
     hedged_at: Option<Moment>,
-    /// End of the watch that follows a hedge.
+    /// Time until which this node keeps watching after a hedge.
     hedge_until: Option<Moment>,
-    /// Time of the next call after a failure.
+    /// Time of this node's next call to the store after a failed one.
     retry_at: Option<Moment>,
 }
 
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -28,7 +28,7 @@
 /// that.
 const MAX_PENDING: usize = 64;
 
-/// The witnesses of a node under a given configuration.
+/// The nodes that record the versions of one node, as named by a given configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WitnessSet {
     members: BTreeSet<NodeId>,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns a digest of the members.
+    /// Returns a digest of the members, which identifies the set in records.
     pub fn id(&self) -> WitnessSetId {
         let mut hasher = blake3::Hasher::new();
         for member in &self.members {
@@ -80,18 +80,19 @@
     set: WitnessSet,
 }
 
-/// Result of querying the witnesses after a restart.
+/// Result of asking the witnesses for the lowest version that a restarted node may activate.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FloorStatus {
-    /// Not enough usable replies yet.
+    /// Too few replies of witnesses were usable so far.
     Undecided,
-    /// The node has held this version before. It must catch up and query again.
+    /// The node has held this version before its restart. It must catch up and query again.
     CatchUp(Version),
-    /// The queried state is not below the floor.
+    /// A majority confirmed that the node may activate the version it asked about. Contains the
+    /// floor.
     Confirmed(Version),
 }
 
-/// State machine from staged to active versions.
+/// Moves configurations from staged to active once the witnesses have recorded their versions.
 #[derive(Debug)]
 pub struct VersionActivation {
     me: NodeId,
@@ -108,7 +109,7 @@
 }
 
 impl VersionActivation {
-    /// Creates an instance without an active version.
+    /// Creates the state of a node without an active version.
     pub fn new(me: NodeId, region: Region) -> Self {
         Self {
             me,
@@ -206,8 +207,8 @@
         );
     }
 
-    /// Sets the witness set that confirmed the floor after a restart. It must also agree to the
-    /// next activation.
+    /// Sets the witness set that confirmed the floor after a restart. Its majority must also
+    /// acknowledge the next version before that is activated.
     pub fn start_from(&mut self, set: WitnessSet) {
         self.active_set = set;
     }
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Repeats unanswered requests to witnesses.
+    /// Repeats unacknowledged records to the witnesses.
     pub fn tick(&mut self, now: Moment, settings: &FleetSettings, outbox: &mut Outbox) {
         if self.pending.is_empty() || now < self.next_repeat {
             return;
@@ -279,14 +280,14 @@
     }
 }
 
-/// Versions recorded on behalf of other nodes, for which this node is a witness.
+/// Versions that this node has recorded for other nodes as their witness.
 #[derive(Debug, Default)]
 pub struct WitnessRecords {
     records: BTreeMap<NodeId, WitnessRecord>,
 }
 
 impl WitnessRecords {
-    /// Records that `id` will hold the record's version. Returns the recorded version, which
+    /// Records that the node `id` will hold a version. Returns the version on record, which
     /// never decreases.
     pub fn record_version(&mut self, id: &NodeId, record: WitnessRecord) -> Version {
         let recorded = self.records.entry(id.clone()).or_insert(record);
@@ -296,24 +297,24 @@
         recorded.version
     }
 
-    /// Returns the record of `id`, or `None` if this process has none.
+    /// Returns the record of the node `id`, or `None` if this process has none.
     pub fn record(&self, id: &NodeId) -> Option<WitnessRecord> {
         self.records.get(id).copied()
     }
 
-    /// Returns the number of nodes with a record.
+    /// Returns the number of nodes with a record at this witness.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 }
 
-/// Query that a restarted node sends to its witnesses.
+/// Query of a restarted node to its witnesses, with the replies received so far.
 #[derive(Debug, Default)]
 pub struct FloorQuery {
     nonce: u64,
     set: WitnessSet,
     answers: BTreeMap<NodeId, WitnessRecord>,
-    /// Highest version known to any queried witness.
+    /// Highest version known to any witness that replied.
     newest_known: Version,
 }
 
@@ -339,7 +340,7 @@
         }
     }
 
-    /// Handles a reply. A witness without a record does not count.
+    /// Handles the reply of a witness. A witness without a record for this node does not count.
     pub fn on_answer(
         &mut self,
         from: &NodeId,
@@ -357,12 +358,12 @@
         };
     }
 
-    /// Returns the queried witness set.
+    /// Returns the witness set of the query.
     pub fn set(&self) -> &WitnessSet {
         &self.set
     }
 
-    /// Evaluates the replies for a state at `version`.
+    /// Returns what the replies say about activating a configuration at `version`.
     pub fn status(&self, version: Version) -> FloorStatus {
         let recorded = self.answers.values().map(|record| record.version).max();
         let Some(recorded) = recorded else {
--- a/crates/rampthread-core/src/fleet/writer.rs
+++ b/crates/rampthread-core/src/fleet/writer.rs
@@ -28,12 +28,12 @@
 /// Time after which a queued proposal is dropped, unless a write of it is in progress.
 const ABANDON_AFTER: Duration = Duration::from_secs(30);
 
-/// A node that awaits the outcome of a proposal.
+/// Node that forwarded a proposal and awaits its outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Requester {
-    /// Node that forwarded the proposal; this node itself for its own API.
+    /// Id of the node. It is this node's own id if the operator submitted the proposal here.
     pub node: NodeId,
-    /// Number of the submission at that node.
+    /// Number of the proposal at that node.
     pub submission: u64,
 }
 
@@ -59,24 +59,24 @@
 /// A dropped proposal for which no write was attempted.
 #[derive(Debug)]
 pub struct UnattemptedProposal {
-    /// Id of the operation.
+    /// Id of the proposed operation.
     pub operation_id: OperationId,
-    /// Nodes that await the outcome.
+    /// Nodes that await the outcome of the proposal.
     pub requesters: Vec<Requester>,
 }
 
 /// A proposal whose outcome is in the log.
 #[derive(Debug)]
 pub struct DecidedProposal {
-    /// Id of the operation.
+    /// Id of the proposed operation.
     pub operation_id: OperationId,
-    /// Nodes that await the outcome.
+    /// Nodes that await the outcome of the proposal.
     pub requesters: Vec<Requester>,
-    /// Log slot that decided it.
+    /// Log slot of the entry that decided the operation.
     pub decided_at: Version,
 }
 
-/// Queue of proposals at a reader.
+/// Proposals that this node, as a reader, has to append to the log.
 #[derive(Debug, Default)]
 pub struct LogWriter {
     queue: VecDeque<Proposal>,
@@ -85,7 +85,8 @@
 }
 
 impl LogWriter {
-    /// Adds a requester to a queued proposal. Returns false if the operation is not queued.
+    /// Adds a requester to the queued proposal of an operation. Returns false if the operation
+    /// is not queued.
     pub fn add_requester(&mut self, operation_id: &OperationId, requester: &Requester) -> bool {
         let known = self
             .queue
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Returns true if the request is the writer's pending write.
+    /// Returns true if `request` is the pending write of the writer.
     pub fn owns_request(&self, request: RequestId) -> bool {
         self.pending
             .as_ref()
@@ -230,7 +231,7 @@
         self.pending = None;
     }
 
-    /// Removes and returns the proposals that the log has decided.
+    /// Removes and returns the queued proposals that the log has decided.
     pub fn take_decided(&mut self, replica: &LogReplica) -> Vec<DecidedProposal> {
         let state = replica.staged();
         let mut decided = Vec::new();
--- a/crates/rampthread-core/src/fleet/zone_directory.rs
+++ b/crates/rampthread-core/src/fleet/zone_directory.rs
@@ -32,7 +32,8 @@
 /// Additional delay for each further member in the rendezvous order. It leaves the previous
 /// member enough time to repeat a lost write.
 const TAKEOVER_DELAY_PER_RANK: Duration = Duration::from_secs(5);
-/// Number of members that may write. One remains if the writer and two others fail at once.
+/// Number of members in rendezvous order that may write the snapshot. One remains if the writer
+/// and two others fail at once.
 const WRITER_CANDIDATE_COUNT: usize = 4;
 /// Time after which an unreachable member is dropped from the snapshot. Members hidden by a
 /// network partition must be found again when it heals.
@@ -55,18 +56,18 @@
 /// to 32 changes, and the snapshot takes two of them.
 const MAX_DEPARTURES_PER_WRITE: usize = 30;
 
-/// Snapshot of a zone as stored.
+/// Snapshot of a zone as read from or written to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ZoneSnapshot {
-    /// Members of the zone.
+    /// Members of the zone, each with its backend.
     pub members: BTreeMap<NodeId, Machine>,
-    /// Revision of the last change; 0 if the store has no snapshot.
+    /// Store revision of the last change; 0 if the store has no snapshot.
     pub revision: u64,
-    /// Lease that the snapshot is attached to; 0 if none.
+    /// Lease in the store with which the snapshot expires; 0 if it has none.
     pub lease: LeaseId,
 }
 
-/// Key of a recorded backend departure.
+/// Key of a backend departure that a node has recorded in the store.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DepartureId {
     /// Node that acknowledged the departure.
@@ -75,7 +76,7 @@
     pub instance: InstanceId,
 }
 
-/// A conditional write of a snapshot.
+/// A conditional write of a zone snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneWrite {
     /// New content, with the revision and the lease that it replaces.
@@ -83,21 +84,22 @@
     /// True if the snapshot needs a lease. The first snapshot of a zone is written without one:
     /// most first writes are rejected, and a lease costs another call.
     pub with_lease: bool,
-    /// Departure records that are redundant after this write.
+    /// Recorded departures that are redundant once the snapshot is written, and are deleted
+    /// with it.
     pub departures: Vec<DepartureId>,
 }
 
 /// Store operation requested by [`ZoneDirectory::next_step`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ZoneStep {
-    /// Read the directory.
+    /// Read the snapshots of all zones.
     Read {
         /// True if the read must not be stale.
         consistent: bool,
     },
-    /// Write the snapshot.
+    /// Write the snapshot of this node's zone.
     Write(ZoneWrite),
-    /// Renew the lease of the snapshot.
+    /// Renew the lease with which the snapshot expires.
     Renew(LeaseId),
 }
 
@@ -110,7 +112,7 @@
     reads_again: bool,
 }
 
-/// State of one node for maintaining the snapshot of its zone.
+/// One node's state for keeping the snapshot of its zone in the store up to date.
 #[derive(Debug)]
 pub struct ZoneDirectory {
     zone: Zone,
@@ -119,16 +121,16 @@
     /// outcome.
     last_read: Option<Moment>,
     first_write: Option<FirstWrite>,
-    /// Since when the zone differs from the snapshot.
+    /// Since when the members of the zone differ from the stored snapshot.
     differs_since: Option<Moment>,
     next_renewal: Moment,
-    /// Rank of this node among the writers, valid for the revision `ranked_at` of the member
-    /// table.
+    /// Rank of this node among the members that may write the snapshot, valid for the revision
+    /// `ranked_at` of the member table.
     rank: usize,
     ranked_at: Option<u64>,
     /// Revisions of the member table and of the snapshot at which both had the same content.
     in_sync_at: Option<(u64, u64)>,
-    /// Departure records from the last read.
+    /// Recorded backend departures from the last read.
     departures: BTreeSet<DepartureId>,
     /// Time at which the store was restored from an older copy, until the next read.
     restored: Option<Moment>,
@@ -217,7 +219,7 @@
         Some(self.write(members))
     }
 
-    /// Handles a successful write.
+    /// Handles a successful write of the snapshot.
     pub fn on_written(&mut self, written: ZoneSnapshot, now: Moment) {
         self.stored = written;
         self.members_before_restore.clear();
@@ -226,7 +228,8 @@
         self.next_renewal = now + RENEW_INTERVAL;
     }
 
-    /// Handles a write rejected because of a concurrent one; `current` is the stored snapshot.
+    /// Handles a write of the snapshot that was rejected because another node has written in
+    /// the meantime; `current` is the stored snapshot.
     pub fn on_conflict(&mut self, current: Option<&ZoneSnapshot>, now: Moment) {
         self.first_write = None;
         self.differs_since = Some(now);
@@ -241,13 +244,14 @@
         self.stored.revision == 0
     }
 
-    /// Handles a write with unknown outcome: it may have taken effect, or may still do so.
+    /// Handles a write of the snapshot with unknown outcome: it may have taken effect, or may
+    /// still do so.
     pub fn on_write_unknown(&mut self) {
         self.last_read = None;
     }
 
-    /// Handles the result of a lease renewal. If the lease has expired, the snapshot is gone as
-    /// well.
+    /// Handles the renewal of the lease. If the lease has expired (`exists` is false), the
+    /// snapshot is gone as well.
     pub fn on_renewed(&mut self, exists: bool, now: Moment) {
         self.next_renewal = now + RENEW_INTERVAL;
         if !exists {
@@ -278,8 +282,9 @@
         }
     }
 
-    /// The writer reads at once, the next members in the order with a delay, in case the writer
-    /// does not write. Other nodes do not read because of the snapshot.
+    /// Returns the step that is due after a restore of the store. The writer reads the store at
+    /// once, further candidates some seconds later each, in case the writer fails. Other
+    /// members of the zone do not read.
     fn step_after_restore(
         &mut self,
         restored: Moment,
@@ -296,7 +301,7 @@
         Some(ZoneStep::Read { consistent: true })
     }
 
-    /// Forgets the stored snapshot. The next step is a read, as after a start.
+    /// Forgets the stored snapshot, so that the next step reads the store as after a start.
     fn reset_stored(&mut self) {
         self.stored = ZoneSnapshot::default();
         self.last_read = None;
@@ -418,7 +423,8 @@
     }
 }
 
-/// Returns true if the entry of `machine` implies the departure.
+/// Returns true if the snapshot entry `machine` already says that the backend in `departure`
+/// has departed or was followed by a newer one.
 fn implies_departure(machine: &Machine, departure: &DepartureId) -> bool {
     let Some(endpoint) = &machine.endpoint else {
         return false;
