--- a/crates/rampthread-http/src/body.rs
+++ b/crates/rampthread-http/src/body.rs
@@ -1,4 +1,4 @@
-//! Body type shared by requests and responses, and functions that read bodies.
+//! Type-erased body of requests and responses, and functions that read a whole body.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::combinators::BoxBody;
@@ -6,39 +6,39 @@
 use hyper::body::Body as _;
 use std::time::Duration;
 
-/// Error of a body that ended early.
+/// Error of a request or response body that ended before its declared or encoded end.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Error while reading a body to its end.
+/// Error of [`read_with_stall_timeout`].
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// No data arrived for the given time.
+    /// No body data arrived for `waited`.
     #[error("no data received for {waited:?}")]
     Stalled {
-        /// The stall timeout.
+        /// The stall timeout that was exceeded.
         waited: Duration,
     },
-    /// The body ended early or exceeds the size limit.
+    /// The body ended early or exceeds the size limit of the caller.
     #[error(transparent)]
     Body(#[from] BodyError),
 }
 
-/// A buffered or streamed body.
+/// Type-erased body of a request or response, held in memory or streamed from a connection.
 pub type Body = BoxBody<Bytes, BodyError>;
 
-/// Creates a body from buffered bytes.
+/// Creates a body that is already in memory.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// Creates an empty body.
+/// Creates a body of zero bytes.
 pub fn empty() -> Body {
     Empty::new().map_err(|never| match never {}).boxed()
 }
 
-/// Boxes a body of any type.
+/// Erases the type of a body.
 pub fn boxed<B>(body: B) -> Body
 where
     B: hyper::body::Body<Data = Bytes> + Send + Sync + 'static,
--- a/crates/rampthread-http/src/connect.rs
+++ b/crates/rampthread-http/src/connect.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections.
+//! Outgoing TCP connections.
 
 use async_std::net::TcpStream;
 use smol_hyper::rt::FuturesIo;
@@ -6,29 +6,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Error while connecting. No part of a request was sent.
+/// Error while connecting to a peer. No part of a request was sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The peer or the network refused the connection.
+    /// The peer refused the connection, or the network reported an error.
     #[error("cannot connect to {address}: {source}")]
     Refused {
-        /// Address of the peer.
+        /// Peer that the connection was for.
         address: SocketAddr,
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The connection attempt timed out.
+    /// The peer did not accept the connection within the timeout.
     #[error("no connection to {address} within {wait:?}")]
     Timeout {
-        /// Address of the peer.
+        /// Peer that the connection was for.
         address: SocketAddr,
-        /// The timeout.
+        /// Timeout that [`connect`] was given.
         wait: Duration,
     },
 }
 
-/// Whether a connection to `address` is refused within `wait`. A timeout or any other error
-/// returns false.
+/// Whether a connection to `address` is refused within `wait`, as it is if no process listens
+/// there. A timeout or any other error returns false.
 pub async fn refuses_connections(address: SocketAddr, wait: Duration) -> bool {
     let connecting = TcpStream::connect(address);
     match crate::time::timeout(wait, connecting).await {
@@ -37,8 +37,9 @@
     }
 }
 
-/// Connects with `TCP_NODELAY`, since requests are small and latency matters. `tcp_user_timeout`
-/// sets `TCP_USER_TIMEOUT`, which detects peers that vanished without a reset.
+/// Connects with `TCP_NODELAY`, since requests are small and latency matters.
+/// `tcp_user_timeout` sets `TCP_USER_TIMEOUT`, which detects peers that vanished without a
+/// reset; `None` keeps the default of the operating system.
 pub async fn connect(
     address: SocketAddr,
     wait: Duration,
--- a/crates/rampthread-http/src/lib.rs
+++ b/crates/rampthread-http/src/lib.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 sockets, listeners, server and client pool.
 //!
 //! Calls and all outgoing requests use hyper on async-std's sockets. The operator API and the
-//! platform stand-ins use tide behind an accept loop of this crate. See `docs/DESIGN.md`,
-//! section "HTTP", for the reasons.
+//! simulated services of experiments use tide behind an accept loop of this crate. See
+//! `docs/DESIGN.md`, section "HTTP", for the reasons.
 
 mod body;
 mod connect;
--- a/crates/rampthread-http/src/listener.rs
+++ b/crates/rampthread-http/src/listener.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Length of the queue of connections not yet accepted.
+/// Maximum number of connections that the kernel queues until they are accepted.
 const BACKLOG: i32 = 1_024;
 
 /// Binds a listener with `SO_REUSEADDR`, so that the address is available right after a
--- a/crates/rampthread-http/src/pool.rs
+++ b/crates/rampthread-http/src/pool.rs
@@ -31,16 +31,16 @@
 /// Fraction of the peer's announced keep-alive timeout for which an idle connection is reused.
 const KEEP_ALIVE_RATIO: f64 = 0.8;
 
-/// Settings of a connection pool.
+/// Timeouts and sizes of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
-    /// Timeout of connecting.
+    /// Timeout of opening a connection.
     pub connect_timeout: Duration,
-    /// Maximum number of idle connections per address.
+    /// Maximum number of idle connections per peer address; further ones are closed.
     pub max_idle_per_address: usize,
-    /// Age at which an idle connection is closed.
+    /// Age at which an idle connection is no longer used.
     pub idle_timeout: Duration,
-    /// Maximum age of an idle connection for requests that must not run twice.
+    /// Maximum idle time of a connection that [`ConnectionReuse::RecentOnly`] may use.
     pub recent_max_age: Duration,
     /// `TCP_USER_TIMEOUT` of the connections; `None` keeps the default of the operating system.
     pub tcp_user_timeout: Option<Duration>,
@@ -58,28 +58,29 @@
     }
 }
 
-/// Error without a response, with whether the request may have run.
+/// Error of a request that got no response; tells whether the request may have run.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// No part of the request was sent; a retry is safe.
+    /// No part of the request was sent; a retry cannot run it twice.
     #[error("request not sent: {reason}")]
     NotSent {
-        /// Description of the error.
+        /// What failed, for logs and error messages.
         reason: String,
-        /// The peer could not be reached at all.
+        /// The connection could not be opened, as opposed to closing before the request was
+        /// sent.
         unreachable: bool,
     },
-    /// The request was sent, but no response arrived; it may have run.
+    /// The request was sent, but no response arrived; the peer may have run the request.
     #[error("request sent, but no response received: {reason}")]
     ResponseLost {
-        /// Description of the error.
+        /// What failed, for logs and error messages.
         reason: String,
     },
 }
 
 impl SendError {
-    /// Converts the error of a preliminary query: whatever happened to it, the request itself
-    /// was not sent.
+    /// Converts the error of a query that precedes a request: whether or not the query was
+    /// sent, the request itself was not.
     pub fn into_not_sent(self) -> Self {
         match self {
             SendError::ResponseLost { reason } => SendError::NotSent {
@@ -100,10 +101,12 @@
     }
 }
 
+/// A connection without a request in progress.
 struct IdleConnection {
     sender: SendRequest<Body>,
     since: BootInstant,
-    /// Keep-alive timeout announced by the peer, less a margin.
+    /// Time for which the connection is reused: the peer's announced keep-alive timeout, less a
+    /// margin.
     keep_alive: Option<Duration>,
 }
 
@@ -116,7 +119,7 @@
 
 type IdleConnections = Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>;
 
-/// Pool of idle connections by address.
+/// Idle connections by peer address; clones share them.
 #[derive(Clone)]
 pub struct Pool {
     idle: IdleConnections,
@@ -127,7 +130,7 @@
 pub type PooledResponse = Response<PooledBody>;
 
 impl Pool {
-    /// Creates an empty pool.
+    /// Creates a pool without connections.
     pub fn new(settings: PoolSettings) -> Self {
         Self {
             idle: IdleConnections::default(),
@@ -135,8 +138,9 @@
         }
     }
 
-    /// Sends one request, over a pooled connection if possible. There is no time limit;
-    /// dropping the future closes the connection, which cancels the request at the peer.
+    /// Sends one request over an idle connection if possible, or else over a new one. There is
+    /// no time limit; dropping the future closes the connection, which cancels the request at
+    /// the peer.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -161,6 +165,7 @@
         }
     }
 
+    /// Opens a new connection to `address` and drives it in a task of its own.
     async fn open(&self, address: SocketAddr) -> Result<SendRequest<Body>, SendError> {
         let io = connect(
             address,
@@ -183,6 +188,7 @@
         Ok(sender)
     }
 
+    /// Sends `request` on one connection, and reports whether the request may have been sent.
     async fn send_on(
         &self,
         mut sender: SendRequest<Body>,
@@ -215,6 +221,8 @@
         }
     }
 
+    /// Takes an idle connection to `address` that `reuse` allows; closes those that are too
+    /// old.
     fn take_idle(&self, address: SocketAddr, reuse: ConnectionReuse) -> Option<SendRequest<Body>> {
         let limit = match reuse {
             ConnectionReuse::AnyIdle => self.settings.idle_timeout,
@@ -234,6 +242,7 @@
     }
 }
 
+/// Text of a hyper error with its source, which hyper's own text omits.
 fn describe(error: &hyper::Error) -> String {
     use std::error::Error;
     match error.source() {
@@ -242,8 +251,11 @@
     }
 }
 
+/// Failed attempt to send a request on one connection.
 enum Attempt {
+    /// The request never reached the connection and can be sent on another one.
     Unsent(Box<Request<Body>>),
+    /// The request may have been sent.
     Failed(SendError),
 }
 
@@ -258,6 +270,7 @@
     Some(Duration::from_secs(seconds).mul_f64(KEEP_ALIVE_RATIO))
 }
 
+/// Returns a connection to its pool when the response body has ended.
 struct PoolSlot {
     sender: SendRequest<Body>,
     address: SocketAddr,
@@ -291,8 +304,8 @@
 }
 
 impl PooledBody {
-    /// Closes the connection instead of returning it to the pool, for a peer whose data cannot
-    /// be trusted.
+    /// Closes the connection instead of returning it to the pool. For a peer whose response
+    /// does not match the request.
     pub fn close_connection(mut self) {
         self.pool_slot = None;
     }
--- a/crates/rampthread-http/src/server/connection.rs
+++ b/crates/rampthread-http/src/server/connection.rs
@@ -43,15 +43,15 @@
 /// Data up to this size is collected and written together with the head, in bytes.
 const COALESCED_BYTES: usize = 16 * 1024;
 
-/// Reason why the reader ended.
+/// Why the reader of a connection ended.
 enum ReaderEnd {
     /// The client disconnected; responses are no longer needed.
     Disconnected(ReadEnd),
-    /// No further request is read; responses to started requests are still written.
+    /// The reader takes no further request; responses to started requests are still written.
     Finished,
 }
 
-/// State of one server connection.
+/// One accepted connection and the requests in progress on it.
 pub(super) struct Connection<S> {
     pub(super) stream: TcpStream,
     pub(super) peer: SocketAddr,
@@ -61,7 +61,7 @@
 }
 
 impl<S: Service> Connection<S> {
-    /// Serves requests until either side closes the connection.
+    /// Serves requests until the client or the server closes the connection.
     pub(super) async fn run(self) {
         if let Err(error) = self.stream.set_nodelay(true) {
             tracing::debug!(peer = %self.peer, %error, "failed to set TCP_NODELAY");
@@ -105,7 +105,8 @@
         ReaderEnd::Disconnected(input.until_disconnected(limit).await)
     }
 
-    /// Reads and starts one request; returns false if it is the last one.
+    /// Reads one request and starts its handler. Returns false if the connection takes no
+    /// further request.
     async fn read_request(&self, input: &mut Input<'_>) -> Result<bool, ReaderEnd> {
         let limits = self.wait_for_request(input).await?;
         let received = BootInstant::now();
@@ -124,7 +125,7 @@
         Ok(keeps_connection && !self.pipeline.is_closing())
     }
 
-    /// Waits for the first byte of a request.
+    /// Waits for the first byte of a request. Returns the limits that apply to the request.
     async fn wait_for_request(&self, input: &mut Input<'_>) -> Result<ServerLimits, ReaderEnd> {
         loop {
             let limits = (self.server.limits)();
@@ -154,6 +155,7 @@
         }
     }
 
+    /// Reads one request head; a head that is malformed, too large or late is a rejection.
     async fn read_head(
         &self,
         input: &mut Input<'_>,
@@ -176,7 +178,8 @@
         }
     }
 
-    /// Waits until the request may start or the client disconnects.
+    /// Waits until the request may start beside those in progress. Fails if the client
+    /// disconnects or the connection takes no further request.
     async fn wait_for_capacity(
         &self,
         input: &mut Input<'_>,
@@ -189,7 +192,7 @@
         };
         let free = self.pipeline.wait_for_capacity(overlaps, concurrency);
         unless_disconnected(input, limits.max_head_bytes, free).await?;
-        // If an earlier response closes the connection or the server shuts down, requests that
+        // An earlier response closes the connection, or the server shuts down: requests that
         // were read but not started are never run.
         let stopping = self.server.shutdown.has_started() && !self.pipeline.is_empty();
         if stopping || self.pipeline.is_closing() {
@@ -198,7 +201,7 @@
         Ok(())
     }
 
-    /// Starts the request and feeds its body to the handler.
+    /// Starts the handler of a request and feeds the request body to the handler.
     async fn start(
         &self,
         input: &mut Input<'_>,
@@ -224,8 +227,8 @@
         if head.expects_continue
             && let Some(sender) = &sender
         {
-            // The client may send the body before it is asked for, so its unread size is
-            // unknown.
+            // The client may send the body before it is asked for, so the number of unread
+            // bytes is unknown.
             sender.set_unread(None);
         }
         let mut request = Request::from_parts(head.parts, body);
@@ -245,7 +248,7 @@
         self.forward_body(input, &mut decoder, &sender).await
     }
 
-    /// Passes the body to the handler as it arrives.
+    /// Passes the request body to the handler as it arrives.
     async fn forward_body(
         &self,
         input: &mut Input<'_>,
@@ -278,6 +281,7 @@
         }
     }
 
+    /// Queues the response to a request that was rejected by its head.
     fn reject(&self, rejection: &Rejection) {
         let info = RequestInfo {
             method: Method::GET,
@@ -289,7 +293,7 @@
         self.pipeline.queue_response(info, response);
     }
 
-    /// Writes responses until the last one.
+    /// Writes responses in the order of their requests until the last one.
     async fn write_responses(&self) -> io::Result<()> {
         loop {
             match self.pipeline.output().await {
@@ -316,7 +320,7 @@
         }
     }
 
-    /// Writes one response; returns whether the connection is kept open.
+    /// Writes one response. Returns whether the connection is kept open.
     async fn write_response(
         &self,
         info: &RequestInfo,
@@ -365,7 +369,8 @@
         Ok(keep_alive)
     }
 
-    /// Returns the next frame of a response body. Data that is ready is flushed before waiting.
+    /// Returns the next frame of a response body. Before waiting for the frame, writes the data
+    /// in `ready`.
     async fn next_frame(
         &self,
         body: &mut Body,
@@ -379,18 +384,19 @@
         Ok(body.frame().await)
     }
 
-    /// Discards input for a short time after the last response.
+    /// Discards input for a short time after the last response, so that closing the connection
+    /// does not reset it.
     async fn linger(&self, input: &mut Input<'_>) {
         if let Err(error) = shutdown_write(&self.stream) {
             tracing::trace!(peer = %self.peer, %error, "failed to shut down the sending side");
             return;
         }
-        // After the timeout, the connection is closed anyway.
+        // If the client does not close in time, the server closes the connection.
         let _ = timeout(LINGER_TIMEOUT, input.discard(MAX_LINGER_BYTES)).await;
     }
 
-    /// Resets the connection after a truncated response, so that the client notices even if the
-    /// response is delimited by the end of the connection.
+    /// Resets the connection after a truncated response, so that the client notices the
+    /// truncation even if closing the connection would mark the end of the body.
     fn reset_connection(&self, error: &io::Error) {
         tracing::debug!(peer = %self.peer, %error, "response truncated; resetting the connection");
         if let Err(error) = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)) {
@@ -399,8 +405,8 @@
     }
 }
 
-/// Waits for `wait`, unless the client disconnects first. Meanwhile up to `limit` bytes are
-/// read ahead.
+/// Waits for `wait`, unless the client disconnects first. While waiting, reads ahead up to
+/// `limit` bytes.
 async fn unless_disconnected<T>(
     input: &mut Input<'_>,
     limit: usize,
@@ -415,11 +421,12 @@
     future::or(done, left).await
 }
 
-/// Whether the unread part of a body is discarded and the connection kept.
+/// Whether a request body with this many unread bytes is discarded to keep the connection.
 fn discards_unread(unread: Option<u64>) -> bool {
     unread.is_some_and(|bytes| bytes <= MAX_DISCARDED_BYTES)
 }
 
+/// Appends a frame of the response body to `bytes`, as a chunk if `framing` is chunked.
 fn put_frame(bytes: &mut BytesMut, data: &[u8], framing: BodyFraming) {
     if framing != BodyFraming::Chunks {
         bytes.put_slice(data);
--- a/crates/rampthread-http/src/server/framing.rs
+++ b/crates/rampthread-http/src/server/framing.rs
@@ -1,4 +1,5 @@
-//! Framing of request bodies. Chunk sizes are parsed by `httparse`.
+//! Decoder of request bodies, by `Content-Length` or in chunks. Chunk sizes are parsed by
+//! `httparse`.
 
 use bytes::{Buf, Bytes, BytesMut};
 
@@ -7,33 +8,34 @@
 /// Maximum total length of the trailers, in bytes; they are discarded.
 const MAX_TRAILER_BYTES: usize = 4_096;
 
-/// Framing of a request body.
+/// How the end of a request body is marked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// No body.
+    /// The request has no body.
     Empty,
-    /// A body of this number of bytes.
+    /// `Content-Length` of this number of bytes, at least one.
     Length(u64),
     /// Chunked transfer coding.
     Chunked,
 }
 
-/// Result of decoding the next part of a body.
+/// Next part of a request body.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Piece {
-    /// Body data.
+    /// Body bytes, without the chunk framing.
     Data(Bytes),
-    /// More input is needed.
+    /// The buffer holds no complete part; more input is needed.
     Incomplete,
-    /// End of the body.
+    /// The body is complete.
     End,
 }
 
-/// The chunked coding of a body is malformed.
+/// The chunked coding of a request body is malformed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("malformed chunked coding in the request body")]
 pub struct MalformedChunks;
 
+/// What the decoder expects next in the input.
 #[derive(Debug, Clone, Copy)]
 enum DecoderState {
     Data(u64),
@@ -44,14 +46,14 @@
     Nothing,
 }
 
-/// Incremental decoder of a request body.
+/// Incremental decoder of one request body.
 #[derive(Debug)]
 pub(super) struct BodyDecoder {
     state: DecoderState,
 }
 
 impl BodyDecoder {
-    /// Creates a decoder at the start of a body.
+    /// Creates a decoder before the first byte of a body.
     pub(super) fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Empty => DecoderState::Nothing,
@@ -61,7 +63,7 @@
         Self { state }
     }
 
-    /// Number of body bytes still to be read; `None` for a chunked body before its end.
+    /// Number of body bytes still to be read; `None` for a chunked body that is not complete.
     pub(super) fn remaining(&self) -> Option<u64> {
         match self.state {
             DecoderState::Data(left) => Some(left),
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Decodes the next part from the front of `buffer`.
+    /// Decodes the next part of the body and removes it from the front of `buffer`.
     pub(super) fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, MalformedChunks> {
         loop {
             match self.state {
@@ -127,7 +129,8 @@
     }
 }
 
-/// Takes at most `left` bytes; returns them and the number of bytes then left.
+/// Removes at most `left` bytes from `buffer`. Returns them and the rest of `left`; `None` if
+/// the buffer is empty.
 fn take_data(buffer: &mut BytesMut, left: u64) -> Option<(Bytes, u64)> {
     let length = (buffer.len() as u64).min(left);
     if length == 0 {
@@ -136,6 +139,7 @@
     Some((buffer.split_to(length as usize).freeze(), left - length))
 }
 
+/// Removes a chunk size line from `buffer`; `None` if the line is incomplete.
 fn take_chunk_size(buffer: &mut BytesMut) -> Result<Option<u64>, MalformedChunks> {
     match httparse::parse_chunk_size(buffer) {
         Ok(httparse::Status::Complete((length, size))) => {
@@ -147,7 +151,8 @@
     }
 }
 
-/// Skips one line; returns its length without the line ending.
+/// Removes one line from `buffer`. Returns the length of the line without its CRLF; `None` if
+/// the line is incomplete.
 fn skip_line(buffer: &mut BytesMut, limit: usize) -> Result<Option<usize>, MalformedChunks> {
     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
         return if buffer.len() > limit {
--- a/crates/rampthread-http/src/server/head.rs
+++ b/crates/rampthread-http/src/server/head.rs
@@ -7,31 +7,31 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, StatusCode, Uri, Version};
 use std::time::Duration;
 
-/// Maximum number of headers of a request, as in most servers.
+/// Maximum number of headers of a request; most servers allow as many.
 const MAX_HEADERS: usize = 100;
 
-/// Reason why a request was rejected by its head alone.
+/// Why a request was rejected by its head, before it reached a handler.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// Not a valid HTTP/1.x request.
+    /// The request head is not valid HTTP/1.x; holds the reason.
     #[error("{0}")]
     Malformed(String),
-    /// The head exceeds the size limit or has too many headers.
+    /// The request head exceeds the size limit or has too many headers.
     #[error("request head exceeds {limit} bytes or {MAX_HEADERS} headers")]
     HeadTooLarge {
-        /// Maximum size, in bytes.
+        /// Maximum size of a request head, in bytes.
         limit: usize,
     },
-    /// The head did not arrive in time.
+    /// The request head did not arrive in time.
     #[error("request head not received within {wait:?}")]
     HeadTimeout {
-        /// The timeout.
+        /// Maximum time for a request head to arrive.
         wait: Duration,
     },
 }
 
 impl Rejection {
-    /// Status code of the response.
+    /// Status code of the response to the rejected request.
     pub fn status(&self) -> StatusCode {
         match self {
             Rejection::Malformed(_) => StatusCode::BAD_REQUEST,
@@ -45,18 +45,19 @@
     Rejection::Malformed(reason.into())
 }
 
-/// A request's head, with its framing and connection options.
+/// A parsed request head, with what it says about the request body and the connection.
 #[derive(Debug)]
 pub(super) struct Head {
     pub(super) parts: Parts,
     pub(super) framing: Framing,
-    /// The connection can be reused after this request.
+    /// The client allows another request on the connection after this one.
     pub(super) keeps_connection: bool,
     /// The client waits for a 100 (Continue) response before it sends the body.
     pub(super) expects_continue: bool,
 }
 
-/// Parses a head from the front of `buffer`; `None` if it is incomplete.
+/// Parses a request head and removes it from the front of `buffer`; `None` if the head is
+/// incomplete. `limit` is the maximum size in bytes.
 pub(super) fn parse_head(buffer: &mut BytesMut, limit: usize) -> Result<Option<Head>, Rejection> {
     skip_empty_lines(buffer);
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -83,6 +84,7 @@
     buffer.advance(empty);
 }
 
+/// Converts and validates a head that `httparse` has parsed.
 fn build_head(raw: &httparse::Request) -> Result<Head, Rejection> {
     let mut request = Request::new(());
     let method = raw.method.unwrap_or_default().as_bytes();
@@ -124,8 +126,8 @@
     Ok(())
 }
 
-/// Framing of the body (RFC 9112, section 6.3). Ambiguous framing is rejected, since it enables
-/// request smuggling.
+/// How the end of the request body is marked (RFC 9112, section 6.3). Ambiguous heads are
+/// rejected, since they enable request smuggling.
 fn framing_of(parts: &Parts) -> Result<Framing, Rejection> {
     let lengths = parts.headers.get_all(CONTENT_LENGTH);
     let length = lengths.iter().next();
@@ -150,6 +152,7 @@
     Ok(Framing::Chunked)
 }
 
+/// Framing for the value of a `Content-Length` header.
 fn declared_length(value: &HeaderValue) -> Result<Framing, Rejection> {
     let bytes = value.as_bytes();
     let digits = !bytes.is_empty() && bytes.iter().all(u8::is_ascii_digit);
@@ -168,7 +171,7 @@
     !connection_lists(&parts.headers, "close")
 }
 
-/// Whether `Connection` lists `option`.
+/// Whether the `Connection` header lists `option`.
 fn connection_lists(headers: &HeaderMap, option: &str) -> bool {
     headers
         .get_all(CONNECTION)
--- a/crates/rampthread-http/src/server/mod.rs
+++ b/crates/rampthread-http/src/server/mod.rs
@@ -30,15 +30,15 @@
 /// Limits of one listener.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Maximum number of open connections; further ones are closed immediately.
+    /// Maximum number of open connections; the server closes further ones immediately.
     pub max_connections: usize,
     /// Maximum size of a request's head, in bytes.
     pub max_head_bytes: usize,
-    /// Time from the first byte of a request until its head must be complete.
+    /// Maximum time between the first byte of a request and the end of its head.
     pub head_timeout: Duration,
-    /// Keep-alive timeout: how long a connection may be idle between requests.
+    /// Keep-alive timeout: how long a connection may stay open without a request.
     pub idle_timeout: Duration,
-    /// Whether responses have a `Date` header.
+    /// Whether the server adds a `Date` header to responses.
     pub send_date: bool,
 }
 
@@ -55,8 +55,8 @@
     }
 }
 
-/// Handle for shutting down a server: no new connections, requests in flight complete, idle
-/// connections are closed.
+/// Handle for shutting down a server: it accepts no new connections, completes requests in
+/// progress, and closes idle connections. Clones control the same server.
 #[derive(Debug, Clone)]
 pub struct ShutdownHandle {
     sender: async_channel::Sender<Infallible>,
@@ -81,7 +81,7 @@
 }
 
 impl ShutdownHandle {
-    /// Starts a graceful shutdown.
+    /// Starts a graceful shutdown; does not wait for it.
     pub fn start(&self) {
         self.sender.close();
     }
@@ -92,6 +92,7 @@
         self.abort_sender.close();
     }
 
+    /// Waits for [`ShutdownHandle::abort`].
     async fn aborted(&self) {
         let _ = self.abort_receiver.recv().await;
     }
@@ -103,35 +104,37 @@
         }
     }
 
-    /// Number of open connections.
+    /// Number of open connections of the server.
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Whether a shutdown was started.
+    /// Whether a graceful shutdown or an abort was started.
     fn has_started(&self) -> bool {
         self.receiver.is_closed()
     }
 
+    /// Waits for the start of a shutdown.
     async fn started(&self) {
         let _ = self.receiver.recv().await;
     }
 }
 
-/// Returns the limits in force; called for every request.
+/// Returns the limits in force; called for every connection and request, so that changes apply
+/// at once.
 pub type LimitsProvider = Arc<dyn Fn() -> ServerLimits + Send + Sync>;
 
 /// Accepts connections and serves HTTP/1.1 on them.
 #[derive(Clone)]
 pub struct Server {
-    /// Source of the limits.
+    /// Limits on connections and requests; they may change while the server runs.
     pub limits: LimitsProvider,
-    /// Shuts the server down.
+    /// Handle that shuts down this server.
     pub shutdown: ShutdownHandle,
 }
 
 impl Server {
-    /// Creates a server with constant limits.
+    /// Creates a server whose limits do not change.
     pub fn new(limits: ServerLimits, shutdown: ShutdownHandle) -> Self {
         Self {
             limits: Arc::new(move || limits),
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Serves connections until a shutdown is started.
+    /// Accepts connections and serves their requests with `service` until a shutdown starts.
     pub async fn serve<S: Service>(self, listener: TcpListener, service: S) {
         let service = Arc::new(service);
         loop {
@@ -181,6 +184,7 @@
     }
 }
 
+/// Counts an open connection until it is dropped.
 struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl ConnectionGuard {
--- a/crates/rampthread-http/src/server/pipeline.rs
+++ b/crates/rampthread-http/src/server/pipeline.rs
@@ -1,5 +1,5 @@
-//! Started requests of one connection whose responses are not yet written, in the order of
-//! arrival.
+//! Requests of one connection that were started and whose responses are not yet written, in the
+//! order of arrival.
 
 use super::request_body::UnreadBody;
 use crate::body::Body;
@@ -13,21 +13,23 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Properties of a request that its response depends on.
+/// What the writer needs to know about a request to encode its response.
 #[derive(Debug, Clone)]
 pub(super) struct RequestInfo {
     pub(super) method: Method,
     pub(super) version: Version,
-    /// The client allows the connection to be reused.
+    /// The client allows another request on the connection.
     pub(super) keeps_connection: bool,
     pub(super) unread: UnreadBody,
 }
 
+/// State of a request's handler.
 enum HandlerState {
     Running(BoxFuture<'static, Response<Body>>),
     Responded(Response<Body>),
 }
 
+/// A started request whose response is not yet written.
 struct PipelinedRequest {
     info: RequestInfo,
     handler_state: HandlerState,
@@ -41,41 +43,42 @@
 
 /// What the writer writes next.
 pub(super) enum Output {
-    /// An interim response that requests the body.
+    /// The interim response 100 (Continue), which asks the client for the request body.
     Continue,
-    /// The response to the oldest request; `last` if no other follows.
+    /// The response to the oldest request; `last` if no other response follows on the
+    /// connection.
     Response {
         info: RequestInfo,
         response: Response<Body>,
         last: bool,
     },
-    /// All responses are written.
+    /// All responses are written, and no further request is started.
     Finished,
 }
 
 #[derive(Default)]
 struct State {
     started: VecDeque<PipelinedRequest>,
-    /// The response to the oldest request is being written.
+    /// The writer is writing the response to the oldest request.
     writing: bool,
     continue_requested: bool,
-    /// When the last response was written.
+    /// When the last response was written; `None` before the first.
     last_response_at: Option<BootInstant>,
-    /// No further request is started.
+    /// No further request is started on this connection.
     closing: bool,
 }
 
 /// Limits on starting a request concurrently with others.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ConcurrencyLimits {
-    /// Maximum number of requests without a written response.
+    /// Maximum number of started requests whose responses are not written.
     pub(super) requests: usize,
-    /// Maximum size of the responses queued behind earlier ones, in bytes.
+    /// Maximum size of responses that wait for earlier ones to be written, in bytes.
     pub(super) response_bytes: u64,
 }
 
-/// Shared by the reader, driver and writer of one connection. They are parts of one task, which
-/// is woken after each change that another part may wait for.
+/// State shared by the reader, driver and writer of one connection. They are parts of one task,
+/// which is woken after each change that another part may wait for.
 #[derive(Default)]
 pub(super) struct Pipeline {
     state: Mutex<State>,
@@ -88,7 +91,7 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Starts a request.
+    /// Starts a request: the driver polls `handler` from now on.
     pub(super) fn start(&self, info: RequestInfo, handler: BoxFuture<'static, Response<Body>>) {
         let handler_state = HandlerState::Running(handler);
         self.state().started.push_back(PipelinedRequest {
@@ -97,7 +100,7 @@
         });
     }
 
-    /// Queues a response that needs no handler.
+    /// Queues a response that needs no handler, behind the responses to earlier requests.
     pub(super) fn queue_response(&self, info: RequestInfo, response: Response<Body>) {
         let handler_state = HandlerState::Responded(response);
         self.state().started.push_back(PipelinedRequest {
@@ -106,24 +109,25 @@
         });
     }
 
-    /// Whether all responses are written.
+    /// Whether the responses to all started requests are written.
     pub(super) fn is_empty(&self) -> bool {
         self.state().started.is_empty()
     }
 
-    /// Whether no request was in progress for at least `time`.
+    /// Whether the connection had no request in progress for at least `time`.
     pub(super) fn is_idle_for(&self, time: Duration) -> bool {
         let state = self.state();
         let responded = state.last_response_at.map(|at| at.elapsed());
         state.started.is_empty() && responded.is_none_or(|rested| rested >= time)
     }
 
-    /// Stops starting requests.
+    /// No further request is started on this connection.
     pub(super) fn close(&self) {
         self.state().closing = true;
     }
 
-    /// The client disconnected: drops running handlers and all responses behind them.
+    /// The client disconnected: drops running handlers, and all responses behind the first of
+    /// them.
     pub(super) fn disconnect(&self) {
         let mut state = self.state();
         state.closing = true;
@@ -135,18 +139,18 @@
         state.started.truncate(responded);
     }
 
-    /// Whether starting requests has stopped.
+    /// Whether the connection starts no further request.
     pub(super) fn is_closing(&self) -> bool {
         self.state().closing
     }
 
-    /// Requests an interim 100 (Continue) response.
+    /// Makes the writer send an interim 100 (Continue) response.
     pub(super) fn request_continue(&self) {
         self.state().continue_requested = true;
     }
 
-    /// Waits until a request may start: concurrently within `limits`, or after all earlier
-    /// responses are written.
+    /// Waits until a request may start: within `limits` if it may overlap others, or else after
+    /// all earlier responses are written.
     pub(super) async fn wait_for_capacity(&self, overlaps: bool, limits: ConcurrencyLimits) {
         poll_fn(|_| {
             let state = self.state();
@@ -164,7 +168,7 @@
         .await
     }
 
-    /// Polls the handlers; never completes.
+    /// Polls the handlers of started requests; never completes.
     pub(super) async fn drive(&self) {
         poll_fn(|context| {
             self.state().poll_running(context);
@@ -173,7 +177,7 @@
         .await
     }
 
-    /// Waits for something to write.
+    /// Waits until the writer has something to write.
     pub(super) async fn output(&self) -> Output {
         poll_fn(|_| {
             let mut state = self.state();
@@ -182,14 +186,14 @@
         .await
     }
 
-    /// Marks the response that was taken last as written.
+    /// Marks the response that the writer took last as written.
     pub(super) async fn mark_written(&self) {
         poll_fn(|context| {
             let mut state = self.state();
             state.writing = false;
             state.last_response_at = Some(BootInstant::now());
             state.started.pop_front();
-            // The reader may be waiting for a free place.
+            // The reader may be waiting for the pipeline to have room.
             context.waker().wake_by_ref();
             Poll::Ready(())
         })
@@ -198,6 +202,7 @@
 }
 
 impl State {
+    /// Whether one more request may start beside those in progress.
     fn has_capacity(&self, limits: ConcurrencyLimits) -> bool {
         let waiting: u64 = self
             .started
@@ -210,6 +215,7 @@
         self.started.len() < limits.requests && waiting <= limits.response_bytes
     }
 
+    /// Polls all running handlers and stores the responses of those that complete.
     fn poll_running(&mut self, context: &mut Context<'_>) {
         for started in &mut self.started {
             let HandlerState::Running(handler) = &mut started.handler_state else {
@@ -217,12 +223,13 @@
             };
             if let Poll::Ready(response) = handler.as_mut().poll(context) {
                 started.handler_state = HandlerState::Responded(response);
-                // The reader may be waiting for the handler to drop the body.
+                // The reader may be waiting for this handler to drop the request body.
                 context.waker().wake_by_ref();
             }
         }
     }
 
+    /// Takes what the writer may write now; `None` if it has to wait.
     fn take_output(&mut self) -> Option<Output> {
         if self.writing {
             return None;
@@ -236,8 +243,8 @@
         }
         self.continue_requested = false;
         let info = oldest.info.clone();
-        // The entry stays in the queue until the response is written, since a request that must
-        // not run concurrently waits for an empty queue.
+        // The request stays in the queue until its response is written, since a request that
+        // must not overlap waits for an empty queue.
         let placeholder = HandlerState::Responded(Response::new(crate::body::empty()));
         let HandlerState::Responded(response) =
             std::mem::replace(&mut oldest.handler_state, placeholder)
--- a/crates/rampthread-http/src/server/request_body.rs
+++ b/crates/rampthread-http/src/server/request_body.rs
@@ -1,4 +1,4 @@
-//! Passes a request body from the connection to its handler.
+//! Channel that passes a request body from the connection to the handler.
 
 use super::framing::MalformedChunks;
 use bytes::Bytes;
@@ -9,38 +9,39 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::task::{Context, Poll};
 
-/// Buffered pieces between connection and handler. The connection reads on only after the
-/// handler has taken the previous piece.
+/// Capacity of the channel, in pieces. The connection reads on only after the handler has taken
+/// the previous piece.
 const MAX_BUFFERED_PIECES: usize = 1;
 
-/// Value for an unknown number of unread bytes.
+/// Stands for an unknown number of unread bytes.
 const UNKNOWN_BYTES: u64 = u64::MAX;
 
 /// Error of a request body that ended early.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestBodyError {
-    /// The chunked coding is malformed.
+    /// The chunked coding of the body is malformed.
     #[error(transparent)]
     Malformed(#[from] MalformedChunks),
-    /// The connection ended within the body.
+    /// The connection ended before the body was complete.
     #[error("connection closed before the end of the request body")]
     ConnectionLost,
 }
 
-/// A piece of the body; `None` at its end.
+/// What the channel carries: a piece of the body, `None` at the end of the body, or an error.
 type BodyMessage = Result<Option<Bytes>, MalformedChunks>;
 
-/// Body of a request. If it is dropped early, the connection discards the rest or closes after
-/// the response.
+/// Body of a request, received by the handler. If the handler drops the body early, the
+/// connection discards the rest of the body or closes after the response.
 pub struct RequestBody {
     pieces: Option<Pin<Box<async_channel::Receiver<BodyMessage>>>>,
-    /// Signals the connection that the handler reads the body; taken at the first poll.
+    /// Signals the connection that the handler has started to read the body; taken at the first
+    /// poll.
     requested: Option<async_channel::Sender<()>>,
     declared: Option<u64>,
 }
 
 impl RequestBody {
-    /// Creates an empty body.
+    /// Creates the body of a request without one.
     pub(super) fn empty() -> Self {
         Self {
             pieces: None,
@@ -95,7 +96,7 @@
     unread: UnreadBody,
 }
 
-/// Number of body bytes not yet read from the connection.
+/// Number of request body bytes that the connection has not read yet; clones share the number.
 #[derive(Debug, Clone)]
 pub(super) struct UnreadBody(Arc<AtomicU64>);
 
@@ -104,6 +105,7 @@
         Self(Arc::new(AtomicU64::new(0)))
     }
 
+    /// Number of unread bytes; `u64::MAX` if it is unknown.
     pub(super) fn bytes(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -115,7 +117,7 @@
 }
 
 impl BodySender {
-    /// Creates both halves for a body of `declared` bytes; `None` if the length is unknown.
+    /// Creates both halves of a request body of `declared` bytes; `None` for a chunked body.
     pub(super) fn new(declared: Option<u64>) -> (Self, RequestBody) {
         let (pieces, taken) = async_channel::bounded(MAX_BUFFERED_PIECES);
         let (request, requested) = async_channel::bounded(1);
@@ -134,22 +136,24 @@
         (sender, body)
     }
 
-    /// Shared counter of unread bytes, for the writer of the response.
+    /// Shared number of unread bytes. The writer of the response decides with it whether to
+    /// keep the connection.
     pub(super) fn unread(&self) -> UnreadBody {
         self.unread.clone()
     }
 
-    /// Waits until the handler reads the body; false if it dropped the body unread.
+    /// Waits until the handler reads the body. Returns false if the handler dropped the body
+    /// unread.
     pub(super) async fn wait_requested(&self) -> bool {
         self.requested.recv().await.is_ok()
     }
 
-    /// Passes a piece to the handler; false if the handler dropped the body.
+    /// Passes a piece to the handler. Returns false if the handler has dropped the body.
     pub(super) async fn send_piece(&self, piece: BodyMessage) -> bool {
         self.pieces.send(piece).await.is_ok()
     }
 
-    /// Updates the number of unread bytes; `None` if it is unknown.
+    /// Sets the number of unread bytes; `None` if it is unknown.
     pub(super) fn set_unread(&self, bytes: Option<u64>) {
         self.unread.set(bytes);
     }
--- a/crates/rampthread-http/src/server/response_head.rs
+++ b/crates/rampthread-http/src/server/response_head.rs
@@ -17,20 +17,20 @@
 /// Last chunk of a chunked body.
 pub(super) const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Framing of a response body.
+/// How the end of a response body is marked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BodyFraming {
-    /// No body, even if the head announces a length.
+    /// There is no body, even if the head announces a length.
     NoBody,
-    /// A body of this number of bytes.
+    /// `Content-Length` of this number of bytes.
     Length(u64),
-    /// Chunked transfer coding.
+    /// Chunked transfer coding, which ends with a chunk of size zero.
     Chunks,
-    /// The body ends with the connection.
+    /// The body ends when the server closes the connection.
     Close,
 }
 
-/// Framing of the body of the response to `info`.
+/// Chooses how the end of the response body is marked. `info` describes the request.
 pub(super) fn body_framing(info: &RequestInfo, parts: &Parts, body: &Body) -> BodyFraming {
     let no_body = info.method == Method::HEAD
         || parts.status.is_informational()
@@ -48,7 +48,8 @@
     }
 }
 
-/// Encodes the head. `keep_alive` tells the client whether the connection is kept open.
+/// Encodes the status line and headers of a response to the request `info`. `keep_alive` tells
+/// the client whether the server keeps the connection open.
 pub(super) fn encode(
     info: &RequestInfo,
     parts: &Parts,
@@ -66,7 +67,8 @@
     for (name, value) in &parts.headers {
         let replaced = match *name {
             CONNECTION | TRANSFER_ENCODING => true,
-            // In response to HEAD, it is the length of the corresponding GET response.
+            // In a response to HEAD, `Content-Length` is that of the corresponding GET
+            // response.
             CONTENT_LENGTH => framing != BodyFraming::NoBody,
             _ => false,
         };
--- a/crates/rampthread-http/src/server/service.rs
+++ b/crates/rampthread-http/src/server/service.rs
@@ -10,29 +10,30 @@
 use http::{Request, Response};
 use std::net::SocketAddr;
 
-/// Time of arrival of a request's first bytes, added to its extensions. A request may wait for
-/// earlier ones on its connection before it starts.
+/// Time at which the first bytes of a request arrived; an extension of the request. A pipelined
+/// request may wait for earlier ones before its handler starts.
 #[derive(Debug, Clone, Copy)]
 pub struct ReceivedAt(pub BootInstant);
 
-/// Request handler. It is implemented for closures that take a request and the client's address
-/// and return a future of the response; their requests never overlap.
+/// Handles the requests of a server. Implemented for closures from a request and the client's
+/// address to a future of the response; their requests never overlap.
 pub trait Service: Send + Sync + 'static {
-    /// Handles a request. The future is dropped if the client disconnects.
+    /// Handles a request. The server drops the future if the client disconnects.
     fn handle(
         &self,
         request: Request<RequestBody>,
         peer: SocketAddr,
     ) -> BoxFuture<'static, Response<Body>>;
 
-    /// Whether a request without a body may start while earlier ones on its connection are
-    /// running. If one of those closes the connection, the client resends the request, so it
-    /// must be repeatable.
+    /// Whether a request without a body may start while earlier requests on its connection are
+    /// running. If an earlier response closes the connection, the client resends this request,
+    /// so running it twice must be harmless.
     fn may_overlap(&self, _head: &Parts) -> bool {
         false
     }
 
-    /// Response to a request that was rejected by its head alone.
+    /// Response to a request that the server rejected by its head, without calling
+    /// [`Service::handle`].
     fn reject(&self, peer: SocketAddr, rejection: &Rejection) -> Response<Body> {
         tracing::debug!(%peer, %rejection, "request rejected");
         rejection_response(rejection)
--- a/crates/rampthread-http/src/server/socket.rs
+++ b/crates/rampthread-http/src/server/socket.rs
@@ -1,4 +1,5 @@
-//! Reading from and writing to a server connection. Idle connections hold no buffers.
+//! Reading from and writing to the socket of a server connection. Idle connections hold no
+//! buffers.
 
 use async_std::net::TcpStream;
 use bytes::BytesMut;
@@ -10,23 +11,23 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Size of a read, in bytes. The buffer is on the stack, so that a waiting connection holds
-/// none.
+/// Size of the read buffer, in bytes. The buffer is on the stack, so that a waiting connection
+/// holds none.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Time after which a write without progress fails. Longer than the deadlines of callers, so
-/// that it only ends stuck connections.
+/// Time after which a write fails if the client accepts no byte. Longer than the deadlines of
+/// callers, so that it only ends stuck connections.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Reason why reading ended.
+/// Why nothing more can be read from the client.
 #[derive(Debug)]
 pub(super) enum ReadEnd {
     /// The client closed its sending side.
     Closed,
-    /// The connection failed.
+    /// The connection failed, for example by a reset.
     Failed(io::Error),
 }
 
-/// Received bytes that are not yet processed.
+/// Input of a connection: received bytes that are not yet processed.
 pub(super) struct Input<'socket> {
     stream: &'socket TcpStream,
     pub(super) buffer: BytesMut,
@@ -40,10 +41,10 @@
         }
     }
 
-    /// Reads some bytes into the buffer.
+    /// Reads available bytes into the buffer; waits if there are none.
     pub(super) async fn fill(&mut self) -> Result<(), ReadEnd> {
         if self.buffer.is_empty() {
-            // Frees the buffer before a wait of unknown length.
+            // Frees the buffer, since the wait may be long.
             self.buffer = BytesMut::new();
         }
         let (mut stream, buffer) = (self.stream, &mut self.buffer);
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Reads ahead until the client disconnects. Once `limit` bytes are buffered, it stops
-    /// reading and never completes.
+    /// Reads ahead until the client disconnects. Once `limit` bytes are buffered, reading stops
+    /// and the future never completes.
     pub(super) async fn until_disconnected(&mut self, limit: usize) -> ReadEnd {
         while self.buffer.len() < limit {
             if let Err(end) = self.fill().await {
@@ -76,7 +77,7 @@
         std::future::pending().await
     }
 
-    /// Discards input until the client closes, up to about `limit` bytes.
+    /// Reads and discards input until the client closes, or about `limit` bytes were discarded.
     pub(super) async fn discard(&mut self, limit: usize) {
         let mut passed = 0;
         while passed < limit {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Writes all bytes; fails if the client accepts none for [`WRITE_STALL_TIMEOUT`].
+/// Writes all of `bytes`; fails if the client accepts none for [`WRITE_STALL_TIMEOUT`].
 pub(super) async fn write(mut stream: &TcpStream, bytes: &[u8]) -> io::Result<()> {
     let mut left = bytes;
     while !left.is_empty() {
@@ -104,7 +105,7 @@
     Ok(())
 }
 
-/// Closes the sending side of the connection.
+/// Closes the sending side of the connection, so that the client sees the end of the response.
 pub(super) fn shutdown_write(stream: &TcpStream) -> io::Result<()> {
     stream.shutdown(Shutdown::Write)
 }
--- a/crates/rampthread-http/src/tide_server.rs
+++ b/crates/rampthread-http/src/tide_server.rs
@@ -1,6 +1,6 @@
 //! Serves tide applications with `TCP_NODELAY`, a connection limit and a 400 response to
-//! malformed requests, which async-h1 does not provide. The timeout of a request's head is that
-//! of async-h1, 60 s.
+//! malformed requests, which async-h1 does not provide. async-h1 itself limits the time for a
+//! request head, to 60 s.
 
 use async_h1::server::{ConnectionStatus, Server};
 use async_std::io::WriteExt;
@@ -9,12 +9,15 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
+/// Maximum number of open connections per listener; further ones are closed.
 const MAX_CONNECTIONS: usize = 1_024;
+/// Delay after a failed accept, for example for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Response to a malformed request.
 const BAD_REQUEST: &[u8] =
     b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// Serves `app` until the future is dropped.
+/// Serves `app` on every connection accepted by `listener`, until the future is dropped.
 pub async fn serve_tide<State>(listener: TcpListener, app: tide::Server<State>)
 where
     State: Clone + Send + Sync + 'static,
--- a/crates/rampthread-http/src/time.rs
+++ b/crates/rampthread-http/src/time.rs
@@ -17,12 +17,12 @@
 /// Offset added to the clock by tests, in nanoseconds.
 static TEST_OFFSET_NANOS: AtomicU64 = AtomicU64::new(0);
 
-/// A point in time of `CLOCK_BOOTTIME`.
+/// A point in time of `CLOCK_BOOTTIME`, which advances while the machine is suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// Reads the clock.
+    /// Reads `CLOCK_BOOTTIME`.
     pub fn now() -> Self {
         let read = clock_gettime(ClockId::Boottime);
         let seconds = Duration::from_secs(read.tv_sec.unsigned_abs());
@@ -45,12 +45,12 @@
     }
 }
 
-/// The future did not complete within its timeout.
+/// The future given to [`timeout`] did not complete in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("timed out")]
 pub struct TimeoutError;
 
-/// Waits for `future` for at most `wait`, including suspensions.
+/// Waits for `future` for at most `wait`. Time in which the machine is suspended counts.
 pub async fn timeout<F: Future>(wait: Duration, future: F) -> Result<F::Output, TimeoutError> {
     let end = BootInstant::after(wait);
     let mut future = pin!(future);
@@ -64,7 +64,7 @@
     }
 }
 
-/// Sleeps for `wait`, including suspensions.
+/// Sleeps for `wait`. Time in which the machine is suspended counts.
 pub async fn sleep(wait: Duration) {
     let end = BootInstant::after(wait);
     loop {
--- a/crates/rampthread-http/tests/connections.rs
+++ b/crates/rampthread-http/tests/connections.rs
@@ -17,10 +17,10 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Timeout of conditions that must become true.
+/// How long a test waits for a state of the server before it fails.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the handlers of a test observed, and the responses that they may give.
+/// What the handlers of one test observed, and the responses that the test has released.
 #[derive(Default)]
 struct Progress {
     started: Vec<String>,
@@ -29,7 +29,8 @@
     bodies: HashMap<String, Result<usize, String>>,
 }
 
-/// Service whose handlers wait until the test releases their responses.
+/// Service whose handlers wait until the test releases their responses. Paths that start with
+/// `/safe` may overlap.
 #[derive(Clone, Default)]
 struct ControlledService {
     progress: Arc<(Mutex<Progress>, Condvar)>,
@@ -56,7 +57,7 @@
     }
 }
 
-/// Records a handler that was dropped before it responded.
+/// Records the path of a handler that is dropped before it responds.
 struct DropRecorder(ControlledService, Option<String>);
 
 impl Drop for DropRecorder {
@@ -74,7 +75,7 @@
         changed
     }
 
-    /// Releases the response of the handler for `path`.
+    /// Lets the handler of `path` respond with `body`.
     fn release(&self, path: &str, body: &str) {
         let response = Response::new(body.as_bytes().to_vec());
         self.change(|progress| progress.released.insert(path.to_string(), response));
@@ -165,7 +166,7 @@
     format!("GET {path} HTTP/1.1\r\nhost: a\r\n\r\n")
 }
 
-/// Reads `count` responses with a `content-length`.
+/// Reads `count` responses, each with a `content-length`.
 fn read_responses(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut bytes = Vec::new();
     let mut responses = Vec::new();
--- a/crates/rampthread-http/tests/one_clock.rs
+++ b/crates/rampthread-http/tests/one_clock.rs
@@ -12,7 +12,8 @@
     "rampthread-platform",
     "rampthread-wire",
 ];
-/// The clock itself, and the one timer that may be late.
+/// Files that may use other clocks: the boot-time clock itself, and a timer whose delay after a
+/// suspension is harmless.
 const ALLOWED_FILES: &[&str] = &[
     "rampthread-http/src/time.rs",
     "rampthread-http/src/server/connection.rs",
--- a/crates/rampthread-http/tests/pipeline_properties.rs
+++ b/crates/rampthread-http/tests/pipeline_properties.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// One request of a pipeline.
+/// A request to pipeline, and how its handler behaves.
 #[derive(Debug, Clone)]
 struct PlannedRequest {
     overlaps: bool,
@@ -41,7 +41,7 @@
 #[derive(Clone, Default)]
 struct NumberedService {
     running: Arc<AtomicUsize>,
-    /// Number of requests that ran concurrently although they must not.
+    /// Number of requests that ran beside others although their path forbids that.
     overlap_violations: Arc<AtomicUsize>,
 }
 
@@ -86,7 +86,7 @@
     pipeline.iter().enumerate().map(text).collect()
 }
 
-/// Reads one response; `None` at the end of the connection.
+/// Reads one response and returns its body; `None` at the end of the connection.
 fn read_response(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/rampthread-http/tests/suspension.rs
+++ b/crates/rampthread-http/tests/suspension.rs
@@ -14,7 +14,8 @@
 use std::time::{Duration, Instant};
 
 const SUSPENSION: Duration = Duration::from_secs(30);
-/// Much shorter than the waits that span the suspension, and longer than one timer slice.
+/// Maximum real time of a wait that spans the suspension: much shorter than the wait, longer
+/// than one timer slice.
 const MAX_WAKE_DELAY: Duration = Duration::from_secs(2);
 
 /// Simulates a suspension 50 ms from now.
