--- a/crates/rampthread-node/src/calls/entry/admission.rs
+++ b/crates/rampthread-node/src/calls/entry/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of calls: identifies the tenant and applies its rate limit.
+//! Admission of calls at the entry: identifies the tenant and applies the tenant's rate limit.
 
 use super::Entry;
 use crate::calls::response::CallError;
@@ -11,7 +11,8 @@
 use std::sync::Arc;
 
 impl Entry {
-    /// Identifies the tenant of the call; `None` where the route needs none.
+    /// Identifies the tenant of a call by the key in its headers; `None` where the route needs
+    /// no tenant.
     pub(super) fn identify(
         &self,
         config: &ActiveConfig,
@@ -24,8 +25,8 @@
         Ok(tenant.cloned())
     }
 
-    /// Takes a token from the tenant's rate limit, for all attempts of the call; `None` where
-    /// there is no limit.
+    /// Takes a token from the tenant's rate limit, which covers all attempts of the call;
+    /// `None` where the tenant has no limit.
     pub(super) fn take_token(
         &self,
         tenant: Option<&Tenant>,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Returns the token of a call that no backend ran.
+    /// Returns the rate limit token of a call if no backend has run the call.
     pub(super) fn refund_token_if_not_run<T>(
         &self,
         token_tenant: Option<TenantHash>,
@@ -51,14 +52,15 @@
     }
 }
 
-/// Priority of a call: the tenant's if it has one, or else the route's.
+/// Priority of a call: the tenant's if the tenant has one, or else the route's.
 pub(super) fn rank(tenant: Option<&Tenant>, route: &Route) -> u32 {
     tenant
         .and_then(|tenant| tenant.priority)
         .unwrap_or(route.priority)
 }
 
-/// Removes the caller's key, which only the entry needs, and any tenant name set by the caller.
+/// Removes from a forwarded request the tenant's key, which only the entry needs, and any
+/// tenant name set by the caller.
 pub(super) fn remove_identity(config: &ActiveConfig, tenant: &HeaderName, headers: &mut HeaderMap) {
     headers.remove(tenant);
     if config.tenants.has_tenants() {
--- a/crates/rampthread-node/src/calls/entry/attempt.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: sends the hop, processes the response, and fences an abandoned hop.
+//! One attempt of a call: sends the call as a hop to the gate at the backend's node, processes
+//! the response, and fences an abandoned hop (asks the gate never to start it).
 
 use super::versions::VersionResult;
 use super::{Call, Entry, NO_BACKEND_RETRY_AFTER, SelectedBackend, outcome_of};
@@ -23,19 +24,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time limit of a fence request.
+/// Timeout of a fence request.
 const FENCE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Added to the call's deadline before a hop counts as lost, so that the gate's own deadline
-/// error arrives first.
+/// Time added to the call's deadline before a hop counts as lost, so that the gate's own
+/// deadline error arrives first.
 const HOP_DEADLINE_MARGIN: Duration = Duration::from_millis(20);
-/// Largest response that is buffered before it is forwarded, in bytes. If a buffered response
-/// is truncated, the call can still be retried or failed with a status.
+/// Maximum size of a response that the entry buffers before forwarding it, in bytes. If such a
+/// response is truncated, the call can still be retried or answered with an error status.
 const MAX_BUFFERED_RESPONSE_BYTES: u64 = 1 << 20;
-/// Largest response without a `Content-Length`, in bytes.
+/// Maximum size of a response without a `Content-Length`, in bytes.
 const MAX_UNSIZED_RESPONSE_BYTES: usize = 16 << 20;
 
 impl Entry {
-    /// Sends the call to the chosen backend and waits for the response until the deadline.
+    /// Sends the call to the selected backend and waits for the response until the deadline.
     /// Dropping the future cancels a repeatable call.
     pub(super) async fn send_attempt(
         self: &Arc<Self>,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Forwards the call to the gate of the chosen backend.
+    /// Sends the call to the gate of the selected backend, directly if that is the local one.
     async fn send(
         self: &Arc<Self>,
         call: &Call,
@@ -102,8 +103,8 @@
         sent.map(|response| response.map(boxed)).map_err(failed)
     }
 
-    /// Whether to reserve at the gate before sending the body. A large body needs a transfer
-    /// permit; a smaller one would probably be sent in vain where gates are full.
+    /// Whether to reserve at the gate before sending the request body. A large body needs a
+    /// transfer permit; a smaller body would probably be sent in vain where gates are full.
     fn should_reserve(&self, call: &Call, selected: &SelectedBackend, bytes: usize) -> bool {
         let now = self.now();
         bytes >= LARGE_BODY_BYTES
@@ -112,15 +113,15 @@
                 .should_ask_before_body(&selected.zone, bytes, now)
     }
 
-    /// Whether the gate may queue the call. While another backend appears free, the call must
-    /// run immediately or be rejected.
+    /// How long the gate may queue the call. While another backend appears free, the gate must
+    /// run the call immediately or reject it.
     pub(super) fn queueing_limit(&self, call: &Call, selected: &SelectedBackend) -> QueueingLimit {
         if selected.others_have_free_slot {
             return QueueingLimit::Never;
         }
         match call.route.target_latency_ms {
-            // The response misses the target anyway, so it must not delay calls that can meet
-            // it.
+            // The response misses the latency target anyway, so the call must not delay calls
+            // that can meet it.
             Some(_) if call.precedence == Precedence::Retry => QueueingLimit::Never,
             Some(_) => QueueingLimit::ForTarget(self.remaining_target(call).unwrap_or_default()),
             None => QueueingLimit::UntilDeadline,
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Asks the gate never to start the abandoned hop, which was sent at `started_at`, and derives
-    /// the outcome.
+    /// Asks the gate never to start the abandoned hop, which was sent at `started_at`. The
+    /// error says whether the call has run or not, as far as the reply shows.
     async fn fence(
         &self,
         call: &Call,
@@ -196,6 +197,7 @@
         }
     }
 
+    /// The hop for one attempt of `call`; `id` is the call id of the attempt.
     fn hop(&self, call: &Call, id: &str, selected: &SelectedBackend) -> Hop {
         Hop {
             call_id: id.to_string(),
@@ -212,6 +214,7 @@
         }
     }
 
+    /// The caller's request with the headers of the hop, as sent to another node's gate.
     fn hop_request(
         &self,
         hop: &Hop,
@@ -228,6 +231,8 @@
         request
     }
 
+    /// Records what a gate's response shows about the backend, and turns the response into that
+    /// for the caller or into an error.
     async fn handle_response(
         self: &Arc<Self>,
         call: &Call,
@@ -288,8 +293,8 @@
         Ok(Response::from_parts(parts, boxed(body)))
     }
 
-    /// Records the backend's speed as reported by the gate. A response without the header means
-    /// normal speed.
+    /// Records the backend's speed from the header that the gate adds. A completed response
+    /// without the header means normal speed.
     fn record_speed(&self, node: &NodeId, outcome: Outcome, from: &HeaderMap) {
         let reported = header_filter::header_str(from, headers::PACE).and_then(BackendSpeed::parse);
         let normal = (outcome == Outcome::Completed).then(BackendSpeed::default);
@@ -299,15 +304,15 @@
         }
     }
 
-    /// Buffers a response body, so that the caller does not receive a truncated response that
-    /// could still be retried.
+    /// Buffers a response body, so that the caller does not receive the beginning of a response
+    /// that is truncated later while the call could still be retried.
     async fn buffer_body(&self, call: &Call, body: Body) -> Result<Body, CallError> {
         let remaining = call.deadline.since(self.now()) + HOP_DEADLINE_MARGIN;
         let reading = read_boxed_limited(body, MAX_UNSIZED_RESPONSE_BYTES);
         read_response_body(reading, remaining).await.map(full)
     }
 
-    /// Replaces internal headers by those meant for callers.
+    /// Replaces the headers used between nodes by those meant for callers.
     fn rewrite_response_headers(
         &self,
         call: &Call,
@@ -328,11 +333,11 @@
 /// A hop that failed without a response.
 struct FailedHop {
     error: SendError,
-    /// Just before the hop was handed to the connection pool.
+    /// Time just before the hop was handed to the connection pool.
     started_at: Moment,
 }
 
-/// Counts a hop as in flight until its response body ends.
+/// Counts a hop as in flight at its node until the response body ends.
 struct InFlight {
     entry: Arc<Entry>,
     node: NodeId,
@@ -354,6 +359,7 @@
     }
 }
 
+/// Copies the request that all attempts of a call share.
 fn copy_request(template: &Request<Bytes>) -> Request<Bytes> {
     let mut request = Request::new(template.body().clone());
     *request.method_mut() = template.method().clone();
--- a/crates/rampthread-node/src/calls/entry/attempt_loop.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt_loop.rs
@@ -1,5 +1,5 @@
-//! Runs the attempts of one call until one succeeds or none is left: retries after failures,
-//! and a hedged attempt beside one that takes too long.
+//! Runs the attempts of one call until an attempt succeeds or none is left: retries after
+//! failures, and a hedged attempt beside one that takes too long.
 
 use super::progress::Progress;
 use super::{Call, Entry, SelectedBackend, no_backend_error};
@@ -23,37 +23,37 @@
 use rampthread_http::timeout;
 use std::sync::Arc;
 
-/// One attempt.
+/// One attempt to run a call at a backend.
 struct Attempt {
     selected: SelectedBackend,
-    /// Counts from 1.
+    /// Number of the attempt within its call; the first is 1.
     number: u32,
     started_at: Moment,
 }
 
-/// An attempt with its result.
+/// A finished attempt with its response or error.
 struct FinishedAttempt {
     attempt: Attempt,
     result: Result<Response<Body>, CallError>,
 }
 
-/// When the only attempt in progress is hedged.
+/// When to hedge the only attempt in progress.
 #[derive(Clone, Copy)]
 struct HedgeTimer {
     started_at: Moment,
     at: Moment,
-    /// The time was extended once, because the backend keeps answering other calls.
+    /// The hedge was already postponed once, because the backend keeps answering other calls.
     was_extended: bool,
 }
 
-/// Factor by which the time before a hedge is extended while the backend answers other calls.
-/// Then the call itself is probably long, and would be long at another backend as well.
+/// Factor by which the hedge delay grows if the backend answers other calls meanwhile. The call
+/// itself is probably long then, and would be as long at another backend.
 const HEDGE_EXTENSION_FACTOR: u32 = 2;
 
-/// Next event of a call.
+/// What a call waits for next.
 enum Event {
     Finished(Box<FinishedAttempt>),
-    /// The only attempt in progress exceeded its expected time.
+    /// The only attempt in progress takes longer than expected and is to be hedged.
     HedgeDue,
 }
 
@@ -68,7 +68,7 @@
     /// `None` if the attempt in progress is not to be hedged, or was hedged already.
     hedge_timer: Option<HedgeTimer>,
     last_error: Option<CallError>,
-    /// Zone of the last attempt, and whether the call was spilled there.
+    /// Zone of the last attempt, and whether the attempt was spilled to that zone.
     last_zone: Option<(Zone, bool)>,
 }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Runs attempts until there is a response or a final error; `progress` is updated for the
+    /// Runs attempts until there is a response or a final error. Updates `progress` for the
     /// log.
     pub(super) async fn run(
         mut self,
@@ -109,6 +109,8 @@
         result
     }
 
+    /// Starts attempts and handles their ends until one has a response or no attempt may
+    /// follow.
     async fn run_until_response(
         &mut self,
         progress: &mut Progress,
@@ -134,6 +136,7 @@
         }
     }
 
+    /// Waits for the end of an attempt, or for the time to hedge.
     async fn next_event(&mut self) -> Event {
         let Some(hedge_timer) = self.hedge_timer else {
             return finished(self.in_progress.next().await);
@@ -145,9 +148,9 @@
         }
     }
 
-    /// Starts an attempt at the best backend that has not been tried.
+    /// Starts an attempt at the best backend that this call has not tried yet.
     fn start_next_attempt(&mut self) -> Result<(), CallError> {
-        let Some(selected) = self.entry.choose(self.call, &self.tried_nodes) else {
+        let Some(selected) = self.entry.select_backend(self.call, &self.tried_nodes) else {
             let call_error = self
                 .last_error
                 .take()
@@ -160,6 +163,7 @@
         Ok(())
     }
 
+    /// Sends the call to `selected` without waiting for the end of the attempt.
     fn start_attempt(&mut self, selected: SelectedBackend) {
         let (entry, call, template) = (self.entry, self.call, self.template);
         self.tried_nodes.push(selected.node.clone());
@@ -179,7 +183,7 @@
         }));
     }
 
-    /// When to hedge an attempt that starts now.
+    /// When to hedge an attempt that starts now; `None` if it is not to be hedged.
     fn hedge_timer(&self) -> Option<HedgeTimer> {
         if !self.attempts.may_hedge() {
             return None;
@@ -187,7 +191,7 @@
         let now = self.entry.now();
         let route = &self.call.route.name;
         let wait = self.entry.state().balancer.hedge_delay(route)?;
-        // A hedged attempt needs as much time again before the deadline.
+        // The hedged attempt needs as much time again before the deadline.
         (wait * 2 < self.call.deadline.since(now)).then_some(HedgeTimer {
             started_at: now,
             at: now + wait,
@@ -195,8 +199,8 @@
         })
     }
 
-    /// Extends the time before the hedge once, if the backend has answered other calls since
-    /// the attempt started.
+    /// Postpones the hedge once if the backend has answered other calls since the attempt
+    /// started. Returns whether the hedge was postponed.
     fn extend_hedge_timer(&mut self) -> bool {
         let (Some(timer), Some(node)) = (self.hedge_timer, self.tried_nodes.last()) else {
             return false;
@@ -219,7 +223,7 @@
     }
 
     /// Starts a hedged attempt if a backend appears to have a free slot. The first attempt is
-    /// not cancelled: if the hedge is rejected, the first may still succeed.
+    /// not cancelled: if the hedge is rejected, the first attempt may still succeed.
     ///
     /// A request suspected of crashing a backend is not hedged.
     fn start_hedge(&mut self) {
@@ -235,7 +239,7 @@
             entry.state().balancer.record_failure(slow_node, now);
         }
         let Some(selected) = entry
-            .choose(call, &self.tried_nodes)
+            .select_backend(call, &self.tried_nodes)
             .filter(|selected| selected.has_free_slot)
         else {
             return;
@@ -250,13 +254,13 @@
             .call_log
             .hedged(&call.id, selected.node.as_str());
         self.start_attempt(SelectedBackend {
-            // The hedge must not queue.
+            // A hedged attempt must not be queued.
             others_have_free_slot: true,
             ..selected
         });
     }
 
-    /// Decides what follows a failed attempt; an error ends the call.
+    /// Decides what follows a failed attempt. An error ends the call.
     fn after_failure(&mut self, attempt: &Attempt, call_error: CallError) -> Result<(), CallError> {
         self.log(attempt, &call_error);
         let quarantined = matches!(
@@ -276,15 +280,15 @@
                 self.last_error = Some(call_error);
                 Ok(())
             }
-            // The call was allowed to queue and the queue was too long. Other backends are no
-            // better, and asking them costs traffic between zones. A nested call still tries
-            // them, since failing it would waste the work of its parent.
+            // The gate was allowed to queue the call, but its queue was too long. Other
+            // backends are no better, and trying them costs traffic between zones. A nested
+            // call still tries them, since failing it would waste the work of its parent.
             NextStep::Retry
                 if full && !attempt.selected.others_have_free_slot && !self.call.is_nested() =>
             {
                 Err(final_error(call_error, self.attempts.outcome()))
             }
-            // Retrying would risk another backend.
+            // A retry would put another backend at risk.
             NextStep::Retry if quarantined => Err(final_error(call_error, self.attempts.outcome())),
             NextStep::Retry => {
                 self.count_retry();
@@ -295,6 +299,7 @@
         }
     }
 
+    /// Updates the metrics of retries.
     fn count_retry(&self) {
         let metrics = &self.entry.control().metrics;
         metrics.retries.inc();
@@ -303,12 +308,13 @@
         metrics.retries_by_claim.get_or_create(&label).inc();
     }
 
-    /// Identity of the request if the error is a lost response, for the log.
+    /// Identity of the request if its response was lost, for the log.
     fn identity_if_lost(&self, call_error: &CallError) -> Option<RequestIdentity> {
         let lost = call_error.cause.is_lost_answer();
         lost.then(|| self.entry.identity(self.call))
     }
 
+    /// Writes the log line of a failed attempt.
     fn log(&self, attempt: &Attempt, call_error: &CallError) {
         let (entry, selected) = (self.entry, &attempt.selected);
         entry.control().call_log.try_failed(&FailedTryLine {
@@ -326,12 +332,13 @@
     }
 }
 
-/// Unwraps the next finished attempt. The set is never empty while the call waits on it.
+/// Wraps the next finished attempt. At least one attempt is in progress whenever the call waits
+/// for one.
 fn finished(next: Option<FinishedAttempt>) -> Event {
     Event::Finished(Box::new(next.expect("an attempt is in progress")))
 }
 
-/// Returns the newer error with the smaller retry delay of the two.
+/// Returns the newer error with the shorter retry delay of both errors.
 fn with_earlier_retry(newer: CallError, older: Option<CallError>) -> CallError {
     let delays = [
         newer.retry_after,
@@ -343,9 +350,9 @@
     }
 }
 
-/// Error returned to the caller: the last attempt's, with the combined outcome of all attempts.
-/// If the combined outcome is unknown, a status that implies more (a client error, or one that
-/// promises that the request did not run) is replaced by 502.
+/// The error for the caller: the last attempt's, with the combined outcome of all attempts. If
+/// that outcome is unknown, a status that implies more is replaced by 502: a client error, or a
+/// status that promises that the request has not run.
 fn final_error(last_error: CallError, outcome: Outcome) -> CallError {
     let says_more = !last_error.status.is_server_error() || implies_not_run(last_error.status);
     let status = match outcome {
@@ -359,7 +366,8 @@
     }
 }
 
-/// Every attempt has its own id, so that a fence on one does not stop the next.
+/// Call id of one attempt. Each attempt has its own, so that fencing one attempt does not stop
+/// the next.
 fn attempt_id(call_id: &str, number: u32) -> String {
     format!("{call_id}{ATTEMPT_SEPARATOR}{number}")
 }
--- a/crates/rampthread-node/src/calls/entry/call_setup.rs
+++ b/crates/rampthread-node/src/calls/entry/call_setup.rs
@@ -1,4 +1,5 @@
-//! Resolves what all attempts of a call share: id, route, service, deadline and body.
+//! Prepares a call before its first attempt: request id, route, service, tenant, deadline and
+//! request body.
 
 use super::{Call, Entry, admission};
 use crate::calls::header_filter;
@@ -16,14 +17,14 @@
 use rampthread_http::{RequestBody, read_limited};
 use std::time::Duration;
 
-/// Longest caller name that is kept, in characters; the rest is cut off.
+/// Maximum length of a caller name, in characters; the rest of a longer name is cut off.
 const MAX_CALLER_CHARS: usize = 63;
-/// Longest request id that is accepted from a caller, in bytes; a longer one is replaced.
+/// Maximum length of a caller's request id, in bytes; a request with a longer id gets a new id.
 const MAX_REQUEST_ID_BYTES: usize = 128;
 
 impl Entry {
-    /// Returns the caller's request id where the dialect names a header for it, or else a new
-    /// id.
+    /// Id of the request: the caller's where the dialect names a header for it, or else a new
+    /// one.
     pub(super) fn call_id(&self, request: &Request<RequestBody>) -> String {
         let dialect = &self.options.dialect;
         let sent = dialect
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Matches the route and resolves the service, tenant, deadline and priority of the call.
+    /// Matches the route and resolves the service, tenant, deadline and priority of a call.
+    /// Takes a rate limit token of the tenant.
     pub(super) fn prepare_call(
         &self,
         call_id: &str,
@@ -87,9 +89,9 @@
         })
     }
 
-    /// Whether a request may run concurrently with earlier requests on its connection. It must
-    /// be repeatable, since an earlier response can close the connection and make the client
-    /// resend it.
+    /// Whether a request may run concurrently with earlier requests on its connection. The
+    /// request must be repeatable: an earlier response can close the connection, and then the
+    /// client sends the request again.
     pub(super) fn may_overlap(&self, head: &Parts) -> bool {
         let config = self.control().active();
         let route = config
@@ -98,8 +100,8 @@
         route.is_some_and(|route| is_repeatable(route, &head.method))
     }
 
-    /// Time limit of the call. Where the platform's dialect is in use, the requested deadline
-    /// is capped by the route's timeout; otherwise it may exceed it.
+    /// Time limit of the call. Where the platform's dialect is in use, the timeout requested by
+    /// the caller is capped by the route's; otherwise the requested timeout may be longer.
     fn time_limit(&self, route: &Route, requested_timeout: Option<Duration>) -> Duration {
         let timeout = Duration::from_millis(route.timeout_ms);
         match requested_timeout {
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Time since the caller's first attempt, derived from the deadline in the request.
+    /// Time since the caller's first attempt, derived from the timeout that the caller
+    /// requests, which shrinks with each of its attempts.
     fn age(&self, route: &Route, requested_timeout: Option<Duration>) -> Duration {
         let age = requested_timeout.map(|requested_timeout| {
             self.state()
@@ -121,8 +124,8 @@
         age.unwrap_or_default()
     }
 
-    /// Classifies a repeated call as a retry once its response can no longer meet the route's
-    /// latency target.
+    /// Precedence of the call among calls of the same priority. A repeated call ranks as a
+    /// retry once its response can no longer meet the route's latency target.
     fn precedence(&self, route: &Route, age: Duration) -> Precedence {
         let state = self.state();
         if state.nested_routes.is_nested(&route.name, self.now()) {
@@ -139,6 +142,7 @@
         }
     }
 
+    /// Name of the calling service: from the settings, from a header, or "external".
     fn caller_name(&self, from: &HeaderMap) -> String {
         if let Some(caller) = &self.options.caller {
             return caller.to_string();
@@ -147,6 +151,7 @@
         caller.chars().take(MAX_CALLER_CHARS).collect()
     }
 
+    /// Idempotency key of the request, scoped by route and tenant; `None` without a key.
     fn claim_key(
         &self,
         route: &Route,
@@ -155,7 +160,7 @@
     ) -> Option<String> {
         self.options.claims.as_ref()?;
         let key = header_filter::header_str(from, headers::IDEMPOTENCY_KEY)?;
-        // Keys are scoped by route and tenant. No resource name starts with `@`.
+        // Idempotency keys are scoped by route and tenant. No resource name starts with `@`.
         let of_route = format!("{}/{key}", route.name);
         Some(match tenant {
             Some(tenant) => format!("@{}/{of_route}", tenant.name),
@@ -163,6 +168,7 @@
         })
     }
 
+    /// Reads the request body, up to the size limit for callers and until the deadline.
     pub(super) async fn read_body(
         &self,
         call: &Call,
@@ -195,6 +201,7 @@
     }
 }
 
+/// The parts of a request head that routes are matched against.
 fn call_head<'a>(headers: &'a HeaderMap, uri: &'a Uri, method: &'a Method) -> CallHead<'a> {
     CallHead {
         host: header_filter::host_without_port(headers),
--- a/crates/rampthread-node/src/calls/entry/claim.rs
+++ b/crates/rampthread-node/src/calls/entry/claim.rs
@@ -1,4 +1,4 @@
-//! IdempotencyClaims the idempotency key of a call before it runs, and settles the claim afterwards.
+//! Claims the idempotency key of a call before the call runs, and settles the claim afterwards.
 
 use super::{Call, Entry, NO_BACKEND_RETRY_AFTER, outcome_of};
 use crate::calls::idempotency_claims::ClaimAction;
@@ -10,7 +10,8 @@
 use rampthread_http::Body;
 
 impl Entry {
-    /// IdempotencyClaims the idempotency key, if the request has one.
+    /// Claims the idempotency key of the call, if the request has one. The call may run only if
+    /// the claim is granted.
     pub(super) async fn claim(&self, call: &Call) -> Result<(), CallError> {
         let (Some(key), Some(claims)) = (&call.key, &self.options.claims) else {
             return Ok(());
@@ -37,6 +38,8 @@
         }
     }
 
+    /// Notifies the holders of the idempotency key whether the call has run, without waiting
+    /// for them.
     pub(super) fn finish_claim(&self, call: &Call, result: &Result<Response<Body>, CallError>) {
         let (Some(key), Some(claims)) = (call.key.clone(), self.options.claims.clone()) else {
             return;
@@ -48,7 +51,7 @@
         let action = match outcome {
             Outcome::Completed => ClaimAction::Done,
             Outcome::NotRun => ClaimAction::Release,
-            // The call may still run, so the claim stays open until it expires.
+            // The call may still run at a backend, so the claim stays open until it expires.
             Outcome::Unknown => return,
         };
         let call_id = call.id.clone();
--- a/crates/rampthread-node/src/calls/entry/demand.rs
+++ b/crates/rampthread-node/src/calls/entry/demand.rs
@@ -1,4 +1,4 @@
-//! Demand of this node's callers, as reported to its zone.
+//! Demand of this node's callers, as reported to the node's zone.
 
 use super::Entry;
 use rampthread_core::call::zone_spill::{is_loaded, to_milli_slots};
@@ -6,7 +6,7 @@
 use rampthread_core::ids::ResourceName;
 
 impl Entry {
-    /// Slots demanded by the calls of this node, by service. Empty while the services are idle
+    /// Backend slots that this node's calls need, by service. Empty while the services are idle
     /// here, or if no other zone has backends of them.
     pub fn service_demand(&self) -> Vec<ServiceLoad> {
         let now = self.now();
@@ -44,7 +44,7 @@
         loads
     }
 
-    /// Demand of tenants at this node; `None` where no tenant has a limit.
+    /// Request rates of tenants at this node; `None` where no tenant has a limit.
     pub fn tenant_loads(&self) -> Option<Vec<TenantLoad>> {
         self.options.tenant_limits.load_reports()
     }
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -1,8 +1,9 @@
 //! The entry: the node that receives a call from its caller and routes it to a backend.
 //!
-//! Phases, in order: read the head ([`Entry::handle`]), match the route, admit, claim the
-//! idempotency key, choose a backend, send the hop, fence an abandoned hop, decide on a retry,
-//! forward the response. Only the entry retries.
+//! Phases, in order: read the head ([`Entry::handle`]), match the route, admit the call, claim
+//! its idempotency key, choose a backend, send the call as a hop to the gate at the backend's
+//! node, fence an abandoned hop (forbid its gate to start it), decide on a retry, forward the
+//! response. Only the entry retries.
 
 mod admission;
 mod attempt;
@@ -57,23 +58,25 @@
 use versions::Versions;
 use zones::ZoneRouting;
 
-/// `Retry-After` when no backend can take the call at present.
+/// Retry delay advised when no backend can take a call.
 const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Share of the fleet-wide retry slack that the known nodes divide among themselves; the rest
-/// is for nodes that have not yet discovered each other.
+/// Fraction of the fleet-wide retry slack that the known nodes divide among themselves. The
+/// rest is for nodes that have not yet discovered each other.
 const USED_SLACK_RATIO: f64 = 0.7;
 
 /// Minimum admission probability, estimated from this entry's recent attempts, at which a call
-/// is spilled by the zone plan. Below it the zone rejects more of these calls than it accepts, so its
-/// published capacity is stale.
+/// is spilled to the zone that the zone plan selects. Below it, that zone rejects more of these
+/// calls than it admits, so the capacity that it published is out of date.
 const MIN_SPILL_ADMISSION_PROBABILITY: f64 = 0.5;
 
-/// Load balancing and retry policy. The non-default settings are baselines for experiments.
+/// How an entry selects backends and limits retries. Values other than the default are
+/// baselines for experiments.
 #[derive(Debug, Clone, Copy)]
 pub struct EntryMode {
-    /// How a backend is selected.
+    /// Algorithm that selects the backend of an attempt.
     pub balance: BalanceMode,
-    /// Whether retries are limited by the retry budget.
+    /// Whether the retry budget limits retries; if not, only the number of attempts per call is
+    /// limited.
     pub limit_retries: bool,
 }
 
@@ -88,32 +91,34 @@
 
 /// Constructor arguments of [`Entry`].
 pub struct EntryOptions {
-    /// Control plane client of this node.
+    /// Control plane client of this node: configuration, endpoints and fleet membership.
     pub control: Arc<Control>,
-    /// Header names used with callers.
+    /// Names of the headers exchanged with callers.
     pub dialect: Arc<CallDialect>,
     /// Client for hops and queries to other nodes.
     pub peers: Arc<PeerClient>,
-    /// Gate of this node, called directly rather than over the network.
+    /// Gate of this node, which attempts at the local backend call directly.
     pub gate: Arc<Gate>,
-    /// Claims of idempotency keys; `None` where callers send no keys.
+    /// Claims of idempotency keys; `None` where callers send no idempotency keys.
     pub claims: Option<Arc<IdempotencyClaims>>,
-    /// Rate limits of tenants.
+    /// Rate limits of tenants, checked before a call runs.
     pub tenant_limits: Arc<TenantLimits>,
-    /// Zone of this node.
+    /// Zone of this node; its backends are preferred.
     pub zone: Zone,
-    /// Service name used for all callers; `None` takes the name from the caller's header.
+    /// Service name recorded as the caller of every call; if `None`, each caller names itself
+    /// in a header.
     pub caller: Option<ResourceName>,
-    /// Interval between two reports of a backend.
+    /// Interval at which backends report to their nodes.
     pub heartbeat: Duration,
-    /// Limits that can change while the node runs.
+    /// Settings that can change while the node runs.
     pub live: LiveSettings,
-    /// Bounds of rollouts; `None` treats all software versions alike.
+    /// Limits for rollouts of new software versions; if `None`, calls go to all versions alike.
     pub roll_outs: Option<RolloutBounds>,
-    /// Load balancing and retry policy.
+    /// How backends are selected and retries limited.
     pub mode: EntryMode,
 }
 
+/// What an entry has learned; changes with every call.
 struct EntryState {
     balancer: Balancer,
     budgets: HashMap<ResourceName, RetryBudget>,
@@ -121,65 +126,68 @@
     attempt_ages: AttemptAges,
     acceptance: HashMap<ResourceName, AcceptanceEstimator>,
     nested_routes: NestedRoutes,
-    /// Lost responses of backends at other nodes, kept until a new incarnation shows a crash.
+    /// Lost responses of backends at other nodes, kept until the backend's next incarnation
+    /// shows that the backend has crashed.
     lost_responses: PeerCrashDetector,
     zones: ZoneRouting,
     versions: Versions,
 }
 
-/// Accepts the calls that arrive at one node and routes them.
+/// Receives the calls that arrive at one node and routes them to backends.
 pub struct Entry {
     options: EntryOptions,
     state: Mutex<EntryState>,
 }
 
-/// Properties of a call that are shared by all its attempts.
+/// A call, with what all its attempts share.
 struct Call {
     id: String,
     caller: String,
     hops: u32,
     started_at: Moment,
     deadline: Moment,
-    /// Tenant identified by the request's key.
+    /// Tenant identified by the key in the request; `None` for a route that needs none.
     tenant: Option<ResourceName>,
-    /// Tenant whose rate limit token the call took; `None` where it has no limit.
+    /// Tenant whose rate limit token the call has taken; `None` where the tenant has no limit.
     token_tenant: Option<TenantHash>,
-    /// Priority of the tenant, or else of the route; 0 is served first.
+    /// Priority of the tenant, or else of the route; calls with a lower number are served
+    /// first.
     rank: u32,
     precedence: Precedence,
-    /// Time since the caller's first attempt; zero where that is unknown.
+    /// Time since the caller's first attempt at this call; zero where that is unknown.
     age: Duration,
     repeatable: bool,
     route: Arc<Route>,
     service: ResourceName,
     config: Arc<ActiveConfig>,
     key: Option<String>,
-    /// Content that identifies the request; set once the body is read.
+    /// Parts of the request that identify it; set once the request body is read.
     content: CallContent,
 }
 
-/// The backend chosen for one attempt.
+/// The backend selected for one attempt, and what was known about it.
 struct SelectedBackend {
     node: NodeId,
     target: Target,
-    /// Zone of the backend.
+    /// Zone of the selected backend.
     zone: Zone,
-    /// The call was spilled to another zone by the zone plan.
+    /// The zone plan spilled the attempt to another zone than this node's.
     spilled: bool,
-    /// The backend appears to have a free slot.
+    /// The selected backend appears to have a free slot.
     has_free_slot: bool,
-    /// Another backend, not tried yet, appears to have a free slot.
+    /// Another backend, not tried by this call yet, appears to have a free slot.
     others_have_free_slot: bool,
-    /// Estimated number of calls at the backend.
+    /// Estimated number of calls running and queued at the selected backend.
     seen_load: u32,
-    /// Percentage of recent attempts in the zone that were admitted.
+    /// Percentage of this entry's recent attempts in the backend's zone that were admitted.
     room_percent: u32,
-    /// The request runs as a quarantine trial at this backend.
+    /// The request is on trial: it is suspected of crashing backends and must run alone at this
+    /// one.
     on_trial: bool,
 }
 
 impl Entry {
-    /// Creates an entry without any load information.
+    /// Creates an entry that knows no load of any backend yet.
     pub fn new(options: EntryOptions) -> Self {
         let balancer = Balancer::new(options.mode.balance, options.control.clock.now());
         let lost_responses = PeerCrashDetector::with_heartbeat(options.heartbeat);
@@ -213,8 +221,9 @@
         self.options.control.clock.now()
     }
 
-    /// Takes over the present endpoints, starts the warm-up of new ones, and updates crash
-    /// detection and the zone plan.
+    /// Updates the known endpoints, starts the warm-up of new backends, and updates crash
+    /// detection and the zone plan. To be called after each change of the endpoints and
+    /// periodically.
     pub fn refresh_endpoints(&self) {
         let serving = self.control().endpoints().serving();
         let now = self.now();
@@ -238,7 +247,7 @@
         self.plan_zones();
     }
 
-    /// Handles one request from a caller.
+    /// Handles one request from a caller, up to the head of the response.
     pub async fn handle(self: Arc<Self>, request: Request<RequestBody>) -> Response<Body> {
         let started_at = self.received_at(&request);
         let call_id = self.call_id(&request);
@@ -261,21 +270,24 @@
         response
     }
 
-    /// Time of arrival. A pipelined request may have waited for earlier requests on its
-    /// connection since.
+    /// Time at which the request arrived. A pipelined request may have waited since for earlier
+    /// requests on its connection.
     fn received_at(&self, request: &Request<RequestBody>) -> Moment {
         let received_at: Option<&ReceivedAt> = request.extensions().get();
         let waited = received_at.map_or(Duration::ZERO, |received_at| received_at.0.elapsed());
         Moment(self.now().0.saturating_sub(waited.as_micros() as u64))
     }
 
-    fn set_request_id(&self, call_id: &str, answer: &mut http::HeaderMap) {
+    /// Adds the request id to the headers of a response, under the name that the dialect
+    /// defines.
+    fn set_request_id(&self, call_id: &str, response_headers: &mut http::HeaderMap) {
         match &self.options.dialect.request_id {
-            Some(header) => header_filter::set_header(answer, header, call_id),
-            None => header_filter::set_internal(answer, headers::CALL_ID, call_id),
+            Some(header) => header_filter::set_header(response_headers, header, call_id),
+            None => header_filter::set_internal(response_headers, headers::CALL_ID, call_id),
         }
     }
 
+    /// Records a failed call among this node's decisions, for the operator API.
     fn record_failed_call(&self, call_id: &str, call_error: &CallError) {
         self.control().journal.note(Decision::CallFailed {
             call_id: call_id.to_string(),
@@ -286,6 +298,7 @@
         });
     }
 
+    /// Prepares and runs a call; returns its rate limit token if the call has not run.
     async fn run(
         self: &Arc<Self>,
         call_id: &str,
@@ -306,7 +319,7 @@
         result
     }
 
-    /// Runs a call that passed admission and holds its tenant's token.
+    /// Runs a call that has been admitted and holds its tenant's rate limit token.
     async fn run_admitted(
         self: &Arc<Self>,
         mut call: Call,
@@ -331,6 +344,7 @@
         result.map_err(|call_error| self.add_retry_advice(&call, call_error))
     }
 
+    /// Accesses the retry budget of the call's service, with the present retry limit.
     fn with_budget<T>(&self, call: &Call, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let limit = self.retry_limit(call);
         let limit_retries = self.options.mode.limit_retries;
@@ -349,8 +363,8 @@
         act(budget)
     }
 
-    /// This node's share of the fleet-wide retry limit. The ratio applies to the node's own
-    /// calls; the slack is divided by the number of live nodes.
+    /// This node's part of the fleet-wide retry limit. The ratio of the limit applies to the
+    /// node's own calls; the slack is divided by the number of live nodes.
     fn retry_limit(&self, call: &Call) -> RetryLimit {
         let Some(fleet) = self.options.live.get().retry_share else {
             let service = call.config.state.service(&call.service);
@@ -365,7 +379,9 @@
         }
     }
 
-    fn choose(&self, call: &Call, tried: &[NodeId]) -> Option<SelectedBackend> {
+    /// Selects the backend of the next attempt; `tried` are the nodes of earlier attempts.
+    /// `None` if no backend can take the call.
+    fn select_backend(&self, call: &Call, tried: &[NodeId]) -> Option<SelectedBackend> {
         let endpoints = self.control().endpoints();
         let service = endpoints.service(&call.service)?;
         let on_trial = matches!(self.quarantine_state(call), QuarantineState::OnTrial { .. });
@@ -384,7 +400,7 @@
         let mut rng = rand::rng();
         let mut state = self.state();
         let plan = state.zones.plan(&call.service).cloned();
-        // Where zones publish their capacity, only zones with free capacity are tried.
+        // Where zones publish their free slots, only zones with free slots are tried.
         let reports_free_slots = |to: &Zone| {
             let spill_plan = plan.as_ref().map(|plan| &plan.spill_plan);
             to == zone || spill_plan.is_none_or(|spill_plan| spill_plan.has_spare_slots(to))
@@ -425,15 +441,15 @@
 }
 
 impl Entry {
-    /// Capacity estimate for the call's service, from recent attempts.
+    /// Estimate of how likely the gates of the call's service admit a call, by zone.
     fn acceptance_estimate(&self, call: &Call) -> AcceptanceEstimator {
         let state = self.state();
         let known = state.acceptance.get(&call.service).cloned();
         known.unwrap_or_else(|| AcceptanceEstimator::new(self.options.zone.clone()))
     }
 
-    /// Records whether a gate of the call's service admitted the call or rejected it for lack of
-    /// capacity.
+    /// Records whether a gate of the call's service admitted the call or rejected it for lack
+    /// of capacity.
     fn record_admission(&self, call: &Call, selected: &SelectedBackend, was_rejected: bool) {
         let now = self.now();
         let mut state = self.state();
@@ -449,14 +465,15 @@
     }
 }
 
-/// Outcome named by a response. A response without the header comes from a process that does
-/// not report outcomes, so the request may have run.
+/// Outcome (has the request run?) named in a response. A response without the outcome header
+/// comes from a process that does not report outcomes, so the request may have run.
 fn outcome_of<B>(response: &Response<B>) -> Outcome {
     header_filter::header_str(response.headers(), headers::OUTCOME)
         .and_then(Outcome::parse)
         .unwrap_or(Outcome::Unknown)
 }
 
+/// Error for a call that no backend can take.
 fn no_backend_error(call: &Call) -> CallError {
     let reason = format!("no backend of service {} is available", call.service);
     CallError::not_run(Cause::NoBackend, reason).retry_after(NO_BACKEND_RETRY_AFTER)
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -1,4 +1,4 @@
-//! Nested calls: those that the local backend makes while it handles a call itself.
+//! Nested calls: those that a backend makes while it handles a call itself.
 
 use super::{Call, Entry};
 use crate::calls::header_filter;
@@ -13,6 +13,7 @@
         self.precedence == Precedence::Nested
     }
 
+    /// Class that the retry budget counts the call's retries under.
     pub(super) fn retry_class(&self) -> RetryClass {
         match self.is_nested() {
             true => RetryClass::Nested,
@@ -22,10 +23,10 @@
 }
 
 impl Entry {
-    /// Records whether the route carries nested calls. Only the gate can tell, and reports it
-    /// with the response.
-    pub(super) fn record_nested_route(&self, call: &Call, answer: &HeaderMap) {
-        let word = header_filter::header_str(answer, headers::PRECEDENCE);
+    /// Records from a response whether the route carries nested calls, which only the gate can
+    /// see.
+    pub(super) fn record_nested_route(&self, call: &Call, response_headers: &HeaderMap) {
+        let word = header_filter::header_str(response_headers, headers::PRECEDENCE);
         if word == Some(Precedence::Nested.as_str()) {
             let now = self.now();
             self.state()
--- a/crates/rampthread-node/src/calls/entry/progress.rs
+++ b/crates/rampthread-node/src/calls/entry/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of a call, collected for its final log line.
+//! What the final log line of a call reports, collected while the call runs.
 
 use super::Call;
 use crate::call_log::{CallStanding, EndedCall};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Priority attributes of a call.
+/// What determines the order in which a gate serves the call.
 struct CallPriority {
     tenant: Option<ResourceName>,
     rank: u32,
@@ -28,6 +28,7 @@
         }
     }
 
+    /// The attributes as the call log takes them.
     fn line(&self) -> CallStanding<'_> {
         CallStanding {
             tenant: self.tenant.as_ref().map(ResourceName::as_str),
@@ -38,7 +39,7 @@
     }
 }
 
-/// What is known about a call so far.
+/// What the log reports about a call; fields are unset until known.
 #[derive(Default)]
 pub(super) struct Progress {
     route: Option<Arc<Route>>,
@@ -47,15 +48,16 @@
     version: u64,
     pub(super) attempts: u32,
     allowed: Option<Duration>,
-    /// Zone of the last attempt.
+    /// Zone of the last attempt; `None` before the first.
     pub(super) zone: Option<Zone>,
-    /// The last attempt was spilled to another zone.
+    /// The last attempt was spilled to another zone by the zone plan.
     pub(super) spilled: bool,
-    /// Identity of the request, set once a response to it was lost.
+    /// Identity of the request; set only if a response to the request was lost.
     pub(super) identity: Option<RequestIdentity>,
 }
 
 impl Progress {
+    /// Records what the preparation of the call has determined.
     pub(super) fn planned(&mut self, call: &Call, started_at: Moment) {
         self.route = Some(call.route.clone());
         self.service = Some(call.service.clone());
@@ -64,6 +66,7 @@
         self.allowed = Some(call.deadline.since(started_at));
     }
 
+    /// Data of the final log line.
     pub(super) fn ended<'a>(&'a self, request_id: &'a str, elapsed: Duration) -> EndedCall<'a> {
         let route = self.route.as_ref();
         EndedCall {
--- a/crates/rampthread-node/src/calls/entry/quarantine.rs
+++ b/crates/rampthread-node/src/calls/entry/quarantine.rs
@@ -1,5 +1,6 @@
-//! Quarantine at the entry: rejects quarantined requests, places requests on trial, and clears
-//! those that get a response.
+//! Quarantine at the entry. A request in whose handling backends crashed is suspected, later
+//! put on trial (runs alone at one backend) or quarantined (rejected). The entry applies these
+//! states and clears requests that get a response.
 
 use super::progress::Progress;
 use super::{Call, Entry, SelectedBackend};
@@ -17,10 +18,12 @@
 use std::time::Duration;
 
 impl Entry {
+    /// Digest of the request that identifies equal requests on all nodes.
     pub(super) fn identity(&self, call: &Call) -> RequestIdentity {
         call.content.identity(&self.control().identity_key)
     }
 
+    /// Whether the request is suspected, on trial or quarantined, by the crashes known here.
     pub(super) fn quarantine_state(&self, call: &Call) -> QuarantineState {
         self.control().standing(|| self.identity(call))
     }
@@ -38,10 +41,10 @@
         Err(quarantine_error(crashes, left))
     }
 
-    /// Records a response that the gate reports as lost. If the gate already knows of a crash,
-    /// the crash is reported to all nodes at once. Otherwise the loss is also kept here,
-    /// because the gate may stop before the backend's next incarnation shows the crash.
-    /// Nothing is recorded if the gate itself goes down with the call, since a power failure
+    /// Records a response that the gate reports as lost. If the gate already knows that the
+    /// backend crashed, the crash is reported to all nodes at once. Otherwise this entry keeps
+    /// the loss as well, because the gate may stop before the backend's next incarnation shows
+    /// the crash. Nothing is recorded if the gate goes down with the call: a power failure
     /// would put all calls in progress under suspicion.
     pub(super) fn record_lost_response(
         &self,
@@ -67,6 +70,7 @@
             .record_loss(&selected.node, &suspect);
     }
 
+    /// Reports to all nodes the crash that the gate's error names.
     fn report_crash(&self, call: &Call, call_error: &CallError) {
         let Some(instance) = &call_error.crashed else {
             return;
@@ -75,14 +79,14 @@
             identity: self.identity(call),
             instance: instance.clone(),
             age: Duration::ZERO,
-            // The gate's own report carries this flag.
+            // The gate's own crash report carries this flag.
             on_trial: false,
             cleared: false,
         });
     }
 
-    /// Clears the request of suspicion, since a backend completed a call with it that started
-    /// at `started_at`. The same response shows that the backend is alive.
+    /// Clears the request of suspicion after a backend has completed the call that started at
+    /// `started_at`. The response also shows that the backend is alive.
     pub(super) fn record_complete_response(
         &self,
         call: &Call,
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Checks whether new incarnations of backends explain lost responses.
+    /// Checks whether new incarnations of backends show that lost responses were crashes.
     pub(super) fn check_crashes(&self, now: Moment) {
         let explained = {
             let mut state = self.state();
@@ -115,8 +119,8 @@
         self.control().report_suspicions(&explained, false);
     }
 
-    /// The only backend at which a request on trial may run. All nodes pick the same one, so
-    /// that concurrent copies crash at most one backend.
+    /// The only backend at which a request on trial may run. All nodes select the same one, so
+    /// that concurrent copies of the request crash at most one backend.
     pub(super) fn trial_endpoints(&self, call: &Call, endpoints: &[Endpoint]) -> Vec<Endpoint> {
         let key = self.identity(call).to_string();
         let chosen = endpoints
@@ -126,13 +130,14 @@
     }
 }
 
-/// Incarnation that the call was sent to. A backend known only from the configuration has
-/// none; a crash of it is detected by its gate alone.
+/// Incarnation of the backend that the call was sent to. A backend known only from the
+/// configuration has no incarnations; its gate alone detects a crash.
 fn incarnation(selected: &SelectedBackend) -> Option<InstanceId> {
     InstanceId::new(selected.target.backend.as_str()).ok()
 }
 
-/// Present incarnation at a member. A draining node leaves its backend running.
+/// Incarnation of the backend that a member reports. A node that is draining leaves its backend
+/// running.
 fn current_backend(record: &MemberRecord) -> Option<CurrentBackend> {
     let endpoint = record.endpoint.as_ref()?;
     Some(CurrentBackend {
--- a/crates/rampthread-node/src/calls/entry/retry_advice.rs
+++ b/crates/rampthread-node/src/calls/entry/retry_advice.rs
@@ -16,7 +16,8 @@
         Some(target.saturating_sub(used))
     }
 
-    /// Sets the retry delay of a call that was shed.
+    /// Sets the retry delay of a call that a backend has shed; other errors are returned
+    /// unchanged.
     pub(super) fn add_retry_advice(&self, call: &Call, call_error: CallError) -> CallError {
         let shed = call_error.cause == Cause::Shed && call_error.outcome == Outcome::NotRun;
         if !shed {
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -1,5 +1,5 @@
-//! Selects the software versions that a call may go to, and collects results per version during
-//! a rollout.
+//! Software versions during a rollout: which versions a call may go to, and what callers got
+//! from each version.
 
 use super::{Call, Entry, EntryState, SelectedBackend};
 use crate::control::{ServiceEndpoints, VersionRules};
@@ -14,24 +14,25 @@
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::time::Duration;
-/// How long a version that differs from the others gets no calls while no rollout of it is
-/// known. The rollout order, or a peer's message to a node that has just started, may still be
-/// on its way.
+/// How long a version that differs from the others gets no calls while no rollout of that
+/// version is known. The rollout order may still be on its way, or a node that has just started
+/// may still wait for a peer's message.
 const UNKNOWN_VERSION_HOLD: Duration = Duration::from_secs(3);
 
-/// Rollout state of an entry.
+/// Rollout state of one entry.
 #[derive(Default)]
 pub(super) struct Versions {
     limiters: HashMap<ResourceName, ExposureLimiter>,
     evidence: EvidenceRecorder,
-    /// When each version of a service with several versions was first seen.
+    /// When this entry first saw each version of a service that has several versions.
     first_seen: HashMap<ResourceName, HashMap<SoftwareVersion, Moment>>,
     /// When each backend came into service.
     ready_since: HashMap<NodeId, Moment>,
 }
 
 impl Versions {
-    /// Records when a backend came into service, since it is slow during its warm-up.
+    /// Records when the backend of `node` came into service. The backend is slow during its
+    /// warm-up.
     pub(super) fn became_ready(&mut self, node: &NodeId, now: Moment) {
         self.ready_since.insert(node.clone(), now);
     }
@@ -43,11 +44,12 @@
     }
 }
 
+/// Endpoints that an attempt may use; copied only if they are restricted.
 type Candidates<'a> = Cow<'a, Vec<Endpoint>>;
 
 impl Entry {
     /// Restricts `candidates` to versions that the call may go to. The version being evaluated
-    /// gets the call if its share allows that and one of its backends is untried.
+    /// gets the call if its share of the calls allows that and one of its backends is untried.
     pub(super) fn filter_by_rollout<'a>(
         &self,
         call: &Call,
@@ -88,8 +90,8 @@
         }
     }
 
-    /// Holds back versions that differ from the presumed one while no rollout is known, until
-    /// a rollout would be known.
+    /// Used while no rollout is known: holds back versions that differ from the presumed one
+    /// until [`UNKNOWN_VERSION_HOLD`] has passed.
     fn hold_unknown_versions<'a>(
         &self,
         call: &Call,
@@ -114,6 +116,7 @@
         Cow::Owned(known)
     }
 
+    /// Accesses the exposure limiter of the call's service; a new rollout order gets a new one.
     fn with_limiter<T>(
         &self,
         call: &Call,
@@ -135,7 +138,7 @@
         act(limiter)
     }
 
-    /// Records a result for the rollout of the service, if one is in progress.
+    /// Records the result of a call for the rollout of its service, if one is in progress.
     pub(super) fn record_version_result(
         &self,
         call: &Call,
@@ -179,6 +182,7 @@
         self.state().versions.evidence.record(place, answer);
     }
 
+    /// Whether the backend came into service less than its warm-up time ago.
     fn is_warming_up(&self, selected: &SelectedBackend) -> bool {
         let now = self.now();
         let state = self.state();
@@ -186,7 +190,7 @@
         since.is_some_and(|since| now.since(*since) < selected.target.cold)
     }
 
-    /// Hands the results of versions being evaluated to the control plane client.
+    /// Reports the results of versions being evaluated to the control plane client.
     pub fn publish_version_evidence(&self) {
         if self.options.roll_outs.is_none() {
             return;
@@ -200,6 +204,7 @@
 }
 
 impl EntryState {
+    /// Results of versions whose rollout is still being evaluated; drops all others.
     fn evidence_under_evaluation(&mut self, rules: &VersionRules) -> Vec<VersionEvidence> {
         let evidence = &mut self.versions.evidence;
         evidence.retain(|service, order| {
@@ -210,11 +215,11 @@
     }
 }
 
-/// Result of a call at one version.
+/// Result of a call at a backend, for the evaluation of the backend's version.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum VersionResult {
-    /// The backend failed, or did not respond before the deadline.
+    /// The backend returned a server error or did not respond before the deadline.
     Failure,
-    /// Successful response after this time.
+    /// The backend responded successfully after this time.
     Success(Duration),
 }
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -1,4 +1,5 @@
-//! Distributes the calls of this node over zones by the capacity that zones report.
+//! Distributes the calls of this node over zones by the free slots that zones publish. A call
+//! that leaves the node's zone is spilled.
 
 use super::{Call, Entry, SelectedBackend};
 use crate::metrics::SentAwayLabel;
@@ -13,36 +14,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Smallest change of the remote share that is logged.
+/// Smallest change of the spilled fraction that is logged.
 const MIN_LOGGED_CHANGE: f64 = 0.05;
 /// Minimum interval between log lines about one service.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Present distribution of the calls to one service.
+/// How the calls to one service are distributed over zones at present.
 pub(super) struct ZonePlan {
     pub(super) spill_plan: SpillPlan,
-    /// Probability that a call goes to another zone, by route.
+    /// Probability that a call is spilled to another zone, by route.
     spill_probabilities: HashMap<ResourceName, f64>,
 }
 
-/// Demand and zone plans known to this entry.
+/// Demand of this node and zone plans by service.
 #[derive(Default)]
 pub(super) struct ZoneRouting {
     pub(super) demand: DemandMeter,
-    /// Services whose demand is being published.
+    /// Services whose demand this node publishes at present.
     pub(super) publication_windows: HashMap<ResourceName, ReportingHold>,
     trends: ZoneTrends,
     plans: HashMap<ResourceName, Arc<ZonePlan>>,
-    /// Remote share logged last, and when.
+    /// Spilled fraction that was logged last, and when.
     logged: HashMap<ResourceName, (f64, Moment)>,
 }
 
 impl ZoneRouting {
+    /// Zone plan of `service`; `None` if its calls are not distributed over zones.
     pub(super) fn plan(&self, service: &ResourceName) -> Option<&Arc<ZonePlan>> {
         self.plans.get(service)
     }
 
-    /// Keeps publishing the demand for `service` after a gate rejected a call for lack of
+    /// Keeps publishing the demand for `service` after a gate has rejected a call for lack of
     /// capacity.
     pub(super) fn record_rejection(&mut self, service: &ResourceName, now: Moment) {
         let window = self.publication_windows.entry(service.clone()).or_default();
@@ -51,7 +53,8 @@
 }
 
 impl ZonePlan {
-    /// Draws the zone that a call of `route` is sent to; `None` keeps it local.
+    /// Selects at random the zone that a call of `route` is spilled to; `None` keeps the call
+    /// in this node's zone.
     pub(super) fn draw(&self, route: &ResourceName, rng: &mut impl Rng) -> Option<&Zone> {
         let spill_probability = *self.spill_probabilities.get(route)?;
         let spills = rng.random_bool(spill_probability.clamp(0.0, 1.0));
@@ -60,14 +63,14 @@
 }
 
 impl Entry {
-    /// Records the demand of one call.
+    /// Records that a caller asks for a call, with the size of the request body.
     pub(super) fn record_demand(&self, call: &Call, bytes: usize) {
         let now = self.now();
         let demand = &mut self.state().zones.demand;
         demand.record_request(&call.service, &call.route.name, bytes, now);
     }
 
-    /// Records a response whose call held a slot for `service_time`.
+    /// Records a response to a call that held a backend slot for `service_time`.
     pub(super) fn record_service_time(
         &self,
         call: &Call,
@@ -88,12 +91,13 @@
         }
     }
 
-    /// Mean time for which a call of each route to `service` holds a slot, over all backends.
+    /// Mean time for which a call of each route to `service` holds a slot, over all backends of
+    /// the service.
     pub fn mean_service_times(&self, service: &ResourceName) -> HashMap<ResourceName, Duration> {
         self.state().zones.demand.service_times(service)
     }
 
-    /// Recomputes the distribution over zones from the latest reports.
+    /// Recomputes the zone plans from the load that the zones have published.
     pub(super) fn plan_zones(&self) {
         let now = self.now();
         let local_zone = &self.options.zone;
@@ -130,7 +134,7 @@
 }
 
 impl ZoneRouting {
-    /// Logs a change of the remote share and its causes.
+    /// Logs the causes when the spilled fraction has changed.
     fn log(
         &mut self,
         service: &ResourceName,
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -1,8 +1,8 @@
-//! The gate: the node that forwards calls to its local backend. All calls to the
-//! backend pass through it.
+//! The gate: the node that forwards calls to its local backend. All calls to the backend pass
+//! through its gate.
 //!
 //! Only the gate knows the exact number of calls in flight. It rejects a call immediately if
-//! the call cannot run in time, and it alone can assert that a request was not run.
+//! the call cannot run in time, and it alone can assert that a request has not run.
 
 mod admission;
 mod backend_request;
@@ -49,38 +49,40 @@
 use std::time::Duration;
 pub use trial::quarantine_error;
 
-/// Retry delay advised when the configuration here is older than the call's, or the backend is
-/// draining.
+/// Retry delay advised when the configuration at this node is older than that of the call's
+/// entry, or the backend is draining.
 const CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// `TCP_USER_TIMEOUT` of connections to the backend. A connection that vanished without a
-/// reset would otherwise hold its call until the deadline. A slow backend still acknowledges
-/// bytes.
+/// `TCP_USER_TIMEOUT` of connections to the backend. A connection that vanished without a reset
+/// would otherwise hold its call until the deadline. A backend that is merely slow still
+/// acknowledges bytes.
 const BACKEND_TCP_USER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Separates the request id from the attempt number in a call id.
 pub const ATTEMPT_SEPARATOR: char = '~';
 
+/// What a gate keeps in memory about its backend and the calls at the backend.
 struct GateState {
     admission: AdmissionController,
     fences: FenceTable,
     service_times: ServiceTimes,
     nested_calls: NestedCallDetector,
     transfers: BodyTransfers,
-    /// Large bodies that are queued for a transfer permit.
+    /// Large request bodies that are queued for a transfer permit, with the channel that grants
+    /// it.
     queued_bodies: HashMap<CallNumber, async_channel::Sender<()>>,
-    /// Transfer permits by call id, until the body starts to arrive.
+    /// Transfer permits by call id, kept until the request body starts to arrive.
     permits: HashMap<String, TransferPermit>,
-    /// Responses that the backend lost, until it is known whether it crashed.
+    /// Responses that the backend lost, kept until it is known whether the backend crashed.
     crash_detector: CrashDetector,
-    /// Numbers the incarnations of a backend that does not report them itself.
+    /// Numbers the incarnations of a backend that does not report its incarnation.
     incarnations: IncarnationNames,
-    /// The request on trial, if any.
+    /// The request on trial: it is suspected of crashing backends and runs alone.
     trial: Option<RequestIdentity>,
-    /// The backend that the service times and speed were measured at.
+    /// The backend at which the service times and the speed were measured.
     measured_backend: Option<ResourceName>,
     load_average: LoadAverage,
     speed: SpeedMeter,
-    /// Mean service time per route over all backends of the service, as measured by this
+    /// Mean service time of each route over all backends of the service, as measured by this
     /// node's entry.
     reference_times: HashMap<ResourceName, Duration>,
     queued_calls: HashMap<CallNumber, async_channel::Sender<QueueSignal>>,
@@ -88,21 +90,21 @@
 
 /// Constructor arguments of [`Gate`].
 pub struct GateOptions {
-    /// Control plane client of this node.
+    /// Control plane client of this node: configuration, local backend and crash reports.
     pub control: Arc<Control>,
-    /// Header names used with the backend.
+    /// Names of the headers exchanged with the backend.
     pub dialect: Arc<CallDialect>,
     /// Decrypts the secrets of routes; `None` where no secrets are configured.
     pub secrets: Option<SecretKeeper>,
-    /// Time limit for a connection to the backend.
+    /// Timeout of connecting to the backend.
     pub connect_timeout: Duration,
-    /// Interval between two reports of the backend.
+    /// Interval at which the backend reports to its node.
     pub heartbeat: Duration,
-    /// Limits that can change while the node runs.
+    /// Settings that can change while the node runs.
     pub live: LiveSettings,
 }
 
-/// Admits calls to the local backend and proxies them.
+/// Admits calls to the local backend, forwards them, and returns the responses.
 pub struct Gate {
     control: Arc<Control>,
     dialect: Arc<CallDialect>,
@@ -113,42 +115,44 @@
     live: LiveSettings,
 }
 
-/// A decoded and validated hop, as sent by the entry node.
+/// One attempt of a call, decoded from the headers that the entry has sent to the gate.
 #[derive(Clone)]
 pub struct Hop {
     /// Id of the attempt: the request id and the attempt number, separated by
     /// [`ATTEMPT_SEPARATOR`].
     pub call_id: String,
-    /// Name of the calling service.
+    /// Name of the service that makes the call.
     pub caller: String,
-    /// Route matched by the entry.
+    /// Route that the entry has matched.
     pub route: ResourceName,
-    /// Name of the backend that the hop is addressed to; rejected if another one is local.
+    /// Backend that the entry has selected; a gate with another backend rejects the hop.
     pub backend: ResourceName,
-    /// Time after which the caller no longer accepts a response.
+    /// Time after which the caller no longer waits for the response.
     pub deadline: Moment,
-    /// The call may run more than once.
+    /// The route declares that the call may run more than once.
     pub repeatable: bool,
-    /// Number of services passed so far, including this one.
+    /// Number of services that the call chain has passed, including this one; limits call
+    /// loops.
     pub hops: u32,
-    /// Tenant identified by the entry from the request's key.
+    /// Tenant that the entry has identified; `None` for a route that needs none.
     pub tenant: Option<ResourceName>,
-    /// Priority of the tenant, or else of the route; 0 is served first.
+    /// Priority of the tenant, or else of the route; calls with a lower number are served
+    /// first.
     pub rank: u32,
     /// Order among calls of the same priority.
     pub precedence: Precedence,
-    /// Whether and how long the call may be queued for a slot.
+    /// Whether, and for how long, the gate may queue the call for a slot.
     pub queueing_limit: QueueingLimit,
 }
 
 impl Hop {
-    /// The id of the caller's request, without the attempt number.
+    /// Id that the caller gave the request, without the attempt number.
     pub fn request_id(&self) -> &str {
         request_id_of(&self.call_id)
     }
 }
 
-/// Strips the attempt number from a call id.
+/// Id of the caller's request that the attempt `call_id` belongs to.
 fn request_id_of(call_id: &str) -> &str {
     call_id
         .rsplit_once(ATTEMPT_SEPARATOR)
@@ -156,7 +160,8 @@
 }
 
 impl Gate {
-    /// Creates a gate without slots; the first checked hop sets its limits.
+    /// Creates a gate without slots. The gate takes its limits from the local backend when the
+    /// first hop arrives.
     pub fn new(options: GateOptions) -> Self {
         let limits = AdmissionLimits { slots: 0, queue: 0 };
         let now = options.control.clock.now();
@@ -197,17 +202,19 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Calls running and queued at the backend, plus large bodies in transfer or queued for
-    /// it.
+    /// Number of calls running and queued at the backend, plus large request bodies in transfer
+    /// or queued.
     pub fn load(&self) -> u32 {
         let state = self.state();
         state.admission.load() + state.transfers.load()
     }
 
+    /// Whether the backend or this node is draining.
     fn is_draining(&self, backend: &LocalBackend) -> bool {
         backend.draining || self.control.is_draining()
     }
 
+    /// Load sent to entries; [`UNAVAILABLE_LOAD`] while the gate takes no calls.
     fn reported_load(&self) -> u32 {
         match self.control.local_backend() {
             Some(backend) if self.control.is_ready() && !self.is_draining(&backend) => self.load(),
@@ -220,7 +227,7 @@
         self.state().admission.running()
     }
 
-    /// Drops expired fences; to be called periodically.
+    /// Drops expired entries of the fence table. To be called periodically.
     pub fn expire_fences(&self) {
         let now = self.control.clock.now();
         self.state().fences.expire(now);
@@ -231,8 +238,8 @@
         self.state().fences.len()
     }
 
-    /// Fences `call_id`, which its entry node has given up: unless it has started, it cannot start
-    /// here any more.
+    /// Fences `call_id`, which its entry has abandoned: unless the call has started, it cannot
+    /// start here any more.
     pub fn fence(&self, call_id: &str) -> FenceAnswer {
         let now = self.control.clock.now();
         let answer = self.state().fences.fence(&call_id.to_string(), now);
@@ -241,7 +248,8 @@
         answer
     }
 
-    /// Admits a hop, runs it at the backend, and returns the response.
+    /// Admits a hop, runs the call at the backend, and returns the response or an error
+    /// response.
     pub async fn handle(self: &Arc<Self>, hop: Hop, request: Request<Bytes>) -> Response<Body> {
         let refused = hop.clone();
         let content = CallContent::of(&request);
@@ -260,7 +268,8 @@
         response
     }
 
-    /// Tells the entry that `route` carries nested calls, which only the gate can see.
+    /// Adds a header that tells the entry that `route` carries nested calls, which only the
+    /// gate can see.
     fn add_nested_header(&self, route: &ResourceName, response: &mut Response<Body>) {
         if self.state().nested_calls.is_nested(route) {
             let word = Precedence::Nested.as_str();
@@ -268,6 +277,7 @@
         }
     }
 
+    /// Writes the log line of a hop that got no response of the backend.
     fn log_rejected(&self, hop: &Hop, content: &CallContent, call_error: &CallError) {
         let (running, queued) = self.counts();
         let lost = call_error.cause.is_lost_answer();
@@ -286,7 +296,7 @@
         });
     }
 
-    /// Numbers of running and of queued calls.
+    /// Number of calls running at the backend, and number of calls queued.
     fn counts(&self) -> (u32, u32) {
         let state = self.state();
         (state.admission.running(), state.admission.queued())
@@ -300,6 +310,7 @@
         metrics.gate_queued.set(i64::from(queued));
     }
 
+    /// Checks, admits and runs one hop.
     async fn run(
         self: &Arc<Self>,
         hop: Hop,
@@ -308,7 +319,7 @@
     ) -> Result<Response<Body>, CallError> {
         self.check_backend(&hop)?;
         self.check_deadline(&hop)?;
-        // A new incarnation may not have been processed yet.
+        // The call may have arrived before the backend's latest report was processed.
         self.check_incarnation();
         self.check_quarantine(content)?;
         let slot = self.admit(&hop).await?;
@@ -327,8 +338,8 @@
             trial,
         };
         let exchange = self.clone().exchange(under_way, request);
-        // A disconnect of the caller cancels a repeatable call. Any other call runs to its end,
-        // since a partial execution could not be repeated.
+        // If the caller disconnects, a repeatable call is cancelled. Any other call runs to its
+        // end, since a partial execution could not be repeated.
         if repeatable {
             exchange.await
         } else {
--- a/crates/rampthread-node/src/calls/gate/admission.rs
+++ b/crates/rampthread-node/src/calls/gate/admission.rs
@@ -1,5 +1,5 @@
-//! Checks that a call must pass before it starts: the addressed backend, the deadline,
-//! admission to a slot, and the fence.
+//! What a hop must pass at the gate before its call starts: the backend check, the deadline,
+//! admission to a slot, and the fence table.
 
 use super::slot::Slot;
 use super::{CONFIG_RETRY_AFTER, Gate, GateState, Hop};
@@ -17,13 +17,14 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Longest queueing time of a call that others overtake, as a multiple of its useful queueing
-/// time. After that, the slot goes to a call that can still meet its target.
+/// Maximum queueing time of a call that later calls overtake, as a multiple of its useful
+/// queueing time. After that, the slot is worth more to a call that can still meet its latency
+/// target.
 pub(super) const OVERTAKEN_WAIT_RATIO: f64 = 1.5;
 
 impl Gate {
-    /// Checks that the addressed backend is local and in service, and applies its present
-    /// limits.
+    /// Checks that the backend that the hop names is local and in service, and applies the
+    /// backend's present limits.
     pub(super) fn check_backend(&self, hop: &Hop) -> Result<LocalBackend, CallError> {
         let unavailable = |cause: Cause, reason: &str| {
             CallError::not_run(cause, reason).retry_after(CONFIG_RETRY_AFTER)
@@ -59,7 +60,7 @@
         Ok(backend)
     }
 
-    /// Rejects a hop whose deadline passed in transit.
+    /// Rejects a hop whose deadline has passed, for example in a congested network link.
     pub(super) fn check_deadline(&self, hop: &Hop) -> Result<(), CallError> {
         if hop.deadline <= self.control.clock.now() {
             let reason = "the deadline passed before the call started";
@@ -68,6 +69,7 @@
         Ok(())
     }
 
+    /// Waits for a slot of the backend, if the call may be queued.
     pub(super) async fn admit(self: &Arc<Self>, hop: &Hop) -> Result<Slot, CallError> {
         let number = self.next_call.fetch_add(1, Ordering::Relaxed);
         let now = self.control.clock.now();
@@ -108,7 +110,7 @@
         }
     }
 
-    /// The admission request for `hop`.
+    /// Admission request for the call of `hop`.
     pub(super) fn arrival(
         &self,
         state: &GateState,
@@ -137,7 +139,7 @@
     }
 
     /// Key for fair queueing among callers: the tenant, or else the calling service; empty if
-    /// callers are not distinguishable.
+    /// the caller header names machines rather than services.
     fn fair_queue_key(&self, hop: &Hop) -> String {
         if let Some(tenant) = &hop.tenant {
             return tenant.to_string();
@@ -148,7 +150,8 @@
         hop.caller.clone()
     }
 
-    /// Records the start in the fence table. After this point a fence no longer stops the call.
+    /// Records the start of the call in the fence table. From here on, a fence no longer stops
+    /// the call.
     pub(super) fn start(&self, hop: &Hop) -> Result<(), CallError> {
         let now = self.control.clock.now();
         self.check_deadline(hop)?;
@@ -169,14 +172,16 @@
     }
 }
 
+/// Error for a call that can neither run nor be queued; names the number of running and queued
+/// calls.
 pub(super) fn queue_full_error(state: &GateState, retry_after: Duration) -> CallError {
     let load = state.admission.load();
     let reason = format!("the back end is full: {load} running and waiting");
     CallError::not_run(Cause::QueueFull, reason).retry_after(retry_after)
 }
 
-/// Effective precedence. Calls of other backends are nested calls; only the gate sees who
-/// calls a route.
+/// Precedence of a hop at this gate. Calls made by other backends are nested calls; only the
+/// gate sees who calls a route.
 fn precedence(nested_calls: &mut NestedCallDetector, hop: &Hop) -> Precedence {
     if nested_calls.observe(&hop.route, &hop.caller) {
         return Precedence::Nested;
@@ -184,7 +189,7 @@
     hop.precedence
 }
 
-/// Like [`precedence`], without counting the hop among the route's callers. For reservations.
+/// Like [`precedence`], for a reservation, which does not count among the calls of the route.
 pub(super) fn precedence_for_query(nested_calls: &NestedCallDetector, hop: &Hop) -> Precedence {
     match nested_calls.is_nested(&hop.route) {
         true => Precedence::Nested,
--- a/crates/rampthread-node/src/calls/gate/backend_request.rs
+++ b/crates/rampthread-node/src/calls/gate/backend_request.rs
@@ -1,4 +1,5 @@
-//! Builds the request for the backend: system headers and the secret of the route.
+//! Builds the request that the gate sends to the backend: system headers and the secret of the
+//! route.
 
 use super::{CONFIG_RETRY_AFTER, Gate, Hop};
 use crate::calls::header_filter;
@@ -15,8 +16,8 @@
 use secrecy::ExposeSecret;
 
 impl Gate {
-    /// Builds the request for the backend. Fails if the configuration here lacks the route or
-    /// its secret.
+    /// Builds the request for the backend. Fails if the active version at this node lacks the
+    /// route or its secret.
     pub(super) fn prepare(
         &self,
         hop: &Hop,
@@ -39,19 +40,20 @@
         Ok(Request::from_parts(parts, full(body)))
     }
 
-    /// Sets the system headers, overwriting those of the caller.
+    /// Sets the headers that describe the call, and overwrites any that the caller has set.
     fn set_system_headers(&self, hop: &Hop, backend: &LocalBackend, to: &mut http::HeaderMap) {
         let remaining = hop.deadline.since(self.control.clock.now()).as_millis();
         let remaining = remaining.to_string();
         header_filter::set_header(to, &self.dialect.deadline_ms, &remaining);
         header_filter::set_header(to, &self.dialect.caller, &hop.caller);
-        // The tenant follows from the request's key alone, not from the caller's header.
+        // The tenant follows from the request's key alone, not from a header of the caller.
         to.remove(&self.dialect.tenant);
         if let Some(tenant) = &hop.tenant {
             header_filter::set_header(to, &self.dialect.tenant, tenant.as_str());
         }
         if let (Some(header), Some(instance)) = (&self.dialect.target_instance, &backend.instance) {
-            // Any incarnation with this id may take the call, which is sent at most once.
+            // Any incarnation of the backend with this id may run the call, which is sent at
+            // most once.
             let incarnation = BackendIncarnation::from_name(instance);
             header_filter::set_header(to, header, incarnation.id().as_str());
         }
@@ -63,6 +65,7 @@
         }
     }
 
+    /// Decrypts the secret of the route, if it has one, and sets it as a header.
     fn add_secret(&self, hop: &Hop, headers: &mut http::HeaderMap) -> Result<(), CallError> {
         let missing = |reason: String| {
             CallError::not_run(Cause::ConfigurationBehind, reason).retry_after(CONFIG_RETRY_AFTER)
@@ -98,6 +101,7 @@
     }
 }
 
+/// The route of this name in the configuration.
 fn find_route<'a>(
     state: &'a rampthread_core::config::ConfigState,
     name: &ResourceName,
--- a/crates/rampthread-node/src/calls/gate/exchange.rs
+++ b/crates/rampthread-node/src/calls/gate/exchange.rs
@@ -18,23 +18,23 @@
 use rampthread_http::{Body, ConnectionReuse, PooledBody, SendError, boxed, full, read_limited};
 use std::sync::Arc;
 
-/// Largest response that is buffered before it is returned to the entry, in bytes. 100
-/// concurrent calls hold at most 6 MB.
+/// Maximum size of a response that the gate buffers before returning it to the entry, in bytes.
+/// 100 concurrent calls hold at most 6 MB.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// An admitted call with everything that is needed to send it.
+/// A call that holds a slot, with what is needed to send the call to the backend.
 pub(super) struct AdmittedCall {
     pub(super) hop: Hop,
     pub(super) content: CallContent,
     pub(super) backend: LocalBackend,
     pub(super) slot: Slot,
-    /// Held until the response has arrived or was lost.
+    /// Trial of a suspected request; held until the response has arrived or was lost.
     pub(super) trial: Option<Trial>,
 }
 
 impl Gate {
-    /// Sends the call to the backend, validates the response, and reports a crash if the
-    /// response was lost.
+    /// Sends the call to the backend and validates the response. If the response was lost,
+    /// checks whether the backend crashed.
     pub(super) async fn exchange(
         self: Arc<Self>,
         call: AdmittedCall,
@@ -80,6 +80,8 @@
         result
     }
 
+    /// Sends the request to the backend and waits for the head of the response until the
+    /// deadline.
     async fn send(
         &self,
         hop: &Hop,
@@ -102,6 +104,8 @@
         }
     }
 
+    /// Checks that the response is one to this call, and turns it into the response for the
+    /// entry.
     async fn process_response(
         &self,
         hop: &Hop,
@@ -169,7 +173,7 @@
     }
 
     /// Reads the body of a response. A body of moderate size is buffered, so that a slow link
-    /// to the entry does not hold the slot.
+    /// to the entry does not hold the backend's slot.
     async fn read_body(
         &self,
         hop: &Hop,
@@ -188,12 +192,13 @@
     }
 }
 
-/// Body of a response, buffered or still to be streamed.
+/// Body of a response, buffered or to be streamed.
 enum ResponseBody {
     Buffered(Bytes),
     Streamed(PooledBody),
 }
 
+/// Error for a request that got no response of the backend.
 fn from_send_error(error: &SendError) -> CallError {
     match error {
         SendError::NotSent { reason, .. } => {
--- a/crates/rampthread-node/src/calls/gate/load.rs
+++ b/crates/rampthread-node/src/calls/gate/load.rs
@@ -1,12 +1,12 @@
-//! Load of the local backend, as reported to its zone.
+//! Load of the local backend, as reported to the node's zone.
 
 use super::Gate;
 use rampthread_core::call::zone_spill::{is_loaded, to_milli_slots};
 use rampthread_core::fleet::ServiceLoad;
 
 impl Gate {
-    /// The local backend's part of the load of its service. `None` while the backend and the
-    /// zone are idle, or if no other zone has backends of the service.
+    /// Load of the local backend. `None` while the backend and its service in this zone are
+    /// idle, or if no other zone has backends of the service.
     pub fn service_load(&self) -> Option<ServiceLoad> {
         let backend = self.control.local_backend()?;
         let endpoints = self.control.endpoints();
--- a/crates/rampthread-node/src/calls/gate/lost_response.rs
+++ b/crates/rampthread-node/src/calls/gate/lost_response.rs
@@ -1,5 +1,5 @@
-//! Investigates lost responses: decides whether the connection broke or the backend crashed,
-//! and reports crashes with the requests in progress to all nodes.
+//! Lost responses at the gate: checks whether the connection broke or the backend crashed, and
+//! reports crashes to all nodes, with the requests in progress at the time.
 
 use super::Gate;
 use crate::calls::request_content::CallContent;
@@ -18,16 +18,17 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Time limit for a local connection attempt to be refused.
+/// Timeout of the connection attempt that tests whether the backend's port refuses connections.
+/// The backend is on the same machine.
 const CONNECT_REFUSED_TIMEOUT: Duration = Duration::from_millis(50);
-/// Interval between checks of the backend's port after a lost response. A port that refused
-/// connections only because its backlog was full accepts them again by then; that of a
-/// terminating process may close only then.
+/// Interval between two tests of the backend's port after a lost response. A port that refused
+/// connections only because its backlog was full accepts connections again by then; the port of
+/// a terminating process may close only then.
 const PORT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Gate {
-    /// Checks whether the backend's port still accepts connections. A draining backend may
-    /// end with calls in progress; that does not count as a crash.
+    /// Checks whether the backend has crashed, by testing whether its port refuses connections.
+    /// A draining backend may end with calls in progress; that is no crash.
     pub(super) async fn investigate_loss(
         self: &Arc<Self>,
         backend: &LocalBackend,
@@ -75,9 +76,9 @@
         }
     }
 
-    /// Polls the port of a backend whose reports carry no incarnation, since a restart cannot
-    /// be seen in its reports. A port that is closed shortly after the loss means a crash;
-    /// closed at two checks in a row, the incarnation has ended.
+    /// Tests the port of a backend that does not report its incarnation, since its reports do
+    /// not show a restart. A port that is closed shortly after the loss means a crash. A port
+    /// that is closed at two tests in a row means that the incarnation has ended.
     async fn poll_closed_port(
         self: Arc<Self>,
         backend: LocalBackend,
@@ -101,6 +102,8 @@
         }
     }
 
+    /// Records that the incarnation `instance` has ended, and reports the requests it was
+    /// running.
     fn record_end(&self, backend: &LocalBackend, instance: &InstanceId) {
         let suspects = {
             let mut state = self.state();
@@ -113,8 +116,7 @@
         self.control.report_suspicions(&suspects, false);
     }
 
-    /// Records a response to a call that started at `started_at`, which shows that the backend is
-    /// alive.
+    /// Records a response to a call that started at `started_at`: the backend is alive.
     pub(super) fn record_response(&self, backend: &LocalBackend, started_at: Moment) {
         let mut state = self.state();
         if state.crash_detector.is_empty() {
@@ -124,7 +126,8 @@
         let instance = state.incarnations.present(&name);
         let cleared = state.crash_detector.record_response(&instance, started_at);
         if backend.instance.is_none() && !cleared.is_empty() {
-            // It does not report its incarnation; this is most likely the next one.
+            // The backend does not report its incarnation; the response most likely comes from
+            // the next one.
             state.incarnations.note_end(&name);
             return;
         }
@@ -132,7 +135,7 @@
         self.control.report_suspicions(&cleared, true);
     }
 
-    /// Checks whether a new incarnation of the backend explains lost responses.
+    /// Checks whether a new incarnation of the backend shows that lost responses were crashes.
     pub fn check_incarnation(&self) {
         if self.state().crash_detector.is_empty() {
             return;
@@ -163,12 +166,13 @@
         self.control.report_suspicions(&suspects, false);
     }
 
+    /// Present incarnation of the backend.
     pub(super) fn incarnation(&self, backend: &LocalBackend) -> InstanceId {
         self.state().incarnations.present(&instance_of(backend))
     }
 }
 
-/// The incarnation reported by the backend, or else its name in the configuration.
+/// Instance id that the backend reports, or else its name in the configuration.
 fn instance_of(backend: &LocalBackend) -> InstanceId {
     let named = backend.instance.clone();
     named.unwrap_or_else(|| {
@@ -176,14 +180,14 @@
     })
 }
 
-/// A response body that is streamed; if it is truncated, the loss is investigated like that of
-/// a whole response.
+/// Body of a streamed response. If the body ends early, the gate checks whether the backend
+/// crashed, as for any lost response.
 pub(super) struct LossDetectingBody<B> {
     inner: B,
     loss: Option<LossContext>,
 }
 
-/// Arguments for investigating a loss.
+/// What the gate needs to investigate a lost response.
 struct LossContext {
     gate: Arc<Gate>,
     backend: LocalBackend,
--- a/crates/rampthread-node/src/calls/gate/reservation.rs
+++ b/crates/rampthread-node/src/calls/gate/reservation.rs
@@ -1,5 +1,6 @@
-//! Reservations ahead of a request body. Large bodies are queued for a transfer permit, so that
-//! they share the link; bodies of calls that the gate would reject are not sent.
+//! Reservations: an entry asks the gate before it sends a request body. A large body is queued
+//! for a transfer permit, so that large bodies do not congest the link; the body of a call that
+//! the gate would reject is not sent.
 
 use super::admission::{OVERTAKEN_WAIT_RATIO, precedence_for_query, queue_full_error};
 use super::{Gate, Hop};
@@ -16,18 +17,19 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Time within which a permitted body must start to arrive, in which the permit reaches the
-/// entry and the request head returns. Covers the slowest region with one lost packet.
+/// Maximum time between granting a transfer permit and the start of the request body. Covers
+/// the slowest region with one lost packet.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Body size from which a transfer permit is needed, in bytes. Such a body takes 13 ms on a 10
-/// Mbit/s link, longer than the reservation itself.
+/// Size from which a request body needs a transfer permit, in bytes. A body of this size takes
+/// 13 ms on a 10 Mbit/s link, longer than the reservation itself.
 pub const LARGE_BODY_BYTES: usize = 16 * 1024;
 
-/// Number used when only checking admission; real call numbers are lower.
+/// Call number for asking whether a call would be admitted; numbers of real calls are lower.
 const NO_CALL_NUMBER: CallNumber = CallNumber::MAX;
 
-/// Permit to send one large body. Released when the body has arrived or the permit is dropped.
+/// Permit to send one large request body to this gate. Released when the body has arrived or
+/// the permit is dropped.
 pub struct TransferPermit {
     gate: Arc<Gate>,
     number: CallNumber,
@@ -35,7 +37,7 @@
 }
 
 impl TransferPermit {
-    /// Releases the permit after the whole body has arrived.
+    /// Releases the permit of a request body that has arrived completely.
     pub fn mark_arrived(mut self) {
         self.arrived = true;
     }
@@ -48,14 +50,15 @@
         let granted = state.transfers.ended(self.number, self.arrived, now);
         for number in granted {
             if let Some(sender) = state.queued_bodies.remove(&number) {
-                // If the receiver is gone, it withdraws or releases its permit.
+                // If the receiver is gone, its owner withdraws from the queue or releases the
+                // permit.
                 let _ = sender.try_send(());
             }
         }
     }
 }
 
-/// A place in the queue for transfer permits; withdrawn on drop.
+/// Place of a large request body in the queue for transfer permits; given up on drop.
 struct PermitQueueEntry {
     gate: Arc<Gate>,
     number: CallNumber,
@@ -74,13 +77,14 @@
             state.transfers.cancel(self.number)
         };
         if !was_withdrawn {
-            // The permit was issued concurrently with the withdrawal.
+            // The permit was granted between the timeout and the withdrawal.
             drop(self.gate.permit(self.number));
         }
     }
 }
 
 impl Gate {
+    /// The permit for the body with this number, which has been granted.
     fn permit(self: &Arc<Self>, number: CallNumber) -> TransferPermit {
         TransferPermit {
             gate: self.clone(),
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Decides whether the body of `hop`, of `bytes` bytes, may be sent.
+    /// Decides whether the entry may send the body of `hop`, of `bytes` bytes.
     pub async fn reserve(self: &Arc<Self>, hop: Hop, bytes: u64) -> Response<Body> {
         let mut response = match self.decide(&hop, bytes).await {
             Ok(permit) => {
@@ -115,11 +119,12 @@
         response
     }
 
-    /// Stores the permit until the body starts to arrive, for [`PERMIT_TIMEOUT`] at most.
+    /// Stores the permit until the request body starts to arrive, for [`PERMIT_TIMEOUT`] at
+    /// most.
     fn store_permit(self: &Arc<Self>, call_id: &str, permit: TransferPermit) {
         let call_id = call_id.to_string();
-        // Call ids can repeat. Dropping the replaced permit locks the state, so it must happen
-        // after the lock is released.
+        // A caller may use a request id twice, so the new permit may replace one. Dropping the
+        // replaced permit locks the state, so the lock must be released first.
         let replaced = self.state().permits.insert(call_id.clone(), permit);
         drop(replaced);
         let gate = self.clone();
@@ -132,12 +137,14 @@
         });
     }
 
-    /// Takes the permit of `call_id` when its body starts to arrive; `None` if there is none.
+    /// Takes the permit of `call_id` when the request body starts to arrive; `None` if no
+    /// permit was granted.
     pub fn take_permit(&self, call_id: &str) -> Option<TransferPermit> {
         self.state().permits.remove(call_id)
     }
 
-    /// A small body needs no permit; it may be sent if its call would be admitted at present.
+    /// A large body needs a transfer permit. A small body needs none and may be sent if its
+    /// call would be admitted at present.
     async fn decide(
         self: &Arc<Self>,
         hop: &Hop,
@@ -159,6 +166,7 @@
         }
     }
 
+    /// Waits in the queue for a transfer permit.
     async fn wait_for_permit(
         self: &Arc<Self>,
         hop: &Hop,
@@ -212,8 +220,8 @@
 }
 
 impl super::GateState {
-    /// Longest useful queueing time of a body: the latency target minus its transfer time and
-    /// the expected service time.
+    /// Maximum useful queueing time of a large request body: the latency target minus the
+    /// transfer time of the body and the expected service time.
     fn max_body_wait(&self, hop: &Hop, bytes: u64, left: Duration) -> Duration {
         match hop.queueing_limit {
             QueueingLimit::Never => Duration::ZERO,
--- a/crates/rampthread-node/src/calls/gate/slot.rs
+++ b/crates/rampthread-node/src/calls/gate/slot.rs
@@ -1,4 +1,5 @@
-//! Slots of the backend, and the queue for them.
+//! Slots of the local backend, and the queue of calls for a slot. Each running call holds one
+//! slot.
 
 use super::Gate;
 use crate::calls::response::CallError;
@@ -10,26 +11,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Notification to a queued call.
+/// What the gate signals to a queued call.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum QueueSignal {
-    /// The call holds a slot.
+    /// The call now holds a slot.
     Run,
-    /// The deadline passed; the call holds no slot.
+    /// The call's deadline has passed; the call holds no slot.
     Expired,
 }
 
-/// A slot of the backend, released when the response has ended.
+/// A slot of the backend, held by one call; released when the response has ended.
 pub(super) struct Slot {
     gate: Arc<Gate>,
     started_at: Moment,
-    /// Queueing time of the call.
+    /// Time that the call was queued.
     pub(super) waited: Duration,
-    /// Set once the backend has responded.
+    /// Set once the backend has responded to the call.
     response: Option<BackendResponse>,
 }
 
-/// A response of the backend.
+/// A response of the backend, as recorded for its service time.
 struct BackendResponse {
     route: ResourceName,
     /// False for a server error, whose duration says nothing about the backend's speed.
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Records the backend's response to a call of `route`.
+    /// Records the response to a call of `route`; the slot's duration then counts as a service
+    /// time.
     pub(super) fn record_response(&mut self, route: &ResourceName, status: StatusCode) {
         self.response = Some(BackendResponse {
             route: route.clone(),
@@ -69,6 +71,7 @@
 }
 
 impl Gate {
+    /// Waits until the queued call gets a slot, for at most `wait`.
     pub(super) async fn wait_in_queue(
         self: &Arc<Self>,
         number: CallNumber,
@@ -89,6 +92,8 @@
         Err(call_error.retry_after(super::CONFIG_RETRY_AFTER))
     }
 
+    /// Frees a slot and signals the next queued call. `service_time` is `None` if the backend
+    /// did not respond.
     fn release(&self, service_time: Option<Duration>) {
         let now = self.control.clock.now();
         let mut state = self.state();
@@ -102,14 +107,14 @@
             .run
             .and_then(|next| state.queued_calls.remove(&next))
         {
-            // The receiver lives as long as its entry in `queued_calls`; see `QueueEntry`.
+            // The receiver lives as long as its sender in `queued_calls`; see `QueueEntry`.
             let _ = sender.try_send(QueueSignal::Run);
         }
     }
 }
 
-/// A place in the queue. Dropping it withdraws the call; if the call was given a slot that it
-/// never saw, the slot is released.
+/// Place of a call in the queue. Dropping it withdraws the call. If the call was given a slot
+/// but never read the signal, dropping releases the slot.
 struct QueueEntry {
     gate: Arc<Gate>,
     number: CallNumber,
--- a/crates/rampthread-node/src/calls/gate/speed.rs
+++ b/crates/rampthread-node/src/calls/gate/speed.rs
@@ -1,4 +1,5 @@
-//! Speed of the local backend: reported load, measured speed, and what is published of them.
+//! Speed of the local backend: measured from service times, adjusted by the load that the
+//! backend reports, and sent to entries.
 
 use super::Gate;
 use crate::calls::header_filter;
@@ -11,14 +12,14 @@
 use std::time::Duration;
 
 impl Gate {
-    /// Sets the mean service times per route that this node's entry has measured over all
-    /// backends of the service.
+    /// Sets the mean service time of each route over all backends of the service, as measured
+    /// by this node's entry.
     pub fn set_reference_times(&self, times: HashMap<ResourceName, Duration>) {
         self.state().reference_times = times;
     }
 
-    /// Publishes the long-term speed of a backend that has an instance id. Every change is
-    /// propagated to all nodes, so the value is coarse.
+    /// Publishes the long-term speed of a backend that reports an instance id. Every change is
+    /// sent to all nodes, so the published value changes in coarse steps.
     pub fn publish_speed(&self) {
         let instance = self
             .control
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Records the load that the backend reports in its response, if the dialect has a header
-    /// for it.
+    /// Records the load that the backend reports in a response, where the dialect names a
+    /// header for it.
     pub(super) fn record_backend_load(&self, response_headers: &HeaderMap) {
         let named = self.dialect.backend_load.as_ref();
         let Some(header) = named.filter(|header| response_headers.contains_key(*header)) else {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Adds the backend's speed to the response, unless it is the default.
+    /// Adds the backend's speed to a response for the entry, unless the speed is normal.
     pub(super) fn add_speed_header(&self, response_headers: &mut HeaderMap) {
         let speed = self.state().speed.speed(self.control.clock.now());
         if speed != BackendSpeed::default() {
--- a/crates/rampthread-node/src/calls/gate/trial.rs
+++ b/crates/rampthread-node/src/calls/gate/trial.rs
@@ -1,5 +1,6 @@
-//! Quarantine at the gate: rejects quarantined requests, and runs requests on trial one at a
-//! time, so that a crash is attributed to the right one.
+//! Quarantine at the gate. Requests in whose handling backends crashed are rejected
+//! (quarantined) or run on trial: one at a time, so that a crash is attributed to the right
+//! request.
 
 use super::Gate;
 use crate::calls::request_content::CallContent;
@@ -15,7 +16,7 @@
 /// time that a backend takes to restart.
 const TRIAL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A trial in progress; ends on drop.
+/// The trial of a suspected request; ends on drop.
 pub(super) struct Trial {
     gate: Arc<Gate>,
 }
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Starts the trial of a request that needs one; rejects a quarantined request.
+    /// Starts the trial of a request that must run on trial; `None` for any other request.
+    /// Rejects a quarantined request.
     pub(super) fn begin_trial(
         self: &Arc<Self>,
         content: &CallContent,
@@ -50,9 +52,9 @@
         }
     }
 
-    /// Starts the trial, unless the backend may already be down: it has lost responses and
-    /// sent none since. A trial there would fail whatever the request does, and count against
-    /// the request.
+    /// Starts a trial, unless another request is on trial or the backend may already be down,
+    /// having lost responses and sent none since. A trial at such a backend would fail whatever
+    /// the request does, and would count against the request.
     fn start_trial(
         self: &Arc<Self>,
         identity: RequestIdentity,
@@ -80,7 +82,8 @@
     }
 }
 
-/// Error for a quarantined request, which was not run; `left` is the remaining quarantine.
+/// Error for a quarantined request, which has not run. `left` is the remaining time of the
+/// quarantine.
 pub fn quarantine_error(crashes: usize, left: Duration) -> CallError {
     let reason = format!("{crashes} back ends have crashed under this request");
     CallError::not_run(Cause::Quarantined, reason).retry_after(left)
--- a/crates/rampthread-node/src/calls/guarded_body.rs
+++ b/crates/rampthread-node/src/calls/guarded_body.rs
@@ -1,18 +1,18 @@
-//! A body that keeps a guard alive until it has ended or is dropped.
+//! A body that keeps a guard alive until the body has ended or is dropped.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Forwards `inner` and drops `guard` at its end.
+/// Forwards the frames of `inner`, and drops `guard` when `inner` ends.
 pub struct GuardedBody<B, G> {
     inner: B,
     guard: Option<G>,
 }
 
 impl<B, G> GuardedBody<B, G> {
-    /// Attaches `guard` to `inner`.
+    /// Attaches `guard` to the body `inner`.
     pub fn new(inner: B, guard: G) -> Self {
         Self {
             inner,
--- a/crates/rampthread-node/src/calls/header_filter.rs
+++ b/crates/rampthread-node/src/calls/header_filter.rs
@@ -1,5 +1,5 @@
-//! Headers of forwarded messages: removes hop-by-hop headers, and reads and writes internal
-//! ones.
+//! Headers of forwarded requests and responses: removes hop-by-hop headers, and reads and
+//! writes internal ones (those with the system's own prefix).
 
 use http::header::{
     CONNECTION, CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue, PROXY_AUTHENTICATE,
@@ -48,7 +48,8 @@
     }
 }
 
-/// Sets `Content-Length` for a buffered body; omits it where the message had no body.
+/// Sets `Content-Length` for a buffered body. A message that had no body gets no
+/// `Content-Length`.
 pub fn set_length(headers: &mut HeaderMap, length: usize, had_body: bool) {
     headers.remove(CONTENT_LENGTH);
     if length > 0 || had_body {
@@ -56,26 +57,27 @@
     }
 }
 
-/// Sets an internal header. A value that is not allowed in a header is dropped.
+/// Sets an internal header. A value that is not allowed in a header is not set.
 pub fn set_internal(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
 }
 
-/// Sets a header named by the dialect. A value that is not allowed in a header is dropped.
+/// Sets a header whose name the dialect defines. A value that is not allowed in a header is not
+/// set.
 pub fn set_header(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name.clone(), value);
     }
 }
 
-/// Value of a header as text; `None` if it is missing or not visible ASCII.
+/// Value of a header as text; `None` if the header is missing or not visible ASCII.
 pub fn header_str<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Value of a header, parsed; `None` if it is missing or malformed.
+/// Value of a header, parsed; `None` if the header is missing or its value does not parse.
 pub fn parse_header<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
     header_str(headers, name)?.parse().ok()
 }
--- a/crates/rampthread-node/src/calls/hop_headers.rs
+++ b/crates/rampthread-node/src/calls/hop_headers.rs
@@ -1,7 +1,8 @@
-//! Header encoding of a hop, from the entry to the gate of the chosen backend.
+//! Headers of a hop, that is, of a request that the entry sends to the gate of the selected
+//! backend.
 //!
-//! Traffic between zones is expensive, and the head is a large part of a small call, so values
-//! that the gate can derive are omitted.
+//! Traffic between zones is expensive, and the head is a large part of a small call. Values
+//! that the gate can derive are therefore omitted.
 
 use super::gate::{ATTEMPT_SEPARATOR, Hop};
 use super::header_filter;
@@ -16,11 +17,11 @@
 
 /// Attempt number; sent where the caller's request id is forwarded in its own header.
 const ATTEMPT_HEADER: &str = "rampthread-try";
-/// Whether the call may run more than once; absent means that it may not.
+/// Whether the call may run more than once; if the header is absent, it may not.
 const REPEATABLE_HEADER: &str = "rampthread-repeatable";
 
-/// Writes `hop` into the headers of a request sent at `now`. `process_epoch` identifies the sender's
-/// process start.
+/// Writes `hop` into the headers of a request sent at `now`. `process_epoch` identifies the
+/// sender's process start.
 pub fn write(
     hop: &Hop,
     dialect: &CallDialect,
@@ -30,7 +31,7 @@
 ) {
     let since_start = now.since(Moment::default());
     let sent = SentAt {
-        process_epoch: process_epoch,
+        process_epoch,
         since_start,
     };
     header_filter::set_internal(to, headers::SENT_AT, &sent.to_string());
@@ -57,6 +58,7 @@
     }
 }
 
+/// Writes the call id, in the caller's own header where the dialect names one.
 fn write_id(hop: &Hop, dialect: &CallDialect, to: &mut HeaderMap) {
     let number = hop.call_id.rsplit_once(ATTEMPT_SEPARATOR);
     match (&dialect.request_id, number) {
@@ -71,7 +73,8 @@
     }
 }
 
-/// Call id of the attempt that a request belongs to; `None` if the request is not a hop.
+/// Call id (request id and attempt number) in the headers of a hop; `None` if the request is
+/// not a hop.
 pub fn call_id(from: &HeaderMap, dialect: &CallDialect) -> Option<String> {
     if let Some(id) = header_filter::header_str(from, headers::CALL_ID) {
         return Some(id.to_string());
@@ -81,13 +84,13 @@
     Some(format!("{id}{ATTEMPT_SEPARATOR}{number}"))
 }
 
-/// When the hop was sent, by the sender's clock; `None` from older nodes.
+/// When the sender sent the hop, by the sender's clock; `None` from older nodes.
 pub fn sent_at(from: &HeaderMap) -> Option<SentAt> {
     SentAt::parse(header_filter::header_str(from, headers::SENT_AT)?)
 }
 
-/// Decodes the hop `call_id`, sent at `sent` by the clock of this process. Returns the reason
-/// if a header is missing or malformed.
+/// Decodes the headers of the hop `call_id`, which was sent at `sent` by the clock of this
+/// process. The error names the header that is missing or malformed.
 pub fn read(call_id: String, from: &HeaderMap, sent: Moment) -> Result<Hop, String> {
     let name = |header: &str| {
         let text = header_filter::header_str(from, header)
--- a/crates/rampthread-node/src/calls/idempotency_claims.rs
+++ b/crates/rampthread-node/src/calls/idempotency_claims.rs
@@ -1,4 +1,6 @@
-//! IdempotencyClaims of idempotency keys: the claims that this node holds, and requests to other holders.
+//! Claims of idempotency keys. A call with a key may run only if a majority of the key's
+//! holders (nodes chosen by the key) grants a claim. This node is a holder itself and asks
+//! other holders.
 
 use super::peers::{CLAIM_ACTION_HEADER, CLAIM_PATH, CLAIM_RESULT_HEADER, PeerClient};
 use crate::control::Control;
@@ -12,23 +14,24 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Time limit of a request to one holder.
+/// Timeout of a request to one holder.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Header with the time after which a holder can decide, in milliseconds.
 const RETRY_AFTER_MS: &str = "rampthread-retry-after-ms";
 
-/// Action requested of a holder.
+/// What an entry asks of a holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Claim the key for a call.
+    /// Grant the call a claim to the key.
     Claim,
-    /// The call ran; the key stays taken.
+    /// The call has run; the key stays taken.
     Done,
-    /// The call did not run; the key becomes free.
+    /// The call has not run; free the key for another call.
     Release,
 }
 
 impl ClaimAction {
-    /// Value of the action header.
+    /// Value of the header [`CLAIM_ACTION_HEADER`].
     pub fn as_str(self) -> &'static str {
         match self {
             ClaimAction::Claim => "claim",
@@ -37,7 +40,7 @@
         }
     }
 
-    /// Parses the value of the action header.
+    /// Parses the value of the header [`CLAIM_ACTION_HEADER`].
     pub fn parse(word: &str) -> Option<Self> {
         [Self::Claim, Self::Done, Self::Release]
             .into_iter()
@@ -53,7 +56,7 @@
 }
 
 impl IdempotencyClaims {
-    /// Creates an empty table; `life` is how long a claim lasts.
+    /// Creates an empty table of claims. `life` is the time after which a claim expires.
     pub fn new(control: Arc<Control>, peers: Arc<PeerClient>, life: Duration) -> Self {
         let started = control.clock.now();
         Self {
@@ -69,7 +72,7 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Applies a claim action as a holder.
+    /// Applies a claim action to the table of this holder.
     pub fn handle_request(&self, action: ClaimAction, key: &str, call_id: &str) -> ClaimReply {
         let now = self.control.clock.now();
         let call = call_id.to_string();
@@ -86,15 +89,15 @@
         }
     }
 
-    /// IdempotencyClaims `key` for `call_id` at all holders and returns the result of the vote. If the call
-    /// may not run, its claims are released.
+    /// Claims `key` for `call_id` at all its holders and returns the result of their vote. If
+    /// the call may not run, its claims are released.
     pub async fn claim(&self, key: &str, call_id: &str) -> ClaimDecision {
         let holders = self.holders(key);
         let mut vote = ClaimVote::new(holders.len());
         let answers = join_all(
             holders
                 .iter()
-                .map(|holder| self.request(holder, ClaimAction::Claim, key, call_id)),
+                .map(|holder| self.send_claim_action(holder, ClaimAction::Claim, key, call_id)),
         );
         for answer in answers.await.into_iter().flatten() {
             vote.add(answer);
@@ -107,24 +110,26 @@
         verdict
     }
 
-    /// Sends the outcome of a call to all holders.
+    /// Notifies all holders of `key` of the outcome of the call.
     pub async fn notify_holders(&self, action: ClaimAction, key: &str, call_id: &str) {
         let holders = self.holders(key);
         join_all(
             holders
                 .iter()
-                .map(|holder| self.request(holder, action, key, call_id)),
+                .map(|holder| self.send_claim_action(holder, action, key, call_id)),
         )
         .await;
     }
 
+    /// Holders of `key` among the nodes in the configuration.
     fn holders(&self, key: &str) -> Vec<NodeId> {
         let active = self.control.active();
         let nodes = active.state.backends().map(|backend| backend.node.clone());
         claims::holders(key, nodes)
     }
 
-    async fn request(
+    /// Sends a claim action to one holder; `None` if the holder does not reply in time.
+    async fn send_claim_action(
         &self,
         holder: &NodeId,
         action: ClaimAction,
@@ -146,7 +151,7 @@
     }
 }
 
-/// Encodes a claim result as headers.
+/// Encodes a holder's reply to a claim request as headers.
 pub fn claim_result_headers(answer: ClaimReply) -> Vec<(&'static str, String)> {
     let word = match answer {
         ClaimReply::Granted => "granted",
@@ -161,6 +166,7 @@
     lines
 }
 
+/// Decodes a holder's reply to a claim request; `None` if it is malformed.
 fn parse_claim_result(headers: &HeaderMap) -> Option<ClaimReply> {
     let word = headers.get(CLAIM_RESULT_HEADER)?.to_str().ok()?;
     Some(match word {
--- a/crates/rampthread-node/src/calls/load_report.rs
+++ b/crates/rampthread-node/src/calls/load_report.rs
@@ -1,4 +1,5 @@
-//! This node's load report to its zone: load of the backend and demand of the callers.
+//! Load report of this node to its zone: load of the local backend and demand of this node's
+//! callers.
 
 use super::entry::Entry;
 use super::gate::Gate;
--- a/crates/rampthread-node/src/calls/mod.rs
+++ b/crates/rampthread-node/src/calls/mod.rs
@@ -1,7 +1,5 @@
-//! The request path.
-//!
-//! [`entry`] accepts calls at any node, [`gate`] runs them at the local backend, and [`peers`]
-//! carries requests between nodes.
+//! The request path: [`entry`] receives calls at any node, [`gate`] runs them at the local
+//! backend, and [`peers`] carries requests between nodes.
 
 pub mod entry;
 pub mod gate;
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -1,4 +1,4 @@
-//! Requests between nodes: the client, and the service of the listener for peers.
+//! Requests between nodes: the client, and the service behind the listener for peers.
 
 use super::gate::Gate;
 use super::header_filter;
@@ -23,36 +23,38 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Path of fence requests.
+/// Path of a fence request, which forbids the gate to start an abandoned call.
 pub const FENCE_PATH: &str = "/rampthread/fence";
-/// Path of reservations ahead of a request body.
+/// Path of a reservation, which an entry sends before a request body.
 pub const RESERVE_PATH: &str = "/rampthread/reserve";
-/// Path of claim requests for idempotency keys.
+/// Path of a claim request for an idempotency key.
 pub const CLAIM_PATH: &str = "/rampthread/claim";
-/// Action of a claim request: a word of [`ClaimAction`].
+/// Header with the action of a claim request, a [`ClaimAction`].
 pub const CLAIM_ACTION_HEADER: &str = "rampthread-claim-action";
-/// Result of a claim request.
+/// Header with the result of a claim request.
 pub const CLAIM_RESULT_HEADER: &str = "rampthread-claim-answer";
-/// Whether a fenced call may have started: one of [`FenceStatus`].
+/// Header with the result of a fence request: whether the fenced call may have started.
 const FENCE_STATUS_HEADER: &str = "rampthread-fenced";
-/// Node that responds to a fence request.
+/// Header with the id of the node that responds to a fence request.
 const FENCING_NODE_HEADER: &str = "rampthread-fenced-by";
-/// How far back the fence table of the responding gate reaches, in milliseconds.
+/// Header that says how far back the fence table of the responding gate reaches, in
+/// milliseconds.
 const FENCE_RETENTION_MS_HEADER: &str = "rampthread-fence-memory-ms";
-/// Time limit for a connection to a peer, which may be in another region.
+/// Timeout of connecting to a peer, which may be in another region.
 const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// `TCP_USER_TIMEOUT` of connections to peers, which detects hosts that are powered off or
+/// `TCP_USER_TIMEOUT` of connections to peers, which detects peers that lost power or are
 /// partitioned.
 const PEER_TCP_USER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Client for hops and queries to other nodes.
+/// Client for requests to other nodes: hops, and header-only queries such as fences and claims.
 pub struct PeerClient {
     control: Arc<Control>,
-    /// `None` where requests between nodes are not authenticated.
+    /// Keys that authenticate requests between nodes; `None` where the network is trusted.
     keys: Option<HopKeys>,
     pool: Pool,
-    /// Random number of this process start. Hops carry the time since the start.
+    /// Random number that tells this process start from others of the node. Hops carry it with
+    /// the time since the start.
     process_epoch: u32,
 }
 
@@ -71,22 +73,24 @@
         }
     }
 
-    /// Random number that identifies this process start.
+    /// Random number that tells this process start from others of the node.
     pub fn process_epoch(&self) -> u32 {
         self.process_epoch
     }
 
-    /// Connection pool shared by hops and queries.
+    /// Connection pool for requests to peers.
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
-    /// Token that proves to `receiver` that a fleet member sent the call; `None` without keys.
+    /// Token that proves to `receiver` that a fleet member has sent the call; `None` without
+    /// keys.
     pub fn token(&self, receiver: &NodeId, call_id: &str) -> Option<String> {
         let keys = self.keys.as_ref()?;
         Some(keys.token(receiver, call_id))
     }
 
+    /// Whether the token proves that a fleet member has sent the request to this node.
     fn authenticates(&self, call_id: &str, token: Option<&str>) -> bool {
         match (&self.keys, token) {
             (None, _) => true,
@@ -95,8 +99,8 @@
         }
     }
 
-    /// Sends a header-only query to `node`. Returns the headers of the response; `None` if
-    /// there is none or its status is not 200.
+    /// Sends a header-only query to `node` and returns the headers of the reply; `None` if
+    /// there is no reply or its status is not 200.
     pub async fn query(
         &self,
         node: &NodeId,
@@ -108,7 +112,7 @@
         self.query_at(address, node, path, call_id, query).await
     }
 
-    /// Like [`Self::query`], at an address where the node was reached before.
+    /// Like [`Self::query`], for a node that was reached at `address` before.
     async fn query_at(
         &self,
         address: SocketAddr,
@@ -140,8 +144,9 @@
         (parts.status == StatusCode::OK).then_some(parts.headers)
     }
 
-    /// Asks the gate at `address` whether to send a body of `bytes` bytes; `head` is that of
-    /// the hop. Returns `None` if the body may be sent, or else the gate's error response.
+    /// Asks the gate at `address` whether a request body of `bytes` bytes may be sent; `head`
+    /// is the head of the hop. Returns `None` if the body may be sent, or else the gate's error
+    /// response.
     pub async fn reserve(
         &self,
         address: SocketAddr,
@@ -175,9 +180,9 @@
         }
     }
 
-    /// Fences `call_id` at `address`, where the hop to `node` was sent. Meanwhile the node may
-    /// have moved, and another node may use the address. `None` if there is no response within
-    /// `wait`.
+    /// Fences `call_id` at `address`, where the hop to `node` was sent. The node may have
+    /// another address by now, and another node may use this one. Returns `None` if there is no
+    /// reply within `wait`.
     pub async fn fence(
         &self,
         address: SocketAddr,
@@ -188,7 +193,8 @@
         let querying = self.query_at(address, node, FENCE_PATH, call_id, &[]);
         let reply = rampthread_http::timeout(wait, querying).await.ok()??;
         let by = header_filter::header_str(&reply, FENCING_NODE_HEADER);
-        // Older nodes do not report it; zero claims no memory.
+        // Older nodes do not report how far back their fence table reaches; zero claims
+        // nothing.
         let memory_ms = header_filter::parse_header(&reply, FENCE_RETENTION_MS_HEADER).unwrap_or(0);
         Some(FenceReply {
             by: by.and_then(|name| NodeId::new(name).ok()),
@@ -200,7 +206,7 @@
     }
 }
 
-/// Handles requests from other nodes.
+/// Handles the requests of other nodes.
 pub struct PeerService {
     control: Arc<Control>,
     peers: Arc<PeerClient>,
@@ -212,7 +218,8 @@
 }
 
 impl PeerService {
-    /// Dispatches hops to `gate` and claims to `claims`; `body_limit` is in bytes.
+    /// Creates a service that passes hops to `gate` and claim requests to `claims`.
+    /// `body_limit` is the maximum size of a request body, in bytes.
     pub fn new(
         control: Arc<Control>,
         peers: Arc<PeerClient>,
@@ -232,8 +239,8 @@
         }
     }
 
-    /// When an arriving hop was sent, by the clock of this process, so that its transit time
-    /// counts against the deadline.
+    /// When a hop that arrives now was sent, by the clock of this process, so that the hop's
+    /// transit time counts against its deadline.
     fn sent_at(&self, head: &HeaderMap, peer: SocketAddr) -> Moment {
         let now = self.control.clock.now();
         let Some(sent) = hop_headers::sent_at(head) else {
@@ -247,7 +254,7 @@
         Moment(now.0.saturating_sub(delay.as_micros() as u64))
     }
 
-    /// Authenticates one request and dispatches it by its path.
+    /// Authenticates one request of another node and dispatches it by its path.
     pub async fn handle(
         self: Arc<Self>,
         request: Request<RequestBody>,
@@ -269,7 +276,8 @@
             Some(FENCE_PATH) => self.handle_fence(&call_id),
             Some(RESERVE_PATH) => {
                 let sent = self.sent_at(request.headers(), peer);
-                self.handle_reserve(call_id, request.headers(), sent).await
+                self.handle_reservation(call_id, request.headers(), sent)
+                    .await
             }
             Some(CLAIM_PATH) => self.handle_claim(&call_id, request.headers()),
             _ => {
@@ -279,6 +287,7 @@
         }
     }
 
+    /// Passes an encrypted control message to the control plane client.
     async fn handle_control_message(&self, request: Request<RequestBody>) -> Response<Body> {
         match read_limited(request.into_body(), MAX_MESSAGE_BYTES).await {
             Ok(sealed) => {
@@ -291,6 +300,7 @@
         }
     }
 
+    /// Fences a call at this node's gate.
     fn handle_fence(&self, call_id: &str) -> Response<Body> {
         let answer = self.gate.fence(call_id);
         let memory_ms = answer.retention.as_millis().to_string();
@@ -301,6 +311,7 @@
         response
     }
 
+    /// Applies a claim action at this node as a holder.
     fn handle_claim(&self, call_id: &str, query: &HeaderMap) -> Response<Body> {
         let key = header_filter::header_str(query, headers::IDEMPOTENCY_KEY);
         let action =
@@ -316,7 +327,8 @@
         response
     }
 
-    async fn handle_reserve(
+    /// Handles a reservation ahead of a request body.
+    async fn handle_reservation(
         &self,
         call_id: String,
         query: &HeaderMap,
@@ -333,6 +345,7 @@
         }
     }
 
+    /// Reads the body of a hop and passes the hop to the gate.
     async fn handle_hop(
         &self,
         call_id: String,
@@ -363,9 +376,9 @@
     }
 }
 
-/// Path of a control message or query between nodes; `None` for a hop, which has the path of
-/// its caller's request. Hops and reservations have a route header, and only a reservation has
-/// the body size. Callers can set neither header.
+/// Path of a control message or query between nodes; `None` for a hop, whose path is that of
+/// the caller's request. Hops and reservations have a route header, and only a reservation has
+/// a body size header. Callers can set neither header.
 fn query_path<B>(request: &Request<B>) -> Option<&'static str> {
     let head = request.headers();
     let has_route = head.contains_key(headers::ROUTE);
@@ -378,6 +391,7 @@
         .find(|path| *path == request.uri().path())
 }
 
+/// Logs a request that is not authenticated, and returns its error response.
 fn forbidden_response(peer: SocketAddr) -> Response<Body> {
     tracing::warn!(%peer, "rejected a hop without a valid token");
     let mut call_error = CallError::not_run(Cause::NotAMember, "missing or invalid hop token");
--- a/crates/rampthread-node/src/calls/request_content.rs
+++ b/crates/rampthread-node/src/calls/request_content.rs
@@ -1,5 +1,5 @@
-//! Identifying parts of a request, kept while the call is in progress. Clones share the data;
-//! the digest is computed once, on demand.
+//! The parts of a request that identify it, kept while its call is in progress. Clones share
+//! the data; the identity is computed once, on demand.
 
 use bytes::Bytes;
 use http::header::HOST;
@@ -11,6 +11,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct CallContent(Arc<Parts>);
 
+/// The parts that clones of a [`CallContent`] share.
 #[derive(Debug, Default)]
 struct Parts {
     method: Method,
@@ -31,12 +32,12 @@
         }))
     }
 
-    /// Size of the body, in bytes.
+    /// Size of the request body, in bytes.
     pub(super) fn body_bytes(&self) -> usize {
         self.0.body.len()
     }
 
-    /// Identity of the request, digested at the first use.
+    /// Identity of the request, a keyed digest; computed at the first use.
     pub(super) fn identity(&self, key: &IdentityKey) -> RequestIdentity {
         *self.0.identity.get_or_init(|| self.0.identify(key))
     }
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits of tenants at this node: applies limits and demand published by the fleet, and
-//! decides on requests.
+//! Rate limits of tenants at this node. The limits are fleet-wide: each node decides on its own
+//! requests by the demand that all zones publish.
 
 use super::response::CallError;
 use crate::control::Control;
@@ -18,27 +18,28 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Number of tenants with metrics of their own: those with rejections first, then those with the
-/// most demand. The others are aggregated.
+/// Maximum number of tenants with metrics of their own. Tenants with rejections come first,
+/// then those with the most demand; the other tenants are aggregated.
 const MAX_TENANTS_WITH_METRICS: usize = 20;
-/// Interval between updates of the metrics.
+/// Interval between updates of the tenant metrics.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 /// Label value of the aggregated tenants.
 const OTHER_TENANTS: &str = "other";
-/// How long a member that disappeared without leaving still counts: it may be partitioned.
+/// How long a member that disappeared without a departure still counts among the nodes of its
+/// zone: it may be partitioned and still admit requests.
 const MISSING_MEMBER_RETENTION: Duration = Duration::from_secs(600);
 
-/// Rate limits of all tenants at this node.
+/// Rate limits of all tenants, as applied at this node.
 pub struct TenantLimits {
     control: Arc<Control>,
     zone: Zone,
     quotas: Mutex<TenantQuotas>,
-    /// Next update of the metrics, as a [`Moment`].
+    /// When to update the metrics next, as a [`Moment`].
     next_metrics_update: AtomicU64,
 }
 
 impl TenantLimits {
-    /// Creates limits without any knowledge of demand; `zone` is that of this node.
+    /// Creates rate limits without any knowledge of demand. `zone` is the zone of this node.
     pub fn new(control: Arc<Control>, zone: Zone, policy: QuotaPolicy) -> Self {
         let quotas = Mutex::new(TenantQuotas::new(policy, control.clock.now()));
         Self {
@@ -72,13 +73,14 @@
         }
     }
 
-    /// Returns the token of a request that provably did not run.
+    /// Returns the token of a request that has provably not run.
     pub fn refund(&self, tenant: TenantHash) {
         let now = self.control.clock.now();
         self.quotas().refund(tenant, now);
     }
 
-    /// Applies the limits in force and the fleet's published demand; to be called periodically.
+    /// Applies the configured limits and the demand that the zones have published. To be called
+    /// periodically.
     pub fn refresh(&self) {
         let active = self.control.active();
         let now = self.control.clock.now();
@@ -86,7 +88,7 @@
             return;
         }
         let zones = self.control.zone_loads().at(now);
-        let members = self.members(now);
+        let members = self.zone_member_counts(now);
         let news = FleetLoadSnapshot {
             zones: &zones,
             own_zone: &self.zone,
@@ -100,7 +102,8 @@
         }
     }
 
-    fn members(&self, now: Moment) -> ZoneMemberCounts {
+    /// Number of nodes in each zone that apply the limits.
+    fn zone_member_counts(&self, now: Moment) -> ZoneMemberCounts {
         self.control.with_agent(|agent| {
             let mut members = ZoneMemberCounts::new();
             let membership = agent.membership();
@@ -116,8 +119,9 @@
         })
     }
 
-    /// Demand of tenants at this node; `None` if no tenant has a limit. Otherwise an empty list
-    /// is reported as well, because silent nodes count as partitioned.
+    /// Demand of tenants at this node, for its load report; `None` if no tenant has a limit.
+    /// Otherwise an empty list is reported as well, because nodes without reports count as
+    /// partitioned.
     pub fn load_reports(&self) -> Option<Vec<TenantLoad>> {
         if !self.control.active().tenants.has_limits() {
             return None;
@@ -126,7 +130,8 @@
         Some(self.quotas().load_reports(now))
     }
 
-    /// Tenants with a limit and their state, ordered by rejections, then demand, both descending.
+    /// Tenants with a limit and the state of that limit, ordered by rejections, then by demand,
+    /// both descending.
     pub fn snapshots(&self) -> Vec<(ResourceName, QuotaView)> {
         let active = self.control.active();
         let now = self.control.clock.now();
@@ -146,7 +151,7 @@
         snapshots
     }
 
-    /// Updates the metrics of the largest tenants and of the rest together.
+    /// Updates the metrics of the largest tenants, and of the other tenants in total.
     fn update_metrics(&self) {
         let metrics = &self.control.metrics;
         let snapshots = self.snapshots();
@@ -169,7 +174,7 @@
     }
 }
 
-/// Describes a rejection and the data that it was based on.
+/// Describes why a request was rejected, and the data behind the decision.
 fn rejection_reason(tenant: &ResourceName, refused: &QuotaExceeded) -> String {
     let (fleet_demand_rps, rate) = (refused.fleet_demand_rps, refused.limit.rate);
     let basis = match refused.basis {
