--- a/crates/rampthread-node/src/api/changes.rs
+++ b/crates/rampthread-node/src/api/changes.rs
@@ -1,4 +1,4 @@
-//! Changes: apply, put, delete, drain.
+//! API handlers that change the configuration (apply, put, delete) or drain the node.
 
 use super::ApiState;
 use super::views::ChangeView;
@@ -18,7 +18,8 @@
 const IF_MATCH: &str = "if-match";
 const PLACE: &str = "request";
 
-/// One file, many resources, one atomic change.
+/// Handles `POST /v1/apply`: applies a file with any number of resources as one atomic
+/// change.
 pub async fn apply(mut request: Request<ApiState>) -> tide::Result {
     let operation_id = match operation_id(&request) {
         Ok(id) => id,
@@ -31,7 +32,7 @@
     match read_resource_json(PLACE, &body) {
         Ok(file) => {
             let Some(keeper) = &request.state().secrets else {
-                return Ok(document_rules());
+                return Ok(reject_in_document_mode());
             };
             let operations = put_operations(keeper, file, None);
             propose(&request, operation_id, operations).await
@@ -40,7 +41,7 @@
     }
 }
 
-/// Creates or replaces one resource.
+/// Handles `PUT` of a resource: creates or replaces it.
 pub async fn put(mut request: Request<ApiState>) -> tide::Result {
     let checked = (|| {
         Ok::<_, Findings>((
@@ -53,18 +54,18 @@
         Ok(checked) => checked,
         Err(findings) => return Ok(bad_input(&findings)),
     };
-    let file = match read_one(&mut request, &key).await {
+    let file = match read_resource(&mut request, &key).await {
         Ok(file) => file,
         Err(findings) => return Ok(bad_input(&findings)),
     };
     let Some(keeper) = &request.state().secrets else {
-        return Ok(document_rules());
+        return Ok(reject_in_document_mode());
     };
     let operations = put_operations(keeper, file, generation);
     propose(&request, operation_id, operations).await
 }
 
-/// Removes one resource.
+/// Handles `DELETE` of a resource.
 pub async fn delete(request: Request<ApiState>) -> tide::Result {
     let checked = (|| {
         Ok::<_, Findings>((
@@ -74,7 +75,7 @@
         ))
     })();
     match checked {
-        Ok(_) if request.state().secrets.is_none() => Ok(document_rules()),
+        Ok(_) if request.state().secrets.is_none() => Ok(reject_in_document_mode()),
         Ok((key, operation_id, if_generation)) => {
             let operation = Operation::Delete { key, if_generation };
             propose(&request, operation_id, vec![operation]).await
@@ -83,7 +84,7 @@
     }
 }
 
-/// Stops new work for the back end beside this node.
+/// Handles `POST /v1/drain`: the node stops accepting new work for its local backend.
 pub async fn drain(request: Request<ApiState>) -> tide::Result {
     request.state().control.drain("operator");
     Ok(Response::new(StatusCode::Accepted))
@@ -102,8 +103,8 @@
     })
 }
 
-/// Reads one resource; its kind and name come from the path.
-async fn read_one(
+/// Reads one resource from the request body; its kind and name are taken from the path.
+async fn read_resource(
     request: &mut Request<ApiState>,
     key: &ResourceKey,
 ) -> Result<ResourceFile, Findings> {
@@ -141,9 +142,9 @@
     }
 }
 
-/// Where the configuration is the operators' document in the platform's store,
-/// changes are written there.
-fn document_rules() -> Response {
+/// Response to a change in document mode: the configuration is the operators' document in
+/// the platform's store, and changes must be made there.
+fn reject_in_document_mode() -> Response {
     let mut findings = Findings::new();
     findings.push(
         PLACE,
@@ -156,7 +157,7 @@
     )
 }
 
-/// Seals the secrets and makes one operation for each resource.
+/// Converts the resources of a file to put operations, and seals the values of secrets.
 fn put_operations(
     keeper: &SecretKeeper,
     file: ResourceFile,
@@ -209,7 +210,8 @@
     })
 }
 
-/// `If-Match` names a generation; 0 means that the resource must not exist.
+/// Parses the generation in the `If-Match` header; 0 requires that the resource does not
+/// exist.
 fn if_match(request: &Request<ApiState>) -> Result<Option<Version>, Findings> {
     let Some(values) = request.header(IF_MATCH) else {
         return Ok(None);
@@ -243,10 +245,10 @@
         operations,
     };
     let result = request.state().control.propose(change).await;
-    Ok(answer(result.operation_id, &result.answer))
+    Ok(change_response(result.operation_id, &result.answer))
 }
 
-fn answer(operation_id: OperationId, answer: &ProposalReply) -> Response {
+fn change_response(operation_id: OperationId, answer: &ProposalReply) -> Response {
     match answer {
         ProposalReply::Decided {
             version,
@@ -263,7 +265,7 @@
             json(status, &view)
         }
         ProposalReply::NotRun { retry_after } => {
-            not_run(ChangeView::new(operation_id, "not-run"), *retry_after)
+            not_run_response(ChangeView::new(operation_id, "not-run"), *retry_after)
         }
         ProposalReply::Unknown | ProposalReply::EpochMismatch => json(
             StatusCode::GatewayTimeout,
@@ -272,7 +274,7 @@
     }
 }
 
-fn not_run(mut view: ChangeView, retry_after: Duration) -> Response {
+fn not_run_response(mut view: ChangeView, retry_after: Duration) -> Response {
     let seconds = retry_after_seconds(retry_after);
     view.retry_after_seconds = Some(seconds);
     let mut response = json(StatusCode::ServiceUnavailable, &view);
@@ -280,7 +282,7 @@
     response
 }
 
-/// All findings, each with its place.
+/// Response with status 400 that lists all validation errors of the request.
 pub fn bad_input(findings: &Findings) -> Response {
     json(
         StatusCode::BadRequest,
@@ -288,7 +290,7 @@
     )
 }
 
-/// A JSON answer.
+/// JSON response with the given status.
 pub fn json(status: StatusCode, view: &impl serde::Serialize) -> Response {
     let text = serde_json::to_string(view).unwrap_or_default();
     Response::builder(status)
--- a/crates/rampthread-node/src/api/mod.rs
+++ b/crates/rampthread-node/src/api/mod.rs
@@ -1,6 +1,6 @@
-//! The operator API, on tide: resources, status, watch, explain, metrics.
+//! Operator API: resources, status, change events, decisions and metrics over HTTP.
 //!
-//! `docs/CONFIGURATION.md` is its user guide.
+//! `docs/CONFIGURATION.md` is the user guide of the API.
 
 mod changes;
 mod quarantine;
@@ -19,7 +19,7 @@
     StatusView, TenantView,
 };
 
-/// What handlers share.
+/// State shared by the API handlers.
 #[derive(Clone)]
 pub struct ApiState {
     control: Arc<Control>,
@@ -27,7 +27,7 @@
     limits: Arc<TenantLimits>,
 }
 
-/// The API's routes.
+/// Creates the API server. `secrets` is `None` in document mode, which rejects changes.
 pub fn api(
     control: Arc<Control>,
     secrets: Option<Arc<SecretKeeper>>,
--- a/crates/rampthread-node/src/api/quarantine.rs
+++ b/crates/rampthread-node/src/api/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests under which back ends have crashed: which they are, and lifting the
-//! quarantine of one.
+//! API handlers for quarantined requests: requests that crashed several backends. Lists
+//! them and lifts quarantines.
 
 use super::ApiState;
 use super::changes::{bad_input, json};
@@ -9,7 +9,8 @@
 use rampthread_core::findings::Findings;
 use tide::{Request, Response, StatusCode};
 
-/// Requests in quarantine or on trial, as this node knows them.
+/// Handles `GET /v1/quarantine`: the requests in quarantine or on trial (allowed to run
+/// once after their quarantine), as known to this node.
 pub async fn list(request: Request<ApiState>) -> tide::Result {
     let control = &request.state().control;
     let (table, now) = (control.crash_table(), control.clock.now());
@@ -31,7 +32,7 @@
     Ok(json(StatusCode::Ok, &views))
 }
 
-/// Lifts the quarantine of a request, at all nodes.
+/// Handles `DELETE` of a quarantine: lifts it at all nodes.
 pub async fn lift(request: Request<ApiState>) -> tide::Result {
     let text = request.param("identity").unwrap_or_default();
     let identity = match RequestIdentity::parse(text) {
--- a/crates/rampthread-node/src/api/reads.rs
+++ b/crates/rampthread-node/src/api/reads.rs
@@ -1,4 +1,5 @@
-//! Reads: resources, operations, status, explanations, metrics.
+//! API handlers that only read: resources, operations, status, decisions, health and
+//! metrics.
 
 use super::ApiState;
 use super::changes::{bad_input, json};
@@ -20,20 +21,20 @@
     request.state().control.active().state.clone()
 }
 
-/// All resources.
+/// Handles `GET /v1/resources`: all resources of the active configuration.
 pub async fn list(request: Request<ApiState>) -> tide::Result {
-    Ok(list_of(&request, None))
+    Ok(resource_list(&request, None))
 }
 
-/// All resources of one kind.
+/// Handles `GET /v1/resources/:kind`: all resources of one kind.
 pub async fn list_kind(request: Request<ApiState>) -> tide::Result {
     match request.param("kind").ok().and_then(ResourceKind::parse) {
-        Some(kind) => Ok(list_of(&request, Some(kind))),
+        Some(kind) => Ok(resource_list(&request, Some(kind))),
         None => Ok(Response::new(StatusCode::NotFound)),
     }
 }
 
-fn list_of(request: &Request<ApiState>, kind: Option<ResourceKind>) -> Response {
+fn resource_list(request: &Request<ApiState>, kind: Option<ResourceKind>) -> Response {
     let state = active(request);
     let resources = state
         .resources()
@@ -47,7 +48,7 @@
     json(StatusCode::Ok, &list)
 }
 
-/// One resource.
+/// Handles `GET` of one resource; the response has its generation as `ETag`.
 pub async fn get(request: Request<ApiState>) -> tide::Result {
     let kind = request.param("kind").ok().and_then(ResourceKind::parse);
     let name = request
@@ -66,7 +67,7 @@
     Ok(response)
 }
 
-/// What became of an operation.
+/// Handles `GET /v1/operations/:id`: the outcome of a change.
 pub async fn operation(request: Request<ApiState>) -> tide::Result {
     let id = match OperationId::new(request.param("id").unwrap_or_default()) {
         Ok(id) => id,
@@ -89,7 +90,8 @@
     }
 }
 
-/// How the fleet stands, as this node knows it.
+/// Handles `GET /v1/status`: this node, the propagation of the newest version, and the
+/// known members.
 pub async fn status(request: Request<ApiState>) -> tide::Result {
     let control = &request.state().control;
     let spread = control.spread().await;
@@ -106,19 +108,20 @@
     Ok(json(StatusCode::Ok, &view))
 }
 
-/// What this node decided about a version, a node or a back end.
+/// Handles `GET /v1/explain/:subject`: this node's decisions about a version, a node or a
+/// backend.
 pub async fn explain(request: Request<ApiState>) -> tide::Result {
     let subject = request.param("subject").unwrap_or_default();
     let entries = request.state().control.journal.about(subject);
     Ok(json(StatusCode::Ok, &entries))
 }
 
-/// The process runs.
+/// Handles `GET /healthz`: 200 while the process runs.
 pub async fn alive(_: Request<ApiState>) -> tide::Result {
     Ok(Response::new(StatusCode::Ok))
 }
 
-/// The node serves calls.
+/// Handles `GET /readyz`: 200 while the node serves calls, else 503 with the reason.
 pub async fn ready(request: Request<ApiState>) -> tide::Result {
     let control = &request.state().control;
     if control.is_ready() && !control.is_draining() {
@@ -137,7 +140,7 @@
     Ok(response)
 }
 
-/// Prometheus text.
+/// Handles `GET /metrics`: all metrics in the Prometheus text format.
 pub async fn metrics(request: Request<ApiState>) -> tide::Result {
     Ok(Response::builder(StatusCode::Ok)
         .content_type("text/plain; version=1.0.0; charset=utf-8")
--- a/crates/rampthread-node/src/api/views.rs
+++ b/crates/rampthread-node/src/api/views.rs
@@ -1,4 +1,4 @@
-//! JSON forms of what the API answers.
+//! JSON representations of API responses, also used by the command-line client.
 
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::quota::{QuotaBasis, QuotaView};
@@ -11,19 +11,19 @@
 use rampthread_core::rollout::{OrderId, Phase, RolloutState};
 use serde::{Deserialize, Serialize};
 
-/// A resource with its generation. Secrets show their key id, not their value, and
-/// tenants how many keys they have.
+/// A resource with its generation. Secrets show the id of their key instead of the value,
+/// tenants the number of their keys.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ResourceView {
-    /// Version that last changed it; for `If-Match`.
+    /// Version that last changed the resource; the value to send in `If-Match`.
     pub generation: Version,
-    /// Its content.
+    /// Fields of the resource.
     #[serde(flatten)]
     pub content: serde_json::Value,
 }
 
 impl ResourceView {
-    /// The view of a stored resource.
+    /// Creates the representation of a stored resource.
     pub fn new(stored: &StoredResource) -> Self {
         let content = match &*stored.resource {
             Resource::Secret(secret) => serde_json::json!({
@@ -48,29 +48,29 @@
     }
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ChangeView {
-    /// The change.
+    /// Idempotency key of the change.
     pub operation_id: OperationId,
-    /// `accepted`, `refused`, `conflict`, `not-run` or `unknown`.
+    /// Outcome: `accepted`, `refused`, `conflict`, `not-run` or `unknown`.
     pub result: String,
-    /// The deciding version, if there is one.
+    /// Version that decided the change; absent if it is undecided or unknown.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub version: Option<Version>,
-    /// Nodes that hold it.
+    /// Number of nodes that held the version when the change was answered.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub held_by: Option<u32>,
-    /// What is wrong, all of it.
+    /// All validation errors or generation conflicts of the change.
     #[serde(skip_serializing_if = "Findings::is_empty", default)]
     pub findings: Findings,
-    /// When to come back, in seconds.
+    /// Seconds after which a change that was not run may be sent again.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_seconds: Option<u64>,
 }
 
 impl ChangeView {
-    /// An empty view of one result.
+    /// Creates a response with `result` and no further details.
     pub fn new(operation_id: OperationId, result: &str) -> Self {
         Self {
             operation_id,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The view of a decided change.
+    /// Creates the response for a change that the log has decided.
     pub fn decided(operation_id: OperationId, version: Version, outcome: &Outcome) -> Self {
         let (result, findings) = match outcome {
             Outcome::Accepted => ("accepted", Findings::new()),
@@ -100,24 +100,24 @@
 /// A node that does not hold the newest version.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LaggardView {
-    /// Which node.
+    /// Id of the lagging node.
     pub id: NodeId,
-    /// What it last said it holds.
+    /// Version that the lagging node last reported to hold.
     pub held: Version,
 }
 
-/// How far the newest version has got.
+/// Propagation of the newest version in the fleet.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SpreadView {
-    /// The newest version.
+    /// Newest version known to the node that answers.
     pub version: Version,
-    /// Reachable nodes that hold it.
+    /// Number of reachable nodes that hold the newest version.
     pub held_by: u32,
-    /// Reachable nodes.
+    /// Number of reachable nodes in the fleet.
     pub nodes: u32,
-    /// True when all reachable nodes hold it.
+    /// True when all reachable nodes hold the newest version.
     pub in_force_everywhere: bool,
-    /// Some of those that do not.
+    /// Some of the reachable nodes that do not hold the newest version.
     pub laggards: Vec<LaggardView>,
 }
 
@@ -140,52 +140,53 @@
     }
 }
 
-/// What `status` shows.
+/// Response of `/v1/status`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StatusView {
-    /// The node that answers.
+    /// Id of the node that answers.
     pub node: NodeId,
-    /// It serves calls.
+    /// True while the node serves calls.
     pub ready: bool,
-    /// It takes no new work for its back end.
+    /// True while the node accepts no new work for its backend.
     pub draining: bool,
-    /// Its restart floor, once known.
+    /// Lowest version that the node may activate since its restart; absent until known.
     pub floor: Option<Version>,
-    /// Version in force on it.
+    /// Version that is active on the node.
     pub version: Version,
-    /// Newest era of the store that it has seen: how often that came back from an older
-    /// copy.
+    /// Newest era of the store that the node has seen; the store raises it by one when it
+    /// is restored from an older copy.
     #[serde(default)]
     pub store_era: u64,
-    /// How far the newest version has got; none when no reader answers.
+    /// Propagation of the newest version; absent when no log reader replied.
     pub spread: Option<SpreadView>,
-    /// The members that it knows.
+    /// Members of the fleet as known to the node.
     pub members: Vec<MemberRecord>,
 }
 
-/// A tenant with a limit, as one node knows it.
+/// Rate limit and request rates of a tenant as known to one node.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TenantView {
-    /// The tenant.
+    /// Name of the tenant in the configuration.
     pub name: ResourceName,
-    /// Requests a second that may run.
+    /// Rate limit in requests per second, over all nodes.
     pub rate: f64,
-    /// Requests beyond that, after a rest.
+    /// Requests allowed beyond the rate after a period without load.
     pub burst: f64,
-    /// Requests a second that were asked, over all nodes.
+    /// Requests per second received from the tenant by all nodes.
     pub asked: f64,
-    /// Of these, at this node.
+    /// Requests per second received from the tenant by this node.
     pub asked_here: f64,
-    /// Requests a second that were admitted, over all nodes.
+    /// Requests per second of the tenant admitted by all nodes.
     pub admitted: f64,
-    /// Percent of the requests that are admitted here now.
+    /// Probability in percent that this node admits a request of the tenant.
     pub share_percent: f64,
-    /// Percent of the limit that this node counts on, with those it hears.
+    /// Percentage of the limit available to this node and the nodes whose reports it
+    /// receives.
     pub limit_percent: f64,
-    /// Requests refused here since the tenant last rested.
+    /// Requests rejected at this node since its last period without requests.
     pub refused_here: u64,
-    /// How old the news of the other nodes is, in milliseconds; none: there is none, and
-    /// the node keeps to a part of its own.
+    /// Age in milliseconds of the load reports from other nodes. Absent without reports;
+    /// the node then limits the tenant to a fixed fraction of its limit.
     pub age_ms: Option<u64>,
 }
 
@@ -213,23 +214,23 @@
     }
 }
 
-/// A request under which several back ends have crashed.
+/// A poison request: one that has crashed several backends.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct QuarantineView {
-    /// What it asks for, as a digest; the same in the log.
+    /// Fingerprint of the request, as in the log.
     pub identity: RequestIdentity,
-    /// Time until it may run again, in milliseconds; 0: it is on trial.
+    /// Milliseconds until the request may run on trial; 0 when it is on trial.
     pub left_ms: u64,
-    /// The crashes, oldest first.
+    /// Crashes caused by the request, oldest first.
     pub crashes: Vec<CrashView>,
 }
 
-/// One of its crashes.
+/// One crash caused by a poison request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CrashView {
-    /// The incarnation of the back end.
+    /// Incarnation of the backend that crashed.
     pub instance: InstanceId,
-    /// How long ago, in milliseconds.
+    /// Milliseconds since the crash.
     pub age_ms: u64,
 }
 
@@ -242,26 +243,27 @@
     }
 }
 
-/// A roll-out as the answering node knows it.
+/// State of a rollout as known to the node that answers.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RolloutView {
-    /// The service.
+    /// Service whose backends are rolled out.
     pub service: ResourceName,
-    /// The version that is brought in.
+    /// Software version to which the service is moved.
     pub target: SoftwareVersion,
-    /// How far it is.
+    /// Stage of the rollout.
     pub phase: Phase,
-    /// Share of the calls that the version may get, of a thousand.
+    /// Maximum share of calls for the target version, in thousandths.
     pub share_permille: u16,
-    /// Which order it is.
+    /// Order that started the rollout.
     pub order: OrderId,
-    /// Counts who has decided.
+    /// Term of the decider; increases whenever another node takes over the decisions.
     pub term: u64,
-    /// Who decides; none yet, or not known from a record.
+    /// Node that decides about the rollout; absent if there is none yet or the stored
+    /// record does not name it.
     pub decider: Option<NodeId>,
-    /// Time since the order, in milliseconds.
+    /// Milliseconds since the order was given.
     pub elapsed_ms: u64,
-    /// Time after the order within which it is to be done, in milliseconds.
+    /// Milliseconds after the order within which the rollout should complete.
     pub duration_ms: u64,
 }
 
--- a/crates/rampthread-node/src/api/watch.rs
+++ b/crates/rampthread-node/src/api/watch.rs
@@ -1,4 +1,4 @@
-//! Server-sent events: how far each version has got.
+//! Server-sent events about decided changes and the propagation of versions.
 
 use super::ApiState;
 use super::views::{ChangeView, SpreadView};
@@ -7,22 +7,23 @@
 use tide::Request;
 use tide::sse::Sender;
 
-/// Time between two looks.
-const INTERVAL: Duration = Duration::from_millis(200);
-/// Looks without news after which a comment keeps the connection alive.
-const LOOKS_PER_HEARTBEAT: u32 = 50;
+/// Interval between checks for changes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Checks without a change after which a heartbeat event keeps the connection alive.
+const CHECKS_PER_HEARTBEAT: u32 = 50;
 
-/// Sends `decided` for every version and `spread` whenever it changes.
+/// Sends a `decided` event for every version and a `spread` event whenever the propagation
+/// changes.
 pub async fn watch(request: Request<ApiState>, sender: Sender) -> tide::Result<()> {
     let control = &request.state().control;
-    let mut told = control.version();
+    let mut last_sent = control.version();
     let mut last_spread = String::new();
-    let mut quiet = 0;
+    let mut unchanged_checks = 0;
     loop {
         let state = control.with_agent(|agent| agent.staged().clone());
-        while told < state.version() {
-            told = Version(told.0 + 1);
-            if let Some(recorded) = state.operation_at(told) {
+        while last_sent < state.version() {
+            last_sent = Version(last_sent.0 + 1);
+            if let Some(recorded) = state.operation_at(last_sent) {
                 let view = ChangeView::decided(
                     recorded.operation_id.clone(),
                     recorded.version,
@@ -36,15 +37,15 @@
             if text != last_spread {
                 send(&sender, "spread", &text).await?;
                 last_spread = text;
-                quiet = 0;
+                unchanged_checks = 0;
             }
         }
-        quiet += 1;
-        if quiet >= LOOKS_PER_HEARTBEAT {
+        unchanged_checks += 1;
+        if unchanged_checks >= CHECKS_PER_HEARTBEAT {
             send(&sender, "heartbeat", "{}").await?;
-            quiet = 0;
+            unchanged_checks = 0;
         }
-        async_std::task::sleep(INTERVAL).await;
+        async_std::task::sleep(CHECK_INTERVAL).await;
     }
 }
 
