--- a/crates/rampthread-node/src/settings/collect.rs
+++ b/crates/rampthread-node/src/settings/collect.rs
@@ -1,8 +1,8 @@
-//! Reads a typed value and reports every fault of it, not just the first.
+//! Deserialization that reports all errors of a value.
 //!
-//! serde stops at the first fault. Here each fault is noted, the faulty key is
-//! taken out or replaced by a stand-in, and reading goes on until the rest is
-//! known as well.
+//! serde stops at the first error. This module records each error, removes the invalid key
+//! or replaces a missing one with a placeholder, and deserializes again until all errors
+//! are known.
 
 use figment::error::Kind;
 use figment::value::Value;
@@ -10,20 +10,21 @@
 use serde::de::DeserializeOwned;
 use std::collections::BTreeSet;
 
-/// Faults after which reading stops.
-const MAX_FAULTS: usize = 100;
+/// Maximum number of deserialization attempts; further errors are not reported.
+const MAX_ATTEMPTS: usize = 100;
 
-/// Reads `value`; `place` names its file or request. `stand_in` gives a valid
-/// value for a missing key, so that reading can go on.
+/// Deserializes `value` and adds all errors to `findings`; `place` names its file or
+/// request. `placeholder` returns a valid value for a missing key, so that the errors in
+/// the rest of the value are found as well.
 pub fn collect<T: DeserializeOwned>(
     mut value: Value,
     place: &str,
-    stand_in: fn(&str) -> Option<Value>,
+    placeholder: fn(&str) -> Option<Value>,
     findings: &mut Findings,
 ) -> Option<T> {
     let before = findings.len();
     let mut removed = BTreeSet::new();
-    for _ in 0..MAX_FAULTS {
+    for _ in 0..MAX_ATTEMPTS {
         let error = match value.deserialize::<T>() {
             Ok(read) if findings.len() == before => return Some(read),
             Ok(_) => return None,
@@ -48,7 +49,7 @@
                         "a value; the key is required",
                     );
                 }
-                insert(&mut value, &path, stand_in(name)?);
+                insert(&mut value, &path, placeholder(name)?);
             }
             kind => {
                 let (found, allowed) = describe(kind);
@@ -129,8 +130,8 @@
     }
 }
 
-fn insert(value: &mut Value, path: &[String], stand_in: Value) {
+fn insert(value: &mut Value, path: &[String], placeholder: Value) {
     if let (Some(last), Some(Value::Dict(_, dict))) = (path.last(), parent(value, path)) {
-        dict.insert(last.clone(), stand_in);
+        dict.insert(last.clone(), placeholder);
     }
 }
--- a/crates/rampthread-node/src/settings/live.rs
+++ b/crates/rampthread-node/src/settings/live.rs
@@ -1,26 +1,26 @@
-//! The settings that a running node takes over from a changed file. All others
-//! need a restart, which is said in the log.
+//! Settings that a running node takes from a changed file. Changes of all other settings
+//! need a restart, which is logged.
 
 use super::node_settings::{DrainSettings, NodeSettings, RetrySettings};
 use arc_swap::ArcSwap;
 use rampthread_core::call::attempts::RetryLimit;
 use std::sync::Arc;
 
-/// What may change while a node runs.
+/// Values of the settings that can change while a node runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LiveValues {
-    /// A planned stop.
+    /// Time limits of a graceful shutdown.
     pub drain: DrainSettings,
-    /// Second tries of the whole fleet; none: each service's own percentage.
+    /// Retry limit for the whole fleet; `None` uses the percentage of each service.
     pub retry_share: Option<RetryLimit>,
-    /// Largest body of a request where the configuration names none, in bytes.
+    /// Maximum size of a request body in bytes, unless the configuration sets one.
     pub body_limit: usize,
-    /// Calls that may wait at the back end, in percent of its slots.
+    /// Maximum length of the queue for the local backend, in percent of its slots.
     pub queue_percent: u32,
 }
 
 impl LiveValues {
-    /// The part of `settings` that may change.
+    /// Takes the values that can change from `settings`.
     pub fn of(settings: &NodeSettings) -> Self {
         Self {
             drain: settings.drain.clone(),
@@ -31,22 +31,22 @@
     }
 }
 
-/// The present values, swapped whole.
+/// Current values, replaced together when the settings file changes. Clones share them.
 #[derive(Debug, Clone)]
 pub struct LiveSettings(Arc<ArcSwap<LiveValues>>);
 
 impl LiveSettings {
-    /// Begins with what `settings` say.
+    /// Starts with the values of `settings`.
     pub fn new(settings: &NodeSettings) -> Self {
         Self(Arc::new(ArcSwap::from_pointee(LiveValues::of(settings))))
     }
 
-    /// The values now.
+    /// Current values; a later change does not affect the returned copy.
     pub fn get(&self) -> Arc<LiveValues> {
         self.0.load_full()
     }
 
-    /// Takes over changed settings.
+    /// Replaces all values with those of `settings`.
     pub fn replace(&self, settings: &NodeSettings) {
         self.0.store(Arc::new(LiveValues::of(settings)));
     }
--- a/crates/rampthread-node/src/settings/load.rs
+++ b/crates/rampthread-node/src/settings/load.rs
@@ -1,4 +1,5 @@
-//! Loads a node's settings from file, environment and flags.
+//! Loading of a node's settings from the settings file, the environment and command-line
+//! flags.
 
 use super::collect::collect;
 use super::node_settings::NodeSettings;
@@ -10,30 +11,31 @@
 use secrecy::ExposeSecret;
 use std::path::Path;
 
-/// Environment variables begin with this; `__` separates sections, as in
+/// Prefix of environment variables with settings; `__` separates sections, as in
 /// `RAMPTHREAD_NODE__ID`.
 const ENVIRONMENT_PREFIX: &str = "RAMPTHREAD_";
 
-/// Values of flags, by key path such as `node.id`.
+/// Settings given by command-line flags: key path, such as `node.id`, and value.
 pub type Overrides = Vec<(String, String)>;
 
-/// Why there are no settings.
+/// Reason why the settings could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The file cannot be read.
-    #[error("{path}: {source}")]
+    /// The settings file could not be read.
+    #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: String,
-        /// The system's reason.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Everything that is wrong.
+    /// The settings are invalid; contains all errors found.
     #[error("{0}")]
     Invalid(#[from] Findings),
 }
 
-/// Loads and checks the settings in `path`.
+/// Loads the settings file `path`, applies the environment and `overrides`, and validates
+/// the result.
 pub fn load(path: &Path, overrides: &Overrides) -> Result<NodeSettings, LoadError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|source| LoadError::Unreadable {
@@ -46,7 +48,8 @@
     Ok(read(&name, &text, Some(environment), overrides)?)
 }
 
-/// Checks settings given as text; the environment does not count.
+/// Like [`load`] for settings given as `text`, without the environment. `name` stands for
+/// the file in findings.
 pub fn load_text(name: &str, text: &str, overrides: &Overrides) -> Result<NodeSettings, Findings> {
     read(name, text, None, overrides)
 }
@@ -72,8 +75,8 @@
             return Err(findings);
         }
     };
-    check_kind(&dict, name, &mut findings);
-    let settings = collect::<NodeSettings>(Value::from(dict), name, stand_in, &mut findings);
+    check_required_by_kind(&dict, name, &mut findings);
+    let settings = collect::<NodeSettings>(Value::from(dict), name, placeholder, &mut findings);
     let Some(settings) = settings else {
         return Err(findings);
     };
@@ -81,21 +84,21 @@
     findings.into_result(settings)
 }
 
-/// All keys, from every source, without figment's profiles.
+/// Merges the keys of all sources, without figment's profiles.
 fn merged_keys(figment: &Figment) -> Result<Dict, String> {
     use figment::Provider;
     let mut data = figment.data().map_err(|error| error.to_string())?;
     Ok(data.remove(&Profile::Default).unwrap_or_default())
 }
 
-/// Valid values for required keys that are missing, so that reading goes on.
-fn stand_in(key: &str) -> Option<Value> {
+/// Valid placeholder for a missing required key, so that later keys are checked as well.
+fn placeholder(key: &str) -> Option<Value> {
     let text = |text: &str| Value::from(text);
     let address = || text("127.0.0.1:1");
     let section = |keys: &[&str]| {
         let dict: Dict = keys
             .iter()
-            .filter_map(|key| Some((key.to_string(), stand_in(key)?)))
+            .filter_map(|key| Some((key.to_string(), placeholder(key)?)))
             .collect();
         Value::from(dict)
     };
@@ -113,7 +116,7 @@
     check_keys(settings, name, findings);
     check_retries(settings, name, findings);
     check_quota(settings, name, findings);
-    check_roll_outs(settings, name, findings);
+    check_rollouts(settings, name, findings);
     let fleet = &settings.fleet;
     let durations = [
         ("fleet.probe_interval", fleet.probe_interval),
@@ -137,9 +140,9 @@
     }
 }
 
-/// What each kind of configuration needs besides; looked up in the raw keys, so
-/// that it is reported together with everything else that is missing.
-fn check_kind(keys: &Dict, name: &str, findings: &mut Findings) {
+/// Checks the keys that only one kind of configuration requires. Works on the raw keys, so
+/// that they are reported with all other missing keys.
+fn check_required_by_kind(keys: &Dict, name: &str, findings: &mut Findings) {
     let configuration = entry(keys, "platform", "configuration").and_then(Value::as_str);
     let needed: &[(&str, &str)] = if configuration == Some("document") {
         &[("listen", "ready"), ("listen", "reports")]
@@ -179,7 +182,7 @@
         return;
     };
     for (place, value) in [("ratio", retries.ratio), ("slack", retries.slack)] {
-        check_from_zero(value, &format!("{name}: retries.{place}"), findings);
+        check_not_negative(value, &format!("{name}: retries.{place}"), findings);
     }
     if retries.window.is_zero() {
         findings.push(format!("{name}: retries.window"), "0", "a duration above 0");
@@ -189,19 +192,19 @@
 fn check_quota(settings: &NodeSettings, name: &str, findings: &mut Findings) {
     let quota = &settings.quota;
     for (place, value) in [("overage", quota.overage), ("slack", quota.slack)] {
-        check_from_zero(value, &format!("{name}: quota.{place}"), findings);
+        check_not_negative(value, &format!("{name}: quota.{place}"), findings);
     }
     if quota.window.is_zero() {
         findings.push(format!("{name}: quota.window"), "0", "a duration above 0");
     }
 }
 
-fn check_roll_outs(settings: &NodeSettings, name: &str, findings: &mut Findings) {
+fn check_rollouts(settings: &NodeSettings, name: &str, findings: &mut Findings) {
     let Some(roll_outs) = &settings.roll_outs else {
         return;
     };
     let slack = roll_outs.exposure_slack;
-    check_from_zero(
+    check_not_negative(
         slack,
         &format!("{name}: roll_outs.exposure_slack"),
         findings,
@@ -217,7 +220,7 @@
     }
 }
 
-fn check_from_zero(value: f64, place: &str, findings: &mut Findings) {
+fn check_not_negative(value: f64, place: &str, findings: &mut Findings) {
     if !value.is_finite() || value < 0.0 {
         findings.push(place, value.to_string(), "a number from 0");
     }
--- a/crates/rampthread-node/src/settings/mod.rs
+++ b/crates/rampthread-node/src/settings/mod.rs
@@ -1,7 +1,8 @@
-//! Settings of a node: one TOML file, environment above it, flags above both.
+//! Settings of a node: a TOML file, overridden by environment variables, overridden by
+//! command-line flags.
 //!
-//! Every fault is reported together with its place. Durations are written
-//! like `500ms`, sizes like `8MiB`.
+//! All errors are reported together with their location. Durations are written like
+//! `500ms`, sizes like `8MiB`.
 
 mod collect;
 mod live;
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -1,4 +1,4 @@
-//! What a node can be told.
+//! Types of the settings file. Field names are the keys of the file.
 
 use bytesize::ByteSize;
 use rampthread_core::call::attempts::RetryLimit;
@@ -12,60 +12,61 @@
 use std::num::NonZeroU32;
 use std::time::Duration;
 
-/// All settings of one node.
+/// All settings of one node, as in the settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Who the node is.
+    /// Id and location of the node.
     pub node: NodeIdentity,
-    /// Where it listens.
+    /// Addresses on which the node listens.
     pub listen: ListenSettings,
-    /// Where the platform is.
+    /// Addresses and limits for the services of the platform.
     pub platform: PlatformSettings,
-    /// The fleet's keys; needed where the configuration is a change log.
+    /// Keys that authenticate nodes to each other; required with a change log.
     #[serde(default)]
     pub keys: Option<KeySettings>,
-    /// Other nodes to begin with; the machine list adds to them.
+    /// Nodes to contact at the start, in addition to the machine list.
     #[serde(default)]
     pub seeds: Vec<Machine>,
-    /// Intervals of the control protocol.
+    /// Intervals and timeouts of the control protocol.
     #[serde(default)]
     pub fleet: FleetTuning,
-    /// Limits on callers.
+    /// Limits on connections and requests of callers.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// The back end beside the node.
+    /// Health checks, connections and reports of the local backend.
     #[serde(default)]
     pub backend: BackendSettings,
-    /// A planned stop.
+    /// Time limits of a graceful shutdown.
     #[serde(default)]
     pub drain: DrainSettings,
-    /// Second tries of the whole fleet; none: each service's own percentage.
+    /// Retry limit for the whole fleet; `None` uses the percentage of each service.
     #[serde(default)]
     pub retries: Option<RetrySettings>,
-    /// How closely tenants' limits hold; none: the defaults.
+    /// Tolerances of the rate limits of tenants.
     #[serde(default)]
     pub quota: QuotaSettings,
-    /// Bounds of roll-outs; none: orders to roll out are not carried out.
+    /// Bounds of rollouts; `None` disables rollouts.
     #[serde(default)]
     pub roll_outs: Option<RolloutSettings>,
 }
 
-/// How closely the limits of tenants hold over all nodes.
+/// Tolerances with which the rate limits of tenants hold over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuotaSettings {
     /// Sliding window in which requests are counted.
     #[serde(with = "humantime_serde")]
     pub window: Duration,
-    /// Part of a limit by which a window may exceed it.
+    /// Ratio by which the requests in a window may exceed a limit.
     pub overage: f64,
-    /// Requests by which a window may exceed its limit besides.
+    /// Number of requests in a window by which a limit may be exceeded in addition to
+    /// `overage`.
     pub slack: f64,
 }
 
 impl QuotaSettings {
-    /// The terms that limits are kept by.
+    /// Converts the settings to the policy of the rate limiter.
     pub fn to_policy(self) -> QuotaPolicy {
         QuotaPolicy {
             window: self.window,
@@ -85,21 +86,22 @@
     }
 }
 
-/// Bounds of every roll-out.
+/// Bounds of every rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSettings {
-    /// Largest part of a service's calls that a version under judgement may get.
+    /// Maximum fraction of a service's calls that the target version may get while it is
+    /// evaluated, from 0 to 1.
     pub exposure_share: f64,
-    /// Calls that it may get besides.
+    /// Number of calls that the target version may get in addition to `exposure_share`.
     pub exposure_slack: f64,
-    /// Time within which a bad version gets no more calls.
+    /// Time within which a version with a regression stops receiving calls.
     #[serde(with = "humantime_serde")]
     pub roll_back: Duration,
 }
 
 impl RolloutSettings {
-    /// The bounds as the core knows them.
+    /// Converts the settings to the bounds of the rollout logic.
     pub fn to_bounds(self) -> RolloutBounds {
         RolloutBounds {
             exposure_share: self.exposure_share,
@@ -109,21 +111,21 @@
     }
 }
 
-/// Second tries that a service's back ends may get from all nodes together.
+/// Limit on retries to the backends of a service, summed over all nodes.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Second arrivals for each call.
+    /// Maximum number of retries per call.
     pub ratio: f64,
-    /// Second arrivals in a window besides, over all nodes.
+    /// Number of retries allowed in a window in addition to `ratio`, over all nodes.
     pub slack: f64,
-    /// The window, sliding.
+    /// Sliding window in which calls and retries are counted.
     #[serde(with = "humantime_serde")]
     pub window: Duration,
 }
 
 impl RetrySettings {
-    /// As the decisions on calls take it.
+    /// Converts the settings to the limit used by the request path.
     pub fn to_retry_share(self) -> RetryLimit {
         RetryLimit {
             ratio: self.ratio,
@@ -133,70 +135,70 @@
     }
 }
 
-/// Who the node is.
+/// Id and location of the node.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeIdentity {
-    /// Its id; it survives restarts.
+    /// Id of the node, unique in the fleet and stable across restarts.
     pub id: NodeId,
-    /// Its zone.
+    /// Zone in which the node runs.
     pub zone: Zone,
-    /// Its region.
+    /// Region in which the node runs.
     pub region: Region,
-    /// The service beside it, where callers are named by their machine.
+    /// Service of the local backend, where callers are identified by their machine.
     #[serde(default)]
     pub service: Option<ResourceName>,
 }
 
-/// Where the node listens.
+/// Addresses on which the node listens.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Callers' requests, HTTP.
+    /// Address for callers' requests, HTTP.
     pub callers: SocketAddr,
-    /// Other nodes, TCP and UDP.
+    /// Address for other nodes, TCP and UDP.
     pub peers: SocketAddr,
-    /// The operator API, HTTP.
+    /// Address of the operator API, HTTP.
     pub api: SocketAddr,
-    /// Where the platform asks whether this node is ready, HTTP.
+    /// Address for the platform's readiness checks, HTTP; required in document mode.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
-    /// Where the back end beside this node reports, HTTP.
+    /// Address for reports of the local backend, HTTP; required in document mode.
     #[serde(default)]
     pub reports: Option<SocketAddr>,
 }
 
-/// Where the platform is.
+/// Addresses and limits for the services of the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Where the configuration comes from.
+    /// Source of the configuration.
     #[serde(default)]
     pub configuration: ConfigurationKind,
-    /// The key-value service.
+    /// Address of the key-value store.
     pub store: SocketAddr,
-    /// The machine list; needed where the configuration is a change log.
+    /// Address of the machine list service; required with a change log.
     #[serde(default)]
     pub machines: Option<SocketAddr>,
-    /// Requests a second that this node sends to the store at most.
+    /// Maximum rate of requests from this node to the store.
     #[serde(default = "default_store_rate")]
     pub store_requests_per_second: NonZeroU32,
-    /// Wait for an answer of the platform.
+    /// Timeout of requests to the platform.
     #[serde(default = "default_platform_wait", with = "humantime_serde")]
     pub wait: Duration,
-    /// Time between two reads of the machine list.
+    /// Interval between reads of the machine list.
     #[serde(default = "default_machine_interval", with = "humantime_serde")]
     pub machine_interval: Duration,
 }
 
-/// Where the configuration comes from.
+/// Source of the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConfigurationKind {
-    /// The product's own change log in the store.
+    /// A change log in the store, written by the nodes.
     #[default]
     ChangeLog,
-    /// The operators' document in the platform's store.
+    /// A document in the platform's store, written by operators.
     Document,
 }
 
@@ -212,49 +214,49 @@
     Duration::from_secs(2)
 }
 
-/// The fleet's keys.
+/// Keys that authenticate the nodes of a fleet to each other.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
-    /// The key in use: 32 bytes in base64.
+    /// Key in use: 32 bytes, base64-encoded.
     pub current: SecretString,
-    /// Other keys that are accepted while keys rotate.
+    /// Further keys that are accepted during a key rotation.
     #[serde(default)]
     pub accepted: Vec<SecretString>,
 }
 
-/// Intervals of the control protocol; see `FleetSettings` for each.
+/// Intervals and timeouts of the control protocol; see `FleetSettings`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetTuning {
-    /// Time between two probes.
+    /// Interval between direct probes of members.
     #[serde(with = "humantime_serde")]
     pub probe_interval: Duration,
-    /// Time a member stays suspect.
+    /// Minimum time for which a member stays suspect before it counts as dead.
     #[serde(with = "humantime_serde")]
     pub suspicion: Duration,
-    /// Life of a reader's lease.
+    /// Time after which a log reader's lease expires unless it is renewed.
     #[serde(with = "humantime_serde")]
     pub lease_ttl: Duration,
-    /// Versions between two snapshots.
+    /// Number of versions between two snapshots.
     pub snapshot_interval: u64,
-    /// Patience with one change before its outcome is called unknown.
+    /// Time after which the outcome of an undecided change is reported as unknown.
     #[serde(with = "humantime_serde")]
     pub proposal_patience: Duration,
-    /// How long a claim of an idempotency key lasts.
+    /// Time after which a claim of an idempotency key expires.
     #[serde(with = "humantime_serde")]
     pub claim_life: Duration,
-    /// `rumour`, or `poll-reader` for the plain baseline.
+    /// How new versions reach the nodes.
     pub distribution: DistributionName,
 }
 
-/// Names of [`DistributionMode`] in the settings.
+/// Value of the setting `fleet.distribution`; corresponds to [`DistributionMode`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DistributionName {
-    /// Notices to random peers.
+    /// Gossip: notices to random peers, which then pull the version.
     Rumour,
-    /// Every node asks a reader once a second.
+    /// Every node polls a reader once a second. A baseline for experiments.
     PollReader,
 }
 
@@ -274,17 +276,17 @@
 }
 
 impl FleetTuning {
-    /// The settings of the agent, where the configuration is a document.
+    /// Settings of the agent in document mode.
     pub fn to_document_settings(&self) -> FleetSettings {
-        self.tune(FleetSettings::for_documents())
+        self.apply_to(FleetSettings::for_documents())
     }
 
-    /// The settings of the agent, where the configuration is a change log.
+    /// Settings of the agent with a change log.
     pub fn to_fleet_settings(&self) -> FleetSettings {
-        self.tune(FleetSettings::default())
+        self.apply_to(FleetSettings::default())
     }
 
-    fn tune(&self, settings: FleetSettings) -> FleetSettings {
+    fn apply_to(&self, settings: FleetSettings) -> FleetSettings {
         FleetSettings {
             probe_interval: self.probe_interval,
             suspicion_timeout: self.suspicion,
@@ -300,20 +302,20 @@
     }
 }
 
-/// Limits on callers.
+/// Limits on connections and requests of callers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Callers' connections at once.
+    /// Maximum number of concurrent caller connections.
     pub connections: usize,
-    /// Size of a request's head.
+    /// Maximum size of a request head.
     pub head_size: ByteSize,
-    /// Time for a request's head to arrive.
+    /// Timeout for receiving a request head.
     #[serde(with = "humantime_serde")]
     pub head_time: Duration,
-    /// Size of a request's body.
+    /// Maximum size of a request body.
     pub body_size: ByteSize,
-    /// Calls that may wait at the back end, in percent of its slots.
+    /// Maximum length of the queue for the local backend, in percent of its slots.
     pub queue_percent: u32,
 }
 
@@ -329,32 +331,34 @@
     }
 }
 
-/// The back end beside the node; its address comes with the configuration.
+/// Settings for the local backend. Its address comes from the configuration.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BackendSettings {
-    /// Time between two looks at its health.
+    /// Interval between health checks of the backend.
     #[serde(with = "humantime_serde")]
     pub health_interval: Duration,
-    /// Wait for a connection to it.
+    /// Timeout for connecting to the backend.
     #[serde(with = "humantime_serde")]
     pub connect_wait: Duration,
-    /// Time after an acknowledged leave within which it must get no more work.
+    /// Time after an acknowledged departure within which all nodes stop sending calls to
+    /// the backend.
     #[serde(with = "humantime_serde")]
     pub drain_limit: Duration,
-    /// Time between two of its reports to the node.
+    /// Interval between reports of the backend.
     #[serde(with = "humantime_serde")]
     pub heartbeat: Duration,
 }
 
-/// Part of [`BackendSettings::drain_limit`] for which a back end counts that only
-/// an earlier life of the node has heard.
-const REMEMBERED_SHARE: f64 = 0.7;
+/// Ratio of the time for which a restored backend counts to
+/// [`BackendSettings::drain_limit`].
+const UNCONFIRMED_TTL_RATIO: f64 = 0.7;
 
 impl BackendSettings {
-    /// Time for which a back end counts that only an earlier life has heard.
+    /// Time for which a backend known from before this node's restart counts without a
+    /// report to the new process.
     pub fn remembered_life(&self) -> Duration {
-        self.drain_limit.mul_f64(REMEMBERED_SHARE)
+        self.drain_limit.mul_f64(UNCONFIRMED_TTL_RATIO)
     }
 }
 
@@ -369,35 +373,37 @@
     }
 }
 
-/// A planned stop.
+/// Time limits of a graceful shutdown.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DrainSettings {
-    /// Time for calls in flight; what is cut then is counted and logged.
+    /// Time for calls in flight to complete; calls aborted after it are counted and logged.
     #[serde(with = "humantime_serde")]
     pub grace: Duration,
-    /// Time for which the node still answers refusals after its departure is
-    /// announced, so that others notice.
+    /// Time for which the node still rejects new calls after its departure was announced,
+    /// so that other nodes receive the announcement.
     #[serde(with = "humantime_serde")]
     pub notice: Duration,
-    /// Time for which the gate still takes new work after the stop began: the
-    /// back end is sound, and callers need it until others have taken over.
+    /// Time for which the gate still accepts new calls after the shutdown began: the
+    /// backend is healthy, and callers need it until other backends have taken over.
     #[serde(with = "humantime_serde")]
     pub last_work: Duration,
-    /// Time after which the platform ends the process by force; none: only
-    /// `grace` bounds a stop.
+    /// Time after which the platform kills the process; `None` if only `grace` limits the
+    /// shutdown.
     #[serde(with = "humantime_serde")]
     pub total: Option<Duration>,
 }
 
-/// Part of [`DrainSettings::total`] that is kept for saying goodbye.
-const FAREWELL: Duration = Duration::from_millis(700);
+/// Part of [`DrainSettings::total`] reserved for announcing the departure.
+const DEPARTURE_RESERVE: Duration = Duration::from_millis(700);
 
 impl DrainSettings {
-    /// Time for calls in flight after the notice.
+    /// Time for calls in flight after the notice period, limited by `total`.
     pub fn grace_after_notice(&self) -> Duration {
         match self.total {
-            Some(total) => self.grace.min(total.saturating_sub(self.notice + FAREWELL)),
+            Some(total) => self
+                .grace
+                .min(total.saturating_sub(self.notice + DEPARTURE_RESERVE)),
             None => self.grace,
         }
     }
--- a/crates/rampthread-node/src/settings/resource_file.rs
+++ b/crates/rampthread-node/src/settings/resource_file.rs
@@ -1,4 +1,4 @@
-//! Resource files: what operators apply, many resources in one change.
+//! Resource files, in which operators describe resources that are applied as one change.
 
 use super::collect::collect;
 use figment::Figment;
@@ -14,22 +14,22 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
-/// A secret as an operator writes it, with its value in the clear.
+/// A secret as in a resource file, with its plaintext value.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SecretInput {
-    /// Its name.
+    /// Unique among secrets; routes refer to the secret by it.
     pub name: ResourceName,
-    /// Its value; sealed before it leaves the node that takes it.
+    /// Plaintext value; sealed before it leaves the node that receives it.
     pub value: SecretString,
 }
 
-/// A tenant as an operator writes it, with its keys in the clear.
+/// A tenant as in a resource file, with its plaintext keys.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TenantInput {
     name: ResourceName,
-    /// A list of texts; read by hand, so that no finding shows a key.
+    /// List of strings; deserialized separately, so that no finding shows a key.
     keys: Value,
     #[serde(default)]
     priority: Option<u32>,
@@ -40,9 +40,9 @@
 }
 
 impl TenantInput {
-    /// The tenant, which knows its keys by their digests alone.
+    /// Converts the input to a tenant with digests in place of keys.
     fn into_tenant(self, place: &str, findings: &mut Findings) -> Option<Tenant> {
-        let keys = read_keys(&self.keys);
+        let keys = read_key_digests(&self.keys);
         if keys.is_none() {
             findings.push(
                 format!("{place}: keys"),
@@ -60,22 +60,22 @@
     }
 }
 
-fn read_keys(keys: &Value) -> Option<Vec<KeyDigest>> {
+fn read_key_digests(keys: &Value) -> Option<Vec<KeyDigest>> {
     let digest = |key: &Value| key.as_str().map(KeyDigest::of);
     keys.as_array()?.iter().map(digest).collect()
 }
 
-/// The content of a resource file.
+/// Content of a resource file.
 #[derive(Debug, Clone, Default)]
 pub struct ResourceFile {
-    /// Services, routes, back ends and tenants.
+    /// Services, routes, backends and tenants of the file.
     pub resources: Vec<Resource>,
-    /// Secrets, still in the clear.
+    /// Secrets of the file, not yet sealed.
     pub secrets: Vec<SecretInput>,
 }
 
 impl ResourceFile {
-    /// Kind and name of everything in the file.
+    /// Keys of all resources and secrets in the file.
     pub fn keys(&self) -> Vec<ResourceKey> {
         let secrets = self.secrets.iter().map(|secret| ResourceKey {
             kind: ResourceKind::Secret,
@@ -89,11 +89,11 @@
     }
 }
 
-/// Reads a resource file in TOML: `[[service]]`, `[[route]]`, `[[secret]]`,
-/// `[[backend]]`, `[[tenant]]`.
+/// Reads a TOML resource file with the tables `[[service]]`, `[[route]]`, `[[secret]]`,
+/// `[[backend]]` and `[[tenant]]`.
 pub fn read_resource_toml(place: &str, text: &str) -> Result<ResourceFile, Findings> {
     match Figment::from(Toml::string(text)).extract::<Dict>() {
-        Ok(dict) => read_dict(dict, place),
+        Ok(dict) => read_resources(dict, place),
         Err(error) => {
             let mut findings = Findings::new();
             findings.push(place, error.to_string().replace('\n', " "), "TOML");
@@ -102,14 +102,14 @@
     }
 }
 
-/// Reads the same content as JSON, from the API.
+/// Reads a JSON resource file, as sent to the API.
 pub fn read_resource_json(place: &str, text: &[u8]) -> Result<ResourceFile, Findings> {
     let mut findings = Findings::new();
     let parsed = serde_json::from_slice::<serde_json::Value>(text)
         .map_err(|error| error.to_string())
         .and_then(|json| Value::serialize(json).map_err(|error| error.to_string()));
     match parsed {
-        Ok(Value::Dict(_, dict)) => read_dict(dict, place),
+        Ok(Value::Dict(_, dict)) => read_resources(dict, place),
         Ok(_) => {
             findings.push(place, "no JSON object", "an object of lists of resources");
             Err(findings)
@@ -121,7 +121,7 @@
     }
 }
 
-fn read_dict(dict: Dict, place: &str) -> Result<ResourceFile, Findings> {
+fn read_resources(dict: Dict, place: &str) -> Result<ResourceFile, Findings> {
     let mut findings = Findings::new();
     let mut file = ResourceFile::default();
     for (word, list) in dict {
@@ -143,14 +143,14 @@
         };
         for (index, item) in items.into_iter().enumerate() {
             let place = format!("{place}: {word}[{index}]");
-            read_item(kind, item, &place, &mut file, &mut findings);
+            read_resource(kind, item, &place, &mut file, &mut findings);
         }
     }
     check_duplicates(&file, place, &mut findings);
     findings.into_result(file)
 }
 
-fn read_item(
+fn read_resource(
     kind: ResourceKind,
     item: Value,
     place: &str,
@@ -159,20 +159,20 @@
 ) {
     let resource = match kind {
         ResourceKind::Service => {
-            collect::<Service>(item, place, stand_in, findings).map(Resource::Service)
+            collect::<Service>(item, place, placeholder, findings).map(Resource::Service)
         }
         ResourceKind::Route => {
-            collect::<Route>(item, place, stand_in, findings).map(Resource::Route)
+            collect::<Route>(item, place, placeholder, findings).map(Resource::Route)
         }
         ResourceKind::Backend => {
-            collect::<Backend>(item, place, stand_in, findings).map(Resource::Backend)
+            collect::<Backend>(item, place, placeholder, findings).map(Resource::Backend)
         }
-        ResourceKind::Tenant => collect::<TenantInput>(item, place, stand_in, findings)
+        ResourceKind::Tenant => collect::<TenantInput>(item, place, placeholder, findings)
             .and_then(|tenant| tenant.into_tenant(place, findings))
             .map(Resource::Tenant),
         ResourceKind::Secret => {
             file.secrets
-                .extend(collect::<SecretInput>(item, place, stand_in, findings));
+                .extend(collect::<SecretInput>(item, place, placeholder, findings));
             None
         }
     };
@@ -191,8 +191,8 @@
     }
 }
 
-/// Valid values for required keys that are missing, so that reading goes on.
-fn stand_in(key: &str) -> Option<Value> {
+/// Valid placeholder for a missing required key, so that later keys are checked as well.
+fn placeholder(key: &str) -> Option<Value> {
     let single = |key: &str, value: &str| {
         let mut dict = Dict::new();
         dict.insert(key.to_string(), Value::from(value));
@@ -208,7 +208,7 @@
     })
 }
 
-/// The same content as JSON, as the API takes it.
+/// Converts a TOML resource file to the JSON that the API accepts.
 pub fn toml_to_json(place: &str, text: &str) -> Result<serde_json::Value, Findings> {
     Figment::from(Toml::string(text))
         .extract::<serde_json::Value>()
--- a/crates/rampthread-node/tests/settings_properties.rs
+++ b/crates/rampthread-node/tests/settings_properties.rs
@@ -1,4 +1,5 @@
-//! Settings and resource files: every fault with its place, no panic.
+//! Settings and resource files: all errors are reported with their location, and no input
+//! causes a panic.
 
 use proptest::prelude::*;
 use rampthread_node::settings::{load_text, read_resource_json, read_resource_toml};
@@ -20,12 +21,12 @@
 "#;
 
 #[test]
-fn good_settings_have_no_findings() {
+fn valid_settings_have_no_findings() {
     load_text("good", GOOD, &Vec::new()).unwrap();
 }
 
 #[test]
-fn overrides_win_and_are_checked_too() {
+fn overrides_take_precedence_and_are_validated() {
     let zone = vec![("node.zone".to_string(), "hall-2".to_string())];
     let settings = load_text("good", GOOD, &zone).unwrap();
     assert_eq!(settings.node.zone.as_str(), "hall-2");
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn bounds_out_of_range_are_all_named() {
+fn all_values_out_of_range_are_reported() {
     let bounds = "[quota]\nwindow = \"0s\"\noverage = -1\nslack = nan\n\
         [roll_outs]\nexposure_share = 1.5\nexposure_slack = -1\nroll_back = \"0s\"\n";
     let text = format!("{GOOD}{bounds}");
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn missing_sections_are_all_named() {
+fn all_missing_sections_are_reported() {
     let findings = load_text("empty", "", &Vec::new()).unwrap_err();
     let text = findings.to_string();
     for section in ["node", "listen", "platform", "keys"] {
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_bad_key_is_not_shown() {
+fn an_invalid_key_is_not_shown() {
     let text = GOOD.replace(
         "BwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwc=",
         "my-short-secret",
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn all_faults_of_a_resource_file_come_together() {
+fn all_errors_of_a_resource_file_are_reported_together() {
     let text = r#"
 [[service]]
 name = "a b"
@@ -116,15 +117,15 @@
 
 proptest! {
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC{0,300}") {
+    fn arbitrary_text_is_accepted_or_rejected(text in "\\PC{0,300}") {
         let _ = load_text("any", &text, &Vec::new());
         let _ = read_resource_toml("any", &text);
         let _ = read_resource_json("any", text.as_bytes());
     }
 
-    /// One altered character of a good file: read or refused, with a place.
+    /// A valid file with one character changed is accepted or rejected with locations.
     #[test]
-    fn an_altered_file_is_read_or_refused(at in any::<usize>(), with in any::<char>()) {
+    fn an_altered_file_is_accepted_or_rejected(at in any::<usize>(), with in any::<char>()) {
         let mut characters: Vec<char> = GOOD.chars().collect();
         let index = at % characters.len();
         characters[index] = with;
