--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -29,7 +29,7 @@
 use crate::calls::response::CallError;
 use crate::calls::tenant_limits::TenantLimits;
 use crate::control::{ActiveConfig, Control, Target};
-use crate::settings::LiveSettings;
+use crate::settings::ReloadableSettings;
 
 use attempt_loop::AttemptLoop;
 use http::{Request, Response};
@@ -111,7 +111,7 @@
     /// Interval at which backends report to their nodes.
     pub heartbeat: Duration,
     /// Settings that can change while the node runs.
-    pub live: LiveSettings,
+    pub live: ReloadableSettings,
     /// Limits for rollouts of new software versions; if `None`, calls go to all versions alike.
     pub roll_outs: Option<RolloutBounds>,
     /// How backends are selected and retries limited.
@@ -366,7 +366,7 @@
     /// This node's part of the fleet-wide retry limit. The ratio of the limit applies to the
     /// node's own calls; the slack is divided by the number of live nodes.
     fn retry_limit(&self, call: &Call) -> RetryLimit {
-        let Some(fleet) = self.options.live.get().retry_share else {
+        let Some(fleet) = self.options.live.get().retry_limit else {
             let service = call.config.state.service(&call.service);
             let percent = service.map_or(0, |service| service.retry_percent);
             return RetryLimit::percent(percent);
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -18,7 +18,7 @@
 use super::response::{CallError, set_response_header};
 use crate::call_log::RefusedHop;
 use crate::control::{Control, LocalBackend};
-use crate::settings::LiveSettings;
+use crate::settings::ReloadableSettings;
 use bytes::Bytes;
 use exchange::AdmittedCall;
 use http::{Request, Response};
@@ -101,7 +101,7 @@
     /// Interval at which the backend reports to its node.
     pub heartbeat: Duration,
     /// Settings that can change while the node runs.
-    pub live: LiveSettings,
+    pub live: ReloadableSettings,
 }
 
 /// Admits calls to the local backend, forwards them, and returns the responses.
@@ -112,7 +112,7 @@
     pool: Pool,
     state: Mutex<GateState>,
     next_call: AtomicU64,
-    live: LiveSettings,
+    live: ReloadableSettings,
 }
 
 /// One attempt of a call, decoded from the headers that the entry has sent to the gate.
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -11,7 +11,7 @@
 use crate::control::{
     Control, ControlError, ControlParts, ReportService, SourceParts, answer_readiness,
 };
-use crate::settings::{LiveSettings, NodeSettings, RolloutSettings};
+use crate::settings::{NodeSettings, ReloadableSettings, RolloutSettings};
 use crate::task_group::TaskGroup;
 use async_std::net::TcpListener;
 use http::{Request, Response};
@@ -73,7 +73,7 @@
     pub gate: Arc<Gate>,
     /// As the node started.
     settings: NodeSettings,
-    live: LiveSettings,
+    live: ReloadableSettings,
     callers_stop: ShutdownHandle,
     peers_stop: ShutdownHandle,
     tasks: TaskGroup,
@@ -97,7 +97,7 @@
     ) -> Result<Arc<Self>, NodeError> {
         let listeners = Listeners::bind(&settings)?;
         let control = Control::start(control_parts(&settings, adapter.as_ref())?)?;
-        let live = LiveSettings::new(&settings);
+        let live = ReloadableSettings::new(&settings);
         let path = CallPath::new(&settings, &live, adapter.as_ref(), control.clone(), mode)?;
         let node = Arc::new(Self {
             control: control.clone(),
@@ -371,7 +371,7 @@
 impl CallPath {
     fn new(
         settings: &NodeSettings,
-        live: &LiveSettings,
+        live: &ReloadableSettings,
         adapter: Option<&PlatformAdapter>,
         control: Arc<Control>,
         mode: EntryMode,
@@ -465,7 +465,7 @@
     let (fleet, source) = match adapter {
         Some(adapter) => (
             FleetSettings {
-                unconfirmed_backend_ttl: settings.backend.remembered_life(),
+                unconfirmed_backend_ttl: settings.backend.unconfirmed_backend_ttl(),
                 heartbeat_interval: settings.backend.heartbeat,
                 roll_outs: settings.roll_outs.map(RolloutSettings::to_bounds),
                 ..settings.fleet.to_document_settings()
--- a/crates/rampthread-node/src/settings/collect.rs
+++ b/crates/rampthread-node/src/settings/collect.rs
@@ -16,7 +16,7 @@
 /// Deserializes `value` and adds all errors to `findings`; `place` names its file or
 /// request. `placeholder` returns a valid value for a missing key, so that the errors in
 /// the rest of the value are found as well.
-pub fn collect<T: DeserializeOwned>(
+pub fn deserialize_collecting<T: DeserializeOwned>(
     mut value: Value,
     place: &str,
     placeholder: fn(&str) -> Option<Value>,
--- a/crates/rampthread-node/src/settings/load.rs
+++ b/crates/rampthread-node/src/settings/load.rs
@@ -1,7 +1,7 @@
 //! Loading of a node's settings from the settings file, the environment and command-line
 //! flags.
 
-use super::collect::collect;
+use super::collect::deserialize_collecting;
 use super::node_settings::NodeSettings;
 use figment::providers::{Env, Format, Serialized, Toml};
 use figment::value::{Dict, Value};
@@ -76,7 +76,8 @@
         }
     };
     check_required_by_kind(&dict, name, &mut findings);
-    let settings = collect::<NodeSettings>(Value::from(dict), name, placeholder, &mut findings);
+    let settings =
+        deserialize_collecting::<NodeSettings>(Value::from(dict), name, placeholder, &mut findings);
     let Some(settings) = settings else {
         return Err(findings);
     };
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -126,7 +126,7 @@
 
 impl RetrySettings {
     /// Converts the settings to the limit used by the request path.
-    pub fn to_retry_share(self) -> RetryLimit {
+    pub fn to_retry_limit(self) -> RetryLimit {
         RetryLimit {
             ratio: self.ratio,
             slack: self.slack,
@@ -357,7 +357,7 @@
 impl BackendSettings {
     /// Time for which a backend known from before this node's restart counts without a
     /// report to the new process.
-    pub fn remembered_life(&self) -> Duration {
+    pub fn unconfirmed_backend_ttl(&self) -> Duration {
         self.drain_limit.mul_f64(UNCONFIRMED_TTL_RATIO)
     }
 }
--- a/crates/rampthread-node/src/settings/resource_file.rs
+++ b/crates/rampthread-node/src/settings/resource_file.rs
@@ -1,6 +1,6 @@
 //! Resource files, in which operators describe resources that are applied as one change.
 
-use super::collect::collect;
+use super::collect::deserialize_collecting;
 use figment::Figment;
 use figment::providers::{Format, Toml};
 use figment::value::{Dict, Value};
@@ -159,20 +159,28 @@
 ) {
     let resource = match kind {
         ResourceKind::Service => {
-            collect::<Service>(item, place, placeholder, findings).map(Resource::Service)
+            deserialize_collecting::<Service>(item, place, placeholder, findings)
+                .map(Resource::Service)
         }
         ResourceKind::Route => {
-            collect::<Route>(item, place, placeholder, findings).map(Resource::Route)
+            deserialize_collecting::<Route>(item, place, placeholder, findings).map(Resource::Route)
         }
         ResourceKind::Backend => {
-            collect::<Backend>(item, place, placeholder, findings).map(Resource::Backend)
+            deserialize_collecting::<Backend>(item, place, placeholder, findings)
+                .map(Resource::Backend)
+        }
+        ResourceKind::Tenant => {
+            deserialize_collecting::<TenantInput>(item, place, placeholder, findings)
+                .and_then(|tenant| tenant.into_tenant(place, findings))
+                .map(Resource::Tenant)
         }
-        ResourceKind::Tenant => collect::<TenantInput>(item, place, placeholder, findings)
-            .and_then(|tenant| tenant.into_tenant(place, findings))
-            .map(Resource::Tenant),
         ResourceKind::Secret => {
-            file.secrets
-                .extend(collect::<SecretInput>(item, place, placeholder, findings));
+            file.secrets.extend(deserialize_collecting::<SecretInput>(
+                item,
+                place,
+                placeholder,
+                findings,
+            ));
             None
         }
     };
