--- a/crates/rampthread-core/src/call/backend_load.rs
+++ b/crates/rampthread-core/src/call/backend_load.rs
@@ -26,34 +26,34 @@
 pub enum BackendLoadError {
     /// The value has this number of fields instead of three or four.
     #[error("expected 3 or 4 comma-separated fields, found {0}")]
-    Figures(usize),
+    FieldCount(usize),
     /// The field at this position, counted from 1, is not a number or is out of range.
     #[error("field {0} is not a number in its range")]
-    Figure(usize),
+    Field(usize),
 }
 
 impl BackendLoad {
     /// Parses `running,waiting,slots`, optionally followed by the service time in percent.
     pub fn parse(text: &str) -> Result<Self, BackendLoadError> {
-        let figures: Vec<&str> = text.split(',').map(str::trim).collect();
-        if !(3..=4).contains(&figures.len()) {
-            return Err(BackendLoadError::Figures(figures.len()));
+        let fields: Vec<&str> = text.split(',').map(str::trim).collect();
+        if !(3..=4).contains(&fields.len()) {
+            return Err(BackendLoadError::FieldCount(fields.len()));
         }
         let calls = |index: usize| {
-            let figure = figures[index].parse().ok();
-            let figure = figure.filter(|calls| *calls <= MAX_CALLS);
-            figure.ok_or(BackendLoadError::Figure(index + 1))
+            let field = fields[index].parse().ok();
+            let field = field.filter(|calls| *calls <= MAX_CALLS);
+            field.ok_or(BackendLoadError::Field(index + 1))
         };
         let percent = |text: &&str| {
-            let figure = text.parse().ok();
-            let figure = figure.filter(|percent| (1..=MAX_PERCENT).contains(percent));
-            figure.ok_or(BackendLoadError::Figure(4))
+            let field = text.parse().ok();
+            let field = field.filter(|percent| (1..=MAX_PERCENT).contains(percent));
+            field.ok_or(BackendLoadError::Field(4))
         };
         Ok(Self {
             running: calls(0)?,
             waiting: calls(1)?,
             slots: calls(2)?,
-            service_time_percent: figures.get(3).map(percent).transpose()?,
+            service_time_percent: fields.get(3).map(percent).transpose()?,
         })
     }
 }
--- a/crates/rampthread-core/tests/acceptance_properties.rs
+++ b/crates/rampthread-core/tests/acceptance_properties.rs
@@ -1,5 +1,5 @@
-//! What an entry concludes from refusals, and what a gate says when it is only
-//! asked.
+//! What an entry concludes from rejections, and what a gate replies to a query for a free
+//! slot.
 
 use proptest::prelude::*;
 use rampthread_core::call::acceptance::AcceptanceEstimator;
@@ -21,68 +21,68 @@
     Zone::new(name).unwrap()
 }
 
-/// What is known after 200 tries in `zone_name` of which `percent` in 100 were
-/// refused.
-fn after_refusals(percent: u32, zone_name: &str) -> AcceptanceEstimator {
-    let mut room = AcceptanceEstimator::new(zone("near"));
+/// An estimator after 200 attempts in the zone `zone_name`, of which `percent` percent were
+/// rejected.
+fn after_rejections(percent: u32, zone_name: &str) -> AcceptanceEstimator {
+    let mut estimator = AcceptanceEstimator::new(zone("near"));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for _ in 0..200 {
-        room.record(&zone(zone_name), rng.random_range(0..100) < percent, START);
+        estimator.record(&zone(zone_name), rng.random_range(0..100) < percent, START);
     }
-    room
+    estimator
 }
 
 #[rstest]
-fn gates_are_asked_in_turn_only_where_some_have_room(#[values("near", "far")] at: &str) {
-    let asked = |percent| after_refusals(percent, at).should_ask(&zone(at), START);
+fn gates_are_asked_only_where_some_accept(#[values("near", "far")] at: &str) {
+    let asked = |percent| after_rejections(percent, at).should_ask(&zone(at), START);
     assert!(AcceptanceEstimator::new(zone("near")).should_ask(&zone(at), START));
     assert!(asked(0) && asked(2));
     assert!(!asked(95) && !asked(100));
 }
 
-/// Another gate is expected to run a call at once only while most tries find room.
+/// Another gate is expected to run a call at once only while most attempts are accepted.
 #[rstest]
-fn a_call_waits_in_order_where_many_are_refused(#[values("near", "far")] at: &str) {
-    let likely = |percent| after_refusals(percent, at).is_acceptance_likely(&zone(at), START);
+fn a_call_waits_where_many_are_rejected(#[values("near", "far")] at: &str) {
+    let likely = |percent| after_rejections(percent, at).is_acceptance_likely(&zone(at), START);
     assert!(AcceptanceEstimator::new(zone("near")).is_acceptance_likely(&zone(at), START));
     assert!(likely(0) && likely(2));
     assert!(!likely(95) && !likely(100));
 }
 
-/// A nested call asks every gate of its own zone, and goes no further than others do.
+/// A nested call asks every gate of its own zone, but other zones only as other calls do.
 #[test]
 fn a_nested_call_asks_all_gates_of_its_zone() {
-    let near = after_refusals(100, "near");
+    let near = after_rejections(100, "near");
     assert!(!near.should_ask(&zone("near"), START));
     assert!(near.should_ask_nested(&zone("near"), START));
-    let far = after_refusals(100, "far");
+    let far = after_rejections(100, "far");
     assert!(!far.should_ask_nested(&zone("far"), START));
 }
 
 #[test]
-fn refusals_of_one_zone_say_nothing_of_another() {
-    let near = after_refusals(100, "near");
+fn rejections_in_one_zone_say_nothing_of_another() {
+    let near = after_rejections(100, "near");
     assert!(near.should_ask(&zone("far"), START));
-    let far = after_refusals(100, "far");
+    let far = after_rejections(100, "far");
     assert!(far.should_ask(&zone("near"), START));
     assert!(far.should_ask(&zone("third"), START));
 }
 
 #[test]
-fn what_was_learnt_fades() {
-    let room = after_refusals(100, "far");
+fn rejections_fade() {
+    let estimator = after_rejections(100, "far");
     let later = START + Duration::from_secs(4);
-    assert!(room.should_ask(&zone("far"), later));
+    assert!(estimator.should_ask(&zone("far"), later));
 }
 
 #[test]
-fn a_question_goes_before_a_body_that_is_likely_wasted() {
+fn a_query_precedes_a_body_that_is_likely_wasted() {
     let asks = |percent, bytes| {
-        after_refusals(percent, "near").should_ask_before_body(&zone("near"), bytes, START)
+        after_rejections(percent, "near").should_ask_before_body(&zone("near"), bytes, START)
     };
-    assert!(!asks(0, 100_000), "nobody refuses");
+    assert!(!asks(0, 100_000), "no gate rejects");
     assert!(!asks(100, 0), "there is no body");
-    assert!(!asks(100, 200), "the question costs more");
+    assert!(!asks(100, 200), "the query costs more");
     assert!(asks(100, 4_000));
 }
 
@@ -97,11 +97,11 @@
 }
 
 proptest! {
-    /// A full zone is left only where that is worth it, and a service that has no
-    /// back end in the own zone is reached all the same. Four back ends at most: so
-    /// many are compared, so that none is left out by chance.
+    /// A full zone is left only if that is allowed, and a service without backends in the
+    /// zone is reached in another. Four backends at most, so that the random sample
+    /// contains all of them.
     #[test]
-    fn the_zone_is_left_only_where_it_is_worth_it(
+    fn the_zone_is_left_only_where_that_is_allowed(
         near in 0_usize..3, far in 1_usize..3, may_leave in any::<bool>(), seed: u64,
     ) {
         let mut endpoints: Vec<Endpoint> = (0..near).map(|index| endpoint(index, "near")).collect();
@@ -113,13 +113,13 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let near_zone = zone("near");
         let chosen = balancer.choose(&endpoints, &[], &near_zone, |_| may_leave, START, &mut rng);
-        let chosen = chosen.expect("there is a back end");
+        let chosen = chosen.expect("there is a backend");
         prop_assert_eq!(chosen.zone == near_zone, near > 0 && !may_leave);
     }
 
-    /// What a gate says when it is asked is what becomes of the call.
+    /// The reply to a query agrees with the decision about the call itself.
     #[test]
-    fn a_question_gets_the_answer_that_the_call_would_get(
+    fn a_query_gets_the_decision_about_the_call(
         slots in 0_u32..4, queue in 0_u32..4, calls in prop::collection::vec(0_u64..400, 1..20),
     ) {
         let mut admission = AdmissionController::new(AdmissionLimits { slots, queue });
@@ -135,7 +135,7 @@
             };
             let before = admission.load();
             let asked = admission.decide(&arrival, START);
-            prop_assert_eq!(admission.load(), before, "a question takes no place");
+            prop_assert_eq!(admission.load(), before, "a query takes no place in the queue");
             prop_assert_eq!(admission.arrive(arrival, START), asked);
             let taken = !matches!(asked, AdmissionDecision::Refused { .. });
             prop_assert_eq!(admission.load(), before + u32::from(taken));
--- a/crates/rampthread-core/tests/choice_under_load.rs
+++ b/crates/rampthread-core/tests/balancing_under_load.rs
@@ -1,5 +1,6 @@
-//! The choice of back ends on generated load: many entries decide at once, each knows what
-//! its own answers told it, and back ends of one service differ in speed.
+//! Simulation of balancing under load: many entries choose backends at the same time, each
+//! knowing only what its own responses reported, and the backends of the service differ in
+//! speed.
 
 use rampthread_core::call::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
@@ -12,53 +13,54 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-/// Mean work of a call at a back end of usual speed, in seconds.
-const WORK: f64 = 0.11;
-/// Time within which callers want their answer, in seconds.
-const TARGET: f64 = 0.5;
-/// One way between entry and gate, in seconds.
-const WAY: f64 = 0.001;
+/// Mean service time of a call at a backend of usual speed, in seconds.
+const MEAN_SERVICE_TIME: f64 = 0.11;
+/// Target latency of callers, in seconds.
+const TARGET_LATENCY: f64 = 0.5;
+/// One-way delay between entry and gate, in seconds.
+const ONE_WAY_DELAY: f64 = 0.001;
 const SLOTS: u32 = 6;
-/// Gates that a call asks before it waits at the last one.
-const TRIES: usize = 4;
-/// Speeds of back ends in turn.
+/// Number of gates that a call asks; at the last one it waits in the queue.
+const MAX_ATTEMPTS: usize = 4;
+/// Speeds of the backends, assigned in turn.
 const SPEEDS: [f64; 3] = [0.7, 0.7, 1.7];
-/// Part of the time in which another process slows a back end down, and by how much.
-const SHARED: (f64, f64) = (0.15, 2.5);
-/// Seconds for which a pace lasts.
-const PACE_LASTS: f64 = 0.2;
+/// Part of the time in which another process slows a backend down, and the factor by which
+/// service times grow then.
+const SLOWDOWN: (f64, f64) = (0.15, 2.5);
+/// Seconds for which a backend's slowdown stays the same.
+const SLOWDOWN_SECONDS: f64 = 0.2;
 
 #[derive(Clone, Copy)]
 struct Load {
     backends: usize,
     entries: usize,
-    /// Part of all that the back ends can do.
+    /// Load as a ratio of the capacity of all backends.
     of_capacity: f64,
     seconds: f64,
-    /// Gates tell the pace, and the members' records the speeds.
-    told: bool,
-    /// Back end whose gate tells another speed than it has, in percent.
-    lies: Option<(usize, u16)>,
+    /// Gates report speed and slowdown, and member records contain the speeds.
+    reported: bool,
+    /// Index of a backend whose gate reports a wrong speed, and that speed in percent.
+    wrong_speed: Option<(usize, u16)>,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Results {
     calls: u32,
     late: u32,
-    refused_tries: u32,
-    /// Sum of times of answers, in seconds.
+    rejected_attempts: u32,
+    /// Sum of response times, in seconds.
     time: f64,
-    /// Slot-seconds in use, by back end.
+    /// Seconds for which slots were in use, by backend.
     used: Vec<f64>,
 }
 
-impl Seen {
+impl Results {
     fn late_share(&self) -> f64 {
         f64::from(self.late) / f64::from(self.calls)
     }
 
-    fn refused_a_call(&self) -> f64 {
-        f64::from(self.refused_tries) / f64::from(self.calls)
+    fn rejections_per_call(&self) -> f64 {
+        f64::from(self.rejected_attempts) / f64::from(self.calls)
     }
 
     fn mean_time(&self) -> f64 {
@@ -72,7 +74,7 @@
     tried: Vec<NodeId>,
 }
 
-struct BackEnd {
+struct Backend {
     speed: f64,
     running: u32,
     waiting: VecDeque<usize>,
@@ -84,7 +86,7 @@
         call: usize,
         at: usize,
     },
-    Refused {
+    Rejected {
         call: usize,
         at: usize,
         load: u32,
@@ -94,7 +96,7 @@
         at: usize,
         took: f64,
     },
-    Answered {
+    Responded {
         call: usize,
         at: usize,
         load: u32,
@@ -102,48 +104,50 @@
     },
 }
 
-struct Play {
+struct Simulation {
     load: Load,
     rng: ChaCha8Rng,
     endpoints: Vec<Endpoint>,
-    backends: Vec<BackEnd>,
+    backends: Vec<Backend>,
     balancers: Vec<Balancer>,
     calls: Vec<Call>,
     events: Vec<Option<Event>>,
     due: BinaryHeap<Reverse<(u64, usize)>>,
-    seen: Seen,
+    results: Results,
 }
 
-/// What is told of the standing speed of a back end.
-fn told_speed(index: usize, load: Load) -> u16 {
-    let lie = load.lies.filter(|(liar, _)| *liar == index);
+/// Long-term speed that is reported for a backend, in percent.
+fn reported_speed(index: usize, load: Load) -> u16 {
+    let wrong = load
+        .wrong_speed
+        .filter(|(wrong_index, _)| *wrong_index == index);
     let speed = (SPEEDS[index % SPEEDS.len()] * 100.0) as u16;
-    lie.map_or(speed, |(_, told)| told)
+    wrong.map_or(speed, |(_, reported)| reported)
 }
 
 fn moment(at: f64) -> Moment {
     Moment(((at + 60.0) * 1e6) as u64)
 }
 
-impl Play {
-    fn run(load: Load) -> Seen {
+impl Simulation {
+    fn run(load: Load) -> Results {
         let endpoint = |index| Endpoint {
             node: NodeId::new(&format!("node-{index}")).unwrap(),
             zone: Zone::new("z").unwrap(),
             slots: SLOTS,
             slow_start: Duration::ZERO,
-            speed_percent: match load.told {
-                true => told_speed(index, load),
+            speed_percent: match load.reported {
+                true => reported_speed(index, load),
                 false => USUAL_PERCENT,
             },
         };
-        let backend = |index: usize| BackEnd {
+        let backend = |index: usize| Backend {
             speed: SPEEDS[index % SPEEDS.len()],
             running: 0,
             waiting: VecDeque::new(),
         };
         let balancer = |_| Balancer::new(BalanceMode::LeastCost, moment(0.0));
-        let mut play = Play {
+        let mut simulation = Simulation {
             load,
             rng: ChaCha8Rng::seed_from_u64(11),
             endpoints: (0..load.backends).map(endpoint).collect(),
@@ -152,17 +156,19 @@
             calls: Vec::new(),
             events: Vec::new(),
             due: BinaryHeap::new(),
-            seen: Seen {
+            results: Results {
                 used: vec![0.0; load.backends],
-                ..Seen::default()
+                ..Results::default()
             },
         };
-        play.at(0.0, Event::Arrives);
-        while let Some(Reverse((at, event))) = play.due.pop() {
-            let event = play.events[event].take().expect("each event happens once");
-            play.happen(at as f64 / 1e9, event);
+        simulation.at(0.0, Event::Arrives);
+        while let Some(Reverse((at, event))) = simulation.due.pop() {
+            let event = simulation.events[event]
+                .take()
+                .expect("each event happens once");
+            simulation.handle(at as f64 / 1e9, event);
         }
-        play.seen
+        simulation.results
     }
 
     fn at(&mut self, at: f64, event: Event) {
@@ -172,20 +178,20 @@
     }
 
     fn rate(&self) -> f64 {
-        let slowed = 1.0 + SHARED.0 * (SHARED.1 - 1.0);
+        let slowed = 1.0 + SLOWDOWN.0 * (SLOWDOWN.1 - 1.0);
         let speeds: f64 = self.backends.iter().map(|backend| backend.speed).sum();
-        self.load.of_capacity * speeds * f64::from(SLOTS) / (WORK * slowed)
+        self.load.of_capacity * speeds * f64::from(SLOTS) / (MEAN_SERVICE_TIME * slowed)
     }
 
-    /// How long work takes there now, over its usual time.
-    fn present(&self, backend: usize, at: f64) -> f64 {
-        let turn = (at / PACE_LASTS) as u64 + 1;
+    /// Ratio of the current service time at a backend to its usual one.
+    fn slowdown(&self, backend: usize, at: f64) -> f64 {
+        let turn = (at / SLOWDOWN_SECONDS) as u64 + 1;
         let seed = turn.wrapping_mul(0x9e37_79b9).wrapping_add(backend as u64);
         let drawn = ChaCha8Rng::seed_from_u64(seed).random_range(0.0..1.0);
-        if drawn < SHARED.0 { SHARED.1 } else { 1.0 }
+        if drawn < SLOWDOWN.0 { SLOWDOWN.1 } else { 1.0 }
     }
 
-    fn happen(&mut self, now: f64, event: Event) {
+    fn handle(&mut self, now: f64, event: Event) {
         match event {
             Event::Arrives => {
                 if now < self.load.seconds {
@@ -193,7 +199,7 @@
                     self.at(now + gap, Event::Arrives);
                 }
                 let entry = self.rng.random_range(0..self.load.entries);
-                self.seen.calls += 1;
+                self.results.calls += 1;
                 self.calls.push(Call {
                     entry,
                     began: now,
@@ -202,12 +208,12 @@
                 self.send(self.calls.len() - 1, now);
             }
             Event::AtGate { call, at } => self.at_gate(call, at, now),
-            Event::Refused { call, at, load } => {
+            Event::Rejected { call, at, load } => {
                 let entry = self.calls[call].entry;
                 let node = self.endpoints[at].node.clone();
                 self.balancers[entry].record_load(&node, load, moment(now));
                 self.balancers[entry].record_end(&node);
-                self.tell_pace(entry, at, now);
+                self.report_speed(entry, at, now);
                 self.send(call, now);
             }
             Event::Done { call, at, took } => {
@@ -216,8 +222,8 @@
                 let next = backend.waiting.pop_front();
                 let load = backend.running + backend.waiting.len() as u32;
                 self.at(
-                    now + WAY,
-                    Event::Answered {
+                    now + ONE_WAY_DELAY,
+                    Event::Responded {
                         call,
                         at,
                         load,
@@ -225,10 +231,10 @@
                     },
                 );
                 if let Some(next) = next {
-                    self.work(next, at, now);
+                    self.start_call(next, at, now);
                 }
             }
-            Event::Answered {
+            Event::Responded {
                 call,
                 at,
                 load,
@@ -242,24 +248,24 @@
                 let took = Duration::from_secs_f64(took);
                 balancer.record_response(&node, &route, took, moment(now));
                 balancer.record_end(&node);
-                self.tell_pace(entry, at, now);
-                self.seen.time += now - began;
-                self.seen.late += u32::from(now - began > TARGET);
+                self.report_speed(entry, at, now);
+                self.results.time += now - began;
+                self.results.late += u32::from(now - began > TARGET_LATENCY);
             }
         }
     }
 
-    fn tell_pace(&mut self, entry: usize, at: usize, now: f64) {
-        if !self.load.told {
+    fn report_speed(&mut self, entry: usize, at: usize, now: f64) {
+        if !self.load.reported {
             return;
         }
-        let pace = BackendSpeed {
-            speed_percent: told_speed(at, self.load),
-            service_time_percent: (self.present(at, now) * 100.0) as u16,
+        let speed = BackendSpeed {
+            speed_percent: reported_speed(at, self.load),
+            service_time_percent: (self.slowdown(at, now) * 100.0) as u16,
             ..BackendSpeed::default()
         };
         let node = &self.endpoints[at].node;
-        self.balancers[entry].record_speed(node, pace, moment(now));
+        self.balancers[entry].record_speed(node, speed, moment(now));
     }
 
     fn send(&mut self, call: usize, now: f64) {
@@ -275,7 +281,7 @@
             &mut self.rng,
         );
         let Some(chosen) = chosen else {
-            self.seen.late += 1;
+            self.results.late += 1;
             return;
         };
         tried.push(chosen.node.clone());
@@ -285,35 +291,35 @@
             .iter()
             .position(|known| known.node == chosen.node);
         let at = at.expect("it is one of them");
-        self.at(now + WAY, Event::AtGate { call, at });
+        self.at(now + ONE_WAY_DELAY, Event::AtGate { call, at });
     }
 
     fn at_gate(&mut self, call: usize, at: usize, now: f64) {
         let backend = &mut self.backends[at];
         if backend.running < SLOTS {
-            return self.work(call, at, now);
+            return self.start_call(call, at, now);
         }
-        let last = self.calls[call].tried.len() >= TRIES.min(self.load.backends);
+        let last = self.calls[call].tried.len() >= MAX_ATTEMPTS.min(self.load.backends);
         let load = backend.running + backend.waiting.len() as u32;
         if last && backend.waiting.len() < SLOTS as usize {
             backend.waiting.push_back(call);
         } else if last {
-            // Refused for good.
-            self.seen.late += 1;
+            // Rejected by the last gate: the call has failed.
+            self.results.late += 1;
             let node = self.endpoints[at].node.clone();
             self.balancers[self.calls[call].entry].record_end(&node);
         } else {
-            self.seen.refused_tries += 1;
-            self.at(now + WAY, Event::Refused { call, at, load });
+            self.results.rejected_attempts += 1;
+            self.at(now + ONE_WAY_DELAY, Event::Rejected { call, at, load });
         }
     }
 
-    fn work(&mut self, call: usize, at: usize, now: f64) {
-        let present = self.present(at, now);
+    fn start_call(&mut self, call: usize, at: usize, now: f64) {
+        let slowdown = self.slowdown(at, now);
         let backend = &mut self.backends[at];
         backend.running += 1;
-        let took = WORK * self.rng.random_range(0.4..1.6) / backend.speed * present;
-        self.seen.used[at] += took;
+        let took = MEAN_SERVICE_TIME * self.rng.random_range(0.4..1.6) / backend.speed * slowdown;
+        self.results.used[at] += took;
         self.at(now + took, Event::Done { call, at, took });
     }
 }
@@ -325,83 +331,97 @@
         entries: 88,
         of_capacity,
         seconds,
-        told: false,
-        lies: None,
+        reported: false,
+        wrong_speed: None,
     }
 }
 
-/// Speeds that are told shorten answers where fast back ends can take the work, and
-/// cost nothing where all must work.
+/// Reported speeds shorten response times where fast backends can take the load, and cost
+/// little where all backends are busy.
 #[rstest]
-fn fast_back_ends_fill_first_and_none_is_overrun(
+fn fast_backends_fill_first_and_none_is_overloaded(
     #[values(12, 44, 264)] backends: usize,
     #[values(0.1, 0.5, 0.8, 1.0, 1.2)] of_capacity: f64,
 ) {
-    let unknown = Play::run(load(backends, of_capacity));
-    let told = Play::run(Load {
-        told: true,
+    let unreported = Simulation::run(load(backends, of_capacity));
+    let reported = Simulation::run(Load {
+        reported: true,
         ..load(backends, of_capacity)
     });
-    let (before, after) = (unknown.mean_time(), told.mean_time());
+    let (before, after) = (unreported.mean_time(), reported.mean_time());
     let line = format!(
-        "late {:.3} -> {:.3}, time {before:.3} -> {after:.3}, refused tries {:.2} -> {:.2}",
-        unknown.late_share(),
-        told.late_share(),
-        unknown.refused_a_call(),
-        told.refused_a_call(),
+        "late {:.3} -> {:.3}, time {before:.3} -> {after:.3}, rejections per call {:.2} -> {:.2}",
+        unreported.late_share(),
+        reported.late_share(),
+        unreported.rejections_per_call(),
+        reported.rejections_per_call(),
     );
     println!("{backends} at {of_capacity}: {line}");
     if of_capacity <= 0.5 {
         assert!(after < before * 0.95, "{line}");
     }
     if of_capacity <= 0.1 {
-        assert!(told.late_share() < unknown.late_share() * 0.5, "{line}");
+        assert!(
+            reported.late_share() < unreported.late_share() * 0.5,
+            "{line}"
+        );
     }
-    // Beyond what chance does to some thousand calls.
+    // The bounds allow for random variation over some thousand calls.
     assert!(after < before * 1.05, "{line}");
-    assert!(told.late_share() < unknown.late_share() + 0.02, "{line}");
     assert!(
-        told.refused_a_call() < unknown.refused_a_call() + 0.3,
+        reported.late_share() < unreported.late_share() + 0.02,
+        "{line}"
+    );
+    assert!(
+        reported.rejections_per_call() < unreported.rejections_per_call() + 0.3,
         "{line}"
     );
 }
 
-/// Two slow back ends and a fast one, which does more work than either.
+/// Of two slow backends and a fast one, the fast one does most work.
 #[test]
-fn the_fast_one_of_three_back_ends_does_most() {
-    let seen = Play::run(Load {
-        told: true,
+fn the_fast_one_of_three_backends_does_most() {
+    let results = Simulation::run(Load {
+        reported: true,
         ..load(3, 0.5)
     });
-    let [slow, other, fast] = seen.used[..] else {
-        panic!("three back ends");
+    let [slow, other, fast] = results.used[..] else {
+        panic!("three backends");
     };
-    let work = |used: f64, index: usize| used * SPEEDS[index];
-    assert!(work(fast, 2) > 1.5 * work(slow, 0), "{:?}", seen.used);
-    assert!(work(fast, 2) > 1.5 * work(other, 1), "{:?}", seen.used);
+    let work_done = |used: f64, index: usize| used * SPEEDS[index];
+    assert!(
+        work_done(fast, 2) > 1.5 * work_done(slow, 0),
+        "{:?}",
+        results.used
+    );
+    assert!(
+        work_done(fast, 2) > 1.5 * work_done(other, 1),
+        "{:?}",
+        results.used
+    );
 }
 
-/// A slow back end that is told to be fast draws more than its part; its own answers and
-/// refusals correct that, and callers lose little.
+/// A slow backend whose reported speed is too high gets more calls than it should. Measured
+/// response times and rejections correct that, so that callers lose little.
 #[rstest]
-fn a_false_speed_costs_little(#[values(0.5, 0.8, 1.0)] of_capacity: f64) {
-    let told = Load {
-        told: true,
+fn a_wrong_speed_costs_little(#[values(0.5, 0.8, 1.0)] of_capacity: f64) {
+    let reported = Load {
+        reported: true,
         ..load(12, of_capacity)
     };
-    let honest = Play::run(told);
-    let lied = Play::run(Load {
-        lies: Some((0, 400)),
-        ..told
+    let correct = Simulation::run(reported);
+    let wrong = Simulation::run(Load {
+        wrong_speed: Some((0, 400)),
+        ..reported
     });
     let line = format!(
         "late {:.3} -> {:.3}, time {:.3} -> {:.3}",
-        honest.late_share(),
-        lied.late_share(),
-        honest.mean_time(),
-        lied.mean_time()
+        correct.late_share(),
+        wrong.late_share(),
+        correct.mean_time(),
+        wrong.mean_time()
     );
     println!("{of_capacity}: {line}");
-    assert!(lied.late_share() < honest.late_share() + 0.03, "{line}");
-    assert!(lied.mean_time() < honest.mean_time() * 1.2, "{line}");
+    assert!(wrong.late_share() < correct.late_share() + 0.03, "{line}");
+    assert!(wrong.mean_time() < correct.mean_time() * 1.2, "{line}");
 }
--- a/crates/rampthread-core/tests/body_transfer_properties.rs
+++ b/crates/rampthread-core/tests/body_transfer_properties.rs
@@ -1,5 +1,5 @@
-//! Large bodies are let in a few at a time, each offer is told once, and what
-//! cannot come in time is refused.
+//! Flow control of large bodies: a few are transferred at a time, each offer is granted at
+//! most once, and an offer whose turn would come too late is rejected.
 
 use proptest::prelude::*;
 use rampthread_core::call::body_transfers::{BodyOffer, BodyTransfers, OfferDecision};
@@ -11,8 +11,8 @@
 enum Step {
     Offer { bytes: u64, max_wait_ms: u64 },
     End { pick: usize, arrived: bool },
-    Withdraw(usize),
-    Pass(u64),
+    Cancel(usize),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -20,8 +20,8 @@
         4 => (1_u64..400_000, 0_u64..500)
             .prop_map(|(bytes, max_wait_ms)| Step::Offer { bytes, max_wait_ms }),
         3 => (any::<usize>(), any::<bool>()).prop_map(|(pick, arrived)| Step::End { pick, arrived }),
-        1 => any::<usize>().prop_map(Step::Withdraw),
-        2 => (1_u64..80).prop_map(Step::Pass),
+        1 => any::<usize>().prop_map(Step::Cancel),
+        2 => (1_u64..80).prop_map(Step::Advance),
     ]
 }
 
@@ -38,10 +38,10 @@
 }
 
 proptest! {
-    /// Never more than two bodies that were not given up are under way, nobody
-    /// is granted twice, and whoever waits is granted or withdrawn.
+    /// At most two transfers are in progress, no offer is granted twice, and each waiting
+    /// offer is granted or cancelled.
     #[test]
-    fn a_few_bodies_at_a_time(steps in prop::collection::vec(step(), 1..200)) {
+    fn at_most_two_bodies_are_in_transfer(steps in prop::collection::vec(step(), 1..200)) {
         let mut transfers = BodyTransfers::default();
         let mut now = Moment(1);
         let (mut sent, mut waiting) = (BTreeSet::new(), BTreeSet::new());
@@ -64,18 +64,18 @@
                         prop_assert!(sent.insert(granted));
                     }
                 }
-                Step::Withdraw(index) => {
+                Step::Cancel(index) => {
                     if let Some(call) = pick(&waiting, index) {
                         waiting.remove(&call);
                         prop_assert!(transfers.cancel(call));
                     }
                 }
-                Step::Pass(ms) => now = now + Duration::from_millis(ms),
+                Step::Advance(ms) => now = now + Duration::from_millis(ms),
             }
-            let under_way = transfers.load() as usize - waiting.len();
-            prop_assert!(under_way <= 2);
+            let in_progress = transfers.load() as usize - waiting.len();
+            prop_assert!(in_progress <= 2);
         }
-        // Whatever became of the senders, a later offer is not shut out for ever.
+        // Senders that vanish do not block later offers for ever.
         let later = now + Duration::from_secs(3_600);
         for call in waiting {
             transfers.cancel(call);
@@ -83,9 +83,9 @@
         prop_assert_eq!(transfers.offer(offer(u64::MAX, 1, Duration::ZERO), later), OfferDecision::Granted);
     }
 
-    /// A link of any width is learnt from the bodies that arrive over it.
+    /// The rate of a link is measured from the bodies that arrive over it.
     #[test]
-    fn the_rate_is_learnt(bytes_per_ms in 100_u64..100_000) {
+    fn the_rate_is_measured(bytes_per_ms in 100_u64..100_000) {
         let mut transfers = BodyTransfers::default();
         let mut now = Moment(1);
         let bytes = bytes_per_ms * 50;
@@ -100,11 +100,11 @@
 }
 
 #[test]
-fn what_would_wait_too_long_is_refused_with_the_time_to_come_back() {
+fn an_offer_that_would_wait_too_long_is_rejected_with_retry_advice() {
     let mut transfers = BodyTransfers::default();
     let now = Moment(1);
     let patient = Duration::from_secs(1);
-    // 1.25 MB take 100 ms at the first rate.
+    // 1.25 MB take 100 ms at the initial rate.
     for call in 0..2 {
         let granted = transfers.offer(offer(call, 1_250_000, patient), now);
         assert_eq!(granted, OfferDecision::Granted);
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -1,4 +1,5 @@
-//! The promises to callers, as properties of the decisions on calls.
+//! Property tests of the guarantees to callers: admission, fences, retries, balancing,
+//! claims and headers.
 
 use proptest::prelude::*;
 use rampthread_core::call::admission::{
@@ -20,23 +21,23 @@
 use std::time::Duration;
 
 #[derive(Debug, Clone)]
-enum Door {
-    Arrive { caller: u8, patience_ms: u64 },
+enum QueueEvent {
+    Arrive { caller: u8, max_wait_ms: u64 },
     End,
-    Withdraw(usize),
-    Pass(u64),
+    Cancel(usize),
+    Advance(u64),
 }
 
-fn door() -> impl Strategy<Value = Door> {
+fn queue_event() -> impl Strategy<Value = QueueEvent> {
     prop_oneof![
-        4 => (0_u8..4, 0_u64..200).prop_map(|(caller, patience_ms)| Door::Arrive { caller, patience_ms }),
-        3 => Just(Door::End),
-        1 => any::<usize>().prop_map(Door::Withdraw),
-        2 => (1_u64..50).prop_map(Door::Pass),
+        4 => (0_u8..4, 0_u64..200).prop_map(|(caller, max_wait_ms)| QueueEvent::Arrive { caller, max_wait_ms }),
+        3 => Just(QueueEvent::End),
+        1 => any::<usize>().prop_map(QueueEvent::Cancel),
+        2 => (1_u64..50).prop_map(QueueEvent::Advance),
     ]
 }
 
-/// `count` warm endpoints of 10 slots in one zone.
+/// `count` endpoints in one zone, each with 10 slots and without slow start.
 fn endpoints(count: usize, zone: &Zone) -> Vec<Endpoint> {
     (0..count)
         .map(|index| Endpoint {
@@ -50,13 +51,13 @@
 }
 
 proptest! {
-    /// Slots are never exceeded, every waiting call is told once, and the load
-    /// is what a plain model says.
+    /// Running calls never exceed the slots, each waiting call is released or dropped once,
+    /// and the load agrees with a simple model.
     #[test]
     fn admission_never_exceeds_the_slots(
         slots in 1_u32..8,
         queue in 0_u32..12,
-        steps in prop::collection::vec(door(), 1..200),
+        steps in prop::collection::vec(queue_event(), 1..200),
     ) {
         let mut admission = AdmissionController::new(AdmissionLimits { slots, queue });
         let mut now = Moment(1);
@@ -65,11 +66,11 @@
         for (number, step) in steps.into_iter().enumerate() {
             let call = number as u64;
             match step {
-                Door::Arrive { caller, patience_ms } => {
+                QueueEvent::Arrive { caller, max_wait_ms } => {
                     let arrival = Arrival {
                         call,
                         caller: format!("caller-{caller}"),
-                        deadline: now + Duration::from_millis(patience_ms),
+                        deadline: now + Duration::from_millis(max_wait_ms),
                         rank: u32::from(caller) % 2,
                         precedence: Precedence::FirstAttempt,
                         max_wait: Duration::from_secs(10),
@@ -81,23 +82,23 @@
                         AdmissionDecision::Refused { retry_after } => prop_assert!(!retry_after.is_zero()),
                     }
                 }
-                Door::End if running > 0 => {
+                QueueEvent::End if running > 0 => {
                     running -= 1;
                     let released = admission.release(Some(Duration::from_millis(5)), now);
-                    for told in released.expired.iter().chain(&released.run) {
-                        let index = waiting.iter().position(|call| call == told);
-                        prop_assert!(index.is_some(), "a call was told twice");
+                    for released_call in released.expired.iter().chain(&released.run) {
+                        let index = waiting.iter().position(|call| call == released_call);
+                        prop_assert!(index.is_some(), "a call was released twice");
                         waiting.remove(index.unwrap());
                     }
                     running += u32::from(released.run.is_some());
                 }
-                Door::End => {}
-                Door::Withdraw(pick) if !waiting.is_empty() => {
+                QueueEvent::End => {}
+                QueueEvent::Cancel(pick) if !waiting.is_empty() => {
                     let call = waiting.remove(pick % waiting.len());
                     prop_assert!(admission.cancel(call));
                 }
-                Door::Withdraw(_) => prop_assert!(!admission.cancel(u64::MAX)),
-                Door::Pass(ms) => now = now + Duration::from_millis(ms),
+                QueueEvent::Cancel(_) => prop_assert!(!admission.cancel(u64::MAX)),
+                QueueEvent::Advance(ms) => now = now + Duration::from_millis(ms),
             }
             prop_assert!(running <= slots);
             prop_assert_eq!(admission.running(), running);
@@ -105,7 +106,8 @@
         }
     }
 
-    /// With one caller flooding the door, another still gets turns.
+    /// While one caller floods the queue, a call of another caller is served within two
+    /// turns.
     #[test]
     fn one_caller_cannot_starve_another(flood in 20_usize..200) {
         let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 4 });
@@ -133,8 +135,8 @@
         prop_assert!(first == Some(1_000) || second == Some(1_000));
     }
 
-    /// Whatever the order of starts, copies and fences: a call starts at most
-    /// once, and never after a fence said that it never will.
+    /// In any order of starts, duplicates and fences, a call starts at most once, and never
+    /// after a fence replied that it never will.
     #[test]
     fn a_fenced_call_never_starts(
         steps in prop::collection::vec((0_u8..3, any::<bool>(), 0_u64..2_000), 1..100),
@@ -163,10 +165,11 @@
         }
     }
 
-    /// A call that may not run twice is tried again only while every try is
-    /// known not to have run; no call ends as not run after one that may have.
+    /// A call that may not run twice is retried only while no attempt can have run. The
+    /// outcome of a call that ends without response is `not-run` only if no attempt can
+    /// have run.
     #[test]
-    fn second_tries_are_safe_and_bounded(
+    fn retries_are_safe_and_bounded(
         repeatable in any::<bool>(),
         outcomes in prop::collection::vec(prop_oneof![
             Just(Outcome::NotRun), Just(Outcome::Unknown)
@@ -178,27 +181,27 @@
         let mut budget = RetryBudget::new(RetryLimit::percent(percent));
         budget.call_made(Moment(1));
         let mut attempts = Attempts::new(repeatable, Moment(10_000_000), max_arrivals);
-        let mut tainted = false;
+        let mut may_have_run = false;
         for (number, outcome) in outcomes.into_iter().enumerate() {
-            tainted |= outcome == Outcome::Unknown;
+            may_have_run |= outcome == Outcome::Unknown;
             match attempts.record_outcome(outcome, reach, Moment(1), &mut budget) {
                 NextStep::Retry => {
-                    prop_assert!(repeatable || !tainted, "an unsafe second try");
+                    prop_assert!(repeatable || !may_have_run, "unsafe retry");
                     prop_assert!((number as u32) + 1 < MAX_ATTEMPTS);
-                    prop_assert!(attempts.arrivals() < max_arrivals, "one back end too many");
+                    prop_assert!(attempts.arrivals() < max_arrivals, "too many backends");
                 }
-                NextStep::AwaitOther => prop_assert!(false, "no other try is under way"),
-                NextStep::GiveUp(told) => {
-                    prop_assert_eq!(told == Outcome::NotRun, !tainted);
+                NextStep::AwaitOther => prop_assert!(false, "no other attempt is in progress"),
+                NextStep::GiveUp(final_outcome) => {
+                    prop_assert_eq!(final_outcome == Outcome::NotRun, !may_have_run);
                     break;
                 }
             }
         }
     }
 
-    /// A call with an overdue try ends only with its last try; a second one runs
-    /// beside it only where the call may run twice, and never at more back ends
-    /// than allowed.
+    /// A call with a hedged attempt ends only with its last attempt. A hedged attempt
+    /// starts only if the call may run twice, and the call never reaches more backends than
+    /// allowed.
     #[test]
     fn hedges_are_safe_and_bounded(
         repeatable in any::<bool>(),
@@ -212,33 +215,33 @@
         }
         let mut attempts = Attempts::new(repeatable, Moment(10_000_000), max_arrivals);
         attempts.begin();
-        let mut under_way = 1;
+        let mut in_progress = 1;
         for (hedge, ran, reached) in steps {
             if hedge && attempts.begin_hedge(now, &mut budget) {
                 prop_assert!(repeatable);
-                under_way += 1;
+                in_progress += 1;
             }
-            prop_assert!(under_way <= 2);
-            prop_assert!(attempts.arrivals() + under_way <= max_arrivals.max(1));
+            prop_assert!(in_progress <= 2);
+            prop_assert!(attempts.arrivals() + in_progress <= max_arrivals.max(1));
             let outcome = if ran { Outcome::Unknown } else { Outcome::NotRun };
             let reach = if ran || reached { Reach::Backend } else { Reach::Gate };
-            under_way -= 1;
+            in_progress -= 1;
             match attempts.record_outcome(outcome, reach, now, &mut budget) {
-                NextStep::AwaitOther => prop_assert_eq!(under_way, 1),
+                NextStep::AwaitOther => prop_assert_eq!(in_progress, 1),
                 NextStep::Retry => {
-                    prop_assert_eq!(under_way, 0);
+                    prop_assert_eq!(in_progress, 0);
                     attempts.begin();
-                    under_way = 1;
+                    in_progress = 1;
                 }
                 NextStep::GiveUp(_) => {
-                    prop_assert_eq!(under_way, 0, "given up with a try under way");
+                    prop_assert_eq!(in_progress, 0, "given up with an attempt in progress");
                     break;
                 }
             }
         }
     }
 
-    /// Second tries stay within the budget's share, whatever the order.
+    /// The number of retries stays within the budget, in any order of calls and retries.
     #[test]
     fn retries_stay_within_the_budget(percent in 0_u8..=100, calls in 1_usize..2_000) {
         let now = Moment(1);
@@ -250,10 +253,10 @@
             retries += usize::from(budget.take(RetryClass::Nested, now));
         }
         let allowed = calls as f64 * f64::from(percent) / 100.0 + 6.0;
-        prop_assert!(retries as f64 <= allowed, "{} second tries of {} calls", retries, calls);
+        prop_assert!(retries as f64 <= allowed, "{} retries of {} calls", retries, calls);
     }
 
-    /// However many endpoints fail, at least half of a service gets calls.
+    /// However many endpoints fail, at least half of a service's endpoints get calls.
     #[test]
     fn ejection_spares_at_least_half(
         count in 1_usize..20,
@@ -279,9 +282,9 @@
         prop_assert!(chosen.len() * 2 >= count, "{} of {}", chosen.len(), count);
     }
 
-    /// An endpoint that says that it takes no work gets none while others can.
+    /// An endpoint that reports that it accepts no calls gets none while others can.
     #[test]
-    fn an_endpoint_without_work_is_left_alone(count in 2_usize..10, seed in any::<u64>()) {
+    fn an_endpoint_that_accepts_no_calls_gets_none(count in 2_usize..10, seed in any::<u64>()) {
         let zone = Zone::new("zone").unwrap();
         let endpoints = endpoints(count, &zone);
         let now = Moment(5_000_000);
@@ -294,26 +297,26 @@
         }
     }
 
-    /// Two calls with one key never both get a majority, in any order, with
-    /// any holders lost in between, while no majority of holders forgets.
+    /// Two calls with one idempotency key never both get a majority of claims, in any order
+    /// of claims and if holders restart in between, as long as no majority of them does.
     #[test]
     fn one_key_has_at_most_one_claim(
         order in prop::collection::vec((0_usize..5, 0_usize..2), 0..20),
-        forgetful in prop::collection::vec(0_usize..5, 0..2),
+        restarts in prop::collection::vec(0_usize..5, 0..2),
     ) {
-        let life = Duration::from_secs(60);
+        let ttl = Duration::from_secs(60);
         let late = Moment(120_000_000);
-        let mut holders: Vec<ClaimTable> = (0..5).map(|_| ClaimTable::new(Moment(1), life)).collect();
+        let mut holders: Vec<ClaimTable> = (0..5).map(|_| ClaimTable::new(Moment(1), ttl)).collect();
         let calls = ["one".to_string(), "two".to_string()];
         let mut answers: HashMap<(usize, usize), ClaimReply> = HashMap::new();
         for (step, (holder, call)) in order.into_iter().enumerate() {
-            if let Some(lost) = forgetful.get(step) {
-                holders[*lost] = ClaimTable::new(late, life);
+            if let Some(restarted) = restarts.get(step) {
+                holders[*restarted] = ClaimTable::new(late, ttl);
             }
             let answer = holders[holder].claim("key", &calls[call], late);
             answers.entry((call, holder)).or_insert(answer);
         }
-        let verdict = |call: usize| {
+        let decision = |call: usize| {
             let mut vote = ClaimVote::new(5);
             for holder in 0..5 {
                 if let Some(answer) = answers.get(&(call, holder)) {
@@ -322,12 +325,12 @@
             }
             vote.decision()
         };
-        prop_assert!(!(verdict(0) == ClaimDecision::Run && verdict(1) == ClaimDecision::Run));
+        prop_assert!(!(decision(0) == ClaimDecision::Run && decision(1) == ClaimDecision::Run));
     }
 
-    /// Whatever a caller sends in our headers, reading them does not panic.
+    /// Parsing internal headers never panics, whatever a caller sends.
     #[test]
-    fn any_header_text_is_read_or_refused(text in ".*") {
+    fn any_header_text_is_parsed_or_rejected(text in ".*") {
         let _ = headers::parse_deadline(Some(&text));
         if let Ok(hops) = headers::next_hop(Some(&text)) {
             prop_assert!(hops <= headers::MAX_HOPS);
--- a/crates/rampthread-core/tests/crash_cases/mod.rs
+++ b/crates/rampthread-core/tests/crash_cases/mod.rs
@@ -1,4 +1,4 @@
-//! Requests, back ends and times by numbers, for tests of crashes.
+//! Numbered requests, backends and times for tests of crashes.
 
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::ids::InstanceId;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 pub const HOUR: Duration = Duration::from_secs(3_600);
-/// Later than any memory of a process that started at zero.
+/// Later than the retention of any table of a process that started at zero.
 pub const NOW: Moment = Moment(10 * 3_600_000_000);
 
 pub fn identity(number: u16) -> RequestIdentity {
--- a/crates/rampthread-core/tests/fair_queue.rs
+++ b/crates/rampthread-core/tests/fair_queue.rs
@@ -1,4 +1,5 @@
-//! The slots of a full back end are shared by work among the tenants that want them.
+//! The slots of a full backend are shared fairly, by service time, among tenants with
+//! waiting calls.
 
 use proptest::prelude::*;
 use rampthread_core::call::admission::{
@@ -15,14 +16,14 @@
 const SECOND: Duration = Duration::from_secs(1);
 const SLOTS: u32 = 4;
 
-/// One tenant's demand.
+/// Call rate and service time of one tenant.
 #[derive(Debug, Clone, Copy)]
-struct Demand {
-    calls_a_second: u64,
-    work: Duration,
+struct TenantLoad {
+    calls_per_second: u64,
+    service_time: Duration,
 }
 
-fn arrival(call: u64, tenant: &str, work: Duration, now: Moment) -> Arrival {
+fn arrival(call: u64, tenant: &str, service_time: Duration, now: Moment) -> Arrival {
     Arrival {
         call,
         caller: tenant.to_string(),
@@ -30,13 +31,14 @@
         rank: 1,
         precedence: Precedence::FirstAttempt,
         max_wait: SECOND,
-        expected_service_time: Some(work),
+        expected_service_time: Some(service_time),
     }
 }
 
-/// Work served by tenant in `seconds` at one gate; a call that waits leaves after 200 ms.
+/// Service time that each tenant gets at one gate in `seconds`; a call that waits is
+/// abandoned after 200 ms.
 fn served(
-    demands: &BTreeMap<String, Demand>,
+    loads: &BTreeMap<String, TenantLoad>,
     seconds: u64,
     seed: u64,
 ) -> BTreeMap<String, Duration> {
@@ -46,35 +48,35 @@
         queue: 16,
     });
     let mut arrivals: Vec<(Moment, String, Duration)> = Vec::new();
-    for (tenant, demand) in demands {
-        for _ in 0..demand.calls_a_second * seconds {
+    for (tenant, load) in loads {
+        for _ in 0..load.calls_per_second * seconds {
             let at = Moment(1 + rng.random_range(0..seconds * 1_000_000));
-            arrivals.push((at, tenant.clone(), demand.work));
+            arrivals.push((at, tenant.clone(), load.service_time));
         }
     }
     arrivals.sort();
     let mut served = BTreeMap::new();
     let mut waiting: HashMap<u64, Moment> = HashMap::new();
     let mut running: Vec<(Moment, u64)> = Vec::new();
-    for (call, (now, tenant, work)) in arrivals.iter().enumerate() {
+    for (call, (now, tenant, service_time)) in arrivals.iter().enumerate() {
         let call = call as u64;
         running.sort_by(|one, other| other.cmp(one));
         while let Some((ends, ended)) = running.last().copied()
             && ends <= *now
         {
             running.pop();
-            let (_, tenant, work) = &arrivals[ended as usize];
-            *served.entry(tenant.clone()).or_insert(Duration::ZERO) += *work;
+            let (_, tenant, service_time) = &arrivals[ended as usize];
+            *served.entry(tenant.clone()).or_insert(Duration::ZERO) += *service_time;
             let overdue = |since: &Moment| ends.since(*since) > Duration::from_millis(200);
             waiting.retain(|call, since| !overdue(since) || !gate.cancel(*call));
-            if let Some(next) = gate.release(Some(*work), ends).run {
+            if let Some(next) = gate.release(Some(*service_time), ends).run {
                 waiting.remove(&next);
                 running.push((ends + arrivals[next as usize].2, next));
                 running.sort_by(|one, other| other.cmp(one));
             }
         }
-        match gate.arrive(arrival(call, tenant, *work, *now), *now) {
-            AdmissionDecision::Run => running.push((*now + *work, call)),
+        match gate.arrive(arrival(call, tenant, *service_time, *now), *now) {
+            AdmissionDecision::Run => running.push((*now + *service_time, call)),
             AdmissionDecision::Wait => {
                 waiting.insert(call, *now);
             }
@@ -84,24 +86,24 @@
     served
 }
 
-fn demand(calls_a_second: u64, work_ms: u64) -> Demand {
-    Demand {
-        calls_a_second,
-        work: Duration::from_millis(work_ms),
+fn load(calls_per_second: u64, service_time_ms: u64) -> TenantLoad {
+    TenantLoad {
+        calls_per_second,
+        service_time: Duration::from_millis(service_time_ms),
     }
 }
 
-/// One tenant asks ten times what each other asks: it gets what they leave.
+/// One tenant asks for ten times as much as each other one: it gets only what they leave.
 #[test]
-fn a_tenant_that_floods_takes_what_others_leave() {
-    let mut demands: BTreeMap<String, Demand> = (0..8)
-        .map(|tenant| (format!("tenant-{tenant}"), demand(8, 50)))
+fn a_tenant_that_floods_gets_what_others_leave() {
+    let mut loads: BTreeMap<String, TenantLoad> = (0..8)
+        .map(|tenant| (format!("tenant-{tenant}"), load(8, 50)))
         .collect();
-    demands.insert("flood".to_string(), demand(80, 50));
+    loads.insert("flood".to_string(), load(80, 50));
     for seed in 0..5 {
-        let served = served(&demands, 30, seed);
+        let served = served(&loads, 30, seed);
         let share = |tenant: &str| {
-            let asked = demands[tenant].work * (demands[tenant].calls_a_second * 30) as u32;
+            let asked = loads[tenant].service_time * (loads[tenant].calls_per_second * 30) as u32;
             served[tenant].as_secs_f64() / asked.as_secs_f64()
         };
         let others: Vec<f64> = (0..8)
@@ -115,16 +117,17 @@
     }
 }
 
-/// Many small calls and few large ones of the same work get about the same.
+/// Many short calls and few long calls of the same total service time get about the same
+/// share.
 #[test]
-fn small_and_large_calls_count_by_work() {
-    let demands: BTreeMap<String, Demand> = [
-        ("small".to_string(), demand(160, 25)),
-        ("large".to_string(), demand(40, 100)),
+fn short_and_long_calls_count_by_service_time() {
+    let loads: BTreeMap<String, TenantLoad> = [
+        ("small".to_string(), load(160, 25)),
+        ("large".to_string(), load(40, 100)),
     ]
     .into();
     for seed in 0..5 {
-        let served = served(&demands, 30, seed);
+        let served = served(&loads, 30, seed);
         let ratio = served["small"].as_secs_f64() / served["large"].as_secs_f64();
         println!("seed {seed}: small over large {ratio:.2}");
         assert!((0.5..2.0).contains(&ratio), "{ratio}");
@@ -132,34 +135,36 @@
 }
 
 proptest! {
-    /// Owners who always want more are served the same work, within two calls each.
+    /// Owners that always have waiting calls get the same service time, within two calls
+    /// each.
     #[test]
-    fn owners_with_demand_get_the_same(works in prop::collection::vec(1_u64..50, 2..12)) {
-        let mut turns = FairQueue::default();
-        let owners: Vec<String> = (0..works.len()).map(|owner| format!("owner-{owner}")).collect();
-        let mut served = vec![0_u64; works.len()];
+    fn owners_with_waiting_calls_get_equal_service(service_times in prop::collection::vec(1_u64..50, 2..12)) {
+        let mut queue = FairQueue::default();
+        let owners: Vec<String> = (0..service_times.len()).map(|owner| format!("owner-{owner}")).collect();
+        let mut served = vec![0_u64; service_times.len()];
         for _ in 0..2_000 {
-            let next = (0..works.len()).min_by_key(|owner| turns.start_tag(&owners[*owner])).unwrap();
-            turns.served(&owners[next], Some(Duration::from_millis(works[next])));
-            served[next] += works[next];
+            let next = (0..service_times.len()).min_by_key(|owner| queue.start_tag(&owners[*owner])).unwrap();
+            queue.served(&owners[next], Some(Duration::from_millis(service_times[next])));
+            served[next] += service_times[next];
         }
-        let most = *works.iter().max().unwrap();
+        let most = *service_times.iter().max().unwrap();
         let spread = served.iter().max().unwrap() - served.iter().min().unwrap();
         prop_assert!(spread <= 2 * most, "{served:?}");
     }
 }
 
-/// State stays bounded with ten thousand tenants, and the gate goes on serving all.
+/// The number of owners kept stays bounded with ten thousand tenants, and start tags keep
+/// growing.
 #[test]
-fn ten_thousand_tenants() {
-    let mut turns = FairQueue::default();
+fn ten_thousand_tenants_keep_bounded_state() {
+    let mut queue = FairQueue::default();
     for round in 0..3 {
         for tenant in 0..10_000 {
             let owner = format!("tenant-{tenant}");
-            let before = turns.start_tag(&owner);
-            turns.served(&owner, Some(Duration::from_millis(5)));
-            assert!(turns.start_tag(&owner) >= before, "round {round}");
+            let before = queue.start_tag(&owner);
+            queue.served(&owner, Some(Duration::from_millis(5)));
+            assert!(queue.start_tag(&owner) >= before, "round {round}");
         }
     }
-    assert!(turns.owner_count() <= 1_024);
+    assert!(queue.owner_count() <= 1_024);
 }
--- a/crates/rampthread-core/tests/fence_properties.rs
+++ b/crates/rampthread-core/tests/fence_properties.rs
@@ -1,11 +1,10 @@
-//! What is believed of a fence, whatever is held up, replaced or suspended meanwhile.
+//! What an entry may conclude from a fence, whatever is delayed, replaced or suspended
+//! meanwhile.
 //!
-//! What users saw: a request that may run once was refused as not run, and ran. Order
-//! of events: its hop reached a gate and the call began; the entry was held up; the
-//! gate's process was replaced; the entry went on, found its connection lost and asked
-//! for a fence; the new process had never heard of the call. Cause: its "never starts"
-//! was believed though its memory was younger than the hop. Without that condition
-//! `never_starts_is_believed_only_of_a_call_that_never_starts` fails.
+//! Guards against an error response with `not-run` for a call that ran: its request reached
+//! a gate and the call began; the entry was delayed; the gate's process was replaced; the
+//! entry found its connection lost and fenced the call; the new process knew nothing of it.
+//! "Never starts" of a process that is younger than the request must not be trusted.
 
 use proptest::prelude::*;
 use rampthread_core::call::fence::{
@@ -17,31 +16,31 @@
 use rampthread_core::time::Moment;
 use std::time::Duration;
 
-/// Name of the call, and of the node that is sent it.
+/// Id of the call, and name of the node that it is sent to.
 const CALL: &str = "call~1";
 const GATE: &str = "node-1";
-/// Rates of the two clocks in thousandths: as far off as chrony slews them.
+/// Rates of the two clocks in thousandths, within the limits of chrony's slewing.
 const RATES: std::ops::RangeInclusive<u64> = 917..=1_083;
 
-/// What happens next.
+/// A step of the simulation.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// Time passes; the gate stands still, or has nothing to do.
+    /// Time passes in milliseconds while the gate is suspended or has nothing to do.
     Pause(u64),
-    /// Time passes in which the gate runs: what has arrived is read.
+    /// Time passes in milliseconds while the gate runs and reads what has arrived.
     Run(u64),
-    /// The hop's connection is made to the process that listens now.
+    /// The entry connects to the gate process that listens now.
     Connect,
-    /// The process that the hop's connection leads to reads it.
+    /// The connected gate process reads the request.
     Arrive,
-    /// The process at the address ends.
+    /// The gate process ends.
     Kill,
-    /// The next process takes the address.
+    /// A new gate process takes over the address.
     Start,
-    /// The entry has lost the hop, and the process at the address reads its question.
-    Ask,
-    /// The answer reaches the entry.
-    Receive,
+    /// The entry has lost the connection, and the present gate process handles its fence.
+    Fence,
+    /// The reply to the fence reaches the entry.
+    ReceiveReply,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -53,53 +52,54 @@
         3 => Just(Step::Arrive),
         1 => Just(Step::Kill),
         2 => Just(Step::Start),
-        2 => Just(Step::Ask),
-        2 => Just(Step::Receive),
+        2 => Just(Step::Fence),
+        2 => Just(Step::ReceiveReply),
     ]
 }
 
 /// One process of the gate.
-struct Life {
+struct GateProcess {
     table: FenceTable,
     alive: bool,
 }
 
-/// One hop, one address, the processes that stand there in turn, and two clocks.
-struct World {
-    /// True time, in milliseconds.
+/// Simulation of one request to one address, at which gate processes replace each other,
+/// with clocks of different rates.
+struct Simulation {
+    /// True time in milliseconds.
     now: u64,
     entry_rate: u64,
     gate_rate: u64,
     gate_offset: u64,
-    lives: Vec<Life>,
-    /// When the entry handed the hop on, by its own clock.
-    begun: Moment,
-    /// The process that the hop's connection leads to.
+    processes: Vec<GateProcess>,
+    /// When the entry sent the request, by its own clock.
+    sent_at: Moment,
+    /// Index of the gate process that the request's connection leads to.
     connected: Option<usize>,
-    /// The entry has given up: no connection is made any more.
-    given_up: bool,
+    /// The entry has abandoned the request: it connects no more.
+    abandoned: bool,
     started: bool,
     reply: Option<FenceReply>,
-    finding: Option<FenceOutcome>,
+    outcome: Option<FenceOutcome>,
 }
 
-impl World {
+impl Simulation {
     fn new(now: u64, entry_rate: u64, gate_rate: u64, gate_offset: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now,
             entry_rate,
             gate_rate,
             gate_offset,
-            lives: Vec::new(),
-            begun: Moment(now * entry_rate),
+            processes: Vec::new(),
+            sent_at: Moment(now * entry_rate),
             connected: None,
-            given_up: false,
+            abandoned: false,
             started: false,
             reply: None,
-            finding: None,
+            outcome: None,
         };
-        world.take(Step::Start);
-        world
+        simulation.apply(Step::Start);
+        simulation
     }
 
     fn entry_now(&self) -> Moment {
@@ -111,29 +111,32 @@
     }
 
     fn present(&self) -> Option<usize> {
-        self.lives.iter().position(|life| life.alive)
+        self.processes.iter().position(|process| process.alive)
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Pause(ms) => self.now += ms,
             Step::Run(ms) => self.run(ms),
-            Step::Connect if !self.given_up && self.connected.is_none() => {
+            Step::Connect if !self.abandoned && self.connected.is_none() => {
                 self.connected = self.present();
             }
             Step::Arrive => self.arrive(),
-            Step::Kill => self.lives.iter_mut().for_each(|life| life.alive = false),
+            Step::Kill => self
+                .processes
+                .iter_mut()
+                .for_each(|process| process.alive = false),
             Step::Start if self.present().is_none() => {
                 let table = FenceTable::new(self.gate_now());
-                self.lives.push(Life { table, alive: true });
+                self.processes.push(GateProcess { table, alive: true });
             }
-            Step::Ask if self.reply.is_none() => self.ask(),
-            Step::Receive if self.finding.is_none() => self.receive(),
-            Step::Connect | Step::Start | Step::Ask | Step::Receive => {}
+            Step::Fence if self.reply.is_none() => self.fence(),
+            Step::ReceiveReply if self.outcome.is_none() => self.receive(),
+            Step::Connect | Step::Start | Step::Fence | Step::ReceiveReply => {}
         }
     }
 
-    /// The process looks often, and first reads what has arrived.
+    /// The gate process first reads what has arrived, and then uses the table often.
     fn run(&mut self, ms: u64) {
         self.arrive();
         let end = self.now + ms;
@@ -141,70 +144,70 @@
             self.now = end.min(self.now + 500);
             let now = self.gate_now();
             if let Some(present) = self.present() {
-                self.lives[present].table.expire(now);
+                self.processes[present].table.expire(now);
             }
         }
     }
 
     fn arrive(&mut self) {
         let now = self.gate_now();
-        let Some(life) = self.connected.map(|index| &mut self.lives[index]) else {
+        let Some(process) = self.connected.map(|index| &mut self.processes[index]) else {
             return;
         };
-        if life.alive && life.table.start(&CALL.to_string(), now).is_ok() {
+        if process.alive && process.table.start(&CALL.to_string(), now).is_ok() {
             self.started = true;
         }
         self.connected = None;
-        self.given_up = true;
+        self.abandoned = true;
     }
 
-    fn ask(&mut self) {
-        self.given_up = true;
+    fn fence(&mut self) {
+        self.abandoned = true;
         let now = self.gate_now();
         let Some(present) = self.present() else {
             return;
         };
         self.reply = Some(FenceReply {
             by: NodeId::new(GATE).ok(),
-            answer: self.lives[present].table.fence(&CALL.to_string(), now),
+            answer: self.processes[present].table.fence(&CALL.to_string(), now),
         });
     }
 
     fn receive(&mut self) {
         let Some(reply) = &self.reply else { return };
         let node = NodeId::new(GATE).unwrap();
-        let age = self.entry_now().since(self.begun);
+        let age = self.entry_now().since(self.sent_at);
         let hop = AbandonedHop { node: &node, age };
-        self.finding = Some(FenceOutcome::new(hop, Some(reply)));
+        self.outcome = Some(FenceOutcome::new(hop, Some(reply)));
     }
 }
 
-fn world() -> impl Strategy<Value = World> {
+fn simulation() -> impl Strategy<Value = Simulation> {
     (0_u64..400_000, RATES, RATES, 0_u64..1_000_000_000)
-        .prop_map(|(now, entry, gate, offset)| World::new(now, entry, gate, offset))
+        .prop_map(|(now, entry, gate, offset)| Simulation::new(now, entry, gate, offset))
 }
 
-impl std::fmt::Debug for World {
+impl std::fmt::Debug for Simulation {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             formatter,
-            "world at {} ms, rates {} and {}, offset {}",
+            "simulation at {} ms, rates {} and {}, offset {}",
             self.now, self.entry_rate, self.gate_rate, self.gate_offset
         )
     }
 }
 
-fn reply(by: Option<&str>, fenced: FenceStatus, memory: Duration) -> FenceReply {
+fn reply(by: Option<&str>, fenced: FenceStatus, table_age: Duration) -> FenceReply {
     FenceReply {
         by: by.map(|name| NodeId::new(name).unwrap()),
         answer: FenceAnswer {
             fenced,
-            retention: memory,
+            retention: table_age,
         },
     }
 }
 
-fn finding(age: Duration, reply: &FenceReply) -> FenceOutcome {
+fn outcome(age: Duration, reply: &FenceReply) -> FenceOutcome {
     let node = NodeId::new(GATE).unwrap();
     FenceOutcome::new(AbandonedHop { node: &node, age }, Some(reply))
 }
@@ -212,25 +215,26 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(4_096))]
 
-    /// Whatever the order of hop, end and start of the gate's process, fence, delays
-    /// and standstills: "never starts" is believed only of a call that has not started
+    /// In any order of request, end and start of gate processes, fence, delays and
+    /// suspensions, "never starts" is concluded only for a call that has not started
     /// anywhere and does not start afterwards.
     #[test]
-    fn never_starts_is_believed_only_of_a_call_that_never_starts(
-        mut world in world(),
+    fn never_starts_is_concluded_only_for_a_call_that_never_starts(
+        mut simulation in simulation(),
         steps in prop::collection::vec(step(), 1..40),
     ) {
         for step in steps {
-            world.take(step);
-            let believed = world.finding == Some(FenceOutcome::NeverStarts);
-            prop_assert!(!(believed && world.started), "refused as not run, and started");
+            simulation.apply(step);
+            let concluded = simulation.outcome == Some(FenceOutcome::NeverStarts);
+            prop_assert!(!(concluded && simulation.started), "refused as not run, and started");
         }
     }
 
-    /// A caller keeps its retry: a gate that has run since half the age of the hop and a
-    /// millisecond before it, and had not started it, is believed.
+    /// The conclusion is not needlessly cautious, so that a caller keeps its retry: a gate
+    /// process that is older than the request by half its age and a millisecond, and has
+    /// not started the call, is trusted.
     #[test]
-    fn a_gate_that_remembers_the_time_of_the_hop_is_believed(
+    fn a_gate_older_than_the_request_is_trusted(
         older in 1_u64..100_000,
         before in 0_u64..40_000,
         after in 0_u64..40_000,
@@ -238,72 +242,75 @@
         gate_rate in RATES,
         offset in 0_u64..1_000_000_000,
     ) {
-        let mut world = World::new(0, entry_rate, gate_rate, offset);
-        world.take(Step::Run((before + after) * 3 / 2 + older));
-        world.begun = world.entry_now();
-        world.take(Step::Connect);
-        world.take(Step::Pause(before));
-        world.take(Step::Ask);
-        world.take(Step::Pause(after));
-        world.take(Step::Receive);
-        prop_assert_eq!(world.finding, Some(FenceOutcome::NeverStarts));
-        world.take(Step::Arrive);
-        prop_assert!(!world.started);
+        let mut simulation = Simulation::new(0, entry_rate, gate_rate, offset);
+        simulation.apply(Step::Run((before + after) * 3 / 2 + older));
+        simulation.sent_at = simulation.entry_now();
+        simulation.apply(Step::Connect);
+        simulation.apply(Step::Pause(before));
+        simulation.apply(Step::Fence);
+        simulation.apply(Step::Pause(after));
+        simulation.apply(Step::ReceiveReply);
+        prop_assert_eq!(simulation.outcome, Some(FenceOutcome::NeverStarts));
+        simulation.apply(Step::Arrive);
+        prop_assert!(!simulation.started);
     }
 
-    /// Nothing else than "never starts" of the node that was meant is believed.
+    /// "Never starts" counts only from the node that the request was sent to.
     #[test]
-    fn another_node_or_an_older_one_proves_nothing(
+    fn a_reply_of_another_or_unnamed_node_proves_nothing(
         age_ms in 0_u64..10_000,
         by in prop_oneof![Just(None), Just(Some("node-2"))],
     ) {
         let reply = reply(by, FenceStatus::NeverStarts, FENCE_RETENTION);
-        let found = finding(Duration::from_millis(age_ms), &reply);
-        prop_assert_eq!(found, FenceOutcome::Unknown);
+        let concluded = outcome(Duration::from_millis(age_ms), &reply);
+        prop_assert_eq!(concluded, FenceOutcome::Unknown);
     }
 
-    /// A word that is not known is no promise.
+    /// An unknown value in a reply proves nothing.
     #[test]
-    fn an_unknown_word_proves_nothing(word in "[a-z-]{0,20}") {
-        prop_assume!(word != FenceStatus::NeverStarts.as_str());
-        prop_assert_ne!(FenceStatus::parse(&word), FenceStatus::NeverStarts);
+    fn an_unknown_value_proves_nothing(value in "[a-z-]{0,20}") {
+        prop_assume!(value != FenceStatus::NeverStarts.as_str());
+        prop_assert_ne!(FenceStatus::parse(&value), FenceStatus::NeverStarts);
     }
 }
 
 #[test]
-fn what_the_gate_says_of_a_call_is_what_is_found() {
+fn the_status_from_the_gate_determines_the_outcome() {
     let age = Duration::from_secs(1);
-    let found = |fenced| finding(age, &reply(Some(GATE), fenced, FENCE_RETENTION));
-    assert_eq!(found(FenceStatus::NeverStarts), FenceOutcome::NeverStarts);
-    assert_eq!(found(FenceStatus::Started), FenceOutcome::Started);
-    assert_eq!(found(FenceStatus::Unknown), FenceOutcome::Unknown);
+    let outcome_of = |fenced| outcome(age, &reply(Some(GATE), fenced, FENCE_RETENTION));
+    assert_eq!(
+        outcome_of(FenceStatus::NeverStarts),
+        FenceOutcome::NeverStarts
+    );
+    assert_eq!(outcome_of(FenceStatus::Started), FenceOutcome::Started);
+    assert_eq!(outcome_of(FenceStatus::Unknown), FenceOutcome::Unknown);
     let node = NodeId::new(GATE).unwrap();
     let unanswered = FenceOutcome::new(AbandonedHop { node: &node, age }, None);
     assert_eq!(unanswered, FenceOutcome::NoReply);
 }
 
-/// What users would see: a call that lasts longer than a gate remembers is refused as
-/// not run while it runs. Order of events: it starts; its entry goes without an answer
-/// for longer than [`FENCE_RETENTION`]; the connection is lost. Cause: a start that was
-/// forgotten looks like none.
+/// A call that runs for longer than [`FENCE_RETENTION`] must not be taken for one that
+/// never started, after its start was dropped from the table.
 #[test]
-fn a_call_that_lasts_longer_than_the_memory_is_not_taken_for_one_that_never_started() {
-    let mut world = World::new(500_000, 1_000, 1_000, 0);
-    world.take(Step::Connect);
-    world.take(Step::Arrive);
-    world.take(Step::Run(FENCE_RETENTION.as_millis() as u64 + 10_000));
-    world.take(Step::Ask);
-    world.take(Step::Receive);
-    assert_eq!(world.reply.unwrap().answer.fenced, FenceStatus::NeverStarts);
-    assert_eq!(world.finding, Some(FenceOutcome::Unknown));
+fn a_call_that_outlasts_the_retention_is_not_taken_for_one_that_never_started() {
+    let mut simulation = Simulation::new(500_000, 1_000, 1_000, 0);
+    simulation.apply(Step::Connect);
+    simulation.apply(Step::Arrive);
+    simulation.apply(Step::Run(FENCE_RETENTION.as_millis() as u64 + 10_000));
+    simulation.apply(Step::Fence);
+    simulation.apply(Step::ReceiveReply);
+    assert_eq!(
+        simulation.reply.unwrap().answer.fenced,
+        FenceStatus::NeverStarts
+    );
+    assert_eq!(simulation.outcome, Some(FenceOutcome::Unknown));
 }
 
-/// What users would see: a call that was refused as not run runs minutes later. Order
-/// of events: a gate answers a fence and stands still, suspended, for longer than
-/// [`FENCE_RETENTION`], with the hop unread in its socket; it goes on, forgets the fence
-/// and reads the hop. Cause: the memory aged while nothing could be read.
+/// A gate that replies to a fence and is then suspended for longer than
+/// [`FENCE_RETENTION`], with the request unread in its socket, must not have dropped the
+/// fence when it reads the request.
 #[test]
-fn a_fence_outlasts_a_standstill_of_the_gate() {
+fn a_fence_outlasts_a_suspension_of_the_gate() {
     let mut table = FenceTable::new(Moment(0));
     let call = CALL.to_string();
     let fenced = Moment(1_000_000);
@@ -313,21 +320,22 @@
     assert_eq!(table.start(&call, awake), Err(StartError::Fenced));
 }
 
-/// While the process runs, what is old enough is forgotten.
+/// While the process runs, old entries are dropped.
 #[test]
-fn decisions_are_forgotten_while_the_gate_runs() {
+fn entries_expire_while_the_gate_runs() {
     let mut table = FenceTable::new(Moment(0));
     table.fence(&CALL.to_string(), Moment(0));
-    let looks = FENCE_RETENTION.as_secs() + 2;
-    for second in 1..=looks {
+    let uses = FENCE_RETENTION.as_secs() + 2;
+    for second in 1..=uses {
         table.expire(Moment(0) + MAX_COUNTED_GAP * second as u32);
     }
     assert!(table.is_empty());
 }
 
-/// A full table promises nothing that it could not keep, and does not grow.
+/// A full table reports an unknown status for calls that it does not contain, and does not
+/// grow.
 #[test]
-fn a_full_table_cannot_tell_of_a_call_that_it_does_not_know() {
+fn a_full_table_reports_unknown_for_calls_that_it_does_not_contain() {
     let mut table = FenceTable::new(Moment(0));
     let now = Moment(1);
     for number in 0..MAX_FENCE_ENTRIES {
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -1,5 +1,5 @@
-//! A service at its gates under generated load: calls come, ask gates in turn, wait, run
-//! or are refused, and come back. Time is simulated; all decisions are the product's own.
+//! Simulation of a service under load: calls arrive, ask gates in turn, wait, run or are
+//! rejected, and are retried. Time is simulated; all decisions are those of rampthread.
 
 use rampthread_core::call::acceptance::AcceptanceEstimator;
 use rampthread_core::call::admission::{
@@ -19,39 +19,39 @@
 const GATES: usize = 12;
 const SLOTS: u32 = 6;
 const QUEUE: u32 = 6;
-/// Mean work of a call.
-const WORK: Duration = Duration::from_millis(130);
-/// Time within which an answer is worth most.
-const TARGET: Duration = Duration::from_millis(500);
+/// Mean service time of a call.
+const MEAN_SERVICE_TIME: Duration = Duration::from_millis(130);
+/// Target latency of callers.
+const TARGET_LATENCY: Duration = Duration::from_millis(500);
 /// Time that a caller has for all its attempts.
 const DEADLINE: Duration = Duration::from_secs(3);
-/// After a refusal, a caller comes back so much later, at most so often.
-const RETURN: Duration = Duration::from_secs(1);
-const RETURNS: u32 = 2;
-const MAX_TRIES: usize = 8;
-/// A call in a queue gives up after so many times its patience.
-const OVERTAKEN: f64 = 1.5;
+/// Delay after which a rejected caller retries, and its maximum number of retries.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+const MAX_RETRIES: u32 = 2;
+const MAX_ATTEMPTS: usize = 8;
+/// Multiple of its maximum queueing time after which a waiting call is abandoned.
+const ABANDON_FACTOR: f64 = 1.5;
 
-/// While an entry takes it that another gate runs the call at once.
-pub type ExpectsRoom = fn(&AcceptanceEstimator, &Zone, Moment) -> bool;
+/// Rule by which an entry expects that another gate runs the call at once.
+pub type AcceptanceRule = fn(&AcceptanceEstimator, &Zone, Moment) -> bool;
 
-/// What callers got.
+/// Results of a simulation.
 #[derive(Debug, Default, Clone)]
-pub struct Served {
-    pub asked: u32,
+pub struct Results {
+    pub calls: u32,
     pub in_time: u32,
     pub late: u32,
-    pub refused: u32,
-    /// Questions that gates refused.
-    pub refused_tries: u32,
-    /// Answers by second.
-    pub answers: Vec<u32>,
-    /// Attempts refused by second, of callers that come back, too.
-    pub refusals: Vec<u32>,
+    pub rejected: u32,
+    /// Number of attempts that gates rejected.
+    pub rejected_attempts: u32,
+    /// Number of responses in each second.
+    pub responses: Vec<u32>,
+    /// Number of rejected attempts in each second, including those that are retried.
+    pub rejections: Vec<u32>,
 }
 
-impl Served {
-    /// Adds one in the second of `now`.
+impl Results {
+    /// Adds one to the second of `now`.
     fn count(seconds: &mut Vec<u32>, now: Moment) {
         let second = (now.0 / 1_000_000) as usize;
         if seconds.len() <= second {
@@ -61,47 +61,47 @@
     }
 }
 
-/// Calls a second that the slots serve.
-pub fn room_a_second() -> f64 {
-    (GATES as u32 * SLOTS) as f64 / WORK.as_secs_f64()
+/// Calls per second that the slots of all gates can serve.
+pub fn capacity_per_second() -> f64 {
+    (GATES as u32 * SLOTS) as f64 / MEAN_SERVICE_TIME.as_secs_f64()
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives { call: u64 },
     Ends { call: u64, gate: usize },
-    GivesUp { call: u64, gate: usize },
+    Abandons { call: u64, gate: usize },
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Caller {
     first: Moment,
-    returns: u32,
-    work: Duration,
-    waits: bool,
+    retries: u32,
+    service_time: Duration,
+    waiting: bool,
 }
 
-/// Gates, callers and what is to happen.
-pub struct Overload {
+/// Gates, callers and pending events of a simulation.
+pub struct OverloadSimulation {
     gates: Vec<AdmissionController>,
-    room: AcceptanceEstimator,
+    estimator: AcceptanceEstimator,
     zone: Zone,
-    work_times: ServiceTimes,
+    service_times: ServiceTimes,
     route: ResourceName,
     callers: HashMap<u64, Caller>,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     sequence: u64,
     rng: StdRng,
-    expects_room: ExpectsRoom,
-    served: Served,
+    acceptance_rule: AcceptanceRule,
+    results: Results,
 }
 
-impl Overload {
-    pub fn new(seed: u64, expects_room: ExpectsRoom) -> Self {
+impl OverloadSimulation {
+    pub fn new(seed: u64, acceptance_rule: AcceptanceRule) -> Self {
         let zone = Zone::new("zone").unwrap();
         let route = ResourceName::new("route").unwrap();
-        let mut work_times = ServiceTimes::default();
-        work_times.record(&route, WORK);
+        let mut service_times = ServiceTimes::default();
+        service_times.record(&route, MEAN_SERVICE_TIME);
         let limits = AdmissionLimits {
             slots: SLOTS,
             queue: QUEUE,
@@ -110,49 +110,49 @@
             gates: (0..GATES)
                 .map(|_| AdmissionController::new(limits))
                 .collect(),
-            room: AcceptanceEstimator::new(zone.clone()),
+            estimator: AcceptanceEstimator::new(zone.clone()),
             zone,
-            work_times,
+            service_times,
             route,
             callers: HashMap::new(),
             events: BinaryHeap::new(),
             sequence: 0,
             rng: StdRng::seed_from_u64(seed),
-            expects_room,
-            served: Served::default(),
+            acceptance_rule,
+            results: Results::default(),
         }
     }
 
-    /// Plays `seconds` with the demand that `load` gives for each, in parts of what the
-    /// slots serve.
-    pub fn play(mut self, seconds: u64, load: impl Fn(u64) -> f64) -> Served {
+    /// Simulates `seconds`, with the load that `load` returns for each second as a ratio of
+    /// capacity.
+    pub fn run(mut self, seconds: u64, load: impl Fn(u64) -> f64) -> Results {
         self.plan_arrivals(seconds, load);
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             match event {
                 Event::Arrives { call } => self.arrives(call, now),
                 Event::Ends { call, gate } => self.ends(call, gate, now),
-                Event::GivesUp { call, gate } => self.gives_up(call, gate, now),
+                Event::Abandons { call, gate } => self.abandons(call, gate, now),
             }
         }
-        self.served
+        self.results
     }
 
     fn plan_arrivals(&mut self, seconds: u64, load: impl Fn(u64) -> f64) {
         for second in 0..seconds {
-            let calls = (room_a_second() * load(second)) as u64;
+            let calls = (capacity_per_second() * load(second)) as u64;
             for _ in 0..calls {
                 let within = self.rng.random_range(0..1_000_000);
                 let first = Moment(1 + second * 1_000_000 + within);
-                let work = WORK.mul_f64(self.rng.random_range(0.5..1.5));
+                let service_time = MEAN_SERVICE_TIME.mul_f64(self.rng.random_range(0.5..1.5));
                 let call = self.callers.len() as u64;
                 let caller = Caller {
                     first,
-                    returns: 0,
-                    work,
-                    waits: false,
+                    retries: 0,
+                    service_time,
+                    waiting: false,
                 };
                 self.callers.insert(call, caller);
-                self.served.asked += 1;
+                self.results.calls += 1;
                 self.at(first, Event::Arrives { call });
             }
         }
@@ -165,50 +165,50 @@
 
     fn arrives(&mut self, call: u64, now: Moment) {
         let mut tried: Vec<usize> = Vec::new();
-        while tried.len() < MAX_TRIES {
+        while tried.len() < MAX_ATTEMPTS {
             let untried = (0..GATES).filter(|gate| !tried.contains(gate));
             let Some(gate) = untried.choose(&mut self.rng) else {
                 break;
             };
             tried.push(gate);
-            let others =
-                tried.len() < MAX_TRIES && (self.expects_room)(&self.room, &self.zone, now);
-            let max_wait = self.max_wait(call, others, now);
+            let others_likely = tried.len() < MAX_ATTEMPTS
+                && (self.acceptance_rule)(&self.estimator, &self.zone, now);
+            let max_wait = self.max_wait(call, others_likely, now);
             let arrival = self.arrival(call, max_wait, now);
             let admitted = self.gates[gate].arrive(arrival, now);
-            let refused = matches!(admitted, AdmissionDecision::Refused { .. });
-            self.room.record(&self.zone.clone(), refused, now);
+            let rejected = matches!(admitted, AdmissionDecision::Refused { .. });
+            self.estimator.record(&self.zone.clone(), rejected, now);
             match admitted {
                 AdmissionDecision::Run => return self.begins(call, gate, now),
                 AdmissionDecision::Wait => {
-                    self.callers.get_mut(&call).unwrap().waits = true;
-                    let at = now + max_wait.mul_f64(OVERTAKEN);
-                    return self.at(at, Event::GivesUp { call, gate });
+                    self.callers.get_mut(&call).unwrap().waiting = true;
+                    let at = now + max_wait.mul_f64(ABANDON_FACTOR);
+                    return self.at(at, Event::Abandons { call, gate });
                 }
-                AdmissionDecision::Refused { .. } => self.served.refused_tries += 1,
+                AdmissionDecision::Refused { .. } => self.results.rejected_attempts += 1,
             }
-            if !others {
+            if !others_likely {
                 break;
             }
         }
-        self.refused(call, now);
+        self.rejected(call, now);
     }
 
     fn precedence(&self, call: u64) -> Precedence {
-        match self.callers[&call].returns {
+        match self.callers[&call].retries {
             0 => Precedence::FirstAttempt,
             _ => Precedence::Retry,
         }
     }
 
-    fn max_wait(&self, call: u64, others: bool, now: Moment) -> Duration {
-        if others {
+    fn max_wait(&self, call: u64, others_likely: bool, now: Moment) -> Duration {
+        if others_likely {
             return Duration::ZERO;
         }
         let left = (self.callers[&call].first + DEADLINE).since(now);
         let precedence = self.precedence(call);
-        self.work_times
-            .max_wait(&self.route, TARGET, precedence, left)
+        self.service_times
+            .max_wait(&self.route, TARGET_LATENCY, precedence, left)
     }
 
     fn arrival(&self, call: u64, max_wait: Duration, now: Moment) -> Arrival {
@@ -219,50 +219,50 @@
             rank: 1,
             precedence: self.precedence(call),
             max_wait,
-            expected_service_time: Some(WORK),
+            expected_service_time: Some(MEAN_SERVICE_TIME),
         }
     }
 
     fn begins(&mut self, call: u64, gate: usize, now: Moment) {
         let caller = self.callers.get_mut(&call).unwrap();
-        caller.waits = false;
-        let end = now + caller.work;
+        caller.waiting = false;
+        let end = now + caller.service_time;
         self.at(end, Event::Ends { call, gate });
     }
 
     fn ends(&mut self, call: u64, gate: usize, now: Moment) {
         let caller = self.callers[&call];
-        Served::count(&mut self.served.answers, now);
-        match now.since(caller.first) <= TARGET {
-            true => self.served.in_time += 1,
-            false => self.served.late += 1,
+        Results::count(&mut self.results.responses, now);
+        match now.since(caller.first) <= TARGET_LATENCY {
+            true => self.results.in_time += 1,
+            false => self.results.late += 1,
         }
-        let released = self.gates[gate].release(Some(caller.work), now);
+        let released = self.gates[gate].release(Some(caller.service_time), now);
         for expired in released.expired {
-            self.refused(expired, now);
+            self.rejected(expired, now);
         }
         if let Some(next) = released.run {
             self.begins(next, gate, now);
         }
     }
 
-    fn gives_up(&mut self, call: u64, gate: usize, now: Moment) {
-        if self.callers[&call].waits && self.gates[gate].cancel(call) {
-            self.served.refused_tries += 1;
-            self.refused(call, now);
+    fn abandons(&mut self, call: u64, gate: usize, now: Moment) {
+        if self.callers[&call].waiting && self.gates[gate].cancel(call) {
+            self.results.rejected_attempts += 1;
+            self.rejected(call, now);
         }
     }
 
-    fn refused(&mut self, call: u64, now: Moment) {
+    fn rejected(&mut self, call: u64, now: Moment) {
         let caller = self.callers.get_mut(&call).unwrap();
-        caller.waits = false;
-        Served::count(&mut self.served.refusals, now);
-        let back = now + RETURN;
-        if caller.returns == RETURNS || back >= caller.first + DEADLINE {
-            self.served.refused += 1;
+        caller.waiting = false;
+        Results::count(&mut self.results.rejections, now);
+        let back = now + RETRY_DELAY;
+        if caller.retries == MAX_RETRIES || back >= caller.first + DEADLINE {
+            self.results.rejected += 1;
             return;
         }
-        caller.returns += 1;
+        caller.retries += 1;
         self.at(back, Event::Arrives { call });
     }
 }
--- a/crates/rampthread-core/tests/path_delay_properties.rs
+++ b/crates/rampthread-core/tests/path_delay_properties.rs
@@ -1,4 +1,4 @@
-//! The time that hops stand in links is learnt without comparing clocks.
+//! Delays of hops in links are measured without comparing the clocks of two machines.
 
 use proptest::prelude::*;
 use rampthread_core::call::path_delay::{PathDelays, SentAt};
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn a_hop_that_stood_in_a_full_link_is_known_by_its_delay() {
+fn a_hop_on_a_congested_link_shows_its_delay() {
     let mut delays = PathDelays::default();
-    let empty = delays.record_arrival(SENDER, sent(1, 100), Moment(7_000_000));
-    assert_eq!(empty, Duration::ZERO);
+    let idle = delays.record_arrival(SENDER, sent(1, 100), Moment(7_000_000));
+    assert_eq!(idle, Duration::ZERO);
     let late = delays.record_arrival(SENDER, sent(1, 200), Moment(9_100_000));
     assert_eq!(late, Duration::from_secs(2));
-    // Another machine and another life have clocks of their own.
+    // Another machine, and another run of the process, have clocks of their own.
     assert_eq!(
         delays.record_arrival(OTHER, sent(1, 5), Moment(9_100_000)),
         Duration::ZERO
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_path_that_turns_out_faster_is_the_empty_one() {
+fn a_faster_hop_becomes_the_idle_path() {
     let mut delays = PathDelays::default();
     delays.record_arrival(SENDER, sent(1, 0), Moment(1_000_000));
     assert_eq!(
@@ -52,22 +52,22 @@
 
 proptest! {
     #[test]
-    fn it_is_read_as_it_was_written(life: u32, millis: u32) {
-        let written = sent(life, u64::from(millis));
+    fn sent_at_round_trips(process_epoch: u32, millis: u32) {
+        let written = sent(process_epoch, u64::from(millis));
         prop_assert_eq!(SentAt::parse(&written.to_string()), Some(written));
     }
 
     #[test]
-    fn any_text_is_read_or_refused(text in ".{0,30}") {
+    fn any_text_is_parsed_or_rejected(text in ".{0,30}") {
         let _ = SentAt::parse(&text);
     }
 
-    /// Whatever a peer sends, delays stay sane.
+    /// No sequence of values that a peer can send panics.
     #[test]
-    fn any_sequence_gives_a_delay(steps in prop::collection::vec((any::<u32>(), any::<u32>(), any::<u32>()), 1..50)) {
+    fn any_sequence_of_hops_gives_a_delay(steps in prop::collection::vec((any::<u32>(), any::<u32>(), any::<u32>()), 1..50)) {
         let mut delays = PathDelays::default();
-        for (life, millis, now) in steps {
-            delays.record_arrival(SENDER, sent(life % 3, u64::from(millis)), Moment(u64::from(now)));
+        for (process_epoch, millis, now) in steps {
+            delays.record_arrival(SENDER, sent(process_epoch % 3, u64::from(millis)), Moment(u64::from(now)));
         }
     }
 }
--- a/crates/rampthread-core/tests/precedence_properties.rs
+++ b/crates/rampthread-core/tests/precedence_properties.rs
@@ -1,5 +1,5 @@
-//! Which calls go before others: first attempts before retries, told apart by
-//! the time that callers bring.
+//! Precedence of calls: first attempts go before retries, which are detected by their
+//! timeouts, and nested calls go before both.
 
 use proptest::prelude::*;
 use rampthread_core::call::admission::{
@@ -19,7 +19,7 @@
     ResourceName::new(text).unwrap()
 }
 
-fn arrival(call: u64, precedence: Precedence, work_ms: u64) -> Arrival {
+fn arrival(call: u64, precedence: Precedence, service_time_ms: u64) -> Arrival {
     Arrival {
         call,
         caller: String::new(),
@@ -27,12 +27,12 @@
         rank: 1,
         precedence,
         max_wait: HOUR,
-        expected_service_time: Some(Duration::from_millis(work_ms)),
+        expected_service_time: Some(Duration::from_millis(service_time_ms)),
     }
 }
 
-/// A gate whose slots are taken and in whose queue `waiting` stand.
-fn full_gate(waiting: impl IntoIterator<Item = Arrival>) -> AdmissionController {
+/// A controller whose only slot is taken, with the calls `waiting` in its queue.
+fn full_controller(waiting: impl IntoIterator<Item = Arrival>) -> AdmissionController {
     let mut admission = AdmissionController::new(AdmissionLimits {
         slots: 1,
         queue: 1_000,
@@ -51,8 +51,8 @@
 }
 
 proptest! {
-    /// Whatever their length and order, no retry goes before a first attempt
-    /// that waits, and nothing is lost.
+    /// Whatever their service times and order, no retry goes before a waiting first
+    /// attempt, and no call is lost.
     #[test]
     fn first_attempts_go_before_retries(
         calls in prop::collection::vec((any::<bool>(), 1_u64..2_000), 1..40),
@@ -63,17 +63,17 @@
         };
         let waiting = (0..calls.len() as u64)
             .map(|call| arrival(call, precedence_of(call), calls[call as usize].1));
-        let order = order(full_gate(waiting));
+        let order = order(full_controller(waiting));
         prop_assert_eq!(order.len(), calls.len());
         prop_assert!(order.iter().map(|call| precedence_of(*call)).is_sorted());
     }
 
-    /// Retries are told by what their callers have left, whatever the time that
-    /// first attempts bring, with the moment that a call spends on its way.
+    /// The age of a retry is derived from its timeout, whatever the timeout of first
+    /// attempts, with the short delay before a call is read.
     #[test]
     fn the_age_of_a_call_is_learnt(
         first_ms in 500_u64..60_000,
-        on_the_way_ms in 0_u64..5,
+        read_delay_ms in 0_u64..5,
         used_share in 0.05_f64..0.9,
         retries in 0_usize..40,
     ) {
@@ -81,7 +81,7 @@
         let route = name("route");
         let first = Duration::from_millis(first_ms);
         for _ in 0..60 {
-            ages.age(&route, first - Duration::from_millis(on_the_way_ms));
+            ages.age(&route, first - Duration::from_millis(read_delay_ms));
             ages.age(&route, first);
         }
         for retry in 0..retries {
@@ -93,9 +93,9 @@
         prop_assert!(error <= Duration::from_millis(1), "{error:?}");
     }
 
-    /// A few callers with much more time make nobody else old.
+    /// A few callers with much longer timeouts do not make other calls count as retries.
     #[test]
-    fn a_few_longer_times_do_not_count(longer in 2_u32..20) {
+    fn a_few_longer_timeouts_do_not_count(longer in 2_u32..20) {
         let mut ages = AttemptAges::default();
         let (route, usual) = (name("route"), Duration::from_secs(1));
         for call in 0..300 {
@@ -105,13 +105,13 @@
         prop_assert_eq!(ages.age(&route, usual), Duration::ZERO);
     }
 
-    /// Where every caller brings another time, nobody is taken for a retry.
+    /// Where every caller uses another timeout, no call counts as a retry.
     #[test]
-    fn all_sorts_of_times_say_nothing(times in prop::collection::vec(0_u32..40, 50..200)) {
+    fn varied_timeouts_show_no_retries(times in prop::collection::vec(0_u32..40, 50..200)) {
         let mut ages = AttemptAges::default();
         let route = name("route");
         for (index, jitter) in times.iter().enumerate() {
-            // Thirteen times, each 30 in 100 apart from the next.
+            // Thirteen timeouts, each 30 percent longer than the one before.
             let time = Duration::from_millis(100).mul_f64(1.3_f64.powi(index as i32 % 13));
             let age = ages.age(&route, time + Duration::from_micros(u64::from(*jitter)));
             prop_assert!(age.is_zero(), "{age:?}");
@@ -120,10 +120,10 @@
 
     /// A retry never waits longer than a first attempt would.
     #[test]
-    fn retries_wait_no_longer(target_ms in 1_u64..10_000, work_ms in 0_u64..10_000) {
+    fn retries_wait_no_longer_than_first_attempts(target_ms in 1_u64..10_000, service_time_ms in 0_u64..10_000) {
         let mut times = ServiceTimes::default();
         let (route, target) = (name("route"), Duration::from_millis(target_ms));
-        times.record(&route, Duration::from_millis(work_ms));
+        times.record(&route, Duration::from_millis(service_time_ms));
         let wait = |precedence| times.max_wait(&route, target, precedence, HOUR);
         prop_assert!(wait(Precedence::Retry) <= wait(Precedence::FirstAttempt));
     }
@@ -137,44 +137,45 @@
     assert!(ages.age(&route, Duration::from_secs(1)).is_zero());
 }
 
-/// Calls of a dependency and of callers from outside, mixed.
-fn learn(dependencies: &mut NestedCallDetector, calls: u32) -> bool {
+/// Records calls of a nested route and of a route that callers from outside use,
+/// alternating.
+fn record_calls(detector: &mut NestedCallDetector, calls: u32) -> bool {
     let (inner, outer) = (name("inner"), name("outer"));
     let mut last = false;
     for call in 0..calls {
         let caller = ["shop", "orders", "images"][call as usize % 3];
-        assert!(!dependencies.observe(&outer, caller));
-        last = dependencies.observe(&inner, "shop");
+        assert!(!detector.observe(&outer, caller));
+        last = detector.observe(&inner, "shop");
     }
     last
 }
 
 #[test]
-fn a_route_that_one_service_calls_beside_others_is_a_dependency() {
-    let mut dependencies = NestedCallDetector::default();
-    assert!(!learn(&mut dependencies, 5), "too few calls");
-    assert!(learn(&mut dependencies, 100));
-    dependencies.clear();
-    assert!(!learn(&mut dependencies, 5), "forgotten");
+fn a_route_that_only_one_of_several_services_calls_is_nested() {
+    let mut detector = NestedCallDetector::default();
+    assert!(!record_calls(&mut detector, 5), "too few calls");
+    assert!(record_calls(&mut detector, 100));
+    detector.clear();
+    assert!(!record_calls(&mut detector, 5), "the records were dropped");
 }
 
 #[test]
-fn a_gate_that_only_one_service_calls_has_no_dependencies() {
-    let mut dependencies = NestedCallDetector::default();
+fn a_gate_that_only_one_service_calls_has_no_nested_routes() {
+    let mut detector = NestedCallDetector::default();
     for _ in 0..500 {
-        assert!(!dependencies.observe(&name("inner"), "shop"));
-        assert!(!dependencies.observe(&name("other"), "shop"));
+        assert!(!detector.observe(&name("inner"), "shop"));
+        assert!(!detector.observe(&name("other"), "shop"));
     }
 }
 
 #[test]
-fn a_dependency_goes_first_and_waits_by_its_deadline() {
+fn a_nested_call_goes_first_and_waits_by_its_deadline() {
     let calls = [
         arrival(1, Precedence::Retry, 10),
         arrival(2, Precedence::FirstAttempt, 10),
         arrival(3, Precedence::Nested, 500),
     ];
-    assert_eq!(order(full_gate(calls)), [3, 2, 1]);
+    assert_eq!(order(full_controller(calls)), [3, 2, 1]);
     let (times, target) = (ServiceTimes::default(), Duration::from_millis(100));
     for (left_ms, wait_ms) in [(600, 90), (2_000, 300)] {
         let left = Duration::from_millis(left_ms);
--- a/crates/rampthread-core/tests/response_check.rs
+++ b/crates/rampthread-core/tests/response_check.rs
@@ -1,12 +1,12 @@
-//! What an answer of a back end is worth, in the product's own names of headers.
-//! `platform_promises` shows the same with a platform's names, with real processes.
+//! Checks of backend responses with rampthread's own header names. `platform_promises` runs
+//! them with a platform's names and real processes.
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use rampthread_core::call::dialect::CallDialect;
 use rampthread_core::call::response_check::{CallIds, ResponseCheck, ResponseHead};
 use rstest::rstest;
 
-fn judge(status: u16, lines: &[(&'static str, &'static str)]) -> ResponseCheck {
+fn check(status: u16, lines: &[(&'static str, &'static str)]) -> ResponseCheck {
     let headers: HeaderMap = lines
         .iter()
         .map(|(name, value)| {
@@ -25,17 +25,16 @@
     head.check(call, &CallDialect::default())
 }
 
-/// What users would see: a call that ran is refused as not run. Order of events: its back
-/// end calls another service, is refused, and passes that answer on as it is. Cause: the
-/// refusal was taken for one of the outer call. Evidence: `says_not_run` of the gate
-/// looked at status and outcome only.
+/// A backend that calls another service, is rejected, and passes on that error response,
+/// has run the outer call. The response must not be taken for a rejection of the outer
+/// call.
 #[test]
-fn the_refusal_of_an_inner_call_says_nothing_of_the_outer_one() {
+fn the_rejection_of_a_nested_call_says_nothing_of_its_parent() {
     let lines = [
         ("rampthread-outcome", "not-run"),
         ("rampthread-call-id", "inner"),
     ];
-    assert_eq!(judge(503, &lines), ResponseCheck::Answered);
+    assert_eq!(check(503, &lines), ResponseCheck::Answered);
 }
 
 #[rstest]
@@ -46,10 +45,10 @@
 #[case(503, &[], ResponseCheck::Answered)]
 #[case(421, &[], ResponseCheck::Answered)]
 #[case(200, &[("rampthread-outcome", "not-run")], ResponseCheck::Answered)]
-fn only_a_back_ends_own_word_says_that_a_call_was_not_run(
+fn only_a_backends_own_report_means_that_a_call_was_not_run(
     #[case] status: u16,
     #[case] lines: &[(&'static str, &'static str)],
     #[case] expected: ResponseCheck,
 ) {
-    assert_eq!(judge(status, lines), expected);
+    assert_eq!(check(status, lines), expected);
 }
--- a/crates/rampthread-core/tests/second_tries.rs
+++ b/crates/rampthread-core/tests/retry_priority.rs
@@ -1,5 +1,6 @@
-//! Who gets the second tries while a service turns much away: generated load in which
-//! parents lose their work with a nested call, and bounds that hold whoever asks.
+//! Which calls get retries while the backends of a service shed many calls: simulated load
+//! in which parents lose their work with a nested call, and limits that hold for any
+//! callers.
 
 use proptest::prelude::*;
 use rampthread_core::call::attempts::{Attempts, NextStep, RetryBudget, RetryClass, RetryLimit};
@@ -13,17 +14,18 @@
 use std::time::Duration;
 
 const WINDOW: Duration = Duration::from_secs(10);
-/// Second arrivals for each call, as a service of the users has it.
+/// Retries per call in the budget.
 const RATIO: f64 = 0.2;
-/// Part of what arrives that the back ends turn away while they shed.
-const SHED: f64 = 0.55;
-/// Calls of one entry in a second: callers' own, and parents with two nested calls each.
+/// Ratio of arriving calls that the backends shed.
+const SHED_RATIO: f64 = 0.55;
+/// Calls of one entry per second: from callers outside, and from parents with two nested
+/// calls each.
 const CALLERS_PER_SECOND: u64 = 6;
 const PARENTS_PER_SECOND: u64 = 20;
-/// For how long the back ends shed: most of one window.
+/// Duration of the shedding: most of one window.
 const SHED_SECONDS: u64 = 8;
 
-fn share() -> RetryLimit {
+fn limit() -> RetryLimit {
     RetryLimit {
         ratio: RATIO,
         slack: 2.0,
@@ -31,13 +33,13 @@
     }
 }
 
-/// True when one call is answered, with second tries as `claim` may have them.
-fn is_answered(budget: &mut RetryBudget, claim: RetryClass, now: Moment, rng: &mut StdRng) -> bool {
+/// Returns whether a call is answered, with retries taken from the budget under this class.
+fn is_answered(budget: &mut RetryBudget, class: RetryClass, now: Moment, rng: &mut StdRng) -> bool {
     budget.call_made(now);
     let mut attempts = Attempts::new(true, now + Duration::from_secs(1), 3);
-    attempts.class = claim;
+    attempts.class = class;
     loop {
-        if !rng.random_bool(SHED) {
+        if !rng.random_bool(SHED_RATIO) {
             return true;
         }
         let next = attempts.record_outcome(Outcome::NotRun, Reach::Backend, now, budget);
@@ -47,11 +49,11 @@
     }
 }
 
-/// Parents answered while the service sheds, of how many, with nested calls that claim
-/// second tries as `nested`.
+/// Number of parents whose nested calls are answered while the service sheds, and number of
+/// all parents. Nested calls take retries under the class `nested`.
 fn parents_answered(nested: RetryClass, seed: u64) -> (u64, u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut budget = RetryBudget::new(share());
+    let mut budget = RetryBudget::new(limit());
     let (mut answered, mut parents) = (0, 0);
     let each_second = CALLERS_PER_SECOND + PARENTS_PER_SECOND;
     for call in 0..each_second * SHED_SECONDS {
@@ -68,8 +70,8 @@
     (answered, parents)
 }
 
-/// While half is shed and second tries are scarce, more parents keep their work when
-/// nested calls go first among those who ask for one.
+/// While more than half of the calls are shed and retries are scarce, more parents keep
+/// their work if nested calls get retries first.
 #[test]
 fn nested_calls_first_loses_fewer_parents() {
     let (mut first_come, mut nested_first) = (0, 0);
@@ -81,10 +83,10 @@
     assert!(nested_first > first_come, "{nested_first} of {first_come}");
 }
 
-/// Calls that lost nothing get a part of the second tries, however many nested ones ask.
+/// Calls from outside get a part of the retries, however many nested calls ask for one.
 #[test]
-fn callers_are_not_starved_of_second_tries() {
-    let mut budget = RetryBudget::new(share());
+fn callers_are_not_starved_of_retries() {
+    let mut budget = RetryBudget::new(limit());
     let now = Moment(1);
     (0..1_000).for_each(|_| budget.call_made(now));
     let mut of_callers = 0;
@@ -95,10 +97,10 @@
     assert!(of_callers >= 40, "{of_callers} of about 200");
 }
 
-/// Where no nested call asks, callers may use the whole allowance.
+/// If no nested call asks, calls from outside may use the whole budget.
 #[test]
-fn without_nested_calls_all_is_the_callers() {
-    let mut budget = RetryBudget::new(share());
+fn without_nested_calls_callers_may_use_the_whole_budget() {
+    let mut budget = RetryBudget::new(limit());
     let now = Moment(1);
     (0..1_000).for_each(|_| budget.call_made(now));
     let taken = (0..1_000)
@@ -107,9 +109,9 @@
     assert_eq!(taken, 201);
 }
 
-/// A second try that ended at a full gate is another call's.
+/// A retry that was rejected by a full gate is returned to the budget.
 #[test]
-fn a_second_try_that_no_back_end_got_is_given_back() {
+fn a_retry_that_reached_no_backend_is_returned() {
     let now = Moment(1);
     let mut budget = RetryBudget::new(RetryLimit {
         ratio: 0.0,
@@ -127,10 +129,10 @@
 }
 
 proptest! {
-    /// Whoever asks and whatever is given back, arrivals stay within ratio and slack in
-    /// every window.
+    /// In every window the retries that reach backends stay within ratio and slack, whoever
+    /// asks and whatever is returned to the budget.
     #[test]
-    fn arrivals_stay_within_the_bound_in_every_window(
+    fn retries_stay_within_the_limit_in_every_window(
         steps in prop::collection::vec(
             (0_u64..700, 0_u32..30, any::<bool>(), 0_u32..30, 0_u32..6), 1..60),
         ratio in 0.0_f64..0.5,
@@ -140,33 +142,34 @@
         let mut now = Moment(1);
         let mut held: Vec<(RetryClass, Moment)> = Vec::new();
         let mut made: Vec<(Moment, u32, u32)> = Vec::new();
-        for (pause, calls, nested, tries, kept) in steps {
+        for (pause, calls, nested, attempts_asked, kept) in steps {
             now = now + Duration::from_millis(pause);
-            for (claim, taken_at) in held.drain(..) {
-                budget.refund(claim, taken_at);
+            for (class, taken_at) in held.drain(..) {
+                budget.refund(class, taken_at);
             }
             (0..calls).for_each(|_| budget.call_made(now));
-            let claim = if nested { RetryClass::Nested } else { RetryClass::Caller };
-            let taken = (0..tries).filter(|_| budget.take(claim, now)).count() as u32;
+            let class = if nested { RetryClass::Nested } else { RetryClass::Caller };
+            let taken = (0..attempts_asked).filter(|_| budget.take(class, now)).count() as u32;
             let kept = kept.min(taken);
-            held.extend((0..kept).map(|_| (claim, now)));
+            held.extend((0..kept).map(|_| (class, now)));
             made.push((now, calls, taken - kept));
             let inside = |moment: Moment, reach: Duration| now.since(moment) <= reach;
             let arrivals: u32 = made.iter().filter(|(at, ..)| inside(*at, WINDOW)).map(|one| one.2).sum();
             if taken == 0 {
                 continue;
             }
-            // The parts of the window may reach one part further back.
+            // The window is counted in parts, so calls of one part more may add to the
+            // budget.
             let reach = WINDOW + WINDOW / 10;
             let calls: u32 = made.iter().filter(|(at, ..)| inside(*at, reach)).map(|one| one.1).sum();
             prop_assert!(f64::from(arrivals) <= ratio * f64::from(calls) + slack + 1e-6);
         }
     }
 
-    /// Who returns after a shed call finds the time that an answer takes, and callers
-    /// spread.
+    /// A caller that follows the retry advice after a shed call has enough time left for a
+    /// response.
     #[test]
-    fn an_early_return_can_be_in_time(
+    fn an_advised_retry_can_be_in_time(
         target_ms in 0_u64..10_000,
         answer_ms in 0_u64..10_000,
         chance in 0.0_f64..1.0,
@@ -180,7 +183,7 @@
 }
 
 #[test]
-fn the_word_of_a_gate_fades() {
+fn the_report_of_a_gate_expires() {
     let mut nested = NestedRoutes::default();
     let (route, other) = (
         ResourceName::new("lookup").unwrap(),
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -1,6 +1,6 @@
-//! Three services that call each other in a ring, each call holding its slot meanwhile,
-//! under more demand than there is room: nothing stands still, and fewer parents lose
-//! their work where nested calls go first.
+//! Three services that call each other in a ring under overload, each call holding its slot
+//! while its nested call runs. No deadlock occurs, and fewer parents lose their work if
+//! nested calls go first.
 
 use rampthread_core::call::admission::{
     AdmissionController, AdmissionDecision, AdmissionLimits, Arrival,
@@ -17,22 +17,24 @@
 
 const SERVICES: usize = 3;
 const SLOTS: u32 = 12;
-const WORK: Duration = Duration::from_millis(30);
-const TARGET: Duration = Duration::from_millis(300);
+const SERVICE_TIME: Duration = Duration::from_millis(30);
+const TARGET_LATENCY: Duration = Duration::from_millis(300);
 const DEADLINE: Duration = Duration::from_millis(1_000);
-/// Chance that a call makes a nested one, down to this depth: twice round the ring.
+/// Probability that a call makes a nested one, up to the depth [`MAX_DEPTH`]: twice round
+/// the ring.
 const NESTED_CHANCE: f64 = 0.6;
 const MAX_DEPTH: u32 = 6;
 const LOAD_SECONDS: u64 = 10;
-/// Calls from outside for each service: with their nested ones, more than the slots serve.
-const CALLS_A_SECOND: u64 = 100;
+/// Calls from outside per service and second; with their nested calls more than the slots
+/// serve.
+const CALLS_PER_SECOND: u64 = 100;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives(u64),
-    /// Its own work is done; a nested call may follow.
+    /// The call's own work is done; a nested call may follow.
     Worked(u64),
-    GivesUp(u64),
+    Abandons(u64),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,8 +56,8 @@
 #[derive(Debug, Default)]
 struct Outcome {
     answered: u32,
-    refused: u32,
-    /// Calls that had worked when a nested call of theirs was refused.
+    rejected: u32,
+    /// Number of calls whose own work was lost when their nested call was rejected.
     work_lost: u32,
 }
 
@@ -79,7 +81,7 @@
         };
         let route = ResourceName::new("route").unwrap();
         let mut times = ServiceTimes::default();
-        times.record(&route, WORK);
+        times.record(&route, SERVICE_TIME);
         Self {
             gates: (0..SERVICES)
                 .map(|_| AdmissionController::new(limits))
@@ -95,9 +97,9 @@
         }
     }
 
-    fn play(mut self) -> (Self, Moment) {
-        for number in 0..LOAD_SECONDS * CALLS_A_SECOND * SERVICES as u64 {
-            let at = Moment(1 + number * 1_000_000 / (CALLS_A_SECOND * SERVICES as u64));
+    fn run(mut self) -> (Self, Moment) {
+        for number in 0..LOAD_SECONDS * CALLS_PER_SECOND * SERVICES as u64 {
+            let at = Moment(1 + number * 1_000_000 / (CALLS_PER_SECOND * SERVICES as u64));
             let service = number as usize % SERVICES;
             self.call(service, None, 1, at + DEADLINE, at);
         }
@@ -107,7 +109,7 @@
             match event {
                 Event::Arrives(call) => self.arrives(call, now),
                 Event::Worked(call) => self.worked(call, now),
-                Event::GivesUp(call) => self.gives_up(call, now),
+                Event::Abandons(call) => self.abandons(call, now),
             }
         }
         (self, last)
@@ -144,7 +146,9 @@
             None => Precedence::FirstAttempt,
         };
         let left = call.deadline.since(now);
-        let max_wait = self.times.max_wait(&self.route, TARGET, precedence, left);
+        let max_wait = self
+            .times
+            .max_wait(&self.route, TARGET_LATENCY, precedence, left);
         let arrival = Arrival {
             call: number,
             caller: String::new(),
@@ -152,18 +156,18 @@
             rank: 1,
             precedence,
             max_wait,
-            expected_service_time: Some(WORK),
+            expected_service_time: Some(SERVICE_TIME),
         };
         match self.gates[call.service].arrive(arrival, now) {
             AdmissionDecision::Run => self.begins(number, now),
-            AdmissionDecision::Wait => self.at(now + max_wait, Event::GivesUp(number)),
-            AdmissionDecision::Refused { .. } => self.refused(number, now),
+            AdmissionDecision::Wait => self.at(now + max_wait, Event::Abandons(number)),
+            AdmissionDecision::Refused { .. } => self.rejected(number, now),
         }
     }
 
     fn begins(&mut self, number: u64, now: Moment) {
         self.calls[number as usize].state = State::Runs;
-        self.at(now + WORK, Event::Worked(number));
+        self.at(now + SERVICE_TIME, Event::Worked(number));
     }
 
     fn worked(&mut self, number: u64, now: Moment) {
@@ -175,13 +179,13 @@
         self.ends(number, true, now);
     }
 
-    /// The call gives its slot back; its parent's own work was done before.
+    /// Releases the slot of the call, and ends the parent, which waits for this call only.
     fn ends(&mut self, number: u64, answered: bool, now: Moment) {
         let call = self.calls[number as usize];
         self.calls[number as usize].state = State::Ended;
-        let released = self.gates[call.service].release(Some(WORK), now);
+        let released = self.gates[call.service].release(Some(SERVICE_TIME), now);
         for expired in released.expired {
-            self.refused(expired, now);
+            self.rejected(expired, now);
         }
         if let Some(next) = released.run {
             self.begins(next, now);
@@ -192,14 +196,14 @@
         }
     }
 
-    fn gives_up(&mut self, number: u64, now: Moment) {
+    fn abandons(&mut self, number: u64, now: Moment) {
         let call = self.calls[number as usize];
         if call.state == State::Waits && self.gates[call.service].cancel(number) {
-            self.refused(number, now);
+            self.rejected(number, now);
         }
     }
 
-    fn refused(&mut self, number: u64, now: Moment) {
+    fn rejected(&mut self, number: u64, now: Moment) {
         let call = &mut self.calls[number as usize];
         call.state = State::Ended;
         match call.parent {
@@ -207,17 +211,17 @@
                 self.outcome.work_lost += 1;
                 self.ends(parent, false, now);
             }
-            None => self.outcome.refused += 1,
+            None => self.outcome.rejected += 1,
         }
     }
 }
 
 #[test]
-fn a_ring_of_services_never_stands_still() {
+fn a_ring_of_services_never_deadlocks() {
     for seed in 0..5 {
-        let (ring, last) = Ring::new(Precedence::Nested, seed).play();
+        let (ring, last) = Ring::new(Precedence::Nested, seed).run();
         let end_of_load = Moment(1) + Duration::from_secs(LOAD_SECONDS);
-        assert!(last <= end_of_load + DEADLINE + WORK * MAX_DEPTH);
+        assert!(last <= end_of_load + DEADLINE + SERVICE_TIME * MAX_DEPTH);
         assert!(
             ring.gates.iter().all(|gate| gate.load() == 0),
             "a slot is held"
@@ -234,8 +238,8 @@
 #[test]
 fn fewer_parents_lose_their_work_where_nested_calls_go_first() {
     for seed in 0..5 {
-        let (equal, _) = Ring::new(Precedence::FirstAttempt, seed).play();
-        let (first, _) = Ring::new(Precedence::Nested, seed).play();
+        let (equal, _) = Ring::new(Precedence::FirstAttempt, seed).run();
+        let (first, _) = Ring::new(Precedence::Nested, seed).run();
         println!("seed {seed}: as others {:?}", equal.outcome);
         println!("seed {seed}: nested first {:?}", first.outcome);
         assert!(first.outcome.work_lost < equal.outcome.work_lost);
--- a/crates/rampthread-core/tests/weight_properties.rs
+++ b/crates/rampthread-core/tests/weight_properties.rs
@@ -1,4 +1,4 @@
-//! Routes that share their calls among services by weight.
+//! Distribution of calls among the destinations of a route by weight.
 
 use proptest::prelude::*;
 use rampthread_core::call::route_table::choose_destination;
@@ -8,15 +8,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// Calls over which the users measure shares.
+/// Number of consecutive calls over which shares are measured.
 const WINDOW: usize = 200;
-/// How far a share may lie from its weight's.
+/// Maximum difference between a share and the share of its weight.
 const TOLERANCE: f64 = 0.2;
 
 proptest! {
-    /// In each span of calls every service gets about its weight's share. The
-    /// draw knows nothing of load: what a full service refuses is not moved to
-    /// another.
+    /// In every span of consecutive calls each service gets about its weight's share.
     #[test]
     fn every_span_of_calls_is_shared_by_weight(
         weights in prop::collection::vec(0_u32..100, 2..5),
