--- a/crates/rampthread-core/tests/backend_incarnations.rs
+++ b/crates/rampthread-core/tests/backend_incarnations.rs
@@ -1,8 +1,8 @@
-//! Starts of one back end, in whatever order its reports arrive.
+//! Incarnations of a backend, whose reports may arrive in any order.
 //!
-//! What users saw: a back end that started again under its id reported, was answered
-//! with success, and got no work; another said that it drains and went on getting some.
-//! Cause: starts were told apart by id alone. See `platform_same_id.rs` of `rampthread`.
+//! If incarnations were told apart by the backend's id alone, the reports of one restarted
+//! under the same id would be acknowledged without being applied: it would get no work, or get
+//! work while draining. See `platform_same_id.rs` of `rampthread`.
 
 mod mesh;
 
@@ -19,217 +19,228 @@
 use std::time::Duration;
 
 const START: Moment = Moment(3_600_000_000);
-/// Time between two reports of a back end.
-const BEAT: Duration = Duration::from_secs(1);
+/// Interval between reports of a backend.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-fn incarnation(id: &str, born: Option<u64>) -> BackendIncarnation {
-    BackendIncarnation::new(id, born.map(StartedAt)).unwrap()
+fn incarnation(id: &str, started_at: Option<u64>) -> BackendIncarnation {
+    BackendIncarnation::new(id, started_at.map(StartedAt)).unwrap()
 }
 
 fn record(of: &BackendIncarnation, sequence: u64, draining: bool) -> EndpointRecord {
     endpoint_record(of.name().as_str(), sequence, draining)
 }
 
-fn beat(of: &BackendIncarnation, sequence: u64, draining: bool) -> BackendReport {
+fn heartbeat_report(of: &BackendIncarnation, sequence: u64, draining: bool) -> BackendReport {
     BackendReport::Heartbeat(record(of, sequence, draining))
 }
 
-/// A back end whose reports arrive every second, and what is in force here.
-struct World {
-    reported: BackendTracker,
-    in_force: Option<EndpointRecord>,
+/// A tracker, and the latest state that it has announced.
+struct TrackerFixture {
+    tracker: BackendTracker,
+    announced: Option<EndpointRecord>,
     now: Moment,
 }
 
-impl World {
+impl TrackerFixture {
     fn new() -> Self {
         Self {
-            reported: BackendTracker::default(),
-            in_force: None,
+            tracker: BackendTracker::default(),
+            announced: None,
             now: START,
         }
     }
 
-    fn take(&mut self, report: BackendReport) -> ReportStatus {
-        let reported = self.reported.apply_report(report, self.now);
-        if let ReportStatus::Changed(record) = &reported {
-            self.in_force = Some(record.clone());
+    fn apply(&mut self, report: BackendReport) -> ReportStatus {
+        let status = self.tracker.apply_report(report, self.now);
+        if let ReportStatus::Changed(record) = &status {
+            self.announced = Some(record.clone());
         }
-        reported
+        status
     }
 
     fn wait(&mut self, time: Duration) {
         self.now = self.now + time;
     }
 
-    /// What is in force is this incarnation, and it drains or not.
-    fn holds(&self, of: &BackendIncarnation, draining: bool) -> bool {
-        let held = self.in_force.as_ref();
+    /// Returns true if the announced state is of this incarnation with the given draining flag.
+    fn announces(&self, of: &BackendIncarnation, draining: bool) -> bool {
+        let held = self.announced.as_ref();
         held.is_some_and(|held| held.instance == of.name() && held.draining == draining)
     }
 
-    /// Reports every second until all of it is in force.
-    fn beats_until_taken(&mut self, of: &BackendIncarnation, first: u64, draining: bool) -> u32 {
-        for beats in 0..20_u32 {
-            let taken = self.take(beat(of, first + u64::from(beats), draining));
-            if taken != ReportStatus::PossiblyStale {
-                return beats;
+    /// Sends a heartbeat every second until one is applied. Returns the number of heartbeats
+    /// before that one.
+    fn heartbeats_until_applied(
+        &mut self,
+        of: &BackendIncarnation,
+        first: u64,
+        draining: bool,
+    ) -> u32 {
+        for heartbeats in 0..20_u32 {
+            let status = self.apply(heartbeat_report(
+                of,
+                first + u64::from(heartbeats),
+                draining,
+            ));
+            if status != ReportStatus::PossiblyStale {
+                return heartbeats;
             }
-            self.wait(BEAT);
+            self.wait(HEARTBEAT_INTERVAL);
         }
-        panic!("{of} reports and is not taken");
+        panic!("{of} keeps reporting without being accepted");
     }
 }
 
-/// One step of a back end that may start again, or of the network.
+/// An action of a backend, or a message delayed by the network.
 #[derive(Debug, Clone)]
 enum Step {
-    /// The present start reports, draining or not.
-    Beat { drains: bool },
-    /// It takes its leave.
-    Leaves,
-    /// It ends, and starts again so many milliseconds later by its clock.
-    StartsAgain { later_ms: i64, same_id: bool },
+    /// The current incarnation sends a heartbeat, draining or not.
+    Heartbeat { draining: bool },
+    /// The current incarnation deregisters.
+    Departs,
+    /// The backend ends and starts again. `later_ms` is the difference between the two start
+    /// times by its own clock.
+    Restarts { later_ms: i64, same_id: bool },
     /// A copy of an earlier report arrives.
-    Late { index: usize },
+    LateReport { index: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-    6 => prop::bool::weighted(0.15).prop_map(|drains| Step::Beat { drains }),
-    1 => Just(Step::Leaves),
-    2 => (1_i64..5_000, any::<bool>())
-    .prop_map(|(later_ms, same_id)| Step::StartsAgain { later_ms, same_id }),
-    4 => any::<usize>().prop_map(|index| Step::Late { index }),
+        6 => prop::bool::weighted(0.15).prop_map(|draining| Step::Heartbeat { draining }),
+        1 => Just(Step::Departs),
+        2 => (1_i64..5_000, any::<bool>())
+            .prop_map(|(later_ms, same_id)| Step::Restarts { later_ms, same_id }),
+        4 => any::<usize>().prop_map(|index| Step::LateReport { index }),
     ]
 }
 
 proptest! {
-    /// With a clock that goes forward, whatever arrives late: every report of the newest
-    /// start is acted upon at once, and nothing of an earlier one is.
+    /// With a monotonic clock, reports of the newest incarnation are applied at once and late
+    /// reports of earlier ones are not.
     #[test]
-    fn the_newest_start_is_in_force(steps in prop::collection::vec(step(), 1..120)) {
-        let mut world = World::new();
-        let (mut born, mut ids, mut sequence, mut drains) = (1_000_i64, 0, 0, false);
+    fn newest_incarnation_is_announced(steps in prop::collection::vec(step(), 1..120)) {
+        let mut fixture = TrackerFixture::new();
+        let (mut started_at, mut ids, mut sequence, mut draining) = (1_000_i64, 0, 0, false);
         let mut present = incarnation("i-0", Some(1_000));
         let mut sent: Vec<BackendReport> = Vec::new();
         let mut has_reported = false;
         for step in steps {
-            world.wait(Duration::from_millis(100));
+            fixture.wait(Duration::from_millis(100));
             match step {
-                Step::Beat { drains: now_drains } => {
-                    drains |= now_drains;
+                Step::Heartbeat { draining: now_drains } => {
+                    draining |= now_drains;
                     sequence += 1;
-                    let report = beat(&present, sequence, drains);
+                    let report = heartbeat_report(&present, sequence, draining);
                     sent.push(report.clone());
-                    let taken = world.take(report);
-                    prop_assert!(taken != ReportStatus::PossiblyStale);
+                    let status = fixture.apply(report);
+                    prop_assert!(status != ReportStatus::PossiblyStale);
                     has_reported = true;
-                    prop_assert!(world.holds(&present, drains), "{present} {:?}", world.in_force);
+                    prop_assert!(fixture.announces(&present, draining), "{present} {:?}", fixture.announced);
                 }
-                Step::Leaves => {
-                    drains = true;
+                Step::Departs => {
+                    draining = true;
                     let report = BackendReport::Departure(present.clone());
                     sent.push(report.clone());
-                    world.take(report);
-                    let offered = world.in_force.as_ref().is_some_and(|held| {
+                    fixture.apply(report);
+                    let offered = fixture.announced.as_ref().is_some_and(|held| {
                         held.instance == present.name() && !held.draining
                     });
                     prop_assert!(!offered);
                     if has_reported {
-                        prop_assert!(world.holds(&present, true));
+                        prop_assert!(fixture.announces(&present, true));
                     }
                 }
-                Step::StartsAgain { later_ms, same_id } => {
-                    born += later_ms;
+                Step::Restarts { later_ms, same_id } => {
+                    started_at += later_ms;
                     ids += u32::from(!same_id);
-                    present = incarnation(&format!("i-{ids}"), Some(born as u64));
-                    (sequence, drains, has_reported) = (0, false, false);
+                    present = incarnation(&format!("i-{ids}"), Some(started_at as u64));
+                    (sequence, draining, has_reported) = (0, false, false);
                 }
-                Step::Late { index } => {
+                Step::LateReport { index } => {
                     if sent.is_empty() {
                         continue;
                     }
-                    let before = world.in_force.clone();
+                    let before = fixture.announced.clone();
                     let late = sent[index % sent.len()].clone();
-                    world.take(late);
+                    fixture.apply(late);
                     if has_reported {
-                        prop_assert_eq!(&world.in_force, &before);
+                        prop_assert_eq!(&fixture.announced, &before);
                     }
                 }
             }
         }
     }
 
-    /// Whatever the clocks say: nothing is acknowledged that is not in force, and a start
-    /// that goes on reporting is taken within the time of a succession. Left out: a start
-    /// with the same id and millisecond as one that has left. It is taken for that one,
-    /// whose leave was acknowledged. Where starts are unknown, it is at least never
-    /// acknowledged.
+    /// Whatever the clocks, only reports that are applied are acknowledged, and a new
+    /// incarnation that keeps reporting is accepted within the supersede time. Not covered: a
+    /// start with the same id and start time as a departed one, which counts as departed.
+    /// Without start times, such a report is at least never acknowledged.
     #[test]
-    fn a_report_of_the_newest_start_is_never_acknowledged_and_ignored(
+    fn acknowledged_reports_are_applied(
         starts in prop::collection::vec(
             (prop::option::of(0_u64..4), 0_u8..2, 1_u64..30, any::<bool>(), any::<bool>()),
             1..12,
         ),
         late in prop::collection::vec(any::<usize>(), 0..4),
     ) {
-        let mut world = World::new();
+        let mut fixture = TrackerFixture::new();
         let mut sent: Vec<BackendReport> = Vec::new();
-        let mut left = BTreeSet::new();
-        for (born, id, beats, drains, departs) in starts {
-            let present = incarnation(&format!("i-{id}"), born);
-            if left.contains(&present) {
-                if born.is_none() && world.holds(&present, true) {
-                    world.wait(BEAT);
-                    let taken = world.take(beat(&present, beats, false));
-                    prop_assert!(taken == ReportStatus::PossiblyStale || world.holds(&present, false));
+        let mut departed = BTreeSet::new();
+        for (started_at, id, heartbeats, draining, departs) in starts {
+            let present = incarnation(&format!("i-{id}"), started_at);
+            if departed.contains(&present) {
+                if started_at.is_none() && fixture.announces(&present, true) {
+                    fixture.wait(HEARTBEAT_INTERVAL);
+                    let status = fixture.apply(heartbeat_report(&present, heartbeats, false));
+                    prop_assert!(status == ReportStatus::PossiblyStale || fixture.announces(&present, false));
                 }
                 continue;
             }
             for index in &late {
                 if !sent.is_empty() {
-                    world.take(sent[index % sent.len()].clone());
+                    fixture.apply(sent[index % sent.len()].clone());
                 }
             }
-            world.wait(BEAT);
-            let waited = world.beats_until_taken(&present, 1, false);
+            fixture.wait(HEARTBEAT_INTERVAL);
+            let waited = fixture.heartbeats_until_applied(&present, 1, false);
             let bound = MIN_SUPERSEDE_TIME.as_secs() as u32 + 1;
-            prop_assert!(waited <= bound, "{present} was taken after {waited} reports");
-            prop_assert!(world.holds(&present, false), "{present} {:?}", world.in_force);
+            prop_assert!(waited <= bound, "{present} was accepted after {waited} reports");
+            prop_assert!(fixture.announces(&present, false), "{present} {:?}", fixture.announced);
             let mut sequence = u64::from(waited) + 1;
-            for _ in 0..beats {
+            for _ in 0..heartbeats {
                 sequence += 1;
-                world.wait(BEAT);
-                let report = beat(&present, sequence, false);
+                fixture.wait(HEARTBEAT_INTERVAL);
+                let report = heartbeat_report(&present, sequence, false);
                 sent.push(report.clone());
-                prop_assert!(world.take(report) != ReportStatus::PossiblyStale);
+                prop_assert!(fixture.apply(report) != ReportStatus::PossiblyStale);
             }
-            if drains {
-                world.wait(BEAT);
-                sequence += 1 + u64::from(world.beats_until_taken(&present, sequence + 1, true));
-                prop_assert!(world.holds(&present, true), "{present} {:?}", world.in_force);
-                left.insert(present.clone());
-                sent.push(beat(&present, sequence, true));
+            if draining {
+                fixture.wait(HEARTBEAT_INTERVAL);
+                sequence += 1 + u64::from(fixture.heartbeats_until_applied(&present, sequence + 1, true));
+                prop_assert!(fixture.announces(&present, true), "{present} {:?}", fixture.announced);
+                departed.insert(present.clone());
+                sent.push(heartbeat_report(&present, sequence, true));
             }
             if departs {
-                world.wait(BEAT);
+                fixture.wait(HEARTBEAT_INTERVAL);
                 let report = BackendReport::Departure(present.clone());
-                prop_assert!(world.take(report) != ReportStatus::PossiblyStale);
-                prop_assert!(world.holds(&present, true));
-                left.insert(present.clone());
+                prop_assert!(fixture.apply(report) != ReportStatus::PossiblyStale);
+                prop_assert!(fixture.announces(&present, true));
+                departed.insert(present.clone());
             }
         }
     }
 
-    /// The name of an incarnation leads back to it, and names of different ones differ.
+    /// The name of an incarnation parses to the same incarnation, and names of different
+    /// incarnations differ.
     #[test]
-    fn names_of_incarnations_are_their_own(
+    fn incarnation_names_are_unique(
         left in ("[a-zA-Z0-9_-]{1,41}", prop::option::of(any::<u64>())),
         right in ("[a-z.]{1,6}", prop::option::of(any::<u64>())),
     ) {
-        let made = |(id, born): &(String, Option<u64>)| {
-            BackendIncarnation::new(id, born.map(StartedAt)).ok()
+        let made = |(id, started_at): &(String, Option<u64>)| {
+            BackendIncarnation::new(id, started_at.map(StartedAt)).ok()
         };
         for incarnation in [made(&left), made(&right)].into_iter().flatten() {
             prop_assert_eq!(BackendIncarnation::from_name(&incarnation.name()), incarnation);
@@ -242,166 +253,158 @@
 
 #[rstest]
 #[case::too_long(&"i".repeat(MAX_BACKEND_ID_BYTES + 1))]
-#[case::like_a_name_with_a_start("i-1..5")]
-#[case::no_name("i 1")]
-fn an_id_that_cannot_be_told_from_a_name_is_refused(#[case] id: &str) {
+#[case::like_a_name_with_start_time("i-1..5")]
+#[case::invalid_name("i 1")]
+fn ambiguous_id_is_rejected(#[case] id: &str) {
     assert!(BackendIncarnation::new(id, None).is_err());
 }
 
 #[test]
-fn a_name_of_an_older_node_is_an_id_without_a_start() {
+fn name_without_start_time_is_an_id() {
     let name = InstanceId::new(&"i".repeat(InstanceId::MAX_BYTES)).unwrap();
     let incarnation = BackendIncarnation::from_name(&name);
     assert_eq!((incarnation.id(), incarnation.started_at()), (&name, None));
 }
 
-/// Nothing but the clock tells these starts apart, and it went back.
+/// The start times are the only difference between the incarnations, and they do not increase.
 #[rstest]
-#[case::back(Some(5_000), Some(4_000))]
-#[case::not_at_all(Some(5_000), Some(5_000))]
+#[case::earlier(Some(5_000), Some(4_000))]
+#[case::equal(Some(5_000), Some(5_000))]
 #[case::unknown(None, None)]
-#[case::known_no_more(Some(5_000), None)]
-fn a_start_that_seems_to_be_an_earlier_one_is_taken_when_it_persists(
+#[case::missing(Some(5_000), None)]
+fn apparently_earlier_incarnation_is_accepted_if_it_persists(
     #[case] first: Option<u64>,
     #[case] second: Option<u64>,
 ) {
-    let mut world = World::new();
+    let mut fixture = TrackerFixture::new();
     let (first, second) = (incarnation("i-0", first), incarnation("i-0", second));
     for sequence in 1..50 {
-        world.take(beat(&first, sequence, false));
+        fixture.apply(heartbeat_report(&first, sequence, false));
     }
-    world.take(BackendReport::Departure(first.clone()));
-    assert!(world.holds(&first, true));
-    world.wait(BEAT);
-    let beats = world.beats_until_taken(&second, 1, false);
-    assert!((1..=6).contains(&beats), "{beats}");
-    assert!(world.holds(&second, false));
-    // Its word counts at once from now on.
-    let drains = beat(&second, 100, true);
-    assert!(matches!(world.take(drains), ReportStatus::Changed(_)));
+    fixture.apply(BackendReport::Departure(first.clone()));
+    assert!(fixture.announces(&first, true));
+    fixture.wait(HEARTBEAT_INTERVAL);
+    let heartbeats = fixture.heartbeats_until_applied(&second, 1, false);
+    assert!((1..=6).contains(&heartbeats), "{heartbeats}");
+    assert!(fixture.announces(&second, false));
+    // Further reports of the accepted incarnation are applied at once.
+    let draining = heartbeat_report(&second, 100, true);
+    assert!(matches!(fixture.apply(draining), ReportStatus::Changed(_)));
 }
 
 #[test]
-fn reports_that_a_cut_held_up_bring_no_earlier_start_back() {
-    let mut world = World::new();
+fn delayed_reports_do_not_restore_an_earlier_incarnation() {
+    let mut fixture = TrackerFixture::new();
     let (first, second) = (incarnation("i-0", Some(1)), incarnation("i-1", Some(2)));
-    world.take(beat(&second, 1, false));
+    fixture.apply(heartbeat_report(&second, 1, false));
     for round in 0..30 {
-        world.wait(BEAT);
+        fixture.wait(HEARTBEAT_INTERVAL);
         assert_eq!(
-            world.take(beat(&first, 40 + round, true)),
+            fixture.apply(heartbeat_report(&first, 40 + round, true)),
             ReportStatus::PossiblyStale
         );
         assert_eq!(
-            world.take(beat(&second, 2 + round, false)),
+            fixture.apply(heartbeat_report(&second, 2 + round, false)),
             ReportStatus::Unchanged
         );
     }
-    assert!(world.holds(&second, false));
+    assert!(fixture.announces(&second, false));
 }
 
 #[test]
-fn a_leave_that_overtakes_the_first_report_of_its_start_holds() {
-    let mut world = World::new();
+fn departure_before_the_first_heartbeat_is_kept() {
+    let mut fixture = TrackerFixture::new();
     let (first, second) = (incarnation("i-0", Some(1)), incarnation("i-0", Some(2)));
-    world.take(beat(&first, 7, false));
-    world.take(BackendReport::Departure(second.clone()));
-    assert!(world.holds(&second, true));
-    world.take(beat(&second, 1, false));
-    assert!(world.holds(&second, true));
+    fixture.apply(heartbeat_report(&first, 7, false));
+    fixture.apply(BackendReport::Departure(second.clone()));
+    assert!(fixture.announces(&second, true));
+    fixture.apply(heartbeat_report(&second, 1, false));
+    assert!(fixture.announces(&second, true));
 }
 
 #[test]
-fn a_leave_without_a_start_is_of_the_present_one() {
-    let mut world = World::new();
+fn departure_without_start_time_applies_to_the_current_incarnation() {
+    let mut fixture = TrackerFixture::new();
     let present = incarnation("i-0", Some(1));
-    world.take(beat(&present, 7, false));
-    world.take(BackendReport::Departure(incarnation("i-0", None)));
-    assert!(world.holds(&present, true));
+    fixture.apply(heartbeat_report(&present, 7, false));
+    fixture.apply(BackendReport::Departure(incarnation("i-0", None)));
+    assert!(fixture.announces(&present, true));
 }
 
 #[test]
-fn a_leave_of_a_start_that_may_be_the_present_one_is_not_acknowledged() {
-    let mut world = World::new();
+fn departure_of_a_candidate_is_not_acknowledged() {
+    let mut fixture = TrackerFixture::new();
     let (first, second) = (incarnation("i-0", Some(9)), incarnation("i-0", Some(3)));
-    world.take(beat(&first, 7, false));
-    world.take(beat(&second, 1, false));
-    let leave = BackendReport::Departure(second.clone());
-    assert_eq!(world.take(leave), ReportStatus::PossiblyStale);
+    fixture.apply(heartbeat_report(&first, 7, false));
+    fixture.apply(heartbeat_report(&second, 1, false));
+    let departure = BackendReport::Departure(second.clone());
+    assert_eq!(fixture.apply(departure), ReportStatus::PossiblyStale);
 }
 
 #[test]
-fn a_start_from_a_node_that_reads_none_is_learnt_from_the_next_report() {
-    let mut world = World::new();
+fn missing_start_time_is_taken_from_the_next_report() {
+    let mut fixture = TrackerFixture::new();
     let (unknown, known) = (incarnation("i-0", None), incarnation("i-0", Some(3)));
-    let remembered = world.reported.restore(record(&unknown, 40, true));
-    world.in_force = remembered;
-    // What its last life had acknowledged stays in force.
-    world.take(beat(&known, 41, true));
-    assert!(world.holds(&known, true));
+    let remembered = fixture.tracker.restore(record(&unknown, 40, true));
+    fixture.announced = remembered;
+    // The departure that the previous run of the node acknowledged stays valid.
+    fixture.apply(heartbeat_report(&known, 41, true));
+    assert!(fixture.announces(&known, true));
 }
 
 #[test]
-fn a_start_after_the_remembered_one_has_left_takes_work_at_once() {
-    let mut world = World::new();
+fn incarnation_after_a_restored_departure_accepts_work() {
+    let mut fixture = TrackerFixture::new();
     let (first, second) = (incarnation("i-0", Some(1)), incarnation("i-0", Some(2)));
-    world.in_force = world.reported.restore(record(&first, 40, true));
-    assert!(world.holds(&first, true));
-    world.take(beat(&second, 1, false));
-    assert!(world.holds(&second, false));
+    fixture.announced = fixture.tracker.restore(record(&first, 40, true));
+    assert!(fixture.announces(&first, true));
+    fixture.apply(heartbeat_report(&second, 1, false));
+    assert!(fixture.announces(&second, false));
 }
 
-/// What users would see: requests go to a back end that has ended, since late reports of
-/// it took the place of one that lives.
-///
-/// Order of events: back ends report each 5 s. Two reports of an earlier start, which a cut
-/// held up, arrive 5 s apart, between two reports of the present one.
-///
-/// Cause: 5 s of silence counted as the end of the present start, whatever the time between
-/// its reports.
+/// Two reports of an earlier incarnation, delayed by a network partition, arrive between two
+/// heartbeats of the current one. With a heartbeat interval of 5 s, 5 s of silence must not
+/// count as the end of the current incarnation, or requests would be sent to an ended backend.
 #[test]
-fn late_reports_do_not_displace_a_start_between_two_of_its_own() {
+fn late_reports_do_not_supersede_between_two_heartbeats() {
     let heartbeat = Duration::from_secs(5);
-    let mut world = World::new();
-    world.reported = BackendTracker::with_heartbeat(heartbeat);
+    let mut fixture = TrackerFixture::new();
+    fixture.tracker = BackendTracker::with_heartbeat(heartbeat);
     let (earlier, present) = (incarnation("i-0", Some(1)), incarnation("i-0", Some(2)));
-    world.take(beat(&present, 1, false));
-    world.wait(Duration::from_millis(100));
-    world.take(beat(&earlier, 8, false));
-    world.wait(heartbeat);
+    fixture.apply(heartbeat_report(&present, 1, false));
+    fixture.wait(Duration::from_millis(100));
+    fixture.apply(heartbeat_report(&earlier, 8, false));
+    fixture.wait(heartbeat);
     assert_eq!(
-        world.take(beat(&earlier, 9, false)),
+        fixture.apply(heartbeat_report(&earlier, 9, false)),
         ReportStatus::PossiblyStale
     );
-    assert!(world.holds(&present, false));
+    assert!(fixture.announces(&present, false));
 }
 
-/// Of two memories of an earlier life the one of a peer is newer, if it tells more.
+/// Records restored from a peer are newer than those from the store and replace them if they
+/// contain more.
 #[test]
-fn a_peer_that_knows_of_a_leave_is_believed_over_the_store() {
-    let mut reported = BackendTracker::default();
+fn departure_known_to_a_peer_overrides_the_store() {
+    let mut tracker = BackendTracker::default();
     let known = incarnation("i-0", Some(1));
-    assert!(reported.restore(record(&known, 4, false)).is_some());
+    assert!(tracker.restore(record(&known, 4, false)).is_some());
+    assert!(tracker.restore_from_peer(record(&known, 5, true)).is_some());
     assert!(
-        reported
-            .restore_from_peer(record(&known, 5, true))
-            .is_some()
-    );
-    assert!(
-        reported
+        tracker
             .restore_from_peer(record(&known, 4, false))
             .is_none()
     );
-    assert!(reported.restore(record(&known, 4, false)).is_none());
+    assert!(tracker.restore(record(&known, 4, false)).is_none());
 }
 
-/// A back end that has reported to this life is known better than any memory.
+/// A report to this process takes precedence over any restored record.
 #[test]
-fn a_report_outranks_what_a_peer_remembers() {
-    let mut world = World::new();
+fn report_takes_precedence_over_a_restored_record() {
+    let mut fixture = TrackerFixture::new();
     let (first, second) = (incarnation("i-0", Some(1)), incarnation("i-0", Some(2)));
-    world.take(beat(&first, 1, false));
-    let told = world.reported.restore_from_peer(record(&second, 1, true));
+    fixture.apply(heartbeat_report(&first, 1, false));
+    let told = fixture.tracker.restore_from_peer(record(&second, 1, true));
     assert_eq!(told, None);
-    assert!(world.holds(&first, false));
+    assert!(fixture.announces(&first, false));
 }
--- a/crates/rampthread-core/tests/crash_properties.rs
+++ b/crates/rampthread-core/tests/crash_properties.rs
@@ -1,5 +1,5 @@
-//! Crashes of back ends as evidence: reports merge in any order, marks win over
-//! reports, and memory is bounded.
+//! Crash reports: they merge in any order, cleared marks override reports, and memory is
+//! bounded.
 
 mod crash_cases;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A crash in a trial.
+/// Report of a crash during a trial.
 fn trial_report(request: u16, back_end: u32) -> CrashReport {
     CrashReport {
         on_trial: true,
@@ -34,7 +34,7 @@
     }
 }
 
-fn evidence(crashes: usize, in_trials: usize) -> CrashCounts {
+fn crash_counts(crashes: usize, in_trials: usize) -> CrashCounts {
     CrashCounts { crashes, in_trials }
 }
 
@@ -61,8 +61,8 @@
 }
 
 proptest! {
-    /// Whatever the order, and however often a report is told, all tables say the
-    /// same of every request.
+    /// Whatever the order and repetition of reports, all tables give the same result for each
+    /// request.
     #[test]
     fn reports_merge_in_any_order(
         reports in prop::collection::vec(any_report(), 0..40),
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Late copies of a report do not undo that it was cleared.
+    /// A late copy of a report does not revoke that it was cleared.
     #[test]
-    fn what_was_cleared_stays_cleared(reports in prop::collection::vec(any_report(), 1..30)) {
+    fn cleared_reports_stay_cleared(reports in prop::collection::vec(any_report(), 1..30)) {
         let mut table = table_of(&reports);
         for request in 0..4 {
             table.clear(&identity(request), NOW, NOW);
@@ -99,15 +99,15 @@
         }
     }
 
-    /// However many requests are under way at crashes, memory is bounded, and a
-    /// request under which several back ends crashed is not pushed out of it.
+    /// However many requests run at crashes, memory is bounded, and a request with several
+    /// crashes is not evicted.
     #[test]
-    fn a_flood_of_suspects_pushes_no_offender_out(back_ends in 2_u32..5, flood in 1_100_u16..3_000) {
+    fn many_suspects_do_not_evict_a_poison_request(back_ends in 2_u32..5, suspects in 1_100_u16..3_000) {
         let mut table = CrashTable::default();
         for back_end in 0..back_ends {
             table.merge(&report(0, back_end, HOUR / 100, false), NOW);
         }
-        for request in 1..flood {
+        for request in 1..suspects {
             table.merge(&report(request, u32::from(request), Duration::ZERO, false), NOW);
         }
         prop_assert!(table.len() <= MAX_SUSPECTS);
@@ -116,10 +116,10 @@
         prop_assert_eq!(table.uncleared_reports(&identity(0), NOW).len(), crashes);
     }
 
-    /// Requests that differ in any part differ in their identity, however the
-    /// parts are cut.
+    /// Requests that differ in any part have different identities, however the bytes are
+    /// divided among the parts.
     #[test]
-    fn another_request_has_another_identity(
+    fn different_requests_have_different_identities(
         parts in prop::array::uniform4("[a-c]{0,3}"),
         others in prop::array::uniform4("[a-c]{0,3}"),
     ) {
@@ -152,34 +152,35 @@
 #[case(4, 2, Duration::from_secs(1_200))]
 #[case(6, 4, HOUR)]
 #[case(1_000, 1_000, HOUR)]
-fn each_crash_in_a_trial_makes_the_quarantine_longer(
+fn each_crash_in_a_trial_extends_the_quarantine(
     #[case] crashes: usize,
     #[case] in_trials: usize,
-    #[case] wanted: Duration,
+    #[case] expected: Duration,
 ) {
-    assert_eq!(evidence(crashes, in_trials).quarantine(), wanted);
+    assert_eq!(crash_counts(crashes, in_trials).quarantine(), expected);
 }
 
-/// A request of many callers is under way wherever a whole service ends at once.
+/// A popular request runs on many backends when a whole service crashes at once. That alone
+/// must not lead to a long quarantine.
 #[test]
-fn crashes_outside_of_trials_never_make_a_quarantine_long() {
+fn crashes_outside_of_trials_do_not_extend_the_quarantine() {
     let reports: Vec<CrashReport> = (0..8)
         .map(|back_end| report(1, back_end, Duration::ZERO, false))
         .collect();
     let table = table_of(&reports);
-    let short = evidence(2, 0).quarantine();
+    let short = crash_counts(2, 0).quarantine();
     let standing = table.standing(&identity(1), NOW + short);
     assert_eq!(standing, QuarantineState::OnTrial { crashes: 8 });
 }
 
 #[test]
-fn a_quarantine_ends_by_itself_in_a_trial_and_is_forgotten_later() {
+fn quarantine_ends_in_a_trial_and_expires() {
     let mut table = CrashTable::default();
     for back_end in 0..2 {
         table.merge(&report(1, back_end, Duration::ZERO, false), NOW);
     }
     let standing = |table: &CrashTable, after: Duration| table.standing(&identity(1), NOW + after);
-    let left = evidence(2, 0).quarantine();
+    let left = crash_counts(2, 0).quarantine();
     let quarantined = QuarantineState::Quarantined { crashes: 2, left };
     assert_eq!(standing(&table, Duration::ZERO), quarantined);
     assert_eq!(
@@ -189,16 +190,16 @@
     table.merge(&trial_report(1, 3), NOW + left);
     let again = QuarantineState::Quarantined {
         crashes: 3,
-        left: evidence(3, 1).quarantine(),
+        left: crash_counts(3, 1).quarantine(),
     };
     assert_eq!(standing(&table, left), again);
-    table.forget_old(NOW + left + evidence(3, 1).retention());
+    table.forget_old(NOW + left + crash_counts(3, 1).retention());
     assert!(table.is_empty());
 }
 
-/// The entry hears of a crash before the gate says that it was a trial.
+/// The entry reports a crash before the gate reports that the request was on trial.
 #[test]
-fn that_a_crash_was_in_a_trial_may_be_told_later() {
+fn trial_mark_may_arrive_after_the_crash_report() {
     let mut table = table_of(&[
         report(1, 1, Duration::ZERO, false),
         report(1, 2, Duration::ZERO, false),
@@ -210,24 +211,29 @@
         table.merge(&report(1, 2, Duration::ZERO, false), NOW),
         MergeOutcome::Known
     );
-    let left = evidence(2, 1).quarantine();
+    let left = crash_counts(2, 1).quarantine();
     let standing = table.standing(&identity(1), NOW);
     assert_eq!(standing, QuarantineState::Quarantined { crashes: 2, left });
 }
 
 #[test]
-fn a_single_crash_makes_a_suspect_only() {
+fn single_crash_only_makes_a_suspect() {
     let table = table_of(&[report(1, 1, Duration::ZERO, false)]);
     assert_eq!(
         table.standing(&identity(1), NOW),
         QuarantineState::Suspected
     );
-    assert_eq!(table.digest(), 0, "suspects of one crash need no agreement");
+    assert_eq!(
+        table.digest(),
+        0,
+        "requests with a single crash are not reconciled"
+    );
 }
 
-/// Peers compare what is of the last seconds, single crashes too; a mark is no difference.
+/// Peers reconcile all reports of the last seconds, including single crashes. Cleared marks
+/// make no difference.
 #[test]
-fn recent_reports_are_compared_whatever_they_are_worth() {
+fn all_recent_reports_are_reconciled() {
     let (young, recent, old) = (
         Duration::from_millis(500),
         Duration::from_secs(3),
@@ -250,11 +256,11 @@
 }
 
 #[test]
-fn an_answer_clears_the_crashes_before_it_only() {
+fn response_clears_earlier_crashes_only() {
     let (early, late) = (Duration::from_secs(5), Duration::from_secs(1));
     let mut table = table_of(&[report(1, 1, early, false), report(1, 2, late, false)]);
-    let answered = NOW - Duration::from_secs(3);
-    assert_eq!(table.clear(&identity(1), answered, NOW).len(), 1);
+    let responded_at = NOW - Duration::from_secs(3);
+    assert_eq!(table.clear(&identity(1), responded_at, NOW).len(), 1);
     assert_eq!(
         table.standing(&identity(1), NOW),
         QuarantineState::Suspected
@@ -262,25 +268,25 @@
 }
 
 proptest! {
-    /// Answers are remembered for long enough, and never too many of them.
+    /// Responses are remembered long enough, and their number is bounded.
     #[test]
-    fn recent_answers_are_remembered(gaps in prop::collection::vec(0_u64..20_000, 1..6_000)) {
-        let mut answers = RecentResponses::default();
+    fn recent_responses_are_remembered(gaps in prop::collection::vec(0_u64..20_000, 1..6_000)) {
+        let mut responses = RecentResponses::default();
         let mut now = NOW;
         for (index, gap) in gaps.iter().enumerate() {
             now = now + Duration::from_micros(*gap);
-            answers.note(identity(index as u16), now);
-            prop_assert!(answers.len() <= 4_096);
+            responses.note(identity(index as u16), now);
+            prop_assert!(responses.len() <= 4_096);
         }
         let newest = identity(gaps.len() as u16 - 1);
-        prop_assert_eq!(answers.last(&newest), Some(now));
+        prop_assert_eq!(responses.last(&newest), Some(now));
     }
 }
 
-/// What was put on record against an offender and withdrawn is taken off it: a restart
-/// of all nodes would bring it back.
+/// The persisted record of a withdrawn crash is deleted. Otherwise a restart of all nodes would
+/// restore it.
 #[test]
-fn a_withdrawn_crash_is_taken_off_the_record() {
+fn record_of_a_withdrawn_crash_is_deleted() {
     let name = |text: &str| NodeId::new(text).unwrap();
     let identity = AgentIdentity {
         id: name("n-1"),
--- a/crates/rampthread-core/tests/document_properties.rs
+++ b/crates/rampthread-core/tests/document_properties.rs
@@ -201,7 +201,7 @@
     let actions = store.mesh.agents[3].on_backend_report(report, now).actions;
     store.deliver(actions);
     store.run(Duration::from_secs(3));
-    let known = (0..80).filter(|at| store.mesh.knows(*at, 3).is_some());
+    let known = (0..80).filter(|at| store.mesh.known_backend(*at, 3).is_some());
     assert_eq!(known.count(), 80);
 }
 
--- a/crates/rampthread-core/tests/fleet_properties.rs
+++ b/crates/rampthread-core/tests/fleet_properties.rs
@@ -1,9 +1,10 @@
-//! The brief's promises on configuration, under its faults, in combination.
+//! Invariants of configuration distribution under combined faults.
 //!
-//! Checked at every step by `World`: no node goes back, also across restarts;
-//! none holds a version in part or with dangling references; a decided answer
-//! is what the log says. Checked at the end: what was told not to have run is
-//! not in the log, one operation id has one effect, all reach the newest.
+//! Checked by `World` at every step: a node never goes back to an older version, also after a
+//! restart; it never holds a version in part or with dangling references; the answer of a
+//! decided operation agrees with the log. Checked at the end: an operation reported as not run
+//! is not in the log, an operation takes effect at most once, and all nodes reach the newest
+//! version.
 
 mod simulation;
 
@@ -18,7 +19,7 @@
 use std::time::Duration;
 
 const NODES: usize = 8;
-const SETTLE: Duration = Duration::from_secs(90);
+const RECOVERY_TIME: Duration = Duration::from_secs(90);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -27,11 +28,11 @@
     Repeat { node: usize },
     Crash(usize),
     Start(usize),
-    HerdRestart(u64),
-    Freeze(usize),
-    Thaw(usize),
-    Cut(u64),
-    Heal,
+    RestartSeveral(u64),
+    Suspend(usize),
+    Resume(usize),
+    Partition(u64),
+    HealPartition,
     Network { loss: u32, copies: u32, late: u32 },
     Outage(bool),
     Slow(u64),
@@ -52,11 +53,11 @@
         3 => node().prop_map(|node| Step::Repeat { node }),
         3 => node().prop_map(Step::Crash),
         3 => node().prop_map(Step::Start),
-        2 => any::<u64>().prop_map(Step::HerdRestart),
-        1 => node().prop_map(Step::Freeze),
-        2 => node().prop_map(Step::Thaw),
-        1 => any::<u64>().prop_map(Step::Cut),
-        2 => Just(Step::Heal),
+        2 => any::<u64>().prop_map(Step::RestartSeveral),
+        1 => node().prop_map(Step::Suspend),
+        2 => node().prop_map(Step::Resume),
+        1 => any::<u64>().prop_map(Step::Partition),
+        2 => Just(Step::HealPartition),
         1 => (0_u32..30, 0_u32..30, 0_u32..20)
             .prop_map(|(loss, copies, late)| Step::Network { loss, copies, late }),
         3 => any::<bool>().prop_map(Step::Outage),
@@ -68,10 +69,10 @@
     ]
 }
 
-/// The reference needs no state: every step is allowed at every time.
-struct Steps;
+/// The reference model needs no state, since every step is allowed at any time.
+struct StepsModel;
 
-impl ReferenceStateMachine for Steps {
+impl ReferenceStateMachine for StepsModel {
     type State = u64;
     type Transition = Step;
 
@@ -93,7 +94,7 @@
     changes: Vec<LogEntry>,
 }
 
-/// Changes of every kind, valid and not.
+/// Changes of all kinds, both valid and invalid.
 fn change(number: usize, kind: u8) -> LogEntry {
     let operations = match kind {
         0 => vec![put(service("shop")), put(route("shop", "shop", None))],
@@ -102,12 +103,12 @@
             put(service("paid")),
             put(route("paid", "paid", Some("token"))),
         ],
-        // Dangling: the service may not exist.
+        // Dangling reference: the service may not exist.
         2 => vec![put(route("lost", "nowhere", None))],
-        // Refused while a route needs it.
+        // Rejected while a route refers to the secret.
         3 => vec![delete(ResourceKind::Secret, "token")],
         4 => vec![delete(ResourceKind::Route, "paid")],
-        // Moves back ends, and with them the witnesses.
+        // Moves backends, which changes the witnesses of nodes.
         5 => vec![
             put(service("shop")),
             put(backend(number % NODES, "shop", ZONES)),
@@ -121,7 +122,7 @@
     entry(&format!("operation-{number}"), operations)
 }
 
-/// All nodes stand beside a back end, so that everyone has witnesses.
+/// Gives each node a backend, so that each node has witnesses.
 fn first_change() -> LogEntry {
     let mut operations = vec![put(service("shop"))];
     operations.extend((0..NODES).map(|index| put(backend(index, "shop", ZONES))));
@@ -159,7 +160,7 @@
                 world.advance(Duration::from_millis(10));
             }
             Step::Repeat { node } => {
-                // The same change through another node, once the first was answered.
+                // Submits the same change at another node after an unknown outcome.
                 let repeat = self.changes.iter().rev().find(|change| {
                     let id = &change.change.operation_id;
                     let answer = world.answers.get(id);
@@ -171,16 +172,16 @@
             }
             Step::Crash(node) => world.crash(node),
             Step::Start(node) => world.start(node),
-            Step::HerdRestart(mask) => {
+            Step::RestartSeveral(mask) => {
                 for node in (0..NODES).filter(|node| (mask >> node) & 1 == 1) {
                     world.crash(node);
                     world.start(node);
                 }
             }
-            Step::Freeze(node) => world.freeze(node),
-            Step::Thaw(node) => world.thaw(node),
-            Step::Cut(sides) => world.cut(sides),
-            Step::Heal => world.cut(0),
+            Step::Suspend(node) => world.suspend(node),
+            Step::Resume(node) => world.resume(node),
+            Step::Partition(partition_sides) => world.partition(partition_sides),
+            Step::HealPartition => world.partition(0),
             Step::Network { loss, copies, late } => {
                 world.network = NetworkFaults {
                     loss_percent: loss,
@@ -201,23 +202,23 @@
     }
 
     fn finish(mut self) {
-        self.world.stop_faults();
-        self.world.advance(SETTLE);
+        self.world.end_faults();
+        self.world.advance(RECOVERY_TIME);
         for change in &self.changes {
-            let effects = self.world.effects(&change.change.operation_id);
+            let accepted = self.world.times_accepted(&change.change.operation_id);
             assert!(
-                effects <= 1,
-                "{} took effect {effects} times",
+                accepted <= 1,
+                "{} was accepted {accepted} times",
                 change.change.operation_id
             );
         }
-        self.world.check_end();
+        self.world.check_final_state();
     }
 }
 
 impl StateMachineTest for Fleet {
     type SystemUnderTest = Fleet;
-    type Reference = Steps;
+    type Reference = StepsModel;
 
     fn init_test(seed: &u64) -> Fleet {
         Fleet::new(*seed, None)
@@ -241,12 +242,12 @@
     })]
 
     #[test]
-    fn promises_on_configuration_hold_under_all_faults(sequential 10..80 => Fleet);
+    fn configuration_invariants_hold_under_all_faults(sequential 10..80 => Fleet);
 }
 
-/// Runs the same steps against agents with a deliberate fault; the property
-/// must notice it.
-fn fails_with(defect: Defect) -> bool {
+/// Runs the same steps with a deliberate defect in the agents. Returns true if the properties
+/// detect it.
+fn detects(defect: Defect) -> bool {
     let config = ProptestConfig {
         cases: 2_000,
         max_shrink_iters: 0,
@@ -266,14 +267,14 @@
 
 #[rstest]
 #[case::no_floor_after_a_restart(Defect::SkipFloor)]
-#[case::a_lost_answer_told_as_not_run(Defect::LostAnswerIsRefusal)]
-fn a_deliberate_fault_is_noticed(#[case] defect: Defect) {
-    assert!(fails_with(defect), "{defect:?} went unnoticed");
+#[case::lost_answer_reported_as_not_run(Defect::LostAnswerIsRefusal)]
+fn deliberate_defects_are_detected(#[case] defect: Defect) {
+    assert!(detects(defect), "{defect:?} was not detected");
 }
 
-/// The only node that knows a version dies while the store is out. Its
-/// witnesses decide what its next life may serve.
-fn lone_reader_dies(defect: Option<Defect>) {
+/// The only node that knows a version crashes during a store outage. Its witnesses decide which
+/// version its next run may activate.
+fn crash_lone_reader(defect: Option<Defect>) {
     let mut fleet = Fleet::new(7, None);
     fleet.world.set_defect(defect);
     let world = &mut fleet.world;
@@ -286,28 +287,28 @@
     let readers: Vec<usize> = (0..NODES).filter(|node| is_reader(world, *node)).collect();
     let (lone, others) = readers.split_first().unwrap();
     others.iter().for_each(|other| world.crash(*other));
-    world.cut(1 << lone);
+    world.partition(1 << lone);
     world.propose(*lone, &change(0, 7));
     world.advance(Duration::from_millis(700));
-    assert_eq!(world.store.head().0, 2, "the change is in the log");
+    assert_eq!(world.store.head().0, 2, "the change must be in the log");
     world.store.faults.outage = true;
     world.crash(*lone);
-    world.cut(0);
+    world.partition(0);
     world.start(*lone);
     others.iter().for_each(|other| world.start(*other));
     world.advance(Duration::from_secs(20));
     let ready = world.agent(*lone).unwrap().is_ready();
-    assert!(ready, "its witnesses know its floor while the store is out");
+    assert!(ready, "witnesses confirm the floor during the store outage");
     fleet.finish();
 }
 
 #[test]
-fn a_lone_reader_puts_nothing_in_force_without_its_witnesses() {
-    lone_reader_dies(None);
+fn lone_reader_activates_nothing_without_its_witnesses() {
+    crash_lone_reader(None);
 }
 
 #[test]
 #[should_panic(expected = "went back")]
-fn without_witnesses_a_lone_reader_goes_back() {
-    lone_reader_dies(Some(Defect::SkipWitnesses));
+fn lone_reader_without_witnesses_goes_back() {
+    crash_lone_reader(Some(Defect::SkipWitnesses));
 }
--- a/crates/rampthread-core/tests/mesh/mod.rs
+++ b/crates/rampthread-core/tests/mesh/mod.rs
@@ -1,4 +1,4 @@
-//! Agents in memory, and small documents for them.
+//! In-memory agents connected by a lossless network, and small documents for them.
 
 #![allow(dead_code)]
 
@@ -87,17 +87,17 @@
     }
 }
 
-/// True when the agent wants to read the store.
+/// Returns true if the agent asks its driver to read the document from the store.
 pub fn wants_document(actions: &[Action]) -> bool {
     let wants = |action: &Action| matches!(action, Action::ReadDocument);
     actions.iter().any(wants)
 }
 
-/// Agents whose messages arrive at once, in order, none lost.
+/// Agents whose messages arrive immediately, in order and without loss.
 pub struct Mesh {
     pub agents: Vec<Agent>,
     pub now: Moment,
-    /// Messages delivered, by kind.
+    /// Number of delivered messages by kind.
     sent: BTreeMap<&'static str, usize>,
 }
 
@@ -118,13 +118,13 @@
         mesh
     }
 
-    /// Messages of `kind` delivered so far.
+    /// Returns the number of delivered messages of a kind.
     pub fn sent(&self, kind: &str) -> usize {
         self.sent.get(kind).copied().unwrap_or(0)
     }
 
-    /// Delivers messages, and what they lead to; returns the agents that want
-    /// to read the store.
+    /// Delivers the messages among `actions` and all messages sent in response. Returns the
+    /// agents that ask to read the document from the store.
     pub fn deliver(&mut self, actions: Vec<Action>) -> Vec<usize> {
         let mut readers = Vec::new();
         let mut queue: std::collections::VecDeque<Action> = actions.into();
@@ -154,7 +154,7 @@
         }
     }
 
-    pub fn knows(&self, at: usize, of: usize) -> Option<EndpointRecord> {
+    pub fn known_backend(&self, at: usize, of: usize) -> Option<EndpointRecord> {
         let id = NodeId::new(&format!("node-{of}")).unwrap();
         let record = self.agents[at].membership().record(&id)?;
         record.endpoint.clone()
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -1,6 +1,6 @@
-//! Decisions that came with the users' platform: routes by host and prefix,
-//! ranks at the gate, choice by cost, reports of back ends, bounded logs, and
-//! the agent where the configuration is a document.
+//! Properties of single decisions: routing by host and path prefix, admission at the gate,
+//! choice of backends by cost, backend reports, log rate limits, and agents whose configuration
+//! is a document.
 
 mod mesh;
 
@@ -50,9 +50,9 @@
 const HOUR: Duration = Duration::from_secs(3_600);
 
 proptest! {
-    /// The table finds what a plain search over all routes finds.
+    /// The route table returns the same route as a linear search.
     #[test]
-    fn the_longest_prefix_of_the_host_wins(
+    fn longest_prefix_of_the_host_matches(
         routes in prop::collection::btree_set((0_u8..3, "(/[ab]){0,3}/"), 1..12),
         host in 0_u8..4,
         path in "(/[ab]){0,4}/",
@@ -74,17 +74,16 @@
             method: &http::Method::GET,
             headers: &http::HeaderMap::new(),
         };
-        let wanted = routes
+        let expected = routes
             .iter()
             .filter(|(other, prefix)| *other == host && path.starts_with(prefix.as_str()))
             .map(|(_, prefix)| prefix.clone())
             .max_by_key(String::len);
         let found = table.find(&head).map(|route| route.path.text().to_string());
-        prop_assert_eq!(found, wanted);
+        prop_assert_eq!(found, expected);
     }
 
-    /// A document that names what does not exist is refused whole, with every
-    /// fault.
+    /// A document with dangling references is rejected as a whole, with a finding for each.
     #[test]
     fn every_dangling_reference_of_a_document_is_found(missing in 1_usize..5) {
         let mut resources = Vec::new();
@@ -95,9 +94,9 @@
         prop_assert_eq!(findings.to_string().matches("no service/shop").count(), missing);
     }
 
-    /// Without patience a call runs now or is refused; it never waits.
+    /// With a maximum queueing time of zero a call is admitted or rejected at once.
     #[test]
-    fn without_patience_nobody_waits(slots in 1_u32..10, calls in 1_u64..40) {
+    fn no_call_queues_without_queueing_time(slots in 1_u32..10, calls in 1_u64..40) {
         let mut admission = AdmissionController::new(AdmissionLimits { slots, queue: 100 });
         let now = Moment(1);
         for call in 0..calls {
@@ -107,10 +106,10 @@
         prop_assert_eq!(admission.queued(), 0);
     }
 
-    /// However slow a back end is, the wait stays within a part of the target,
-    /// and a slower one leaves no more of it.
+    /// The maximum queueing time stays within a fraction of the target latency and does not
+    /// grow with the service time.
     #[test]
-    fn patience_falls_as_work_grows(target in 1_u64..10_000, works in prop::collection::vec(0_u64..20_000, 1..20)) {
+    fn max_wait_does_not_grow_with_service_time(target in 1_u64..10_000, works in prop::collection::vec(0_u64..20_000, 1..20)) {
         let target = Duration::from_millis(target);
         let mut works = works;
         works.sort_unstable();
@@ -125,9 +124,9 @@
         }
     }
 
-    /// What may wait survives its way in a header.
+    /// A queueing limit survives the round trip through its header.
     #[test]
-    fn waiting_is_read_as_it_was_written(target in 0_u64..1_000_000) {
+    fn queueing_limit_survives_the_header_round_trip(target in 0_u64..1_000_000) {
         let all = [
             QueueingLimit::Never,
             QueueingLimit::UntilDeadline,
@@ -138,9 +137,9 @@
         }
     }
 
-    /// Of one caller's waiting calls, the one with the least time left goes first.
+    /// Among the queued calls of one caller, the one with the earliest deadline runs first.
     #[test]
-    fn the_earliest_deadline_goes_first(
+    fn earliest_deadline_runs_first(
         deadlines in prop::collection::btree_set(1_u64..1_000, 2..20),
         seed in any::<u64>(),
     ) {
@@ -161,7 +160,7 @@
         prop_assert_eq!(ran, deadlines.into_iter().collect::<Vec<_>>());
     }
 
-    /// Short calls that come later go first, and long ones still get their turns.
+    /// Short calls overtake long ones in the queue, but long ones are not starved.
     #[test]
     fn short_calls_overtake_long_ones_without_starving_them(long in 1_u64..10, short in 8_u64..40) {
         let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 100 });
@@ -179,12 +178,12 @@
         }
         prop_assert_eq!(ran.len() as u64, long + short);
         prop_assert!(ran[..3].iter().all(|call| *call >= 1_000));
-        prop_assert!(ran[..4].contains(&1), "the first long call waits no more than three turns");
+        prop_assert!(ran[..4].contains(&1), "the first long call must run after at most three short ones");
     }
 
-    /// In every window, second tries stay within ratio and slack.
+    /// In every window, retries stay within the ratio to first attempts plus the slack.
     #[test]
-    fn the_budget_holds_in_every_window(
+    fn retry_budget_holds_in_every_window(
         steps in prop::collection::vec((0_u64..700, 0_u32..30, 0_u32..30), 1..60),
         ratio in 0.0_f64..0.5,
         slack in 0.0_f64..20.0,
@@ -203,40 +202,41 @@
             }
             let inside = |moment: Moment, reach: Duration| now.since(moment) <= reach;
             let retries: u32 = made.iter().filter(|(at, ..)| inside(*at, window)).map(|one| one.2).sum();
-            // The parts of the window may reach one part further back.
+            // The window is divided into parts, so it may cover one part more.
             let reach = window + window / 10;
             let calls: u32 = made.iter().filter(|(at, ..)| inside(*at, reach)).map(|one| one.1).sum();
             prop_assert!(f64::from(retries) <= ratio * f64::from(calls) + slack + 1e-6);
         }
     }
 
-    /// Whatever the order of reports, a back end that has said that it leaves
-    /// is never offered again, and an earlier incarnation never comes back.
+    /// Whatever the order of reports, a departed backend is not announced again, and an earlier
+    /// incarnation does not come back.
     #[test]
-    fn a_back_end_that_leaves_does_not_come_back(
+    fn departed_backend_does_not_come_back(
         reports in prop::collection::vec((0_u8..3, 0_u64..20, any::<bool>(), any::<bool>()), 1..60),
     ) {
         let mut reported = BackendTracker::default();
-        let mut left = std::collections::BTreeSet::new();
+        let mut departed = std::collections::BTreeSet::new();
         for (instance, sequence, draining, departs) in reports {
             let instance = format!("i-{instance}");
             let report = if departs {
-                left.insert(instance.clone());
+                departed.insert(instance.clone());
                 BackendReport::Departure(BackendIncarnation::new(&instance, None).unwrap())
             } else {
                 BackendReport::Heartbeat(endpoint_record(&instance, sequence, draining))
             };
             if let ReportStatus::Changed(endpoint) = reported.apply_report(report, Moment(1)) {
-                let again = left.contains(endpoint.instance.as_str()) && !endpoint.draining;
+                let again = departed.contains(endpoint.instance.as_str()) && !endpoint.draining;
                 prop_assert!(!again, "{:?} came back", endpoint.instance);
                 if endpoint.draining {
-                    left.insert(endpoint.instance.as_str().to_string());
+                    departed.insert(endpoint.instance.as_str().to_string());
                 }
             }
         }
     }
 
-    /// Lines of one cause stay within burst and rate, and all others are told.
+    /// Log lines of one cause stay within burst and rate, and all others are counted as
+    /// suppressed.
     #[test]
     fn log_lines_are_bounded_and_counted(pauses in prop::collection::vec(0_u64..50, 1..2_000)) {
         let mut budget = LogRateLimiter::default();
@@ -254,16 +254,16 @@
         prop_assert_eq!(written + told, pauses.len() as u64);
     }
 
-    /// The word of a cause leads back to it.
+    /// The text of a cause parses to the same cause.
     #[test]
-    fn causes_have_words_of_their_own(index in 0_usize..Cause::ALL.len()) {
+    fn cause_text_round_trips(index in 0_usize..Cause::ALL.len()) {
         let cause = Cause::ALL[index];
         prop_assert_eq!(Cause::parse(cause.as_str()), Some(cause));
     }
 
-    /// A node that holds a document never goes back to an older one.
+    /// A node with a document does not go back to an older one.
     #[test]
-    fn no_document_brings_an_older_version_back(versions in prop::collection::vec(1_u64..50, 1..40)) {
+    fn older_documents_are_ignored(versions in prop::collection::vec(1_u64..50, 1..40)) {
         let mut agent = agent("node-0", 1);
         let mut highest = 0;
         for (step, version) in versions.into_iter().enumerate() {
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_queue_of_long_calls_keeps_no_short_one_out() {
+fn short_call_is_queued_behind_long_calls() {
     let mut admission = AdmissionController::new(AdmissionLimits { slots: 2, queue: 4 });
     let now = Moment(1);
     let max_wait = Duration::from_millis(300);
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn the_own_zone_comes_first_until_it_is_full_or_slow() {
+fn same_zone_is_preferred_until_full_or_slow() {
     let endpoints = [
         endpoint("a", "near"),
         endpoint("b", "far"),
@@ -348,15 +348,15 @@
         balancer.record_response(near, &name("r"), Duration::from_millis(900), now);
     }
     assert!(!chosen(&mut balancer, &endpoints, now).contains_key("a"));
-    // What was learnt fades: it is tried again.
+    // Old measurements lose their weight, so the backend is tried again.
     let later = now + Duration::from_secs(60);
     assert_eq!(chosen(&mut balancer, &endpoints, later)["a"], 200);
 }
 
-/// What an entry knows of a gate is old: one of the own zone that seems to be just
-/// full is asked before a call leaves the zone.
+/// The known load of a gate may be outdated. A backend of the same zone that seems just full is
+/// therefore tried before a call leaves the zone.
 #[test]
-fn a_gate_of_the_own_zone_that_seems_just_full_is_asked_first() {
+fn just_full_gate_of_the_same_zone_is_tried_first() {
     let endpoints = [endpoint("a", "near"), endpoint("b", "far")];
     let now = Moment(5_000_000);
     let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn a_back_end_that_answers_others_is_known_to_work() {
+fn response_to_another_call_shows_that_a_backend_works() {
     let mut balancer = Balancer::new(BalanceMode::LeastCost, Moment(1));
     let node = NodeId::new("a").unwrap();
     let begun = Moment(1_000_000);
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn a_node_that_cannot_be_reached_is_left_alone_for_a_while() {
+fn unreachable_node_is_not_selected_for_a_while() {
     let endpoints = [endpoint("a", "near"), endpoint("b", "far")];
     let now = Moment(5_000_000);
     let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_document_that_one_node_reads_reaches_all_from_peers() {
+fn document_read_by_one_node_reaches_all_peers() {
     let mut mesh = Mesh::new(8);
     mesh.run(Duration::from_secs(2));
     let now = mesh.now;
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn a_report_reaches_every_node_within_a_second() {
+fn backend_report_reaches_all_nodes_within_a_second() {
     let mut mesh = Mesh::new(12);
     mesh.run(Duration::from_secs(3));
     for draining in [false, true] {
@@ -419,14 +419,16 @@
         mesh.deliver(actions);
         mesh.run(Duration::from_secs(1));
         for at in 0..12 {
-            let known = mesh.knows(at, 3).expect("the report has arrived");
+            let known = mesh
+                .known_backend(at, 3)
+                .expect("the report must have arrived");
             assert_eq!(known.draining, draining, "node-{at}");
         }
     }
 }
 
 #[test]
-fn a_node_that_restarts_with_an_earlier_clock_is_heard_again() {
+fn node_restarted_with_an_earlier_clock_is_accepted() {
     let mut mesh = Mesh::new(4);
     mesh.run(Duration::from_secs(2));
     let record = BackendReport::Heartbeat(endpoint_record("i-1", 1, false));
@@ -434,7 +436,8 @@
     let actions = mesh.agents[1].on_backend_report(record, now).actions;
     mesh.deliver(actions);
     mesh.run(Duration::from_secs(1));
-    // Its wall clock went back: this life seems older than the last.
+    // The wall clock went back, so the incarnation of this run is lower than that of the
+    // previous one.
     mesh.agents[1] = agent("node-1", 10);
     let machines: Vec<Machine> = (0..4)
         .map(|index| machine(&format!("node-{index}")))
@@ -447,18 +450,20 @@
     mesh.deliver(actions);
     mesh.run(Duration::from_secs(2));
     for at in 0..4 {
-        let known = mesh.knows(at, 1).expect("it is known");
+        let known = mesh
+            .known_backend(at, 1)
+            .expect("the backend must be known");
         assert_eq!(known.instance.as_str(), "i-2", "node-{at}");
     }
 }
 
 #[test]
-fn a_remembered_back_end_that_stays_silent_is_dropped() {
-    let remembered = endpoint_record("i-1", 7, false);
+fn restored_backend_without_heartbeat_is_dropped() {
+    let restored = endpoint_record("i-1", 7, false);
     for confirmed in [false, true] {
         let mut agent = agent("node-0", 1);
         let mut now = Moment(1_000_000);
-        agent.restore_backend(remembered.clone(), now);
+        agent.restore_backend(restored.clone(), now);
         assert!(agent.endpoint().is_some());
         if confirmed {
             let heartbeat = BackendReport::Heartbeat(endpoint_record("i-1", 8, false));
--- a/crates/rampthread-core/tests/rendezvous.rs
+++ b/crates/rampthread-core/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! The rendezvous order: a place that is counted is the place in the sorted order.
+//! The rank computed by counting equals the position in the sorted rendezvous order.
 
 use proptest::prelude::*;
 use rampthread_core::ids::NodeId;
@@ -7,16 +7,16 @@
 
 proptest! {
     #[test]
-    fn a_rank_is_the_place_in_the_order(
+    fn rank_equals_position_in_order(
         numbers in prop::collection::btree_set(0_u32..10_000, 1..60),
         key in "[a-z]{1,12}",
     ) {
         let name = |number: &u32| NodeId::new(&format!("node-{number}")).unwrap();
         let nodes: BTreeSet<NodeId> = numbers.iter().map(name).collect();
-        let ordered = order(&key, nodes.iter().cloned());
-        for (place, node) in ordered.iter().enumerate() {
+        let sorted = order(&key, nodes.iter().cloned());
+        for (position, node) in sorted.iter().enumerate() {
             let others = nodes.iter().filter(|other| *other != node);
-            prop_assert_eq!(rank(&key, node, others), place);
+            prop_assert_eq!(rank(&key, node, others), position);
         }
     }
 }
--- a/crates/rampthread-core/tests/simulation/mod.rs
+++ b/crates/rampthread-core/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded fleet in memory: agents, a network and a store, each with faults.
-//! Shared by the test files beside this folder.
+//! Deterministic simulation of a fleet: agents, a network and a store, each with fault
+//! injection.
 #![allow(dead_code)]
 
 #[path = "../resources/mod.rs"]
--- a/crates/rampthread-core/tests/simulation/store.rs
+++ b/crates/rampthread-core/tests/simulation/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store in memory, with its faults.
+//! In-memory store with fault injection.
 
 use rampthread_core::config::ConfigState;
 use rampthread_core::fleet::{SharedBytes, StoreAnswer, StoreFailure, StoreRequest};
@@ -24,19 +24,19 @@
     snapshot: Option<SharedBytes>,
     leases: BTreeMap<usize, (u64, Moment)>,
     next_lease: u64,
-    /// Every entry ever written, which truncation does not touch.
-    pub shadow: Vec<SharedBytes>,
+    /// Every entry ever appended. Not affected by truncation.
+    pub full_log: Vec<SharedBytes>,
     /// The state after each entry; index 0 is the empty state.
     pub states: Vec<ConfigState>,
     pub requests: u64,
 }
 
-/// What happens to a request when it reaches the store.
-pub enum Fate {
+/// How the store handles a request that has reached it.
+pub enum StoreHandling {
     Answer(Result<StoreAnswer, StoreFailure>),
-    /// A watch without news: ask again later.
+    /// A watch without new entries; the request is tried again later.
     Wait,
-    /// It takes effect later; its answer is lost now.
+    /// The request takes effect after this delay, and its answer is lost.
     Late(Duration),
 }
 
@@ -49,12 +49,12 @@
     }
 
     pub fn head(&self) -> Version {
-        Version(self.shadow.len() as u64)
+        Version(self.full_log.len() as u64)
     }
 
-    pub fn arrive(&mut self, request: &StoreRequest, now: Moment, until: Moment) -> Fate {
+    pub fn arrive(&mut self, request: &StoreRequest, now: Moment, until: Moment) -> StoreHandling {
         if self.faults.outage {
-            return Fate::Answer(Err(StoreFailure::Unknown));
+            return StoreHandling::Answer(Err(StoreFailure::Unknown));
         }
         let writes = matches!(
             request,
@@ -62,24 +62,24 @@
         );
         if writes && self.faults.lose_before > 0 {
             self.faults.lose_before -= 1;
-            return Fate::Answer(Err(StoreFailure::Unknown));
+            return StoreHandling::Answer(Err(StoreFailure::Unknown));
         }
         if writes && self.faults.late > 0 {
             self.faults.late -= 1;
-            return Fate::Late(self.faults.late_by);
+            return StoreHandling::Late(self.faults.late_by);
         }
         let answer = self.run(request, now, until);
         if writes && self.faults.lose_after > 0 {
             self.faults.lose_after -= 1;
-            return Fate::Answer(Err(StoreFailure::Unknown));
+            return StoreHandling::Answer(Err(StoreFailure::Unknown));
         }
         match answer {
-            Some(answer) => Fate::Answer(Ok(answer)),
-            None => Fate::Wait,
+            Some(answer) => StoreHandling::Answer(Ok(answer)),
+            None => StoreHandling::Wait,
         }
     }
 
-    /// Runs a request; none when a watch has no news yet.
+    /// Executes a request. Returns `None` for a watch without new entries.
     pub fn run(
         &mut self,
         request: &StoreRequest,
@@ -144,10 +144,10 @@
         assert_eq!(
             version,
             self.head().next(),
-            "a writer left a gap in the log: its state came from nowhere"
+            "a writer appended beyond the next log slot"
         );
         self.log.insert(version, entry.clone());
-        self.shadow.push(entry.clone());
+        self.full_log.push(entry.clone());
         let next = self.states.last().unwrap().apply(entry);
         self.states.push(next);
         StoreAnswer::Appended
--- a/crates/rampthread-core/tests/simulation/world.rs
+++ b/crates/rampthread-core/tests/simulation/world.rs
@@ -1,6 +1,6 @@
-//! The fleet in memory and the invariants that are checked at every step.
+//! Simulated fleet and the invariants that are checked at every step.
 
-use super::store::{Fate, SimStore};
+use super::store::{SimStore, StoreHandling};
 use super::{node_id, region, zone_of};
 use rampthread_core::config::{ConfigState, LogEntry, Outcome};
 use rampthread_core::fleet::{
@@ -52,12 +52,12 @@
 struct Slot {
     agent: Option<Agent>,
     process_epoch: u64,
-    frozen: bool,
-    /// Side of a cut; nodes on different sides do not hear each other.
-    side: u8,
-    held_back: Vec<Event>,
-    /// Highest version that any life of this id had in force.
-    highest: Version,
+    suspended: bool,
+    /// Side of the network partition. Nodes on different partition_sides cannot communicate.
+    partition_side: u8,
+    deferred_events: Vec<Event>,
+    /// Highest version that any run of this node has activated.
+    highest_version: Version,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -81,11 +81,11 @@
     defect: Option<Defect>,
     next_ticket: Ticket,
     open: BTreeMap<Ticket, OperationId>,
-    /// Last answer to each operation's latest submission.
+    /// Latest answer for each operation.
     pub answers: BTreeMap<OperationId, ProposalReply>,
-    /// Operations of which some submission ended unknown; a later `not run`
-    /// speaks of its own submission only.
-    unsure: BTreeSet<OperationId>,
+    /// Operations with a submission of unknown outcome. A later answer `NotRun` applies only to
+    /// its own submission.
+    unknown_operations: BTreeSet<OperationId>,
     pub messages: u64,
 }
 
@@ -116,17 +116,17 @@
             next_ticket: 0,
             open: BTreeMap::new(),
             answers: BTreeMap::new(),
-            unsure: BTreeSet::new(),
+            unknown_operations: BTreeSet::new(),
             messages: 0,
         };
         for index in 0..nodes {
             world.slots.push(Slot {
                 agent: None,
                 process_epoch: 0,
-                frozen: false,
-                side: 0,
-                held_back: Vec::new(),
-                highest: Version::ZERO,
+                suspended: false,
+                partition_side: 0,
+                deferred_events: Vec::new(),
+                highest_version: Version::ZERO,
             });
             world.start(index);
         }
@@ -141,7 +141,7 @@
         self.slots[node].agent.as_ref()
     }
 
-    // ---- faults ----
+    // ---- fault injection ----
 
     pub fn start(&mut self, node: usize) {
         if self.slots[node].agent.is_some() {
@@ -162,7 +162,7 @@
         agent.set_defect(self.defect);
         self.slots[node].agent = Some(agent);
         self.slots[node].process_epoch = process_epoch;
-        self.slots[node].frozen = false;
+        self.slots[node].suspended = false;
         let offset = Duration::from_millis(self.rng.random_range(0..100));
         self.schedule(
             offset,
@@ -173,41 +173,41 @@
         );
     }
 
-    /// The process dies; all its memory is lost.
+    /// Kills the process; its memory is lost.
     pub fn crash(&mut self, node: usize) {
         self.slots[node].agent = None;
-        self.slots[node].frozen = false;
-        self.slots[node].held_back.clear();
+        self.slots[node].suspended = false;
+        self.slots[node].deferred_events.clear();
     }
 
-    pub fn freeze(&mut self, node: usize) {
-        self.slots[node].frozen = self.slots[node].agent.is_some();
+    pub fn suspend(&mut self, node: usize) {
+        self.slots[node].suspended = self.slots[node].agent.is_some();
     }
 
-    pub fn thaw(&mut self, node: usize) {
-        self.slots[node].frozen = false;
-        for event in std::mem::take(&mut self.slots[node].held_back) {
+    pub fn resume(&mut self, node: usize) {
+        self.slots[node].suspended = false;
+        for event in std::mem::take(&mut self.slots[node].deferred_events) {
             self.schedule(Duration::ZERO, event);
         }
     }
 
-    pub fn cut(&mut self, sides: u64) {
+    pub fn partition(&mut self, partition_sides: u64) {
         for (index, slot) in self.slots.iter_mut().enumerate() {
-            slot.side = ((sides >> index) & 1) as u8;
+            slot.partition_side = ((partition_sides >> index) & 1) as u8;
         }
     }
 
-    pub fn stop_faults(&mut self) {
+    pub fn end_faults(&mut self) {
         self.network = NetworkFaults::default();
         self.store.faults = Default::default();
-        self.cut(0);
+        self.partition(0);
         for node in 0..self.len() {
-            self.thaw(node);
+            self.resume(node);
             self.start(node);
         }
     }
 
-    /// Switches a deliberate fault on in every process, present and future.
+    /// Sets a deliberate defect in all running processes and in those started later.
     pub fn set_defect(&mut self, defect: Option<Defect>) {
         self.defect = defect;
         for agent in self.slots.iter_mut().filter_map(|slot| slot.agent.as_mut()) {
@@ -218,7 +218,7 @@
     // ---- operators ----
 
     pub fn propose(&mut self, node: usize, entry: &LogEntry) {
-        if self.slots[node].frozen || self.slots[node].agent.is_none() {
+        if self.slots[node].suspended || self.slots[node].agent.is_none() {
             return;
         }
         self.next_ticket += 1;
@@ -231,7 +231,7 @@
         self.perform(node, actions);
     }
 
-    /// Operations whose latest submission still waits for an answer.
+    /// Returns true if the latest submission of the operation has no answer yet.
     pub fn is_open(&self, operation: &OperationId) -> bool {
         self.open.values().any(|open| open == operation)
     }
@@ -268,8 +268,8 @@
                 if !self.is_live(node, process_epoch) {
                     return;
                 }
-                if self.slots[node].frozen {
-                    self.slots[node].held_back.push(Event::Tick {
+                if self.slots[node].suspended {
+                    self.slots[node].deferred_events.push(Event::Tick {
                         node,
                         process_epoch,
                     });
@@ -287,9 +287,9 @@
                 );
             }
             Event::Deliver { to, envelope } => {
-                if self.slots[to].frozen {
+                if self.slots[to].suspended {
                     self.slots[to]
-                        .held_back
+                        .deferred_events
                         .push(Event::Deliver { to, envelope });
                     return;
                 }
@@ -321,14 +321,14 @@
                 if !self.is_live(node, process_epoch) {
                     return;
                 }
-                if self.slots[node].frozen {
+                if self.slots[node].suspended {
                     let event = Event::StoreAnswers {
                         node,
                         process_epoch,
                         id,
                         result,
                     };
-                    self.slots[node].held_back.push(event);
+                    self.slots[node].deferred_events.push(event);
                     return;
                 }
                 let now = self.now;
@@ -351,11 +351,11 @@
         request: StoreRequest,
         until: Moment,
     ) {
-        let back = self.store_delay();
+        let delay = self.store_delay();
         match self.store.arrive(&request, self.now, until) {
-            Fate::Answer(result) => {
+            StoreHandling::Answer(result) => {
                 self.schedule(
-                    back,
+                    delay,
                     Event::StoreAnswers {
                         node,
                         process_epoch,
@@ -364,7 +364,7 @@
                     },
                 );
             }
-            Fate::Wait => {
+            StoreHandling::Wait => {
                 let event = Event::StoreArrives {
                     node,
                     process_epoch,
@@ -374,11 +374,11 @@
                 };
                 self.schedule(WATCH_STEP, event);
             }
-            Fate::Late(by) => {
+            StoreHandling::Late(by) => {
                 self.schedule(by, Event::StoreRuns { request });
                 let result = Err(StoreFailure::Unknown);
                 self.schedule(
-                    back,
+                    delay,
                     Event::StoreAnswers {
                         node,
                         process_epoch,
@@ -406,7 +406,7 @@
                     request,
                 } => {
                     self.store.requests += 1;
-                    let there = self.store_delay();
+                    let delay = self.store_delay();
                     let until = match &request {
                         StoreRequest::WatchLog { wait, .. } => self.now + *wait,
                         _ => self.now,
@@ -419,14 +419,14 @@
                         request,
                         until,
                     };
-                    self.schedule(there, event);
+                    self.schedule(delay, event);
                 }
                 Action::Adopt(state) => self.check_adoption(node, &state),
                 Action::AnswerProposal { ticket, answer } => {
                     if let Some(operation) = self.open.remove(&ticket) {
                         self.check_answer(&operation, &answer);
                         if answer == ProposalReply::Unknown {
-                            self.unsure.insert(operation.clone());
+                            self.unknown_operations.insert(operation.clone());
                         }
                         self.answers.insert(operation, answer);
                     }
@@ -439,7 +439,7 @@
     fn send(&mut self, from: usize, to: &str, envelope: Envelope) {
         self.messages += 1;
         let to: usize = to.trim_start_matches("node-").parse().unwrap();
-        if self.slots[from].side != self.slots[to].side {
+        if self.slots[from].partition_side != self.slots[to].partition_side {
             return;
         }
         let draw = |rng: &mut ChaCha8Rng, percent: u32| rng.random_range(0..100) < percent;
@@ -457,15 +457,16 @@
         }
     }
 
-    /// Never backwards, never in part, never a dangling reference.
+    /// A node never goes back to an older version, and activates versions only as a whole and
+    /// without dangling references.
     fn check_adoption(&mut self, node: usize, state: &ConfigState) {
         let version = state.version();
-        let highest = self.slots[node].highest;
+        let highest_version = self.slots[node].highest_version;
         assert!(
-            version >= highest,
-            "node-{node} went back from version {highest} to {version}"
+            version >= highest_version,
+            "node-{node} went back from version {highest_version} to {version}"
         );
-        self.slots[node].highest = version;
+        self.slots[node].highest_version = version;
         let findings = state.dangling_references();
         assert!(
             findings.is_empty(),
@@ -474,11 +475,11 @@
         let expected = &self.store.states[version.0 as usize];
         assert_eq!(
             state, expected,
-            "node-{node} holds version {version} in part or altered"
+            "node-{node} holds version {version} incompletely or altered"
         );
     }
 
-    /// A decided answer says what the log says.
+    /// The answer of a decided operation must agree with the log.
     fn check_answer(&self, operation: &OperationId, answer: &ProposalReply) {
         let ProposalReply::Decided {
             version, outcome, ..
@@ -489,22 +490,22 @@
         let state = &self.store.states[version.0 as usize];
         let recorded = state
             .operation(operation)
-            .expect("a decided operation is in the log");
+            .expect("a decided operation must be in the log");
         assert_eq!(recorded.version, *version);
         assert_eq!(recorded.outcome, *outcome);
     }
 
-    /// What must hold once every fault has stopped.
-    pub fn check_end(&mut self) {
+    /// Checks the invariants that hold after all faults have ended.
+    pub fn check_final_state(&mut self) {
         for (operation, answer) in &self.answers {
-            if self.is_open(operation) || self.unsure.contains(operation) {
+            if self.is_open(operation) || self.unknown_operations.contains(operation) {
                 continue;
             }
             let written = self.times_written(operation);
             if let ProposalReply::NotRun { .. } = answer {
                 assert_eq!(
                     written, 0,
-                    "{operation} was told not run, but is in the log"
+                    "{operation} was reported as not run, but is in the log"
                 );
             }
         }
@@ -526,10 +527,10 @@
         }
     }
 
-    /// Slots that decide `operation`: at most one may take effect.
+    /// Counts the log slots with the operation. At most one of them may take effect.
     fn times_written(&self, operation: &OperationId) -> usize {
         self.store
-            .shadow
+            .full_log
             .iter()
             .filter(|bytes| {
                 LogEntry::decode(bytes).is_ok_and(|entry| entry.change.operation_id == *operation)
@@ -537,8 +538,8 @@
             .count()
     }
 
-    /// Versions at which `operation` took effect.
-    pub fn effects(&self, operation: &OperationId) -> usize {
+    /// Counts the versions at which the operation was accepted.
+    pub fn times_accepted(&self, operation: &OperationId) -> usize {
         self.store
             .states
             .iter()
--- a/crates/rampthread-core/tests/zone_directory.rs
+++ b/crates/rampthread-core/tests/zone_directory.rs
@@ -1,4 +1,4 @@
-//! One node's part in keeping its zone's snapshot, step by step.
+//! Steps of a single node that maintains the snapshot of its zone.
 
 mod mesh;
 
@@ -15,11 +15,11 @@
 use std::time::Duration;
 
 const START: Moment = Moment(3_600_000_000);
-/// Longer than a node waits before its first write, and than a change settles.
-const LONG: Duration = Duration::from_secs(10);
+/// Longer than the delay of a first write, and than the time for which a change must settle.
+const SETTLE_WAIT: Duration = Duration::from_secs(10);
 
-/// A node that is alone in its zone.
-fn alone() -> Agent {
+/// An agent without peers in its zone.
+fn lone_agent() -> Agent {
     let identity = AgentIdentity {
         id: NodeId::new("node-1").unwrap(),
         address: "127.0.0.1:1".parse().unwrap(),
@@ -34,25 +34,25 @@
     Zone::new("zone").unwrap()
 }
 
-fn look(directory: &mut ZoneDirectory, found: Option<&ZoneSnapshot>, now: Moment) {
+fn read(directory: &mut ZoneDirectory, snapshot_read: Option<&ZoneSnapshot>, now: Moment) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    directory.on_read(found, [], now, &mut rng);
+    directory.on_read(snapshot_read, [], now, &mut rng);
 }
 
-/// The write that follows an empty store, and when.
+/// Returns the write that follows a read of an empty store, and its time.
 fn first_write(directory: &mut ZoneDirectory, agent: &Agent, now: Moment) -> (ZoneWrite, Moment) {
     let mut now = now;
     for _ in 0..100 {
         match directory.next_step(now, agent.membership()) {
             Some(ZoneStep::Write(write)) => return (write, now),
-            Some(ZoneStep::Read { .. }) => look(directory, None, now),
+            Some(ZoneStep::Read { .. }) => read(directory, None, now),
             _ => now = now + Duration::from_millis(250),
         }
     }
-    panic!("nothing is written");
+    panic!("no snapshot was written");
 }
 
-fn stands(write: ZoneWrite, revision: u64) -> ZoneSnapshot {
+fn stored(write: ZoneWrite, revision: u64) -> ZoneSnapshot {
     ZoneSnapshot {
         revision,
         lease: 7,
@@ -61,62 +61,67 @@
 }
 
 #[test]
-fn a_node_on_an_empty_store_writes_itself_on_the_condition_that_nobody_has() {
-    let (agent, mut directory) = (alone(), ZoneDirectory::new(zone()));
-    look(&mut directory, None, START);
+fn first_write_on_an_empty_store_is_conditional() {
+    let (agent, mut directory) = (lone_agent(), ZoneDirectory::new(zone()));
+    read(&mut directory, None, START);
     let (write, _) = first_write(&mut directory, &agent, START);
     assert_eq!((write.snapshot.revision, write.with_lease), (0, false));
     assert_eq!(write.snapshot.members.len(), 1);
 }
 
-/// What users would see: after an outage of the store longer than a lease, a zone of one
-/// machine is in no list any more, and machines that start do not find it.
-///
-/// Cause: only what a first read found absent was written anew.
+/// A snapshot that has expired is written again. If only a missing snapshot found by the first
+/// read led to a write, a zone with a single machine would stay unlisted after a store outage
+/// longer than the lease.
 #[rstest]
-#[case::its_lease_is_over(|directory: &mut ZoneDirectory, now| directory.on_renewed(false, now))]
-#[case::another_write_finds_none(|directory: &mut ZoneDirectory, now| directory.on_conflict(None, now))]
-fn a_snapshot_that_is_gone_is_written_again(#[case] goes: fn(&mut ZoneDirectory, Moment)) {
-    let (agent, mut directory) = (alone(), ZoneDirectory::new(zone()));
-    look(&mut directory, None, START);
+#[case::lease_expired(|directory: &mut ZoneDirectory, now| directory.on_renewed(false, now))]
+#[case::conflict_without_snapshot(|directory: &mut ZoneDirectory, now| directory.on_conflict(None, now))]
+fn expired_snapshot_is_written_again(#[case] expire: fn(&mut ZoneDirectory, Moment)) {
+    let (agent, mut directory) = (lone_agent(), ZoneDirectory::new(zone()));
+    read(&mut directory, None, START);
     let (write, now) = first_write(&mut directory, &agent, START);
-    directory.on_written(stands(write, 5), now);
-    assert_eq!(directory.next_step(now + LONG, agent.membership()), None);
-    goes(&mut directory, now + LONG);
-    let (again, _) = first_write(&mut directory, &agent, now + LONG);
+    directory.on_written(stored(write, 5), now);
+    assert_eq!(
+        directory.next_step(now + SETTLE_WAIT, agent.membership()),
+        None
+    );
+    expire(&mut directory, now + SETTLE_WAIT);
+    let (again, _) = first_write(&mut directory, &agent, now + SETTLE_WAIT);
     assert_eq!(again.snapshot.revision, 0);
 }
 
-/// A read may be older than what this node has written itself.
+/// A read may return an older snapshot than the one that this node has written.
 #[test]
-fn an_old_read_takes_nothing_back() {
-    let (agent, mut directory) = (alone(), ZoneDirectory::new(zone()));
-    look(&mut directory, None, START);
+fn stale_read_is_ignored() {
+    let (agent, mut directory) = (lone_agent(), ZoneDirectory::new(zone()));
+    read(&mut directory, None, START);
     let (write, now) = first_write(&mut directory, &agent, START);
     let older = ZoneSnapshot {
         revision: 3,
         lease: 7,
         ..ZoneSnapshot::default()
     };
-    directory.on_written(stands(write, 5), now);
-    look(&mut directory, Some(&older), now);
-    look(&mut directory, None, now);
-    assert_eq!(directory.next_step(now + LONG, agent.membership()), None);
+    directory.on_written(stored(write, 5), now);
+    read(&mut directory, Some(&older), now);
+    read(&mut directory, None, now);
+    assert_eq!(
+        directory.next_step(now + SETTLE_WAIT, agent.membership()),
+        None
+    );
 }
 
-/// Nobody knows whether the write was done: it is looked at before anything is written.
+/// The outcome of the write is unknown, so the store must be read before the next write.
 #[test]
-fn after_an_unknown_write_the_store_is_looked_at() {
-    let (agent, mut directory) = (alone(), ZoneDirectory::new(zone()));
-    look(&mut directory, None, START);
+fn store_is_read_after_a_write_with_unknown_outcome() {
+    let (agent, mut directory) = (lone_agent(), ZoneDirectory::new(zone()));
+    read(&mut directory, None, START);
     let (_, now) = first_write(&mut directory, &agent, START);
     directory.on_write_unknown();
     let step = directory.next_step(now, agent.membership());
     assert_eq!(step, Some(ZoneStep::Read { consistent: true }));
 }
 
-/// The snapshot that the copy holds, if any.
-fn copied(members: usize) -> ZoneSnapshot {
+/// The snapshot in the copy from which the store is restored.
+fn copied_snapshot(members: usize) -> ZoneSnapshot {
     let machine = |index: usize| Machine {
         id: NodeId::new(&format!("copied-{index}")).unwrap(),
         address: format!("127.0.0.1:{}", 100 + index).parse().unwrap(),
@@ -133,32 +138,34 @@
     }
 }
 
-/// What users would see: for up to 200 s after the store came back from an older copy,
-/// machines that start find nobody of a zone.
-///
-/// Cause: the snapshot was believed stored until the next renewal of its lease.
+/// After a restore of the store from an older copy, the snapshot is read and written at once.
+/// If the node waited for the next renewal of its lease, new machines would not find the zone
+/// for up to 200 s.
 #[rstest]
 #[case::the_copy_is_empty(None, 0)]
-#[case::the_copy_is_older(Some(copied(2)), 3)]
-fn after_a_restore_the_snapshot_is_looked_at_and_written_again(
+#[case::the_copy_is_older(Some(copied_snapshot(2)), 3)]
+fn snapshot_is_read_and_written_after_a_restore(
     #[case] copy: Option<ZoneSnapshot>,
     #[case] revision: u64,
 ) {
-    let (agent, mut directory) = (alone(), ZoneDirectory::new(zone()));
-    look(&mut directory, None, START);
+    let (agent, mut directory) = (lone_agent(), ZoneDirectory::new(zone()));
+    read(&mut directory, None, START);
     let (write, now) = first_write(&mut directory, &agent, START);
-    directory.on_written(stands(write, 5), now);
-    assert_eq!(directory.next_step(now + LONG, agent.membership()), None);
-    let mut now = now + LONG;
+    directory.on_written(stored(write, 5), now);
+    assert_eq!(
+        directory.next_step(now + SETTLE_WAIT, agent.membership()),
+        None
+    );
+    let mut now = now + SETTLE_WAIT;
     directory.on_store_restored(now);
     let step = directory.next_step(now, agent.membership());
     assert_eq!(step, Some(ZoneStep::Read { consistent: true }));
-    look(&mut directory, copy.as_ref(), now);
+    read(&mut directory, copy.as_ref(), now);
     let written = loop {
         now = now + Duration::from_millis(250);
         match directory.next_step(now, agent.membership()) {
             Some(ZoneStep::Write(write)) => break write,
-            Some(ZoneStep::Read { .. }) => look(&mut directory, copy.as_ref(), now),
+            Some(ZoneStep::Read { .. }) => read(&mut directory, copy.as_ref(), now),
             Some(step) => panic!("{step:?}"),
             None => {}
         }
@@ -177,65 +184,66 @@
     );
 }
 
-/// A member that is known from the snapshot alone, and that the copy lacks, stays.
+/// A member known only from a snapshot is kept if the restored copy lacks it.
 #[test]
-fn members_that_the_copy_lacks_are_written_again() {
-    let (agent, mut directory) = (alone(), ZoneDirectory::new(zone()));
+fn members_missing_in_the_restored_copy_are_written() {
+    let (agent, mut directory) = (lone_agent(), ZoneDirectory::new(zone()));
     let known = ZoneSnapshot {
         revision: 9,
-        ..copied(3)
+        ..copied_snapshot(3)
     };
-    look(&mut directory, Some(&known), START);
+    read(&mut directory, Some(&known), START);
     directory.on_store_restored(START);
-    let older = copied(1);
+    let older = copied_snapshot(1);
     let mut now = START;
     let written = loop {
         match directory.next_step(now, agent.membership()) {
             Some(ZoneStep::Write(write)) => break write,
-            Some(ZoneStep::Read { .. }) => look(&mut directory, Some(&older), now),
+            Some(ZoneStep::Read { .. }) => read(&mut directory, Some(&older), now),
             Some(step) => panic!("{step:?}"),
             None => now = now + Duration::from_millis(250),
         }
-        assert!(now < START + LONG, "nothing is written");
+        assert!(now < START + SETTLE_WAIT, "no snapshot was written");
     };
     assert_eq!(written.snapshot.members.len(), 4);
     assert_eq!((written.snapshot.revision, written.snapshot.lease), (3, 4));
 }
 
-/// A lease of before may be somebody else's now: it is not renewed before the store was
-/// looked at, and one that the copy holds is renewed at once, since renewals are lost.
+/// After a restore, the previous lease id may belong to another owner, so it must not be
+/// renewed. The lease of the restored copy is renewed at once, since its last renewals may be
+/// lost.
 #[test]
-fn a_lease_is_renewed_only_as_the_copy_names_it() {
-    let (agent, mut directory) = (alone(), ZoneDirectory::new(zone()));
-    look(&mut directory, None, START);
+fn lease_of_the_restored_copy_is_renewed() {
+    let (agent, mut directory) = (lone_agent(), ZoneDirectory::new(zone()));
+    read(&mut directory, None, START);
     let (write, now) = first_write(&mut directory, &agent, START);
     let copy = ZoneSnapshot {
         lease: 2,
-        ..stands(write.clone(), 3)
+        ..stored(write.clone(), 3)
     };
-    directory.on_written(stands(write, 5), now);
+    directory.on_written(stored(write, 5), now);
     directory.on_store_restored(now);
     let step = directory.next_step(now, agent.membership());
     assert_eq!(step, Some(ZoneStep::Read { consistent: true }));
-    look(&mut directory, Some(&copy), now);
+    read(&mut directory, Some(&copy), now);
     let step = directory.next_step(now, agent.membership());
     assert_eq!(step, Some(ZoneStep::Renew(2)));
 }
 
 #[rstest]
-#[case::no_leave("i-1..5", None, "i-1..5", false)]
+#[case::no_departure("i-1..5", None, "i-1..5", false)]
 #[case::of_this_start("i-1..5", Some("i-1..5"), "i-1..5", true)]
 #[case::of_an_earlier_start("i-1..5", Some("i-1..4"), "i-1..5", false)]
 #[case::of_a_later_start("i-1..5", Some("i-1..6"), "i-1..6", true)]
 #[case::starts_are_unknown("i-1", Some("i-2"), "i-2", true)]
-fn a_recorded_leave_counts_unless_it_is_known_to_be_earlier(
+fn recorded_departure_applies_unless_of_an_earlier_incarnation(
     #[case] snapshot: &str,
-    #[case] left: Option<&str>,
+    #[case] departed: Option<&str>,
     #[case] known: &str,
     #[case] draining: bool,
 ) {
     let snapshot = Some(endpoint_record(snapshot, 1, false));
-    let leaves = left.map(|left| endpoint_record(left, 2, true));
-    let taken = recorded_backend(snapshot, leaves).unwrap();
+    let departures = departed.map(|departed| endpoint_record(departed, 2, true));
+    let taken = recorded_backend(snapshot, departures).unwrap();
     assert_eq!((taken.instance.as_str(), taken.draining), (known, draining));
 }
--- a/crates/rampthread-core/tests/zone_directory_restored.rs
+++ b/crates/rampthread-core/tests/zone_directory_restored.rs
@@ -1,4 +1,4 @@
-//! The nodes of a zone keep its snapshot in a store that may come back from an older copy
+//! The nodes of a zone maintain its snapshot in a store that may be restored from an older copy
 //! at any step, and whose answers may be lost.
 
 mod mesh;
@@ -14,13 +14,13 @@
 
 const NODES: usize = 3;
 const STEP: Duration = Duration::from_millis(250);
-/// Steps between two lists of the directory by one node: 6 s.
-const LIST_STEPS: usize = 24;
-/// Steps without a fault at the end: one list of each node, a settled change, the turns
-/// of those after the writer, and a renewal that is due at once.
-const QUIET_STEPS: usize = 120;
+/// Steps between two reads of the directory by one node: 6 s.
+const READ_INTERVAL_STEPS: usize = 24;
+/// Steps without faults at the end. Enough for a read of each node, a settled change, the
+/// takeover delays of the other candidates, and a renewal that is due at once.
+const RECOVERY_STEPS: usize = 120;
 
-/// Whose a lease is.
+/// Owner of a lease in the store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Owner {
     Snapshot,
@@ -28,28 +28,28 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Content {
+struct StoreContent {
     snapshot: Option<ZoneSnapshot>,
     revision: u64,
     leases: BTreeMap<u64, Owner>,
 }
 
-impl Content {
+impl StoreContent {
     fn grant(&mut self, owner: Owner) -> u64 {
         let lease = self.leases.len() as u64 + 1;
         self.leases.insert(lease, owner);
         lease
     }
 
-    /// The snapshot as it was written; none where another one stands.
+    /// Applies a conditional write. Returns the stored snapshot, or `None` on a conflict.
     fn write(&mut self, write: &ZoneWrite) -> Option<ZoneSnapshot> {
-        let standing = self.snapshot.as_ref().map_or(0, |it| it.revision);
-        if standing != write.snapshot.revision {
+        let stored_revision = self.snapshot.as_ref().map_or(0, |it| it.revision);
+        if stored_revision != write.snapshot.revision {
             return None;
         }
-        let known = write.snapshot.lease;
-        let lease = match known != 0 && self.leases.contains_key(&known) {
-            true => known,
+        let previous_lease = write.snapshot.lease;
+        let lease = match previous_lease != 0 && self.leases.contains_key(&previous_lease) {
+            true => previous_lease,
             false => self.grant(Owner::Snapshot),
         };
         self.revision += 1;
@@ -70,7 +70,7 @@
     Restore,
     RestoreEmpty,
     LoseAnswers,
-    /// Somebody else takes a lease, and changes something.
+    /// Another client of the store takes a lease and writes.
     Other,
 }
 
@@ -85,18 +85,18 @@
     ]
 }
 
-struct Play {
+struct RestoreSimulation {
     mesh: Mesh,
     directories: Vec<ZoneDirectory>,
-    /// The era that each node has seen.
+    /// Latest era of the store known to each node.
     eras: Vec<u64>,
-    store: Content,
-    copy: Content,
+    store: StoreContent,
+    copy: StoreContent,
     era: u64,
     rng: ChaCha8Rng,
 }
 
-impl Play {
+impl RestoreSimulation {
     fn new() -> Self {
         let mut mesh = Mesh::new(NODES);
         mesh.run(Duration::from_secs(3));
@@ -107,18 +107,18 @@
                 .map(|_| ZoneDirectory::new(zone.clone()))
                 .collect(),
             eras: vec![0; NODES],
-            store: Content::default(),
-            copy: Content::default(),
+            store: StoreContent::default(),
+            copy: StoreContent::default(),
             era: 0,
             rng: ChaCha8Rng::seed_from_u64(1),
         }
     }
 
-    fn suffer(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Copy => self.copy = self.store.clone(),
             Fault::Restore => self.restore(self.copy.clone()),
-            Fault::RestoreEmpty => self.restore(Content::default()),
+            Fault::RestoreEmpty => self.restore(StoreContent::default()),
             Fault::Other => {
                 self.store.grant(Owner::Other);
                 self.store.revision += 1;
@@ -127,26 +127,31 @@
         }
     }
 
-    fn restore(&mut self, content: Content) {
+    fn restore(&mut self, content: StoreContent) {
         self.store = content;
         self.era += 1;
     }
 
-    fn step(&mut self, number: usize, lost: bool) {
+    fn step(&mut self, number: usize, answer_lost: bool) {
         self.mesh.run(STEP);
         let now = self.mesh.now;
         for node in 0..NODES {
-            if number % LIST_STEPS == node {
-                self.call(node, Some(ZoneStep::Read { consistent: false }), lost);
+            if number % READ_INTERVAL_STEPS == node {
+                self.call(
+                    node,
+                    Some(ZoneStep::Read { consistent: false }),
+                    answer_lost,
+                );
             }
             let membership = self.mesh.agents[node].membership();
             let step = self.directories[node].next_step(now, membership);
-            self.call(node, step, lost);
+            self.call(node, step, answer_lost);
         }
     }
 
-    /// A call of a node; an answer that shows a newer era is that news and nothing else.
-    fn call(&mut self, node: usize, step: Option<ZoneStep>, lost: bool) {
+    /// Performs a store call of a node. An answer with a newer era is handled only as a notice
+    /// of the restore.
+    fn call(&mut self, node: usize, step: Option<ZoneStep>, answer_lost: bool) {
         let Some(step) = step else { return };
         let now = self.mesh.now;
         let directory = &mut self.directories[node];
@@ -154,12 +159,12 @@
             ZoneStep::Write(write) => self.store.write(write),
             _ => None,
         };
-        let risen = self.eras[node] < self.era;
-        if lost || risen {
+        let has_newer_era = self.eras[node] < self.era;
+        if answer_lost || has_newer_era {
             if matches!(step, ZoneStep::Write(_)) {
                 directory.on_write_unknown();
             }
-            if risen && !lost {
+            if has_newer_era && !answer_lost {
                 self.eras[node] = self.era;
                 directory.on_store_restored(now);
             }
@@ -167,8 +172,8 @@
         }
         match (step, written) {
             (ZoneStep::Read { .. }, _) => {
-                let found = self.store.snapshot.as_ref();
-                directory.on_read(found, [], now, &mut self.rng);
+                let snapshot = self.store.snapshot.as_ref();
+                directory.on_read(snapshot, [], now, &mut self.rng);
             }
             (ZoneStep::Write(_), Some(written)) => directory.on_written(written, now),
             (ZoneStep::Write(_), None) => {
@@ -184,22 +189,22 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// Whatever the store lost, soon after the last fault it holds all nodes of the zone
-    /// again, at the latest when each of them has listed the directory once.
+    /// Whatever the store has lost, its snapshot contains all nodes of the zone soon after the
+    /// last fault, at the latest after each node has read the directory once.
     #[test]
-    fn the_zone_stands_whole_in_the_store_again(
+    fn snapshot_is_complete_again_after_faults(
         faults in prop::collection::vec(fault(), 0..80),
     ) {
-        let mut play = Play::new();
+        let mut simulation = RestoreSimulation::new();
         for (number, fault) in faults.iter().enumerate() {
-            play.suffer(*fault);
-            play.step(number, matches!(fault, Fault::LoseAnswers));
+            simulation.inject(*fault);
+            simulation.step(number, matches!(fault, Fault::LoseAnswers));
         }
-        for number in 0..QUIET_STEPS {
-            play.step(number, false);
+        for number in 0..RECOVERY_STEPS {
+            simulation.step(number, false);
         }
-        let snapshot = play.store.snapshot.as_ref().expect("a snapshot");
+        let snapshot = simulation.store.snapshot.as_ref().expect("a snapshot");
         prop_assert_eq!(snapshot.members.len(), NODES);
-        prop_assert!(play.store.leases.contains_key(&snapshot.lease));
+        prop_assert!(simulation.store.leases.contains_key(&snapshot.lease));
     }
 }
