--- a/crates/rampthread-core/src/call/quota/bucket.rs
+++ b/crates/rampthread-core/src/call/quota/bucket.rs
@@ -1,56 +1,59 @@
-//! A token bucket that may hold less than one token.
+//! Token bucket for rates so low that it often holds less than one token.
 
 use crate::config::RateLimit;
 use crate::time::Moment;
 
-/// Fills with its rate up to its depth. A request takes one token; where less than one is
-/// there, it is admitted with that chance and the rest is owed, so that a node with a
-/// small part of a limit admits that part in the mean, and many of them together too.
+/// Refills at the limit's rate up to its burst. With less than one token left, a request is
+/// admitted with a probability equal to the level and the missing remainder is borrowed.
+/// Nodes with a small fraction of a limit thus admit that fraction on average, alone and in
+/// sum.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Bucket {
     limit: RateLimit,
     level: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl Bucket {
-    /// A bucket that holds `level`, and no more than its burst.
+    /// Creates a bucket with `level` tokens, capped at the limit's burst.
     pub(super) fn new(limit: RateLimit, level: f64, now: Moment) -> Self {
         Self {
             limit,
             level: level.min(limit.burst),
-            at: now,
+            updated_at: now,
         }
     }
 
-    /// Takes over another limit; what is in it beyond that is lost. What is owed is no
-    /// more than `window` seconds of requests.
-    pub(super) fn set_limit(&mut self, limit: RateLimit, window: f64, now: Moment) {
-        self.fill(now);
+    /// Applies another limit and discards tokens beyond its burst. A token deficit is
+    /// capped at the requests that the limit admits in `window_secs` seconds.
+    pub(super) fn set_limit(&mut self, limit: RateLimit, window_secs: f64, now: Moment) {
+        self.refill(now);
         self.limit = limit;
-        let most_owed = limit.rate * window + limit.burst + 1.0;
-        self.level = self.level.clamp(-most_owed, limit.burst);
+        let max_deficit = limit.rate * window_secs + limit.burst + 1.0;
+        self.level = self.level.clamp(-max_deficit, limit.burst);
     }
 
-    fn fill(&mut self, now: Moment) {
-        let passed = now.since(self.at).as_secs_f64();
+    fn refill(&mut self, now: Moment) {
+        let passed = now.since(self.updated_at).as_secs_f64();
         self.level = (self.level + self.limit.rate * passed).min(self.limit.burst);
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// True when there is a token; `draw` is a number from 0 to 1 by chance.
-    pub(super) fn has(&mut self, now: Moment, draw: f64) -> bool {
-        self.fill(now);
+    /// Returns whether a request may take a token; `draw` is uniformly random in
+    /// `0.0..1.0`.
+    pub(super) fn has_token(&mut self, now: Moment, draw: f64) -> bool {
+        self.refill(now);
         draw < self.level
     }
 
-    /// Takes a token, whether it is there or not.
+    /// Takes one token. The level may become negative: a deficit that later refills make up
+    /// for.
     pub(super) fn take(&mut self, now: Moment) {
-        self.fill(now);
+        self.refill(now);
         self.level -= 1.0;
     }
 
-    /// Gives a token back.
+    /// Returns the token of a request that did not run; the level stays within the burst.
     pub(super) fn refund(&mut self) {
         self.level = (self.level + 1.0).min(self.limit.burst);
     }
--- a/crates/rampthread-core/src/call/quota/decaying_rate.rs
+++ b/crates/rampthread-core/src/call/quota/decaying_rate.rs
@@ -1,38 +1,39 @@
-//! A rate of events that forgets.
+//! Exponentially decaying event rates.
 
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Weight of a new value in a mean with this memory, after `passed`.
-pub(super) fn weight_after(passed: Duration, memory: Duration) -> f64 {
-    1.0 - (-passed.as_secs_f64() / memory.as_secs_f64()).exp()
+/// Weight of a new sample in an exponentially weighted mean with time constant
+/// `time_constant`, `passed` after the previous sample.
+pub(super) fn weight_after(passed: Duration, time_constant: Duration) -> f64 {
+    1.0 - (-passed.as_secs_f64() / time_constant.as_secs_f64()).exp()
 }
 
-/// Events a second, each weighed by its age: after `memory` one counts by 1/e.
+/// Events per second, exponentially weighted with a time constant in seconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DecayingRate {
-    memory: f64,
+    time_constant: f64,
     rate: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl DecayingRate {
-    pub(super) fn new(memory: Duration, now: Moment) -> Self {
+    pub(super) fn new(time_constant: Duration, now: Moment) -> Self {
         Self {
-            memory: memory.as_secs_f64(),
+            time_constant: time_constant.as_secs_f64(),
             rate: 0.0,
-            at: now,
+            updated_at: now,
         }
     }
 
-    /// Counts events; a negative number takes earlier ones back.
+    /// Counts events; a negative number takes back events counted earlier.
     pub(super) fn count(&mut self, events: f64, now: Moment) {
-        self.rate = self.at(now) + events / self.memory;
-        self.at = now;
+        self.rate = self.at(now) + events / self.time_constant;
+        self.updated_at = now;
     }
 
-    /// Events a second, as of `now`.
+    /// Events per second as of `now`.
     pub(super) fn at(&self, now: Moment) -> f64 {
-        self.rate * (-now.since(self.at).as_secs_f64() / self.memory).exp()
+        self.rate * (-now.since(self.updated_at).as_secs_f64() / self.time_constant).exp()
     }
 }
--- a/crates/rampthread-core/src/call/quota/fleet_load.rs
+++ b/crates/rampthread-core/src/call/quota/fleet_load.rs
@@ -1,4 +1,4 @@
-//! What a node hears of the others, and whom it has lost sight of.
+//! Load reports of the fleet as the quota needs them, and which zones they cover.
 
 use super::limit_fraction;
 use crate::fleet::{MAX_TENANTS, TenantHash, TenantLoad, ZoneLoad, load_interval};
@@ -7,47 +7,50 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// A node that has no news of its own zone for this long keeps to its own part, and longer
-/// where two intervals, with one message lost, take more.
-const SILENT: Duration = Duration::from_millis(1_200);
-/// What another zone told counts for this long, and longer where two intervals of both
-/// zones take more: it comes by two speakers.
-const FRESH: Duration = Duration::from_secs(2);
-/// Intervals that news may take.
-const NEWS_INTERVALS: u32 = 2;
-/// Time between an interval's end and the look at the news, at most.
-const LOOK: Duration = Duration::from_millis(200);
-/// A node that has just started waits this long for its first news.
-const FIRST_NEWS: Duration = Duration::from_millis(600);
-/// A zone that was not heard for this long is taken for gone.
-const GONE: Duration = Duration::from_secs(600);
+/// Age of the own zone's latest report after which a node uses only its own fraction of a
+/// limit. Extended where two report intervals take longer, so that one lost message is
+/// tolerated.
+const OWN_ZONE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Age up to which the report of another zone counts. Extended where two report intervals
+/// of both zones take longer, since reports pass through the aggregators of both (the nodes
+/// that sum up a zone's load).
+const ZONE_REPORT_TTL: Duration = Duration::from_secs(2);
+/// Report intervals after which a report is overdue.
+const TOLERATED_INTERVALS: u32 = 2;
+/// Maximum time between the end of a report interval and the next evaluation.
+const EVALUATION_DELAY: Duration = Duration::from_millis(200);
+/// Time for which a node that has just started waits for the first report.
+const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Age of the last report after which a zone is considered removed.
+const ZONE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Nodes of each zone, as the membership knows them: those that answer and those that
-/// ended without a word, or are cut off.
+/// Number of nodes per zone, from the membership: reachable ones, and those that failed or
+/// are partitioned without having left.
 pub type ZoneMemberCounts = BTreeMap<Zone, u32>;
 
-/// What is known of the fleet now.
+/// The current load reports and membership, as input of
+/// [`TenantQuotas::update`](super::TenantQuotas::update).
 #[derive(Debug, Clone, Copy)]
 pub struct FleetLoadSnapshot<'a> {
-    /// The zones with what they have told, and its age now.
+    /// The latest report of each zone, with its present age.
     pub zones: &'a [ZoneLoad],
     /// The zone of this node.
     pub own_zone: &'a Zone,
-    /// The nodes of every zone.
+    /// The node counts of all zones.
     pub members: &'a ZoneMemberCounts,
 }
 
-/// Sums over some zones.
+/// One tenant's load, summed over zones.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Sum {
-    /// Requests asked a second.
-    pub(super) asked: f64,
-    /// Requests admitted a second.
-    pub(super) admitted: f64,
-    /// Mean age of what was told.
-    pub(super) age: Duration,
-    /// The own zone tells of the tenant.
-    pub(super) listed: bool,
+pub(super) struct TenantLoadSum {
+    /// Requests of the tenant received per second.
+    pub(super) demand_rps: f64,
+    /// Requests of the tenant admitted per second.
+    pub(super) admitted_rps: f64,
+    /// Mean age of the summed reports.
+    pub(super) report_age: Duration,
+    /// Whether the report of this node's own zone lists the tenant.
+    pub(super) in_own_zone_report: bool,
 }
 
 impl FleetLoadSnapshot<'_> {
@@ -55,203 +58,231 @@
         self.members.get(zone).copied().unwrap_or(0)
     }
 
-    /// Time between two messages within `zone`.
+    /// Expected time between two load reports within `zone`.
     fn interval(&self, zone: &Zone) -> Duration {
         load_interval(self.members_of(zone))
     }
 
-    /// Age of the news of its own zone from which on a node keeps to its own part.
-    fn silent_after(&self) -> Duration {
-        SILENT.max(self.interval(self.own_zone) * NEWS_INTERVALS + LOOK)
+    /// Age of the own zone's report from which on a node uses only its own fraction.
+    fn own_zone_timeout(&self) -> Duration {
+        OWN_ZONE_TIMEOUT.max(self.interval(self.own_zone) * TOLERATED_INTERVALS + EVALUATION_DELAY)
     }
 
-    /// Age until which what `zone` told counts.
-    fn fresh_for(&self, zone: &Zone) -> Duration {
+    /// Age from which on a report of `zone` no longer counts.
+    fn report_ttl(&self, zone: &Zone) -> Duration {
         let both = self.interval(zone) + self.interval(self.own_zone);
-        FRESH.max(both * NEWS_INTERVALS + LOOK)
+        ZONE_REPORT_TTL.max(both * TOLERATED_INTERVALS + EVALUATION_DELAY)
     }
 
-    /// True while what `zone` told counts.
+    /// Returns whether the report of `zone` is recent enough to count.
     pub(super) fn is_fresh(&self, zone: &ZoneLoad) -> bool {
-        zone.age < self.fresh_for(&zone.zone)
+        zone.age < self.report_ttl(&zone.zone)
     }
 }
 
-/// The news by tenant.
+/// Load reports indexed by tenant.
 pub(super) struct LoadByTenant<'a> {
-    pub(super) news: &'a FleetLoadSnapshot<'a>,
+    pub(super) snapshot: &'a FleetLoadSnapshot<'a>,
     loads: HashMap<TenantHash, Vec<(&'a ZoneLoad, &'a TenantLoad)>>,
-    /// Mean age of the zones that are heard.
-    age: Duration,
+    /// Mean age of the reports that are recent enough to count.
+    mean_age: Duration,
 }
 
 impl<'a> LoadByTenant<'a> {
-    pub(super) fn new(news: &'a FleetLoadSnapshot<'a>) -> Self {
+    pub(super) fn new(snapshot: &'a FleetLoadSnapshot<'a>) -> Self {
         let mut loads: HashMap<TenantHash, Vec<_>> = HashMap::new();
-        for zone in news.zones {
+        for zone in snapshot.zones {
             for load in &zone.tenants {
                 loads.entry(load.tenant).or_default().push((zone, load));
             }
         }
-        let ages: Vec<Duration> = news
+        let ages: Vec<Duration> = snapshot
             .zones
             .iter()
-            .filter(|zone| news.is_fresh(zone))
+            .filter(|zone| snapshot.is_fresh(zone))
             .map(|zone| zone.age)
             .collect();
-        let age = ages.iter().sum::<Duration>() / ages.len().max(1) as u32;
-        Self { news, loads, age }
+        let mean_age = ages.iter().sum::<Duration>() / ages.len().max(1) as u32;
+        Self {
+            snapshot,
+            loads,
+            mean_age,
+        }
     }
 
-    /// True when a tenant that is not named asks for little: no zone had to leave one out.
-    pub(super) fn names_all(&self) -> bool {
-        let zones = &self.news.zones;
+    /// Returns whether no report was truncated, so that a tenant without an entry has
+    /// little traffic.
+    pub(super) fn is_complete(&self) -> bool {
+        let zones = &self.snapshot.zones;
         zones.iter().all(|zone| zone.tenants.len() < MAX_TENANTS)
     }
 
-    /// All tenants that zones tell of.
+    /// Tenants with an entry in any report.
     pub(super) fn tenants(&self) -> impl Iterator<Item = TenantHash> {
         self.loads.keys().copied()
     }
 
-    /// What the zones that are heard tell together of one tenant.
-    pub(super) fn sum(&self, tag: TenantHash) -> Sum {
-        let mut sum = Sum {
-            age: self.age,
-            ..Sum::default()
+    /// Sums a tenant's load over all recent reports.
+    pub(super) fn sum(&self, tag: TenantHash) -> TenantLoadSum {
+        let mut sum = TenantLoadSum {
+            report_age: self.mean_age,
+            ..TenantLoadSum::default()
         };
-        let told = self.loads.get(&tag).into_iter().flatten();
-        for (zone, load) in told.filter(|(zone, _)| self.news.is_fresh(zone)) {
-            sum.asked += requests(load.requested_millirps);
-            sum.admitted += requests(load.admitted_millirps);
-            sum.listed |= zone.zone == *self.news.own_zone;
+        let entries = self.loads.get(&tag).into_iter().flatten();
+        for (zone, load) in entries.filter(|(zone, _)| self.snapshot.is_fresh(zone)) {
+            sum.demand_rps += from_millirps(load.requested_millirps);
+            sum.admitted_rps += from_millirps(load.admitted_millirps);
+            sum.in_own_zone_report |= zone.zone == *self.snapshot.own_zone;
         }
         sum
     }
 
-    /// What one zone told of a tenant: requests asked and admitted a second.
-    pub(super) fn of_zone(&self, tag: TenantHash, zone: &Zone) -> (f64, f64) {
-        let told = self.loads.get(&tag).into_iter().flatten();
-        let mut told = told.filter(|(of, _)| of.zone == *zone);
-        told.next().map_or((0.0, 0.0), |(_, load)| {
+    /// Requests of the tenant that one zone received and admitted per second, as in its
+    /// report.
+    pub(super) fn zone_load(&self, tag: TenantHash, zone: &Zone) -> (f64, f64) {
+        let entries = self.loads.get(&tag).into_iter().flatten();
+        let mut entries = entries.filter(|(report, _)| report.zone == *zone);
+        entries.next().map_or((0.0, 0.0), |(_, load)| {
             (
-                requests(load.requested_millirps),
-                requests(load.admitted_millirps),
+                from_millirps(load.requested_millirps),
+                from_millirps(load.admitted_millirps),
             )
         })
     }
 }
 
-fn requests(thousandths: u32) -> f64 {
-    f64::from(thousandths) / 1_000.0
+fn from_millirps(millirps: u32) -> f64 {
+    f64::from(millirps) / 1_000.0
 }
 
-/// Which zones this node hears, and how many nodes that are.
+/// Which zones have recent reports, and the fraction of the fleet that these cover.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct Reach {
-    /// Its own zone is heard.
-    pub(super) own: bool,
-    /// It never was so far.
-    pub(super) awaited: bool,
-    /// Zones that it has lost sight of.
-    pub(super) lost: Vec<Zone>,
-    /// Zones with members that have told nothing so far, and when they count as lost.
-    unheard: BTreeMap<Zone, Moment>,
-    /// When this node began to listen.
+pub(super) struct ReportCoverage {
+    /// Whether this node's own zone has a recent report.
+    pub(super) own_zone_reporting: bool,
+    /// Whether the own zone's first report is still awaited.
+    pub(super) awaiting_first_report: bool,
+    /// Unreachable zones, sorted.
+    pub(super) unreachable_zones: Vec<Zone>,
+    /// Zones with members but without any report, and when each counts as unreachable.
+    missing_zones: BTreeMap<Zone, Moment>,
+    /// When this node began to receive reports.
     started: Moment,
-    /// Members of the zones that it hears, as a part of all.
-    pub(super) by_number: f64,
-    /// Nodes that the sums speak of, as a part of those members.
-    pub(super) covered: f64,
-    /// The same in its own zone.
-    pub(super) own_covered: f64,
-    /// Members of all zones, this node at least.
-    pub(super) members: u32,
-    /// When it last lost or regained sight of somebody.
-    pub(super) since: Moment,
+    /// Members of the reachable zones, as a fraction of all members.
+    pub(super) reachable_ratio: f64,
+    /// Nodes included in the reports of the reachable zones, as a fraction of these zones'
+    /// members.
+    pub(super) reported_ratio: f64,
+    /// Nodes included in the own zone's report, as a fraction of that zone's members.
+    pub(super) own_zone_reported_ratio: f64,
+    /// Members of all zones; at least 1.
+    pub(super) member_count: u32,
+    /// When a zone last became unreachable or reachable again.
+    pub(super) changed_at: Moment,
 }
 
-impl Reach {
-    /// Nobody was heard yet: the node has just started, and takes itself for one that
-    /// will be told in time.
-    pub(super) fn unknown(now: Moment) -> Self {
+impl ReportCoverage {
+    /// State of a node that has just started. It assumes that reports will arrive in time.
+    pub(super) fn initial(now: Moment) -> Self {
         Self {
-            own: true,
-            awaited: true,
-            lost: Vec::new(),
-            unheard: BTreeMap::new(),
+            own_zone_reporting: true,
+            awaiting_first_report: true,
+            unreachable_zones: Vec::new(),
+            missing_zones: BTreeMap::new(),
             started: now,
-            by_number: 1.0,
-            covered: 1.0,
-            own_covered: 1.0,
-            members: 1,
-            since: now,
+            reachable_ratio: 1.0,
+            reported_ratio: 1.0,
+            own_zone_reported_ratio: 1.0,
+            member_count: 1,
+            changed_at: now,
         }
     }
 
-    /// True when all zones are heard, with nearly all of their nodes.
-    pub(super) fn is_whole(&self) -> bool {
-        let heard = self.own && !self.awaited;
-        let all = self.lost.is_empty() && self.unheard.is_empty();
-        heard && all && limit_fraction::of_covered(self) >= 1.0
+    /// Returns whether the reports cover all zones and nearly all of their nodes.
+    pub(super) fn is_complete(&self) -> bool {
+        let own_zone = self.own_zone_reporting && !self.awaiting_first_report;
+        let others = self.unreachable_zones.is_empty() && self.missing_zones.is_empty();
+        own_zone && others && limit_fraction::reported_ratio(self) >= 1.0
     }
 
-    /// The reach by later news.
-    pub(super) fn next(&self, news: &FleetLoadSnapshot<'_>, now: Moment) -> Self {
-        let known = || news.zones.iter().filter(|zone| zone.age < GONE);
-        let heard = || known().filter(|zone| news.is_fresh(zone));
-        let silent = known().filter(|zone| !news.is_fresh(zone));
-        let unheard = self.unheard_by(news, now);
-        let overdue = unheard.iter().filter(|(_, due)| **due <= now);
-        let mut lost: Vec<Zone> = silent.map(|zone| zone.zone.clone()).collect();
-        lost.extend(overdue.map(|(zone, _)| zone.clone()));
-        lost.sort();
-        let own = known().find(|zone| zone.zone == *news.own_zone);
-        let members = news.members.values().sum::<u32>().max(1);
-        let heard_members: u32 = heard().map(|zone| news.members_of(&zone.zone)).sum();
-        let told: u32 = heard().map(|zone| zone.nodes).sum();
-        let waits = self.awaited && now.since(self.since) < FIRST_NEWS;
+    /// Computes the coverage from the latest reports.
+    pub(super) fn updated(&self, snapshot: &FleetLoadSnapshot<'_>, now: Moment) -> Self {
+        let retained = || {
+            snapshot
+                .zones
+                .iter()
+                .filter(|zone| zone.age < ZONE_RETENTION)
+        };
+        let reporting = || retained().filter(|zone| snapshot.is_fresh(zone));
+        let expired = retained().filter(|zone| !snapshot.is_fresh(zone));
+        let missing_zones = self.find_missing_zones(snapshot, now);
+        let overdue = missing_zones
+            .iter()
+            .filter(|(_, deadline)| **deadline <= now);
+        let mut unreachable_zones: Vec<Zone> = expired.map(|zone| zone.zone.clone()).collect();
+        unreachable_zones.extend(overdue.map(|(zone, _)| zone.clone()));
+        unreachable_zones.sort();
+        let own = retained().find(|zone| zone.zone == *snapshot.own_zone);
+        let member_count = snapshot.members.values().sum::<u32>().max(1);
+        let reachable_members: u32 = reporting()
+            .map(|zone| snapshot.members_of(&zone.zone))
+            .sum();
+        let reported_nodes: u32 = reporting().map(|zone| zone.nodes).sum();
+        let may_still_arrive =
+            self.awaiting_first_report && now.since(self.changed_at) < FIRST_REPORT_TIMEOUT;
         let next = Self {
-            own: own.map_or(waits, |zone| zone.age < news.silent_after()),
-            awaited: self.awaited && own.is_none(),
-            lost,
-            unheard,
+            own_zone_reporting: own.map_or(may_still_arrive, |zone| {
+                zone.age < snapshot.own_zone_timeout()
+            }),
+            awaiting_first_report: self.awaiting_first_report && own.is_none(),
+            unreachable_zones,
+            missing_zones,
             started: self.started,
-            by_number: portion(heard_members, members),
-            covered: portion(told, heard_members),
-            own_covered: own.map_or(1.0, |zone| portion(zone.nodes, news.members_of(&zone.zone))),
-            members,
-            since: self.since,
+            reachable_ratio: ratio(reachable_members, member_count),
+            reported_ratio: ratio(reported_nodes, reachable_members),
+            own_zone_reported_ratio: own.map_or(1.0, |zone| {
+                ratio(zone.nodes, snapshot.members_of(&zone.zone))
+            }),
+            member_count,
+            changed_at: self.changed_at,
         };
-        let same = (&next.lost, next.own) == (&self.lost, self.own);
-        match same || next.awaited {
+        let unchanged = (&next.unreachable_zones, next.own_zone_reporting)
+            == (&self.unreachable_zones, self.own_zone_reporting);
+        match unchanged || next.awaiting_first_report {
             true => next,
-            false => Self { since: now, ..next },
+            false => Self {
+                changed_at: now,
+                ..next
+            },
         }
     }
 
-    /// The zones with members that are in no news, and when each counts as lost.
-    fn unheard_by(&self, news: &FleetLoadSnapshot<'_>, now: Moment) -> BTreeMap<Zone, Moment> {
-        let starting = now.since(self.started) < FRESH;
-        let due_of = |zone: &Zone| match starting {
-            true => now + FIRST_NEWS,
-            false => now + news.fresh_for(zone),
+    /// Zones with members but without any report, and when each counts as unreachable.
+    fn find_missing_zones(
+        &self,
+        snapshot: &FleetLoadSnapshot<'_>,
+        now: Moment,
+    ) -> BTreeMap<Zone, Moment> {
+        let starting = now.since(self.started) < ZONE_REPORT_TTL;
+        let deadline_of = |zone: &Zone| match starting {
+            true => now + FIRST_REPORT_TIMEOUT,
+            false => now + snapshot.report_ttl(zone),
         };
-        let told = |zone: &Zone| news.zones.iter().any(|told| told.zone == *zone);
-        let members = news.members.iter().filter(|(_, members)| **members > 0);
+        let has_report = |zone: &Zone| snapshot.zones.iter().any(|report| report.zone == *zone);
+        let members = snapshot.members.iter().filter(|(_, members)| **members > 0);
         members
-            .filter(|(zone, _)| *zone != news.own_zone && !told(zone))
+            .filter(|(zone, _)| *zone != snapshot.own_zone && !has_report(zone))
             .map(|(zone, _)| {
-                let due = self.unheard.get(zone).copied();
-                (zone.clone(), due.unwrap_or_else(|| due_of(zone)))
+                let deadline = self.missing_zones.get(zone).copied();
+                (zone.clone(), deadline.unwrap_or_else(|| deadline_of(zone)))
             })
             .collect()
     }
 }
 
-fn portion(some: u32, all: u32) -> f64 {
-    if all == 0 {
+fn ratio(part: u32, whole: u32) -> f64 {
+    if whole == 0 {
         return 1.0;
     }
-    (f64::from(some) / f64::from(all)).min(1.0)
+    (f64::from(part) / f64::from(whole)).min(1.0)
 }
--- a/crates/rampthread-core/src/call/quota/limit_fraction.rs
+++ b/crates/rampthread-core/src/call/quota/limit_fraction.rs
@@ -1,52 +1,59 @@
-//! The part of a limit that a node may count on, alone or with those it hears.
+//! The fraction of a limit that a partition of the fleet (the nodes that reach each other),
+//! or one node, may use.
 //!
-//! Nodes that lose sight of each other cannot tell what the others admit. Each side keeps
-//! to the part of the limit that its own requests had of all when both were last heard, so
-//! that the parts make up one limit, and that part stays what it is until they hear each
-//! other again. A node that hears nobody is a side of its own.
+//! Nodes that cannot reach each other don't know what the others admit. Each partition
+//! keeps to the fraction of the limit that corresponds to its fraction of the requests when
+//! all nodes were last reachable. The fractions add up to one limit and stay fixed until
+//! the partitions are joined again. A node without reports is a partition of its own.
 
-use super::fleet_load::Reach;
+use super::fleet_load::ReportCoverage;
 
-/// Portion of a limit that is parted by number, whoever asked before: requests may move
-/// to another side while it is cut off.
-const BY_NUMBER: f64 = 0.25;
-/// Portion of the nodes that may be missing in the sums without any effect.
-const MISSING_UNNOTICED: f64 = 0.05;
-/// Portion of its zone that a node must hear of to count on more than its own part.
-const LEAST_COVERED: f64 = 0.4;
+/// Weight of the node count when a limit is divided; the rest goes by past demand. Allows
+/// for requests that move to another partition meanwhile.
+const NODE_COUNT_WEIGHT: f64 = 0.25;
+/// Fraction of the nodes that may be missing in the reports without any effect.
+const TOLERATED_MISSING_RATIO: f64 = 0.05;
+/// Fraction of its zone that must be covered by reports for a node to use more than its own
+/// fraction.
+const MIN_REPORTED_RATIO: f64 = 0.4;
 
-/// The part of a tenant's limit for the zones that are heard, by what they and all were
-/// usually asked.
-pub(super) fn of_zones(heard: f64, all: f64, reach: &Reach) -> f64 {
-    if reach.lost.is_empty() {
+/// Fraction of a tenant's limit for the reachable zones: `reachable_demand` is their usual demand,
+/// `total_demand` that of all zones.
+pub(super) fn of_zones(reachable_demand: f64, total_demand: f64, coverage: &ReportCoverage) -> f64 {
+    if coverage.unreachable_zones.is_empty() {
         return 1.0;
     }
-    mixed(heard, all, reach.by_number)
+    blend(reachable_demand, total_demand, coverage.reachable_ratio)
 }
 
-/// True when a node is to keep to its own part: it hears of too few others.
-pub(super) fn is_alone(reach: &Reach) -> bool {
-    !reach.own || reach.own_covered < LEAST_COVERED
+/// Returns whether a node has to fall back to its own fraction because reports cover too
+/// little of its zone.
+pub(super) fn is_isolated(coverage: &ReportCoverage) -> bool {
+    !coverage.own_zone_reporting || coverage.own_zone_reported_ratio < MIN_REPORTED_RATIO
 }
 
-/// The part of that for the nodes that the sums speak of: the others may be cut off and
-/// admit requests too.
-pub(super) fn of_covered(reach: &Reach) -> f64 {
-    if reach.covered + MISSING_UNNOTICED >= 1.0 {
+/// Factor for the nodes that the reports include. Nodes missing in the reports may be
+/// partitioned and admit requests as well.
+pub(super) fn reported_ratio(coverage: &ReportCoverage) -> f64 {
+    if coverage.reported_ratio + TOLERATED_MISSING_RATIO >= 1.0 {
         return 1.0;
     }
-    reach.covered
+    coverage.reported_ratio
 }
 
-/// The part of one node that was asked `own` of `all`.
-pub(super) fn of_node(own: f64, all: f64, reach: &Reach) -> f64 {
-    mixed(own, all, 1.0 / f64::from(reach.members))
+/// Fraction for one node that received `own_demand` of `total_demand` requests.
+pub(super) fn of_node(own_demand: f64, total_demand: f64, coverage: &ReportCoverage) -> f64 {
+    blend(
+        own_demand,
+        total_demand,
+        1.0 / f64::from(coverage.member_count),
+    )
 }
 
-fn mixed(asked: f64, all: f64, by_number: f64) -> f64 {
-    if all <= 0.0 {
-        return by_number;
+fn blend(demand: f64, total_demand: f64, by_node_count: f64) -> f64 {
+    if total_demand <= 0.0 {
+        return by_node_count;
     }
-    let by_demand = (asked / all).min(1.0);
-    by_demand * (1.0 - BY_NUMBER) + by_number * BY_NUMBER
+    let by_demand = (demand / total_demand).min(1.0);
+    by_demand * (1.0 - NODE_COUNT_WEIGHT) + by_node_count * NODE_COUNT_WEIGHT
 }
--- a/crates/rampthread-core/src/call/quota/mod.rs
+++ b/crates/rampthread-core/src/call/quota/mod.rs
@@ -1,16 +1,17 @@
-//! How many requests of a tenant one node may admit, so that all nodes together keep
-//! within the tenant's limit.
+//! Distributed rate limits: how many requests of a tenant one node may admit so that all
+//! nodes together stay within the tenant's limit.
 //!
-//! Each node knows, some tenths of a second late, how much all nodes were asked and how
-//! much they admitted ([`crate::fleet::ZoneLoad`]). From that it works out what the tenant's
-//! token bucket would hold if there were a single one, and admits each request with the
-//! same chance as all others do: what may be admitted over what is asked. A tenant with
-//! one request in some seconds at each of many nodes gets its whole limit that way, which
-//! parts of a token at each node could not give it. What was admitted before the news of
-//! a surge came is owed, and is held back within the window.
+//! Each node learns with a delay of some tenths of a second how many requests all nodes
+//! received and admitted ([`crate::fleet::ZoneLoad`]). From these load reports it computes
+//! the level of one token bucket shared by the fleet and admits each request with the same
+//! probability as every other node: the permitted rate over the requested rate. Therefore a
+//! tenant that sends few requests to each of many nodes gets its whole limit; static
+//! per-node buckets would hold less than one token each. Requests admitted before the
+//! reports of a traffic spike arrive become a token deficit, which is worked off within the
+//! window.
 //!
-//! A node that hears nothing, and zones that do not hear each other, keep to the part of
-//! the limit that they had when they last heard all.
+//! A node without reports, and zones that are partitioned from each other, keep to the
+//! fraction of the limit that they had when all of them were last reachable.
 
 mod bucket;
 mod decaying_rate;
@@ -26,78 +27,81 @@
 use crate::config::{RateLimit, Tenant};
 use crate::fleet::{TenantHash, TenantLoad};
 use crate::time::Moment;
-use fleet_load::{LoadByTenant, Reach};
+use fleet_load::{LoadByTenant, ReportCoverage};
 use rand::Rng;
 use std::collections::HashMap;
 use std::time::Duration;
 use tenant_quota::TenantQuota;
 
-/// Tenants without requests are forgotten after this time: longer than a window, so that
-/// a new record may start with a full burst.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// Idle time after which a tenant's state is dropped. Longer than a window, so that new
+/// state may start with a full burst.
+const IDLE_RETENTION: Duration = Duration::from_secs(60);
 
-/// What the fleet promises beyond the limits themselves.
+/// Tolerance with which the fleet enforces limits, from the operator's settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaPolicy {
-    /// Sliding window in which requests are counted.
+    /// Length of the sliding window in which requests are counted.
     pub window: Duration,
-    /// Part of a limit by which a window may exceed it.
+    /// Ratio of a window's requests by which it may exceed the limit.
     pub overage_ratio: f64,
-    /// Requests by which a window may exceed its limit besides.
+    /// Requests by which a window may exceed its limit in addition to the ratio.
     pub slack_requests: f64,
 }
 
 impl QuotaPolicy {
-    /// Most requests that may run in a window.
+    /// Maximum number of requests that may run in one window.
     pub fn max_requests_in_window(&self, limit: RateLimit) -> f64 {
         let requests = limit.rate * self.window.as_secs_f64() + limit.burst;
         requests * (1.0 + self.overage_ratio) + self.slack_requests
     }
 }
 
-/// One tenant as an operator sees it.
+/// State of one tenant's limit at this node, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaView {
-    /// The limit.
+    /// The configured limit.
     pub limit: RateLimit,
-    /// Requests a second that this node was asked.
+    /// Requests per second of the tenant that this node received.
     pub local_demand_rps: f64,
-    /// Requests a second that all nodes were asked, as far as this one knows.
+    /// Requests per second of the tenant that all nodes received, estimated from their
+    /// reports.
     pub fleet_demand_rps: f64,
-    /// Requests a second that all nodes admitted.
+    /// Requests per second of the tenant that all nodes admitted, from their reports.
     pub admitted_rps: f64,
-    /// Part of the requests that is admitted here.
+    /// Probability with which this node admits a request, 0 to 1.
     pub admission_probability: f64,
-    /// Requests refused here.
+    /// Requests of the tenant rejected by this node since it began to track the tenant.
     pub refused: u64,
-    /// What the share is worked out from.
+    /// Source of the data that the admission probability is computed from.
     pub basis: QuotaBasis,
 }
 
-/// The limits of all tenants, as one node keeps them.
+/// State of the limits of all active tenants at one node.
 #[derive(Debug)]
 pub struct TenantQuotas {
     policy: QuotaPolicy,
     tenants: HashMap<TenantHash, TenantQuota>,
-    reach: Reach,
+    coverage: ReportCoverage,
     started: Moment,
-    /// Since when all nodes are heard: a tenant that was not named was admitted little.
-    all_heard_since: Option<Moment>,
+    /// Since when reports cover all nodes. A tenant that they don't name had little traffic
+    /// admitted meanwhile. `None` while reports are incomplete.
+    all_reporting_since: Option<Moment>,
 }
 
 impl TenantQuotas {
-    /// Nothing is known of any tenant.
+    /// Creates the limiter of a node that has just started, without any tenant.
     pub fn new(policy: QuotaPolicy, now: Moment) -> Self {
         Self {
             policy,
             tenants: HashMap::new(),
-            reach: Reach::unknown(now),
+            coverage: ReportCoverage::initial(now),
             started: now,
-            all_heard_since: None,
+            all_reporting_since: None,
         }
     }
 
-    /// A request of `tenant` comes in. A tenant without a limit is not counted.
+    /// Decides on a request of `tenant`. Tenants without a limit are always admitted and
+    /// not counted.
     pub fn try_admit(
         &mut self,
         tenant: &Tenant,
@@ -107,80 +111,87 @@
         let Some(limit) = tenant.limit() else {
             return Ok(());
         };
-        let quiet = self.all_heard_since.map(|since| now.since(since));
+        let low_traffic_for = self.all_reporting_since.map(|since| now.since(since));
         let tag = TenantHash::of(&tenant.name);
-        let quota = self.quota(tag, limit, quiet.unwrap_or_default(), now);
+        let quota = self.quota(tag, limit, low_traffic_for.unwrap_or_default(), now);
         quota.try_admit(now, rng)
     }
 
-    /// A request that was admitted was proved not to have run.
+    /// Refunds the token of an admitted request that is known not to have run.
     pub fn refund(&mut self, tenant: TenantHash, now: Moment) {
         if let Some(quota) = self.tenants.get_mut(&tenant) {
             quota.refund(now);
         }
     }
 
-    /// Takes over what is known of the fleet; to be called often. `table` has the limits
-    /// in force: a tenant that is gone leaves nothing behind.
-    pub fn update(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
-        self.reach = self.reach.next(news, now);
-        let told = LoadByTenant::new(news);
-        for tag in told.tenants() {
+    /// Applies the latest load reports; to be called at least every few hundred
+    /// milliseconds. `table` holds the current limits: state of tenants without a limit in
+    /// it is removed.
+    pub fn update(&mut self, snapshot: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
+        self.coverage = self.coverage.updated(snapshot, now);
+        let loads = LoadByTenant::new(snapshot);
+        for tag in loads.tenants() {
             if let Some(limit) = table.limit(tag) {
                 self.quota(tag, limit, Duration::ZERO, now);
             }
         }
-        let all_heard = self.reach.is_whole() && told.names_all();
-        self.all_heard_since = all_heard.then(|| self.all_heard_since.unwrap_or(now));
-        let reach = &self.reach;
+        let all_reporting = self.coverage.is_complete() && loads.is_complete();
+        self.all_reporting_since = all_reporting.then(|| self.all_reporting_since.unwrap_or(now));
+        let coverage = &self.coverage;
         self.tenants.retain(|tag, quota| {
             let Some(limit) = table.limit(*tag) else {
                 return false;
             };
             quota.set_limit(limit);
-            quota.update(*tag, &told, reach, now);
-            quota.idle(now) < FORGET_AFTER || quota.holds_back(reach)
+            quota.update(*tag, &loads, coverage, now);
+            quota.idle_for(now) < IDLE_RETENTION || quota.has_reduced_fraction(coverage)
         });
     }
 
-    /// What this node has to tell of its tenants: those who ask for so little that the
-    /// limit would hold if all nodes were asked as much are left out.
+    /// Returns this node's load per tenant for its zone's report. Leaves out tenants with
+    /// so little traffic that the limit would hold if every node received as much.
     pub fn load_reports(&mut self, now: Moment) -> Vec<TenantLoad> {
-        let nodes = f64::from(self.reach.members);
-        let told = |(tag, quota): (&TenantHash, &mut TenantQuota)| quota.tell(*tag, nodes, now);
-        self.tenants.iter_mut().filter_map(told).collect()
+        let nodes = f64::from(self.coverage.member_count);
+        let report =
+            |(tag, quota): (&TenantHash, &mut TenantQuota)| quota.load_report(*tag, nodes, now);
+        self.tenants.iter_mut().filter_map(report).collect()
     }
 
-    /// What is known of a tenant; none while it asks for nothing.
+    /// Returns the state of a tenant, or `None` if this node has none for it.
     pub fn view(&self, tenant: TenantHash, now: Moment) -> Option<QuotaView> {
         Some(self.tenants.get(&tenant)?.view(now))
     }
 
-    /// Tenants that are kept.
+    /// Number of tenants with state at this node.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// True when no tenant is kept.
+    /// Returns whether no tenant has state at this node.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// The record of a tenant, of which little was admitted for the time `quiet`.
+    /// Returns the state of a tenant. New state assumes that little was admitted for the
+    /// time `low_traffic_for`.
     fn quota(
         &mut self,
         tag: TenantHash,
         limit: RateLimit,
-        quiet: Duration,
+        low_traffic_for: Duration,
         now: Moment,
     ) -> &mut TenantQuota {
-        let (policy, reach) = (self.policy, &self.reach);
-        // After a whole window this node would have a record of any tenant that was admitted
-        // much; before that, it does not know what ran before it started.
-        let rested = now.since(self.started) >= policy.window;
-        let quiet = if rested { policy.window } else { quiet };
+        let (policy, coverage) = (self.policy, &self.coverage);
+        // After a whole window this node has state for every tenant with much admitted
+        // traffic. Before that, it doesn't know what was admitted before it started.
+        let tracked_full_window = now.since(self.started) >= policy.window;
+        let low_traffic_for = if tracked_full_window {
+            policy.window
+        } else {
+            low_traffic_for
+        };
         self.tenants
             .entry(tag)
-            .or_insert_with(|| TenantQuota::new(policy, limit, reach, quiet, now))
+            .or_insert_with(|| TenantQuota::new(policy, limit, coverage, low_traffic_for, now))
     }
 }
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -1,9 +1,10 @@
-//! One tenant's limit at one node.
+//! State of one tenant's limit at one node: measured rates, token balance and admission
+//! probability.
 
 use super::bucket::Bucket;
 use super::decaying_rate::{DecayingRate, weight_after};
-use super::fleet_load::{LoadByTenant, Reach, Sum};
-use super::zone_balance::{USUAL, ZoneBalance};
+use super::fleet_load::{LoadByTenant, ReportCoverage, TenantLoadSum};
+use super::zone_balance::{USUAL_DEMAND_TIME_CONSTANT, ZoneBalance};
 use super::{QuotaPolicy, QuotaView, limit_fraction};
 use crate::config::RateLimit;
 use crate::fleet::{TenantHash, TenantLoad};
@@ -13,170 +14,179 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Memory of the counts that are told: short beside the time that telling takes.
-const DEMAND_WINDOW: Duration = Duration::from_millis(250);
-/// Time that counts take from a node to its zone's sum, in the mean.
-const TOLD_AFTER: Duration = Duration::from_millis(300);
-/// Time in which what the bucket holds is spent, in seconds.
-const SPEND_TIME: f64 = 1.0;
-/// Time in which what is owed is paid back, in seconds: it still counts in the window.
-const PAY_BACK_TIME: f64 = 0.4;
-/// Portion of a burst that is spent; the rest is for what comes late to a sum.
-const SPENT_BURST: f64 = 0.85;
-/// Portion of the slack that adds to a burst: few requests come as unevenly as chance has it.
-const SPENT_SLACK: f64 = 0.2;
-/// Portion of its part of the limit below which a node does not tell of a tenant.
-const UNTOLD: f64 = 0.1;
-/// Portion of all requests from which on one node decides by its own bucket: it has no
-/// need to guess what the others do.
-const NEARLY_ALL: f64 = 0.9;
-/// Memory of the portion that runs, and the least that is counted on.
-const RUN_MEMORY: Duration = Duration::from_secs(2);
-const LEAST_RUN: f64 = 0.25;
-/// A tenant that the zone's sums leave out for this long, though this node tells of it, is
-/// one of too many.
-const LEFT_OUT_AFTER: Duration = Duration::from_secs(2);
-/// Deviations by which a rate is taken to be lower than it was counted: a few requests
-/// that come together by chance are no surge.
-const DOUBT: f64 = 1.0;
-/// Least chance of admission that a count is divided by: with a smaller one, a few
-/// requests would stand for many.
-const LEAST_SHARE: f64 = 0.05;
-/// Shortest and longest wait that a refused caller is told, in seconds.
-const RETRY_WAITS: (f64, f64) = (0.1, 5.0);
+/// Time constant of the rates that a node reports; short compared with the delay of
+/// reports.
+const RATE_TIME_CONSTANT: Duration = Duration::from_millis(250);
+/// Mean delay from a node's count to its zone's sum.
+const MEAN_REPORT_DELAY: Duration = Duration::from_millis(300);
+/// Seconds over which a positive token balance is spent.
+const SPEND_TIME_SECS: f64 = 1.0;
+/// Seconds over which a token deficit is worked off; short, so that the recovery falls into
+/// the same window.
+const DEFICIT_RECOVERY_SECS: f64 = 0.4;
+/// Ratio of a burst that is used; the rest is reserved for counts that reach the sums late.
+const USED_BURST_RATIO: f64 = 0.85;
+/// Ratio of the configured slack that is added to the burst, for random variation of low
+/// rates.
+const USED_SLACK_RATIO: f64 = 0.2;
+/// Ratio of a node's fraction of the limit below which it doesn't report the tenant.
+const REPORT_THRESHOLD_RATIO: f64 = 0.1;
+/// Ratio of all requests from which on a node decides by its own bucket alone, without an
+/// estimate of the other nodes.
+const SOLE_RECEIVER_RATIO: f64 = 0.9;
+/// Time constant of the executed ratio, and the minimum that is assumed for it.
+const EXECUTED_RATIO_TIME_CONSTANT: Duration = Duration::from_secs(2);
+const MIN_EXECUTED_RATIO: f64 = 0.25;
+/// Time after which a tenant that this node reports, but its zone's report lacks, counts as
+/// truncated from that report.
+const TRUNCATION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Standard deviations subtracted from a measured rate, so that a random cluster of a few
+/// requests isn't taken for a traffic spike.
+const CONFIDENCE_DEVIATIONS: f64 = 1.0;
+/// Minimum admission probability that a count is divided by; a smaller divisor would
+/// inflate a few requests to many.
+const MIN_ADMISSION_PROBABILITY: f64 = 0.05;
+/// Minimum and maximum of the advertised retry delay, in seconds.
+const RETRY_DELAY_RANGE_SECS: (f64, f64) = (0.1, 5.0);
 
-/// What a decision was worked out from.
+/// Source of the data behind a quota decision.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QuotaBasis {
-    /// What all nodes that are heard were asked, so long ago.
+    /// Load reports of the fleet.
     FleetDemand {
-        /// Age of that news.
+        /// Mean age of the load reports.
         report_age: Duration,
-        /// Part of the limit that they keep to.
+        /// Fraction of the limit that the reachable zones share, 0 to 1.
         limit_fraction: f64,
     },
-    /// The part of the limit for this node alone: it hears nothing of the tenant.
+    /// This node's own fraction of the limit, used while reports don't cover the tenant.
     LocalOnly {
-        /// That part.
+        /// Fraction of the limit for this node, 0 to 1.
         limit_fraction: f64,
     },
 }
 
-/// A request is beyond its tenant's limit.
+/// A request exceeds its tenant's limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaExceeded {
-    /// When a token may be there; spread, so that callers don't return together.
+    /// Estimated time until a token is available, randomized so that clients don't retry at
+    /// the same time.
     pub retry_after: Duration,
-    /// The limit.
+    /// The configured limit.
     pub limit: RateLimit,
-    /// Requests a second that are asked, as far as this node knows.
+    /// Requests per second received by the fleet, as far as this node knows.
     pub fleet_demand_rps: f64,
-    /// What that was worked out from.
+    /// Source of the data behind the decision.
     pub basis: QuotaBasis,
 }
 
-/// The chance of admission from a moment on.
+/// An admission probability and the time from which on it was used.
 #[derive(Debug, Clone, Copy)]
-struct ShareSince {
+struct ProbabilitySince {
     at: Moment,
-    share: f64,
+    probability: f64,
 }
 
-/// One tenant's limit as one node keeps it.
+/// One tenant's limit as tracked by one node.
 #[derive(Debug)]
 pub(super) struct TenantQuota {
     policy: QuotaPolicy,
     limit: RateLimit,
-    asked: DecayingRate,
+    demand: DecayingRate,
     admitted: DecayingRate,
-    /// Requests that come in here, over a longer time.
-    usual: DecayingRate,
-    /// The zones that have told of it.
+    /// Rate of requests received by this node, with a longer time constant.
+    usual_demand: DecayingRate,
+    /// The zones that have reported the tenant.
     zones: Vec<ZoneBalance>,
-    last_asked: Moment,
-    /// What this node told as asked, by the times of telling.
-    told: VecDeque<(Moment, f64)>,
-    /// Since when it has told of the tenant without a pause.
-    telling_since: Option<Moment>,
-    /// What the zones that are heard tell.
-    sum: Sum,
-    /// Tokens of the whole side, as of `level_at`; below zero: owed.
-    level: f64,
-    level_at: Moment,
-    /// Requests a second that the whole side may admit now.
-    granted: f64,
-    /// Portion of the admitted requests that runs; the others give their tokens back.
-    run: f64,
-    learnt_at: Moment,
-    /// Chances of admission since `level_at`.
-    shares: VecDeque<ShareSince>,
-    /// Part of the limit for the zones that are heard, when the reach that it is for
-    /// began, and that less the nodes that are missing in the sums.
-    part_of_zones: f64,
-    part_for: Moment,
-    part: f64,
-    /// Part of the limit for this node alone.
-    own_part: f64,
-    /// The node hears nothing of the tenant.
-    alone: bool,
-    /// What one node may admit at most.
-    most: Bucket,
-    /// What this node may admit where it hears nothing. It counts at all times: what was
-    /// admitted of a surge before the silence began is known then.
-    own: Bucket,
+    last_request_at: Moment,
+    /// Requested rates that this node has reported, with the time of each report.
+    reported: VecDeque<(Moment, f64)>,
+    /// Since when this node has reported the tenant without interruption.
+    reporting_since: Option<Moment>,
+    /// The tenant's load, summed over the recent reports.
+    fleet_load: TenantLoadSum,
+    /// Token balance of the partition (all nodes that this node's reports cover) as of
+    /// `balance_at`; negative for a deficit.
+    balance: f64,
+    balance_at: Moment,
+    /// Requests per second that all nodes of the partition may admit now.
+    admissible_rps: f64,
+    /// Ratio of the admitted requests that run; tokens of admitted requests that don't are
+    /// refunded.
+    executed_ratio: f64,
+    updated_at: Moment,
+    /// Admission probabilities since `balance_at`.
+    probabilities: VecDeque<ProbabilitySince>,
+    /// Fraction of the limit for the reachable zones, the start of the coverage that it was
+    /// computed for, and the same fraction less the nodes that the reports lack.
+    zones_fraction: f64,
+    fraction_computed_for: Moment,
+    fraction: f64,
+    /// Fraction of the limit for this node alone.
+    own_fraction: f64,
+    /// Whether this node uses only its own fraction because the reports don't cover the
+    /// tenant.
+    isolated: bool,
+    /// Token bucket that caps what this node admits while the reports cover the tenant.
+    shared_bucket: Bucket,
+    /// Token bucket with this node's own fraction, used while the reports don't cover the
+    /// tenant. Always maintained, so that it includes what was admitted of a spike before
+    /// reports stopped.
+    own_bucket: Bucket,
     refused: u64,
 }
 
 impl TenantQuota {
-    /// The quota of a tenant that was not known here, and of which little was admitted for
-    /// the time `quiet`; after a whole window it has its burst.
+    /// Creates the state of a tenant that was not tracked here and had little traffic
+    /// admitted for the time `low_traffic_for`. It starts with a full burst after a whole window.
     pub(super) fn new(
         policy: QuotaPolicy,
         limit: RateLimit,
-        reach: &Reach,
-        quiet: Duration,
+        coverage: &ReportCoverage,
+        low_traffic_for: Duration,
         now: Moment,
     ) -> Self {
         let mut quota = Self {
             policy,
             limit,
-            asked: DecayingRate::new(DEMAND_WINDOW, now),
-            admitted: DecayingRate::new(DEMAND_WINDOW, now),
-            usual: DecayingRate::new(USUAL, now),
+            demand: DecayingRate::new(RATE_TIME_CONSTANT, now),
+            admitted: DecayingRate::new(RATE_TIME_CONSTANT, now),
+            usual_demand: DecayingRate::new(USUAL_DEMAND_TIME_CONSTANT, now),
             zones: Vec::new(),
-            last_asked: now,
-            told: VecDeque::new(),
-            telling_since: None,
-            sum: Sum::default(),
-            level: 0.0,
-            level_at: now,
-            granted: 0.0,
-            run: 1.0,
-            learnt_at: now,
-            shares: VecDeque::new(),
-            part_of_zones: limit_fraction::of_zones(0.0, 0.0, reach),
-            part_for: reach.since,
-            part: 1.0,
-            own_part: limit_fraction::of_node(0.0, 0.0, reach),
-            alone: limit_fraction::is_alone(reach),
-            most: Bucket::new(limit, 0.0, now),
-            own: Bucket::new(limit, 0.0, now),
+            last_request_at: now,
+            reported: VecDeque::new(),
+            reporting_since: None,
+            fleet_load: TenantLoadSum::default(),
+            balance: 0.0,
+            balance_at: now,
+            admissible_rps: 0.0,
+            executed_ratio: 1.0,
+            updated_at: now,
+            probabilities: VecDeque::new(),
+            zones_fraction: limit_fraction::of_zones(0.0, 0.0, coverage),
+            fraction_computed_for: coverage.changed_at,
+            fraction: 1.0,
+            own_fraction: limit_fraction::of_node(0.0, 0.0, coverage),
+            isolated: limit_fraction::is_isolated(coverage),
+            shared_bucket: Bucket::new(limit, 0.0, now),
+            own_bucket: Bucket::new(limit, 0.0, now),
             refused: 0,
         };
-        quota.part = quota.part_of_zones * limit_fraction::of_covered(reach);
-        let side = quota.part_of_limit(quota.part);
-        let own = quota.part_of_limit(quota.own_part);
-        let gained = |limit: RateLimit| match quiet >= policy.window {
+        quota.fraction = quota.zones_fraction * limit_fraction::reported_ratio(coverage);
+        let partition_limit = quota.scaled_limit(quota.fraction);
+        let own = quota.scaled_limit(quota.own_fraction);
+        let gained = |limit: RateLimit| match low_traffic_for >= policy.window {
             true => limit.burst,
-            false => (limit.rate * (1.0 - UNTOLD) * quiet.as_secs_f64()).min(limit.burst),
+            false => (limit.rate * (1.0 - REPORT_THRESHOLD_RATIO) * low_traffic_for.as_secs_f64())
+                .min(limit.burst),
         };
-        quota.level = gained(side);
-        quota.granted = side.rate + quota.level / SPEND_TIME;
-        // Where a node is the only one, its first request passes in any case.
-        let first = if reach.members == 1 { 1.0 } else { 0.0 };
-        let level = quota.level.max(first);
-        quota.most = Bucket::new(side, level, now);
-        quota.own = Bucket::new(own, gained(own), now);
+        quota.balance = gained(partition_limit);
+        quota.admissible_rps = partition_limit.rate + quota.balance / SPEND_TIME_SECS;
+        // A single node always admits the first request.
+        let first = if coverage.member_count == 1 { 1.0 } else { 0.0 };
+        let balance = quota.balance.max(first);
+        quota.shared_bucket = Bucket::new(partition_limit, balance, now);
+        quota.own_bucket = Bucket::new(own, gained(own), now);
         quota
     }
 
@@ -184,319 +194,356 @@
         self.limit = limit;
     }
 
-    /// A part of the limit, as buckets hold it.
-    fn part_of_limit(&self, part: f64) -> RateLimit {
+    /// The given fraction of the limit, as the limit of a token bucket.
+    fn scaled_limit(&self, fraction: f64) -> RateLimit {
         RateLimit {
-            rate: self.limit.rate * part,
-            burst: (self.limit.burst * SPENT_BURST + self.policy.slack_requests * SPENT_SLACK)
-                * part,
+            rate: self.limit.rate * fraction,
+            burst: (self.limit.burst * USED_BURST_RATIO
+                + self.policy.slack_requests * USED_SLACK_RATIO)
+                * fraction,
         }
     }
 
-    /// A request comes in.
+    /// Decides whether to admit one request of the tenant.
     pub(super) fn try_admit(
         &mut self,
         now: Moment,
         rng: &mut impl Rng,
     ) -> Result<(), QuotaExceeded> {
-        self.asked.count(1.0, now);
-        self.usual.count(1.0, now);
-        self.last_asked = now;
-        let chosen = rng.random::<f64>() < self.share(now);
-        let bucket = if self.alone {
-            &mut self.own
+        self.demand.count(1.0, now);
+        self.usual_demand.count(1.0, now);
+        self.last_request_at = now;
+        let selected = rng.random::<f64>() < self.admission_probability(now);
+        let bucket = if self.isolated {
+            &mut self.own_bucket
         } else {
-            &mut self.most
+            &mut self.shared_bucket
         };
-        if chosen && bucket.has(now, rng.random()) {
+        if selected && bucket.has_token(now, rng.random()) {
             self.admitted.count(1.0, now);
-            self.most.take(now);
-            self.own.take(now);
+            self.shared_bucket.take(now);
+            self.own_bucket.take(now);
             return Ok(());
         }
         self.refused += 1;
         Err(QuotaExceeded {
             retry_after: self.retry_after(now, rng),
             limit: self.limit,
-            fleet_demand_rps: self.asked_now(now),
+            fleet_demand_rps: self.estimated_demand_rps(now),
             basis: self.basis(),
         })
     }
 
     pub(super) fn refund(&mut self, now: Moment) {
         self.admitted.count(-1.0, now);
-        self.most.refund();
-        self.own.refund();
+        self.shared_bucket.refund();
+        self.own_bucket.refund();
     }
 
-    /// Requests a second that the whole side is asked: what was told, and what this node
-    /// knows of itself by now.
-    fn asked_now(&self, now: Moment) -> f64 {
-        let own = self.asked.at(now);
-        let since_told = own - self.told_in_sum(now);
-        (self.sum.asked + since_told.max(0.0)).max(own)
+    /// Requests per second that all nodes of the partition receive: the reported sum plus
+    /// this node's own increase since its last report.
+    fn estimated_demand_rps(&self, now: Moment) -> f64 {
+        let own = self.demand.at(now);
+        let since_report = own - self.own_reported_rps(now);
+        (self.fleet_load.demand_rps + since_report.max(0.0)).max(own)
     }
 
-    /// What the present sums have of this node's own count.
-    fn told_in_sum(&self, now: Moment) -> f64 {
-        let until = now - self.sum.age;
-        let told = self.told.iter().rev().find(|(at, _)| *at <= until);
-        told.map_or(0.0, |(_, asked)| *asked)
+    /// The rate that this node contributed to the present sum of reports.
+    fn own_reported_rps(&self, now: Moment) -> f64 {
+        let until = now - self.fleet_load.report_age;
+        let report = self.reported.iter().rev().find(|(at, _)| *at <= until);
+        report.map_or(0.0, |(_, demand)| *demand)
     }
 
-    /// Chance of admission now.
-    fn share(&self, now: Moment) -> f64 {
-        if self.alone {
+    /// Probability with which a request is admitted now.
+    fn admission_probability(&self, now: Moment) -> f64 {
+        if self.isolated {
             return 1.0;
         }
-        let asked = self.asked_now(now);
-        if self.asked.at(now) >= asked * NEARLY_ALL {
+        let demand = self.estimated_demand_rps(now);
+        if self.demand.at(now) >= demand * SOLE_RECEIVER_RATIO {
             return 1.0;
         }
-        let asked = at_least(asked) * self.run;
-        if asked <= self.granted {
+        let demand = lower_bound_rps(demand) * self.executed_ratio;
+        if demand <= self.admissible_rps {
             return 1.0;
         }
-        (self.granted / asked).max(0.0)
+        (self.admissible_rps / demand).max(0.0)
     }
 
-    /// Time until what is owed is paid back; then as many seconds as the callers who are
-    /// refused in one second need to be admitted.
+    /// Time until the token deficit is worked off, plus the time in which the limit admits
+    /// a random part of one second's requests.
     fn retry_after(&self, now: Moment, rng: &mut impl Rng) -> Duration {
-        let part = if self.alone { self.own_part } else { self.part };
-        let rate = (self.limit.rate * part).max(f64::MIN_POSITIVE);
-        let owed = (-self.level).max(0.0) / rate;
-        let excess = self.asked_now(now) / rate;
-        let wait = owed + excess * rng.random_range(0.25..0.75);
-        Duration::from_secs_f64(wait.clamp(RETRY_WAITS.0, RETRY_WAITS.1))
+        let fraction = if self.isolated {
+            self.own_fraction
+        } else {
+            self.fraction
+        };
+        let rate = (self.limit.rate * fraction).max(f64::MIN_POSITIVE);
+        let deficit_secs = (-self.balance).max(0.0) / rate;
+        let excess_secs = self.estimated_demand_rps(now) / rate;
+        let wait = deficit_secs + excess_secs * rng.random_range(0.25..0.75);
+        Duration::from_secs_f64(wait.clamp(RETRY_DELAY_RANGE_SECS.0, RETRY_DELAY_RANGE_SECS.1))
     }
 
     fn basis(&self) -> QuotaBasis {
-        match self.alone {
+        match self.isolated {
             true => QuotaBasis::LocalOnly {
-                limit_fraction: self.own_part,
+                limit_fraction: self.own_fraction,
             },
             false => QuotaBasis::FleetDemand {
-                report_age: self.sum.age,
-                limit_fraction: self.part,
+                report_age: self.fleet_load.report_age,
+                limit_fraction: self.fraction,
             },
         }
     }
 
-    /// Takes over what is known of the fleet.
+    /// Applies the latest load reports.
     pub(super) fn update(
         &mut self,
         tag: TenantHash,
-        told: &LoadByTenant<'_>,
-        reach: &Reach,
+        loads: &LoadByTenant<'_>,
+        coverage: &ReportCoverage,
         now: Moment,
     ) {
-        self.sum = told.sum(tag);
-        self.track_zones(tag, told, now);
-        self.find_parts(reach, now);
-        let side = self.part_of_limit(self.part);
+        self.fleet_load = loads.sum(tag);
+        self.update_zone_balances(tag, loads, now);
+        self.update_fractions(coverage, now);
+        let partition_limit = self.scaled_limit(self.fraction);
         let window = self.policy.window.as_secs_f64();
-        self.most.set_limit(side, window, now);
-        let own = self.part_of_limit(self.own_part);
-        self.own.set_limit(own, window, now);
-        self.settle(side, now);
-        self.note_run(now);
-        let level = self.level_now(side, now);
-        let time = if level < 0.0 {
-            PAY_BACK_TIME
+        self.shared_bucket.set_limit(partition_limit, window, now);
+        let own = self.scaled_limit(self.own_fraction);
+        self.own_bucket.set_limit(own, window, now);
+        self.advance_balance(partition_limit, now);
+        self.update_executed_ratio(now);
+        let balance = self.estimated_balance(partition_limit, now);
+        let time = if balance < 0.0 {
+            DEFICIT_RECOVERY_SECS
         } else {
-            SPEND_TIME
+            SPEND_TIME_SECS
         };
-        self.granted = (side.rate + level / time).max(0.0);
-        let share = self.share(now);
-        self.shares.push_back(ShareSince { at: now, share });
+        self.admissible_rps = (partition_limit.rate + balance / time).max(0.0);
+        let probability = self.admission_probability(now);
+        self.probabilities.push_back(ProbabilitySince {
+            at: now,
+            probability,
+        });
     }
 
-    fn track_zones(&mut self, tag: TenantHash, told: &LoadByTenant<'_>, now: Moment) {
-        let is_told = |track: &ZoneBalance| {
-            let mut zones = told.news.zones.iter();
-            zones.any(|zone| zone.zone == track.zone)
+    fn update_zone_balances(&mut self, tag: TenantHash, loads: &LoadByTenant<'_>, now: Moment) {
+        let is_reported = |tracked: &ZoneBalance| {
+            let mut zones = loads.snapshot.zones.iter();
+            zones.any(|zone| zone.zone == tracked.zone)
         };
-        self.zones.retain(is_told);
+        self.zones.retain(is_reported);
         let window = self.policy.window.as_secs_f64();
-        let all = self.usual_of(|_| true);
-        let heard = told
-            .news
+        let all = self.usual_demand_of(|_| true);
+        let recent = loads
+            .snapshot
             .zones
             .iter()
-            .filter(|zone| told.news.is_fresh(zone));
-        for zone in heard {
-            let told_at = now - zone.age;
-            let of_zone = told.of_zone(tag, &zone.zone);
-            let Some(index) = self.zones.iter().position(|track| track.zone == zone.zone) else {
-                let track = ZoneBalance::new(zone.zone.clone(), of_zone.0, told_at);
-                self.zones.push(track);
+            .filter(|zone| loads.snapshot.is_fresh(zone));
+        for zone in recent {
+            let reported_at = now - zone.age;
+            let zone_load = loads.zone_load(tag, &zone.zone);
+            let Some(index) = self
+                .zones
+                .iter()
+                .position(|tracked| tracked.zone == zone.zone)
+            else {
+                let tracked = ZoneBalance::new(zone.zone.clone(), zone_load.0, reported_at);
+                self.zones.push(tracked);
                 continue;
             };
-            let part = match all > 0.0 {
-                true => self.zones[index].usual / all,
+            let fraction = match all > 0.0 {
+                true => self.zones[index].usual_demand / all,
                 false => 1.0 / self.zones.len() as f64,
             };
-            let limit = self.part_of_limit(part);
-            self.zones[index].told(of_zone, limit, window, told_at);
+            let limit = self.scaled_limit(fraction);
+            self.zones[index].apply_report(zone_load, limit, window, reported_at);
         }
     }
 
-    fn knows_all(&self, zones: &[Zone]) -> bool {
-        let known = |zone: &Zone| self.zones.iter().any(|track| track.zone == *zone);
+    fn has_reports_of(&self, zones: &[Zone]) -> bool {
+        let known = |zone: &Zone| self.zones.iter().any(|tracked| tracked.zone == *zone);
         zones.iter().all(known)
     }
 
-    /// What the zones that `counts` were usually asked together.
-    fn usual_of(&self, counts: impl Fn(&ZoneBalance) -> bool) -> f64 {
-        let zones = self.zones.iter().filter(|track| counts(track));
-        zones.map(|track| track.usual).sum()
+    /// Summed usual demand of the zones that `counts` selects.
+    fn usual_demand_of(&self, counts: impl Fn(&ZoneBalance) -> bool) -> f64 {
+        let zones = self.zones.iter().filter(|tracked| counts(tracked));
+        zones.map(|tracked| tracked.usual_demand).sum()
     }
 
-    /// The parts of the limit that this node keeps to. Those of nodes and zones that do
-    /// not hear each other stay as they were when they last did.
-    fn find_parts(&mut self, reach: &Reach, now: Moment) {
-        let left_out = !self.sum.listed
+    /// Computes the fractions of the limit that this node uses. Those of partitioned nodes
+    /// and zones stay as they were while all were reachable.
+    fn update_fractions(&mut self, coverage: &ReportCoverage, now: Moment) {
+        let is_truncated = !self.fleet_load.in_own_zone_report
             && self
-                .telling_since
-                .is_some_and(|since| now.since(since) > LEFT_OUT_AFTER);
-        self.alone = limit_fraction::is_alone(reach) || left_out;
-        if self.part_for != reach.since {
-            self.part_for = reach.since;
-            let is_heard = |track: &ZoneBalance| !reach.lost.contains(&track.zone);
-            let (heard, all) = (self.usual_of(is_heard), self.usual_of(|_| true));
-            // What a zone was asked that this record never heard of is not known.
-            self.part_of_zones = match self.knows_all(&reach.lost) {
-                true => limit_fraction::of_zones(heard, all, reach),
-                false => limit_fraction::of_zones(0.0, 0.0, reach),
+                .reporting_since
+                .is_some_and(|since| now.since(since) > TRUNCATION_TIMEOUT);
+        self.isolated = limit_fraction::is_isolated(coverage) || is_truncated;
+        if self.fraction_computed_for != coverage.changed_at {
+            self.fraction_computed_for = coverage.changed_at;
+            let is_reachable =
+                |tracked: &ZoneBalance| !coverage.unreachable_zones.contains(&tracked.zone);
+            let (reachable, all) = (
+                self.usual_demand_of(is_reachable),
+                self.usual_demand_of(|_| true),
+            );
+            // The usual demand of a zone that never reported this tenant here is unknown.
+            self.zones_fraction = match self.has_reports_of(&coverage.unreachable_zones) {
+                true => limit_fraction::of_zones(reachable, all, coverage),
+                false => limit_fraction::of_zones(0.0, 0.0, coverage),
             };
-            if !reach.lost.is_empty() {
-                let levels = self.zones.iter().filter(|track| is_heard(track));
-                let kept: f64 = levels.map(|track| track.level).sum();
-                self.level = self.level.min(kept);
+            if !coverage.unreachable_zones.is_empty() {
+                let balances = self.zones.iter().filter(|tracked| is_reachable(tracked));
+                let kept: f64 = balances.map(|tracked| tracked.balance).sum();
+                self.balance = self.balance.min(kept);
             }
         }
-        self.part = self.part_of_zones * limit_fraction::of_covered(reach);
-        let hears_all = !self.alone && reach.lost.is_empty();
-        if left_out {
-            self.own_part = limit_fraction::of_node(0.0, 0.0, reach);
-        } else if hears_all {
-            self.own_part =
-                limit_fraction::of_node(self.usual.at(now), self.usual_of(|_| true), reach);
+        self.fraction = self.zones_fraction * limit_fraction::reported_ratio(coverage);
+        let all_reachable = !self.isolated && coverage.unreachable_zones.is_empty();
+        if is_truncated {
+            self.own_fraction = limit_fraction::of_node(0.0, 0.0, coverage);
+        } else if all_reachable {
+            self.own_fraction = limit_fraction::of_node(
+                self.usual_demand.at(now),
+                self.usual_demand_of(|_| true),
+                coverage,
+            );
         }
     }
 
-    /// Brings the level up to the time that the news speaks of.
-    fn settle(&mut self, side: RateLimit, now: Moment) {
-        let spoken_of = now - (self.sum.age + TOLD_AFTER);
-        if spoken_of <= self.level_at {
+    /// Advances the token balance to the time that the reports describe.
+    fn advance_balance(&mut self, partition_limit: RateLimit, now: Moment) {
+        let described_at = now - (self.fleet_load.report_age + MEAN_REPORT_DELAY);
+        if described_at <= self.balance_at {
             return;
         }
-        let passed = spoken_of.since(self.level_at).as_secs_f64();
-        let gained = (side.rate - self.sum.admitted) * passed;
-        // More than a window's requests cannot be owed: older ones do not count any more.
-        let most_owed = side.rate * self.policy.window.as_secs_f64() + side.burst;
-        self.level = (self.level + gained).clamp(-most_owed, side.burst);
-        self.level_at = spoken_of;
+        let passed = described_at.since(self.balance_at).as_secs_f64();
+        let gained = (partition_limit.rate - self.fleet_load.admitted_rps) * passed;
+        // The deficit is capped at one window's requests: older ones no longer count.
+        let max_deficit =
+            partition_limit.rate * self.policy.window.as_secs_f64() + partition_limit.burst;
+        self.balance = (self.balance + gained).clamp(-max_deficit, partition_limit.burst);
+        self.balance_at = described_at;
         while self
-            .shares
+            .probabilities
             .get(1)
-            .is_some_and(|next| next.at <= self.level_at)
+            .is_some_and(|next| next.at <= self.balance_at)
         {
-            self.shares.pop_front();
+            self.probabilities.pop_front();
         }
     }
 
-    fn note_run(&mut self, now: Moment) {
-        let passed = now.since(self.learnt_at);
-        self.learnt_at = now;
-        let chosen = self.sum.asked * self.share_told();
-        if chosen <= 0.0 {
+    fn update_executed_ratio(&mut self, now: Moment) {
+        let passed = now.since(self.updated_at);
+        self.updated_at = now;
+        let selected = self.fleet_load.demand_rps * self.reported_probability();
+        if selected <= 0.0 {
             return;
         }
-        let run = (self.sum.admitted / chosen).clamp(LEAST_RUN, 1.0);
-        self.run += (run - self.run) * weight_after(passed, RUN_MEMORY);
+        let executed = (self.fleet_load.admitted_rps / selected).clamp(MIN_EXECUTED_RATIO, 1.0);
+        self.executed_ratio +=
+            (executed - self.executed_ratio) * weight_after(passed, EXECUTED_RATIO_TIME_CONSTANT);
     }
 
-    /// Chance of admission at the time that the news speaks of.
-    fn share_told(&self) -> f64 {
-        let share = self.shares.front().map_or(1.0, |since| since.share);
-        share.max(LEAST_SHARE)
+    /// Admission probability at the time that the reports describe.
+    fn reported_probability(&self) -> f64 {
+        let probability = self
+            .probabilities
+            .front()
+            .map_or(1.0, |since| since.probability);
+        probability.max(MIN_ADMISSION_PROBABILITY)
     }
 
-    /// The level now, if all nodes went on as the news says: what they admitted meanwhile
-    /// follows from the chances that this node used, since all use the same ones.
-    fn level_now(&self, side: RateLimit, now: Moment) -> f64 {
-        let run = (self.sum.admitted / self.share_told()).min(self.sum.asked);
-        let chosen = at_least(run);
-        let mut level = self.level;
-        let mut from = self.level_at;
-        let ends = self.shares.iter().skip(1).map(|next| next.at).chain([now]);
-        let shares = self.shares.iter().map(|since| since.share);
-        for (share, end) in shares.zip(ends) {
+    /// Extrapolates the token balance to now. What all nodes admitted since the reports
+    /// follows from this node's admission probabilities, since all nodes use the same ones.
+    fn estimated_balance(&self, partition_limit: RateLimit, now: Moment) -> f64 {
+        let offered = (self.fleet_load.admitted_rps / self.reported_probability())
+            .min(self.fleet_load.demand_rps);
+        let min_offered = lower_bound_rps(offered);
+        let mut balance = self.balance;
+        let mut from = self.balance_at;
+        let ends = self
+            .probabilities
+            .iter()
+            .skip(1)
+            .map(|next| next.at)
+            .chain([now]);
+        let probabilities = self.probabilities.iter().map(|since| since.probability);
+        for (probability, end) in probabilities.zip(ends) {
             let passed = end.since(from).as_secs_f64();
-            level = (level + (side.rate - chosen * share) * passed).min(side.burst);
+            balance = (balance + (partition_limit.rate - min_offered * probability) * passed)
+                .min(partition_limit.burst);
             from = from.max(end);
         }
-        level
+        balance
     }
 
-    /// What this node tells of the tenant; none while that is too little to matter.
-    pub(super) fn tell(&mut self, tag: TenantHash, nodes: f64, now: Moment) -> Option<TenantLoad> {
-        let asked = self.asked.at(now);
-        if asked < self.limit.rate / nodes * UNTOLD {
-            self.telling_since = None;
-            self.told.clear();
+    /// Returns this node's load of the tenant for its zone's report, or `None` if it is too
+    /// small to matter.
+    pub(super) fn load_report(
+        &mut self,
+        tag: TenantHash,
+        nodes: f64,
+        now: Moment,
+    ) -> Option<TenantLoad> {
+        let demand = self.demand.at(now);
+        if demand < self.limit.rate / nodes * REPORT_THRESHOLD_RATIO {
+            self.reporting_since = None;
+            self.reported.clear();
             return None;
         }
-        self.telling_since.get_or_insert(now);
-        self.told.push_back((now, asked));
+        self.reporting_since.get_or_insert(now);
+        self.reported.push_back((now, demand));
         while self
-            .told
+            .reported
             .get(1)
-            .is_some_and(|(at, _)| now.since(*at) > LEFT_OUT_AFTER)
+            .is_some_and(|(at, _)| now.since(*at) > TRUNCATION_TIMEOUT)
         {
-            self.told.pop_front();
+            self.reported.pop_front();
         }
         Some(TenantLoad {
             tenant: tag,
-            requested_millirps: thousandths(asked),
-            admitted_millirps: thousandths(self.admitted.at(now)),
+            requested_millirps: to_millirps(demand),
+            admitted_millirps: to_millirps(self.admitted.at(now)),
         })
     }
 
-    /// True while it keeps to less than a new record would: to forget it would give the
-    /// side a part that the others already have.
-    pub(super) fn holds_back(&self, reach: &Reach) -> bool {
-        self.part_of_zones < limit_fraction::of_zones(0.0, 0.0, reach)
+    /// Returns whether the current fraction is smaller than that of new state. Dropping the
+    /// state would then claim a fraction of the limit that other partitions already use.
+    pub(super) fn has_reduced_fraction(&self, coverage: &ReportCoverage) -> bool {
+        self.zones_fraction < limit_fraction::of_zones(0.0, 0.0, coverage)
     }
 
-    pub(super) fn idle(&self, now: Moment) -> Duration {
-        match self.sum.asked > 0.0 {
+    pub(super) fn idle_for(&self, now: Moment) -> Duration {
+        match self.fleet_load.demand_rps > 0.0 {
             true => Duration::ZERO,
-            false => now.since(self.last_asked),
+            false => now.since(self.last_request_at),
         }
     }
 
     pub(super) fn view(&self, now: Moment) -> QuotaView {
         QuotaView {
             limit: self.limit,
-            local_demand_rps: self.asked.at(now),
-            fleet_demand_rps: self.asked_now(now),
-            admitted_rps: self.sum.admitted,
-            admission_probability: self.share(now),
+            local_demand_rps: self.demand.at(now),
+            fleet_demand_rps: self.estimated_demand_rps(now),
+            admitted_rps: self.fleet_load.admitted_rps,
+            admission_probability: self.admission_probability(now),
             refused: self.refused,
             basis: self.basis(),
         }
     }
 }
 
-/// What a rate surely is that was counted as `rate`.
-fn at_least(rate: f64) -> f64 {
-    let deviation = (rate / (2.0 * DEMAND_WINDOW.as_secs_f64())).sqrt();
-    (rate - DOUBT * deviation).max(0.0)
+/// Lower confidence bound of a rate measured as `rate`.
+fn lower_bound_rps(rate: f64) -> f64 {
+    let deviation = (rate / (2.0 * RATE_TIME_CONSTANT.as_secs_f64())).sqrt();
+    (rate - CONFIDENCE_DEVIATIONS * deviation).max(0.0)
 }
 
-fn thousandths(rate: f64) -> u32 {
+fn to_millirps(rate: f64) -> u32 {
     (rate.max(0.0) * 1_000.0).round() as u32
 }
--- a/crates/rampthread-core/src/call/quota/zone_balance.rs
+++ b/crates/rampthread-core/src/call/quota/zone_balance.rs
@@ -1,4 +1,4 @@
-//! What one zone is usually asked and has admitted of a tenant's requests.
+//! One zone's usual demand and token balance for one tenant.
 
 use super::decaying_rate::weight_after;
 use crate::config::RateLimit;
@@ -6,48 +6,50 @@
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Memory of what is usually asked.
-pub(super) const USUAL: Duration = Duration::from_secs(10);
+/// Time constant of the usual demand.
+pub(super) const USUAL_DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(10);
 
-/// One zone's part, kept at all times: when the zone is lost, the others know what they
-/// admitted beyond theirs before they noticed.
+/// Demand and token balance of one zone's fraction of the limit. Maintained at all times:
+/// when the zone becomes unreachable, the other zones know what they admitted beyond their
+/// own fractions before they noticed.
 #[derive(Debug, Clone)]
 pub(super) struct ZoneBalance {
     pub(super) zone: Zone,
-    /// Requests a second, over a longer time.
-    pub(super) usual: f64,
-    /// Tokens of the zone's part; below zero: owed.
-    pub(super) level: f64,
-    at: Moment,
+    /// Requests per second received by the zone, with a long time constant.
+    pub(super) usual_demand: f64,
+    /// Token balance of the zone's fraction; negative for a deficit.
+    pub(super) balance: f64,
+    updated_at: Moment,
 }
 
 impl ZoneBalance {
     pub(super) fn new(zone: Zone, asked: f64, at: Moment) -> Self {
         Self {
             zone,
-            usual: asked,
-            level: 0.0,
-            at,
+            usual_demand: asked,
+            balance: 0.0,
+            updated_at: at,
         }
     }
 
-    /// Takes over what the zone told at `at`; `limit` is its part. No more is owed than
-    /// the requests of a `window` in seconds.
-    pub(super) fn told(
+    /// Applies the zone's report made at `at`; `limit` is the zone's fraction of the limit.
+    /// A deficit is capped at the requests that `limit` admits in `window_secs` seconds.
+    pub(super) fn apply_report(
         &mut self,
         (asked, admitted): (f64, f64),
         limit: RateLimit,
-        window: f64,
+        window_secs: f64,
         at: Moment,
     ) {
-        let passed = at.since(self.at);
+        let passed = at.since(self.updated_at);
         if passed.is_zero() {
             return;
         }
-        self.at = at;
-        self.usual += (asked - self.usual) * weight_after(passed, USUAL);
+        self.updated_at = at;
+        self.usual_demand +=
+            (asked - self.usual_demand) * weight_after(passed, USUAL_DEMAND_TIME_CONSTANT);
         let gained = (limit.rate - admitted) * passed.as_secs_f64();
-        let most_owed = limit.rate * window + limit.burst;
-        self.level = (self.level + gained).clamp(-most_owed, limit.burst);
+        let max_deficit = limit.rate * window_secs + limit.burst;
+        self.balance = (self.balance + gained).clamp(-max_deficit, limit.burst);
     }
 }
--- a/crates/rampthread-core/tests/quota_fleet/mod.rs
+++ b/crates/rampthread-core/tests/quota_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Entries of a fleet in memory, each with its quotas, and what they hear of each other:
-//! the times of the load exchange, without its messages.
+//! Simulated entry nodes with tenant quotas and the load exchange between them. Models the
+//! timing of the exchange, not its messages.
 
 use rampthread_core::call::quota::{
     FleetLoadSnapshot, QuotaPolicy, TenantQuotas, ZoneMemberCounts,
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Least number of zones, and most nodes of one: the fleet to design for has 54.
+/// Minimum number of zones, and maximum nodes per zone.
 const ZONES: usize = 3;
 const ZONE_NODES: usize = 54;
 pub const POLICY: QuotaPolicy = QuotaPolicy {
@@ -22,15 +22,15 @@
     overage_ratio: 0.1,
     slack_requests: 20.0,
 };
-/// Time between two looks at the news.
+/// Time between two evaluations of the load reports.
 const TICK: Duration = Duration::from_millis(100);
-/// Time after which a speaker that ended is replaced, and reports are forgotten.
-const PATIENCE_INTERVALS: u32 = 4;
+/// Report intervals after which a failed aggregator is replaced and reports expire.
+const EXPIRY_INTERVALS: u32 = 4;
 
-/// How an entry decides.
+/// Rate limiter under test.
 pub trait Limiter {
     fn try_admit(&mut self, tenant: &Tenant, now: Moment, rng: &mut ChaCha8Rng) -> bool;
-    fn update(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment);
+    fn update(&mut self, snapshot: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment);
     fn load_reports(&mut self, now: Moment) -> Vec<TenantLoad>;
     fn refund(&mut self, tag: TenantHash, now: Moment);
 }
@@ -39,8 +39,8 @@
     fn try_admit(&mut self, tenant: &Tenant, now: Moment, rng: &mut ChaCha8Rng) -> bool {
         TenantQuotas::try_admit(self, tenant, now, rng).is_ok()
     }
-    fn update(&mut self, news: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
-        TenantQuotas::update(self, news, table, now);
+    fn update(&mut self, snapshot: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
+        TenantQuotas::update(self, snapshot, table, now);
     }
     fn load_reports(&mut self, now: Moment) -> Vec<TenantLoad> {
         TenantQuotas::load_reports(self, now)
@@ -50,30 +50,31 @@
     }
 }
 
-/// A limit parted by the number of nodes: each keeps a bucket with its part.
-pub struct FixedParts {
-    part: RateLimit,
+/// Baseline limiter: the limit is divided evenly and each node has a token bucket with its
+/// fraction.
+pub struct EvenSplitLimiter {
+    fraction: RateLimit,
     level: f64,
     at: Moment,
 }
 
-pub fn fixed_parts(size: &QuotaFleetSize, now: Moment) -> FixedParts {
+pub fn even_split(size: &QuotaFleetSize, now: Moment) -> EvenSplitLimiter {
     let nodes = size.nodes as f64;
-    let part = RateLimit {
+    let fraction = RateLimit {
         rate: size.limit.rate / nodes,
         burst: (size.limit.burst / nodes).max(1.0),
     };
-    FixedParts {
-        part,
-        level: part.burst,
+    EvenSplitLimiter {
+        fraction,
+        level: fraction.burst,
         at: now,
     }
 }
 
-impl Limiter for FixedParts {
+impl Limiter for EvenSplitLimiter {
     fn try_admit(&mut self, _: &Tenant, now: Moment, _: &mut ChaCha8Rng) -> bool {
-        let filled = self.part.rate * now.since(self.at).as_secs_f64();
-        self.level = (self.level + filled).min(self.part.burst);
+        let filled = self.fraction.rate * now.since(self.at).as_secs_f64();
+        self.level = (self.level + filled).min(self.fraction.burst);
         self.at = now;
         let admitted = self.level >= 1.0;
         self.level -= f64::from(u8::from(admitted));
@@ -86,9 +87,9 @@
     fn refund(&mut self, _: TenantHash, _: Moment) {}
 }
 
-/// What was told of so many nodes at a time.
+/// A report that covers `nodes` nodes.
 #[derive(Clone)]
-struct Told {
+struct Report {
     at: Moment,
     nodes: u32,
     loads: Vec<TenantLoad>,
@@ -97,33 +98,33 @@
 struct Entry<L> {
     limiter: L,
     zone: usize,
-    /// Nodes of other sides do not hear it.
-    side: usize,
-    side_since: Moment,
-    /// It is stopped until then.
-    paused_until: Moment,
+    /// Partition of the network; nodes in different ones are unreachable for each other.
+    partition: usize,
+    partitioned_since: Moment,
+    /// The process is suspended until then.
+    suspended_until: Moment,
     next_tick: Moment,
     next_report: Moment,
-    zones: BTreeMap<usize, Told>,
-    reports: BTreeMap<usize, Told>,
+    zones: BTreeMap<usize, Report>,
+    reports: BTreeMap<usize, Report>,
 }
 
 pub struct QuotaFleet<L> {
     entries: Vec<Entry<L>>,
     pub zones: usize,
-    make: fn(&QuotaFleetSize, Moment) -> L,
+    new_limiter: fn(&QuotaFleetSize, Moment) -> L,
     size: QuotaFleetSize,
     pub now: Moment,
     pub rng: ChaCha8Rng,
-    pub loss: f64,
-    /// Portion of the admitted requests that are proved not to have run.
-    pub not_run: f64,
-    /// When the next entry ticks.
-    due: Moment,
+    pub loss_ratio: f64,
+    /// Probability that an admitted request doesn't run and its token is refunded.
+    pub not_executed_ratio: f64,
+    /// When the next node ticks.
+    next_tick_at: Moment,
     members: ZoneMemberCounts,
     table: TenantTable,
     tenant: Tenant,
-    pub asked: Vec<Moment>,
+    pub requests: Vec<Moment>,
     pub admitted: Vec<Moment>,
 }
 
@@ -133,7 +134,7 @@
     pub limit: RateLimit,
 }
 
-pub fn quotas(_: &QuotaFleetSize, now: Moment) -> TenantQuotas {
+pub fn distributed(_: &QuotaFleetSize, now: Moment) -> TenantQuotas {
     TenantQuotas::new(POLICY, now)
 }
 
@@ -155,7 +156,7 @@
         nodes: usize,
         limit: RateLimit,
         seed: u64,
-        make: fn(&QuotaFleetSize, Moment) -> L,
+        new_limiter: fn(&QuotaFleetSize, Moment) -> L,
     ) -> Self {
         let size = QuotaFleetSize { nodes, limit };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -163,11 +164,11 @@
         let now = Moment(1_000_000);
         let zones = ZONES.max(nodes.div_ceil(ZONE_NODES));
         let entry = |index: usize| Entry {
-            limiter: make(&size, now),
+            limiter: new_limiter(&size, now),
             zone: index % zones,
-            side: 0,
-            side_since: now,
-            paused_until: now,
+            partition: 0,
+            partitioned_since: now,
+            suspended_until: now,
             next_tick: now + TICK.mul_f64(rng.random()),
             next_report: now + TICK.mul_f64(5.0 * rng.random::<f64>()),
             zones: BTreeMap::new(),
@@ -181,61 +182,62 @@
         Self {
             entries,
             zones,
-            due: now,
+            next_tick_at: now,
             members,
-            make,
+            new_limiter,
             size,
             now,
             rng,
-            loss: 0.0,
-            not_run: 0.0,
+            loss_ratio: 0.0,
+            not_executed_ratio: 0.0,
             table,
             tenant,
-            asked: Vec::new(),
+            requests: Vec::new(),
             admitted: Vec::new(),
         }
     }
 
-    /// From now on the limit is another one.
+    /// Applies another limit to all nodes from now on.
     pub fn set_limit(&mut self, limit: RateLimit) {
         (self.table, self.tenant) = table(limit);
     }
 
-    /// From now on nodes hear those of the same side only.
-    pub fn cut(&mut self, side: impl Fn(usize, usize) -> usize) {
+    /// Partitions the network: nodes reach only those for which `side` returns the same
+    /// number.
+    pub fn partition(&mut self, partition: impl Fn(usize, usize) -> usize) {
         for (index, entry) in self.entries.iter_mut().enumerate() {
-            entry.side = side(index, entry.zone);
-            entry.side_since = self.now;
+            entry.partition = partition(index, entry.zone);
+            entry.partitioned_since = self.now;
         }
     }
 
-    pub fn pause(&mut self, index: usize, time: Duration) {
-        self.entries[index].paused_until = self.now + time;
+    pub fn suspend(&mut self, index: usize, time: Duration) {
+        self.entries[index].suspended_until = self.now + time;
     }
 
-    /// All nodes of a zone leave for good.
-    pub fn end_zone(&mut self, zone: usize) {
+    /// Removes all nodes of a zone permanently.
+    pub fn remove_zone(&mut self, zone: usize) {
         self.members.remove(&zone_name(zone));
         for entry in &mut self.entries {
             entry.zones.remove(&zone);
             if entry.zone == zone {
-                entry.paused_until = Moment(u64::MAX);
+                entry.suspended_until = Moment(u64::MAX);
             }
         }
     }
 
-    /// The process ends, and another one serves after a second.
+    /// Restarts the process of a node, which serves again after one second.
     pub fn restart(&mut self, index: usize) {
-        self.pause(index, Duration::from_secs(1));
+        self.suspend(index, Duration::from_secs(1));
         let now = self.now;
         let entry = &mut self.entries[index];
-        entry.limiter = (self.make)(&self.size, now);
+        entry.limiter = (self.new_limiter)(&self.size, now);
         entry.zones.clear();
         entry.reports.clear();
     }
 
-    /// Requests come by chance at `rate` a second in all, each at the entry that `pick`
-    /// draws.
+    /// Sends requests as a Poisson process with `rate` per second in total, each to the
+    /// node that `pick` returns.
     pub fn run(&mut self, time: Duration, rate: f64, pick: impl Fn(&mut ChaCha8Rng) -> usize) {
         let end = self.now + time;
         loop {
@@ -250,23 +252,23 @@
         }
     }
 
-    /// No requests for a while.
-    pub fn rest(&mut self, time: Duration) {
+    /// Advances time without requests.
+    pub fn idle(&mut self, time: Duration) {
         let end = self.now + time;
         self.tick_until(end);
     }
 
     fn request(&mut self, index: usize) {
         let now = self.now;
-        self.asked.push(now);
+        self.requests.push(now);
         let entry = &mut self.entries[index];
-        if entry.paused_until > now {
+        if entry.suspended_until > now {
             return;
         }
         if !entry.limiter.try_admit(&self.tenant, now, &mut self.rng) {
             return;
         }
-        if self.rng.random::<f64>() < self.not_run {
+        if self.rng.random::<f64>() < self.not_executed_ratio {
             entry.limiter.refund(TenantHash::of(&self.tenant.name), now);
         } else {
             self.admitted.push(now);
@@ -274,11 +276,11 @@
     }
 
     fn tick_until(&mut self, until: Moment) {
-        while self.due <= until {
+        while self.next_tick_at <= until {
             let Some((at, index)) = self.next_tick() else {
                 break;
             };
-            self.due = at;
+            self.next_tick_at = at;
             if at <= until {
                 self.now = self.now.max(at);
                 self.tick(index);
@@ -288,7 +290,7 @@
     }
 
     fn next_tick(&self) -> Option<(Moment, usize)> {
-        let due = |entry: &Entry<L>| entry.next_tick.max(entry.paused_until);
+        let due = |entry: &Entry<L>| entry.next_tick.max(entry.suspended_until);
         let ticks = self.entries.iter().enumerate();
         ticks.map(|(index, entry)| (due(entry), index)).min()
     }
@@ -310,100 +312,104 @@
         let zones: Vec<ZoneLoad> = entry
             .zones
             .iter()
-            .map(|(zone, told)| ZoneLoad {
+            .map(|(zone, report)| ZoneLoad {
                 zone: zone_name(*zone),
-                age: now.since(told.at),
-                nodes: told.nodes,
+                age: now.since(report.at),
+                nodes: report.nodes,
                 services: Vec::new(),
-                tenants: told.loads.clone(),
+                tenants: report.loads.clone(),
             })
             .collect();
-        let news = FleetLoadSnapshot {
+        let snapshot = FleetLoadSnapshot {
             zones: &zones,
             own_zone: &zone_name(entry.zone),
             members: &self.members,
         };
-        entry.limiter.update(&news, &self.table, now);
+        entry.limiter.update(&snapshot, &self.table, now);
     }
 
-    fn hear_each_other(&self, one: usize, other: usize) -> bool {
+    fn can_exchange(&self, one: usize, other: usize) -> bool {
         let (one, other) = (&self.entries[one], &self.entries[other]);
-        one.side == other.side && other.paused_until <= self.now
+        one.partition == other.partition && other.suspended_until <= self.now
     }
 
-    fn lost(&mut self) -> bool {
-        self.rng.random::<f64>() < self.loss
+    fn is_message_lost(&mut self) -> bool {
+        self.rng.random::<f64>() < self.loss_ratio
     }
 
-    /// Who speaks for the zone of `index`, as that one believes.
-    fn speaker(&self, index: usize) -> usize {
+    /// The aggregator of the zone of `index`, from that node's point of view.
+    fn aggregator(&self, index: usize) -> usize {
         let entry = &self.entries[index];
-        let patience = self.interval() * PATIENCE_INTERVALS;
-        let noticed = self.now.since(entry.side_since) >= patience;
+        let expiry = self.interval() * EXPIRY_INTERVALS;
+        let is_detected = self.now.since(entry.partitioned_since) >= expiry;
         let mut members =
             (0..self.entries.len()).filter(|one| self.entries[*one].zone == entry.zone);
-        let heard = |one: &usize| !noticed || self.entries[*one].side == entry.side;
-        members.find(heard).unwrap_or(index)
+        let is_reachable =
+            |one: &usize| !is_detected || self.entries[*one].partition == entry.partition;
+        members.find(is_reachable).unwrap_or(index)
     }
 
     fn exchange(&mut self, index: usize, loads: Vec<TenantLoad>) {
         let now = self.now;
-        let speaker = self.speaker(index);
-        let own = Told {
+        let aggregator = self.aggregator(index);
+        let own = Report {
             at: now,
             nodes: 1,
             loads,
         };
-        if speaker != index {
-            if self.hear_each_other(index, speaker) && !self.lost() {
-                self.entries[speaker].reports.insert(index, own);
+        if aggregator != index {
+            if self.can_exchange(index, aggregator) && !self.is_message_lost() {
+                self.entries[aggregator].reports.insert(index, own);
             }
             return;
         }
-        let life = self.interval() * PATIENCE_INTERVALS;
+        let report_ttl = self.interval() * EXPIRY_INTERVALS;
         let entry = &mut self.entries[index];
-        entry.reports.retain(|_, told| now.since(told.at) < life);
+        entry
+            .reports
+            .retain(|_, report| now.since(report.at) < report_ttl);
         let mut sum: BTreeMap<TenantHash, TenantLoad> = BTreeMap::new();
         for load in entry
             .reports
             .values()
             .chain([&own])
-            .flat_map(|told| &told.loads)
+            .flat_map(|report| &report.loads)
         {
             sum.entry(load.tenant)
                 .or_insert_with(|| TenantLoad::zero(load.tenant))
                 .add(load);
         }
-        let told = Told {
+        let report = Report {
             at: now,
             nodes: 1 + entry.reports.len() as u32,
             loads: sum.into_values().collect(),
         };
         let zone = entry.zone;
-        entry.zones.insert(zone, told);
-        self.tell(index, zone);
+        entry.zones.insert(zone, report);
+        self.send_sums(index, zone);
     }
 
-    /// The speaker tells its sums to the speakers of other zones, and all to its own.
-    fn tell(&mut self, index: usize, zone: usize) {
+    /// The aggregator sends its zone's sums to the aggregators of other zones, and all sums
+    /// to its own zone.
+    fn send_sums(&mut self, index: usize, zone: usize) {
         let known = self.entries[index].zones.clone();
         for other in 0..self.entries.len() {
-            let near = self.entries[other].zone == zone;
-            let told = other != index && (near || self.speaker(other) == other);
-            if !told || !self.hear_each_other(index, other) || self.lost() {
+            let same_zone = self.entries[other].zone == zone;
+            let is_recipient = other != index && (same_zone || self.aggregator(other) == other);
+            if !is_recipient || !self.can_exchange(index, other) || self.is_message_lost() {
                 continue;
             }
-            for (zone, told) in known.iter().filter(|(of, _)| near || **of == zone) {
-                let held = self.entries[other].zones.get(zone);
-                if held.is_none_or(|held| held.at < told.at) {
-                    self.entries[other].zones.insert(*zone, told.clone());
+            for (zone, report) in known.iter().filter(|(of, _)| same_zone || **of == zone) {
+                let known_report = self.entries[other].zones.get(zone);
+                if known_report.is_none_or(|known_report| known_report.at < report.at) {
+                    self.entries[other].zones.insert(*zone, report.clone());
                 }
             }
         }
     }
 
-    /// Most admitted requests in any window, over the bound.
-    pub fn worst_window(&self, limit: RateLimit) -> f64 {
+    /// Maximum number of admitted requests in any window, over the permitted number.
+    pub fn max_window_ratio(&self, limit: RateLimit) -> f64 {
         let mut first = 0;
         let mut most = 0;
         for (last, at) in self.admitted.iter().enumerate() {
@@ -415,21 +421,22 @@
         most as f64 / POLICY.max_requests_in_window(limit)
     }
 
-    /// Requests admitted from `begin` on, and those that one bucket for all would admit.
-    pub fn given_and_due(&self, begin: Moment, limit: RateLimit) -> (f64, f64) {
+    /// Requests admitted since `begin`, and those that a single shared token bucket would
+    /// admit.
+    pub fn admitted_and_expected(&self, begin: Moment, limit: RateLimit) -> (f64, f64) {
         let mut level = limit.burst;
-        let mut filled = self.asked.first().copied().unwrap_or_default();
-        let mut due = 0;
-        for at in &self.asked {
+        let mut filled = self.requests.first().copied().unwrap_or_default();
+        let mut expected = 0;
+        for at in &self.requests {
             level = (level + limit.rate * at.since(filled).as_secs_f64()).min(limit.burst.max(1.0));
             filled = *at;
             if level >= 1.0 {
                 level -= 1.0;
-                due += u32::from(*at >= begin);
+                expected += u32::from(*at >= begin);
             }
         }
-        let given = self.admitted.iter().filter(|at| **at >= begin).count();
-        (given as f64, f64::from(due))
+        let admitted = self.admitted.iter().filter(|at| **at >= begin).count();
+        (admitted as f64, f64::from(expected))
     }
 }
 
--- a/crates/rampthread-core/tests/quota_state.rs
+++ b/crates/rampthread-core/tests/quota_state.rs
@@ -1,4 +1,5 @@
-//! What many tenants cost a node: bounded state, and none of a tenant that is gone.
+//! Bounds on the cost of many tenants at one node, and removal of the state of deleted
+//! ones.
 
 use http::header::AUTHORIZATION;
 use http::{HeaderMap, HeaderValue};
@@ -16,8 +17,8 @@
 use std::time::{Duration, Instant};
 
 const TENANTS: usize = 10_000;
-/// Tenants that a zone tells.
-const TOLD: usize = 256;
+/// Tenants in a zone's report.
+const REPORTED_TENANTS: usize = 256;
 
 fn tenant(number: usize) -> Tenant {
     let key = |key: usize| KeyDigest::of(&format!("key-{number}-{key}"));
@@ -45,8 +46,8 @@
     Zone::new("zone").unwrap()
 }
 
-fn told() -> Vec<ZoneLoad> {
-    let loads = (0..TOLD).map(|number| TenantLoad {
+fn zone_report() -> Vec<ZoneLoad> {
+    let loads = (0..REPORTED_TENANTS).map(|number| TenantLoad {
         tenant: TenantHash::of(&tenant(number).name),
         requested_millirps: 1_000,
         admitted_millirps: 1_000,
@@ -60,17 +61,17 @@
     }]
 }
 
-fn learn(quotas: &mut TenantQuotas, zones: &[ZoneLoad], table: &TenantTable, now: Moment) {
-    let news = FleetLoadSnapshot {
+fn update(quotas: &mut TenantQuotas, zones: &[ZoneLoad], table: &TenantTable, now: Moment) {
+    let snapshot = FleetLoadSnapshot {
         zones,
         own_zone: &zone(),
         members: &ZoneMemberCounts::from([(zone(), 1)]),
     };
-    quotas.update(&news, table, now);
+    quotas.update(&snapshot, table, now);
 }
 
 #[test]
-fn ten_thousand_tenants_are_bounded_and_leave_nothing_behind() {
+fn state_is_bounded_and_removed_with_its_tenants() {
     let policy = QuotaPolicy {
         window: Duration::from_secs(5),
         overage_ratio: 0.1,
@@ -80,13 +81,13 @@
     let delta = StateDelta::between(&version(1, 0), &state).encode();
     let begun = Instant::now();
     let table = TenantTable::new(&state);
-    let built = begun.elapsed();
+    let build_time = begun.elapsed();
     let known: Vec<HeaderMap> = (0..TENANTS).map(with_key).collect();
     let begun = Instant::now();
     for headers in &known {
         assert!(table.identify(headers, false).unwrap().is_some());
     }
-    let looked_up = begun.elapsed();
+    let lookup_time = begun.elapsed();
     let mut now = Moment(1_000_000);
     let mut quotas = TenantQuotas::new(policy, now);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -94,32 +95,32 @@
         quotas.try_admit(&tenant(number), now, &mut rng).unwrap();
     }
     let begun = Instant::now();
-    let zones = told();
+    let zones = zone_report();
     for _ in 0..20 {
         now = now + Duration::from_millis(100);
-        learn(&mut quotas, &zones, &table, now);
+        update(&mut quotas, &zones, &table, now);
         assert!(quotas.load_reports(now).len() <= TENANTS);
     }
-    let learnt = begun.elapsed() / 20;
+    let update_time = begun.elapsed() / 20;
     println!(
-        "{TENANTS} tenants: delta {} bytes, table built in {built:?}, {:?} a look-up, \
-         a look at the news {learnt:?}",
+        "{TENANTS} tenants: delta {} bytes, table built in {build_time:?}, {:?} per lookup, \
+         update in {update_time:?}",
         delta.len(),
-        looked_up / TENANTS as u32,
+        lookup_time / TENANTS as u32,
     );
     assert_eq!(quotas.len(), TENANTS);
     now = now + Duration::from_secs(61);
-    learn(&mut quotas, &zones, &table, now);
-    assert_eq!(quotas.len(), TOLD);
-    let fewer = TenantTable::new(&version(3, TOLD / 2));
-    learn(&mut quotas, &zones, &fewer, now);
-    assert_eq!(quotas.len(), TOLD / 2);
-    learn(&mut quotas, &[], &TenantTable::default(), now);
+    update(&mut quotas, &zones, &table, now);
+    assert_eq!(quotas.len(), REPORTED_TENANTS);
+    let fewer = TenantTable::new(&version(3, REPORTED_TENANTS / 2));
+    update(&mut quotas, &zones, &fewer, now);
+    assert_eq!(quotas.len(), REPORTED_TENANTS / 2);
+    update(&mut quotas, &[], &TenantTable::default(), now);
     assert!(quotas.is_empty());
 }
 
-/// What a node goes by that has heard its own zone and another one of `members` each, so
-/// long ago.
+/// Basis of a decision of a node with reports of its own zone and another one, of `members`
+/// nodes each, with the given ages.
 fn basis_after(members: u32, own_age: Duration, far_age: Duration) -> QuotaBasis {
     let policy = QuotaPolicy {
         window: Duration::from_secs(5),
@@ -127,15 +128,15 @@
         slack_requests: 20.0,
     };
     let far = Zone::new("far").unwrap();
-    let told = |zone: Zone, age: Duration| ZoneLoad {
+    let report = |zone: Zone, age: Duration| ZoneLoad {
         zone,
         age,
         nodes: members,
         services: Vec::new(),
         tenants: Vec::new(),
     };
-    let zones = [told(zone(), own_age), told(far.clone(), far_age)];
-    let news = FleetLoadSnapshot {
+    let zones = [report(zone(), own_age), report(far.clone(), far_age)];
+    let snapshot = FleetLoadSnapshot {
         zones: &zones,
         own_zone: &zone(),
         members: &ZoneMemberCounts::from([(zone(), members), (far, members)]),
@@ -144,56 +145,63 @@
     let mut quotas = TenantQuotas::new(policy, Moment(1_000_000));
     let table = TenantTable::new(&version(1, 1));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    quotas.update(&news, &table, now);
+    quotas.update(&snapshot, &table, now);
     quotas.try_admit(&tenant(0), now, &mut rng).ok();
-    quotas.update(&news, &table, now);
+    quotas.update(&snapshot, &table, now);
     let tag = TenantHash::of(&tenant(0).name);
     quotas.view(tag, now).unwrap().basis
 }
 
-/// A large zone tells more seldom; its members are not cut off between two messages.
+/// Larger zones report less often; their members must not count as unreachable between two
+/// reports.
 #[test]
-fn news_counts_for_two_intervals_of_its_zone() {
-    let part_of = |basis| match basis {
+fn reports_count_for_two_intervals_of_their_zone() {
+    let fraction_of = |basis| match basis {
         QuotaBasis::FleetDemand { limit_fraction, .. } => Some(limit_fraction),
         QuotaBasis::LocalOnly { .. } => None,
     };
     let seconds = Duration::from_secs_f64;
     let (small, large) = (20, 120);
     assert_eq!(
-        part_of(basis_after(small, seconds(1.5), seconds(1.5))),
+        fraction_of(basis_after(small, seconds(1.5), seconds(1.5))),
         None
     );
-    let far_lost = part_of(basis_after(small, seconds(0.5), seconds(2.5)));
-    assert!(far_lost.is_some_and(|part| part < 1.0), "{far_lost:?}");
-    let whole = part_of(basis_after(large, seconds(1.9), seconds(3.8)));
-    assert_eq!(whole, Some(1.0));
+    let unreachable = fraction_of(basis_after(small, seconds(0.5), seconds(2.5)));
+    assert!(
+        unreachable.is_some_and(|fraction| fraction < 1.0),
+        "{unreachable:?}"
+    );
+    let complete = fraction_of(basis_after(large, seconds(1.9), seconds(3.8)));
+    assert_eq!(complete, Some(1.0));
     assert_eq!(
-        part_of(basis_after(large, seconds(2.3), seconds(2.3))),
+        fraction_of(basis_after(large, seconds(2.3), seconds(2.3))),
         None
     );
-    let far_lost = part_of(basis_after(large, seconds(0.5), seconds(4.3)));
-    assert!(far_lost.is_some_and(|part| part < 1.0), "{far_lost:?}");
+    let unreachable = fraction_of(basis_after(large, seconds(0.5), seconds(4.3)));
+    assert!(
+        unreachable.is_some_and(|fraction| fraction < 1.0),
+        "{unreachable:?}"
+    );
 }
 
-/// An entry that has just started and hears that nobody asks for a tenant admits its first
-/// requests; one that hears nothing yet does not.
+/// After its start, a node whose reports don't name the tenant admits its first requests;
+/// one without reports doesn't.
 #[rstest]
-#[case::nobody_asks(true, 2)]
-#[case::nothing_heard(false, 0)]
-fn the_first_requests_after_a_start(#[case] heard: bool, #[case] admitted: usize) {
+#[case::tenant_without_load(true, 2)]
+#[case::no_report(false, 0)]
+fn first_requests_after_start(#[case] has_report: bool, #[case] admitted: usize) {
     let policy = QuotaPolicy {
         window: Duration::from_secs(5),
         overage_ratio: 0.1,
         slack_requests: 20.0,
     };
-    let quiet = [ZoneLoad {
+    let idle_zone = [ZoneLoad {
         nodes: 71,
         tenants: Vec::new(),
-        ..told().swap_remove(0)
+        ..zone_report().swap_remove(0)
     }];
-    let zones: &[ZoneLoad] = if heard { &quiet } else { &[] };
-    let news = FleetLoadSnapshot {
+    let zones: &[ZoneLoad] = if has_report { &idle_zone } else { &[] };
+    let snapshot = FleetLoadSnapshot {
         zones,
         own_zone: &zone(),
         members: &ZoneMemberCounts::from([(zone(), 71)]),
@@ -203,9 +211,9 @@
     let mut quotas = TenantQuotas::new(policy, now);
     for _ in 0..5 {
         now = now + Duration::from_millis(100);
-        quotas.update(&news, &table, now);
+        quotas.update(&snapshot, &table, now);
     }
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let asked = (0..2).map(|_| quotas.try_admit(&tenant(0), now, &mut rng));
-    assert_eq!(asked.filter(Result::is_ok).count(), admitted);
+    let results = (0..2).map(|_| quotas.try_admit(&tenant(0), now, &mut rng));
+    assert_eq!(results.filter(Result::is_ok).count(), admitted);
 }
--- a/crates/rampthread-core/tests/tenant_properties.rs
+++ b/crates/rampthread-core/tests/tenant_properties.rs
@@ -1,6 +1,7 @@
-//! Tenants in versions, and whose call it is.
+//! Tenants in configuration versions, and identification of the tenant of a request.
 
 mod simulation;
+
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderValue};
 use proptest::prelude::*;
@@ -10,6 +11,7 @@
 use rampthread_core::ids::Version;
 use rstest::rstest;
 use simulation::{name, route, service};
+
 fn tenant(text: &str, keys: &[&str]) -> Resource {
     Resource::Tenant(Tenant {
         name: name(text),
@@ -19,21 +21,25 @@
         burst: RequestCount::default(),
     })
 }
+
 fn version(number: u64, tenants: Vec<Resource>) -> Result<ConfigState, Findings> {
     let mut resources = vec![service("shop"), route("look", "shop", None)];
     resources.extend(tenants);
     ConfigState::from_document(Version(number), resources, None)
 }
+
 fn with_key(value: &str) -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert(AUTHORIZATION, HeaderValue::from_str(value).unwrap());
     headers
 }
-fn found(state: &ConfigState, value: &str) -> Result<Option<String>, TenantKeyError> {
+
+fn identify(state: &ConfigState, value: &str) -> Result<Option<String>, TenantKeyError> {
     let table = TenantTable::new(state);
     let tenant = table.identify(&with_key(value), false)?;
     Ok(tenant.map(|tenant| tenant.name.to_string()))
 }
+
 #[rstest]
 #[case::first_key("Bearer key-1", Ok(Some("first")))]
 #[case::second_key("bearer  key-2 ", Ok(Some("first")))]
@@ -44,7 +50,7 @@
 #[case::another_scheme("Basic key-1", Err(TenantKeyError::NoKey))]
 #[case::nothing("", Err(TenantKeyError::NoKey))]
 #[case::no_key("Bearer ", Err(TenantKeyError::NoKey))]
-fn a_key_tells_whose_call_it_is(
+fn key_identifies_the_tenant(
     #[case] value: &str,
     #[case] expected: Result<Option<&str>, TenantKeyError>,
 ) {
@@ -54,10 +60,11 @@
     ];
     let state = version(1, tenants).unwrap();
     let expected = expected.map(|name| name.map(str::to_string));
-    assert_eq!(found(&state, value), expected);
+    assert_eq!(identify(&state, value), expected);
 }
+
 #[test]
-fn two_headers_or_a_long_key_tell_nothing() {
+fn duplicate_header_or_oversized_key_is_rejected() {
     let state = version(1, vec![tenant("first", &["key-1"])]).unwrap();
     let table = TenantTable::new(&state);
     let mut twice = with_key("Bearer key-1");
@@ -66,8 +73,9 @@
     let long = with_key(&format!("Bearer {}", "k".repeat(8_192)));
     assert_eq!(table.identify(&long, false), Err(TenantKeyError::NoKey));
 }
+
 #[test]
-fn a_public_route_needs_no_key_and_names_the_tenant_of_a_known_one() {
+fn public_route_needs_no_key_but_identifies_known_keys() {
     let state = version(1, vec![tenant("first", &["key-1"])]).unwrap();
     let table = TenantTable::new(&state);
     assert_eq!(table.identify(&HeaderMap::new(), true), Ok(None));
@@ -75,23 +83,26 @@
     let known = table.identify(&with_key("Bearer key-1"), true).unwrap();
     assert_eq!(known.unwrap().name, name("first"));
 }
+
 #[test]
-fn without_tenants_no_call_needs_a_key() {
+fn without_tenants_no_key_is_required() {
     let state = version(1, Vec::new()).unwrap();
-    assert_eq!(found(&state, "Bearer anything"), Ok(None));
+    assert_eq!(identify(&state, "Bearer anything"), Ok(None));
     assert!(!TenantTable::new(&state).has_tenants());
 }
-/// The last tenant's last key is gone: nobody has one, and nothing is open for it.
+
+/// When the last key of the last tenant is removed, requests must not become anonymous.
 #[test]
-fn tenants_without_keys_let_nobody_in() {
+fn tenants_without_keys_admit_no_request() {
     let state = version(1, vec![tenant("first", &[])]).unwrap();
     assert_eq!(
-        found(&state, "Bearer key-1"),
+        identify(&state, "Bearer key-1"),
         Err(TenantKeyError::UnknownKey)
     );
 }
+
 #[test]
-fn a_key_of_two_tenants_and_an_empty_one_are_found_together() {
+fn duplicate_and_empty_keys_are_both_reported() {
     let tenants = vec![
         tenant("first", &["key-1", ""]),
         tenant("second", &["key-2", "key-1"]),
@@ -100,9 +111,10 @@
     assert_eq!(findings.len(), 2, "{findings}");
     assert!(!findings.to_string().contains("key-1"), "{findings}");
 }
-/// Nothing that a version is written or shown as has a key in it.
+
+/// No serialized or debug form of a version may contain a key.
 #[test]
-fn no_form_of_a_version_shows_a_key() {
+fn no_serialized_form_contains_a_key() {
     let empty = version(1, Vec::new()).unwrap();
     let state = version(2, vec![tenant("first", &["secret-key"])]).unwrap();
     let delta = StateDelta::between(&empty, &state);
@@ -123,36 +135,38 @@
     let digest = String::from(KeyDigest::of("secret-key"));
     assert!(!debug.contains(&digest));
 }
+
 fn tenants() -> impl Strategy<Value = Vec<Resource>> {
     let keys = prop::collection::btree_set(0_u32..200, 0..30);
     (keys, 1_usize..5).prop_map(|(keys, count)| {
-        let mut held: Vec<Vec<String>> = vec![Vec::new(); count];
+        let mut keys_by_tenant: Vec<Vec<String>> = vec![Vec::new(); count];
         for (index, key) in keys.into_iter().enumerate() {
-            held[index % count].push(format!("key-{key}"));
+            keys_by_tenant[index % count].push(format!("key-{key}"));
         }
         let resource = |(index, keys): (usize, &Vec<String>)| {
             let keys: Vec<&str> = keys.iter().map(String::as_str).collect();
             tenant(&format!("tenant-{index}"), &keys)
         };
-        held.iter().enumerate().map(resource).collect()
+        keys_by_tenant.iter().enumerate().map(resource).collect()
     })
 }
+
 proptest! {
-/// Keys that are added, moved and removed come with a delta as they come whole, and
+    /// Added, moved and removed keys are the same after a delta as in the full version, and
     /// a snapshot keeps them.
- #[test]
-fn keys_travel_with_deltas_and_snapshots(before in tenants(), after in tenants()) {
-let before = version(1, before).unwrap();
-let after = version(2, after).unwrap();
-let delta = StateDelta::decode(&StateDelta::between(&before, &after).encode()).unwrap();
-let led_to = delta.apply_to(&before).unwrap();
-let restored = ConfigState::decode_snapshot(&after.encode_compressed_snapshot()).unwrap();
-for state in [&led_to, &restored] {
-prop_assert_eq!(state.content_digest(), after.content_digest());
-for key in 0..200 {
-let value = format!("Bearer key-{key}");
-prop_assert_eq!(found(state, &value), found(&after, &value));
-}
-}
-}
+    #[test]
+    fn keys_survive_deltas_and_snapshots(before in tenants(), after in tenants()) {
+        let before = version(1, before).unwrap();
+        let after = version(2, after).unwrap();
+        let delta = StateDelta::decode(&StateDelta::between(&before, &after).encode()).unwrap();
+        let applied = delta.apply_to(&before).unwrap();
+        let restored = ConfigState::decode_snapshot(&after.encode_compressed_snapshot()).unwrap();
+        for state in [&applied, &restored] {
+            prop_assert_eq!(state.content_digest(), after.content_digest());
+            for key in 0..200 {
+                let value = format!("Bearer key-{key}");
+                prop_assert_eq!(identify(state, &value), identify(&after, &value));
+            }
+        }
+    }
 }
