--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -1,13 +1,14 @@
-//! The node that decides: takes the lease, judges, and puts on record what has ended.
+//! The node that decides about rollouts: the decider holds a lease, evaluates versions, and
+//! persists how rollouts ended.
 //!
-//! Several nodes know an order; one at a time decides. It holds a lease in the platform's
-//! store, and its writes hold only while the record of that lease is the one it wrote (a
-//! fencing token), and while the state is the one it has read. An end is told to others
-//! only once it is on record; before that, only what is safe if it turns out otherwise:
-//! that a version gets no calls.
+//! Several nodes know an order, but only one at a time is the decider. It holds a lease in
+//! the platform's store. Its writes succeed only while the lease record is unchanged (the
+//! record's revision is a fencing token) and while the stored state is the one it has read.
+//! Other nodes learn of an end only after it is persisted. Until then they learn only what
+//! is safe if the write fails: that a version gets no calls.
 //!
-//! One call to the store is under way at a time. A call without an answer may have been
-//! done: the records are read again before anything else is written.
+//! At most one store request is in flight. A request without a response may have been
+//! executed, so the records are read again before the next write.
 
 use super::RolloutBounds;
 use super::evaluation::VersionEvaluator;
@@ -21,123 +22,126 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Life of the lease. Meanwhile nobody takes over from a decider that has ended; shares
-/// that are not confirmed end sooner.
+/// TTL of the lease. No other node takes over from a failed decider for that long; traffic
+/// shares without confirmation expire sooner.
 pub const LEASE_TTL: Duration = Duration::from_secs(3);
-/// Time from the start of a renewal that succeeded to the next one; one that fails is
-/// repeated after [`RETRY`], so that several tries fit into the lease.
-const RENEWAL: Duration = Duration::from_millis(800);
-/// Time between two rounds of the decider.
+/// Time from the start of a successful renewal to the next one. Failed renewals are retried
+/// after [`REQUEST_RETRY_DELAY`], so that several attempts fit into the lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(800);
+/// Time between two evaluations by the decider.
 pub const EVALUATION_INTERVAL: Duration = Duration::from_millis(400);
-/// The same near the end of a roll-out, where it must be in time.
-const HURRIED_EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
-/// Silence of the decider after which the first in the order tries to take over.
-const SILENCE: Duration = Duration::from_millis(1_200);
-/// Time that each node leaves to those before it in the order.
-const TURN: Duration = Duration::from_millis(300);
-/// Pause after a try that led nowhere.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Nodes, the first in the order, that compare the records with what is known after the
-/// store was restored.
-const RECHECKERS: u32 = 4;
-/// Pause before a failed call is repeated while this node decides.
-const RETRY: Duration = Duration::from_millis(300);
-/// Seconds over which the present rate of calls is measured.
-const RATE_TIME: f64 = 1.0;
-
-/// A state as the store holds it.
+/// The same near the end of a rollout, where actions have to meet a deadline.
+const URGENT_EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without updates from the decider after which the first node in the takeover order
+/// tries to become the decider.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Delay per rank in the takeover order, so that nodes earlier in the order try first.
+const TAKEOVER_DELAY_PER_RANK: Duration = Duration::from_millis(300);
+/// Delay after an unsuccessful attempt to become the decider.
+const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Number of nodes, from the start of the takeover order, that compare the records with
+/// their own state after the store was restored.
+const RECORD_CHECKERS: u32 = 4;
+/// Delay before the decider retries a failed store request.
+const REQUEST_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Time constant of the call rate, in seconds.
+const RATE_TIME_CONSTANT_SECS: f64 = 1.0;
+
+/// A rollout state as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRollout {
-    /// The state.
+    /// The rollout state in the record.
     pub state: RolloutState,
-    /// Its last change.
+    /// Store revision at which the record last changed.
     pub revision: u64,
-    /// When it was written, by the wall clock of who wrote it, in milliseconds since 1970.
+    /// When the record was written, in milliseconds since the Unix epoch by the writer's
+    /// clock.
     pub written_ms: u64,
 }
 
-/// A call to the store.
+/// A request to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DeciderRequest {
-    /// Read who decides, and every state.
+    /// Read the lease and all rollout states.
     Read,
-    /// Become the decider, if there is none.
+    /// Acquire the lease if nobody holds it.
     Claim {
-        /// Whose term it is.
+        /// Term that the new decider claims, higher than all earlier ones.
         term: u64,
-        /// Life of the lease.
+        /// TTL of the lease.
         life: Duration,
     },
-    /// Keep the lease.
+    /// Renew the lease.
     Renew {
-        /// Which one.
+        /// Id of the lease to renew, from `Claimed`.
         lease: LeaseId,
     },
-    /// Put a state on record, if this node still decides and nobody else has.
+    /// Persist a state, if this node still holds the lease and nobody else has changed the
+    /// state.
     Write {
-        /// The state.
+        /// The rollout state to persist.
         state: RolloutState,
-        /// Last change of the state that it takes the place of; 0: there is none.
+        /// Store revision of the record to replace; 0 if there must be no record.
         expected: u64,
-        /// Last change of the record of the lease.
+        /// Store revision that the lease record must still have.
         fence: u64,
     },
-    /// Give the lease back.
+    /// Release the lease.
     Release {
-        /// Which one.
+        /// Id of the lease to release, from `Claimed`.
         lease: LeaseId,
     },
 }
 
-/// What the store answered.
+/// Response of the store to a [`DeciderRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DeciderResponse {
-    /// What it holds.
+    /// The lease and all records, in response to `Read`.
     Records {
-        /// Last change of the record of the lease; none: nobody decides.
+        /// Store revision of the lease record; `None` if nobody holds the lease.
         fence: Option<u64>,
-        /// The highest term that anything on record names.
+        /// The highest term in any record.
         term: u64,
-        /// The states.
+        /// All persisted rollout states.
         states: Vec<StoredRollout>,
     },
-    /// This node decides.
+    /// This node acquired the lease, in response to `Claim`.
     Claimed {
-        /// Its lease.
+        /// Id of the acquired lease.
         lease: LeaseId,
-        /// Last change of the record of the lease.
+        /// Store revision of the lease record.
         fence: u64,
     },
-    /// The lease is kept, or given back.
+    /// The lease was renewed or released.
     Kept,
-    /// The state is on record.
+    /// The state was persisted, in response to `Write`.
     Written {
-        /// Its last change.
+        /// Store revision of the written record.
         revision: u64,
     },
-    /// Another node decides, the lease is over, or the state is another one.
+    /// Another node holds the lease, the lease has expired, or the state was changed.
     Conflict,
-    /// Nothing is known of the call.
+    /// The request failed, or its result is unknown.
     Failed,
 }
 
-/// What a roll-out's decision rests on, for operators.
+/// A change in a rollout and the reason for it, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutDecision {
-    /// The state from now on.
+    /// State of the rollout after the change.
     pub state: RolloutState,
-    /// The inputs.
+    /// Measurements or conditions that led to the change.
     pub reason: String,
 }
 
-/// What a step of the decider leads to.
+/// What the caller of the decider has to send and log after a step.
 #[derive(Debug, Default, PartialEq)]
 pub struct DeciderOutput {
-    /// The store is to be called.
+    /// Request to send to the store.
     pub request: Option<DeciderRequest>,
-    /// These states are new and are to be told.
+    /// New states to send to the other nodes.
     pub updates: Vec<RolloutState>,
-    /// Decisions, for the log.
+    /// Decisions to log.
     pub decisions: Vec<RolloutDecision>,
 }
 
@@ -146,182 +150,196 @@
     id: LeaseId,
     fence: u64,
     term: u64,
-    /// Until when it holds for certain.
+    /// Until when the lease is certainly valid, counted from the time when the request for
+    /// it was sent.
     holds_until: Moment,
     renew_at: Moment,
 }
 
 #[derive(Debug)]
 enum Role {
-    /// Others decide, or nobody has to.
+    /// Another node is the decider, or there is no open rollout.
     Idle,
-    /// The records are known: this node may claim.
+    /// The records were read and nobody holds the lease, so this node may claim it.
     Candidate { term: u64 },
-    /// This node decides.
-    Decides(Lease),
+    /// This node holds the lease.
+    Decider(Lease),
 }
 
-/// One roll-out as the decider sees it.
+/// One rollout under evaluation by this decider.
 #[derive(Debug)]
-struct Case {
+struct Evaluation {
     order: OrderId,
-    judge: VersionEvaluator,
-    /// What each node has told last in each of its lives: counts begin anew with a life.
-    heard: BTreeMap<(NodeId, ProcessEpoch), BTreeMap<EvidenceKey, ResponseCounts>>,
-    /// Counted since the last round.
+    evaluator: VersionEvaluator,
+    /// The latest counts from each process epoch of each node. Counters start at zero in
+    /// each epoch.
+    counts_by_node: BTreeMap<(NodeId, ProcessEpoch), BTreeMap<EvidenceKey, ResponseCounts>>,
+    /// Counts since the last evaluation.
     round: Vec<VersionEvidence>,
     rate: f64,
-    /// Since when evidence is taken.
+    /// Since when this decider collects evidence about the rollout.
     since: Moment,
-    /// When the move was first seen, and the version's answers heard by then.
-    moving_since: Option<(Moment, u64)>,
-    /// It has succeeded, and that is to go on record.
-    succeeds: bool,
+    /// When the shift of traffic was first seen, and the target's responses by then.
+    shifting_since: Option<(Moment, u64)>,
+    /// Whether the rollout has succeeded and that is still to be persisted.
+    has_succeeded: bool,
 }
 
 type EvidenceKey = (SoftwareVersion, u8, ResourceName);
 
-/// What the decider knows besides states and evidence.
+/// What the decider needs to know besides states and evidence; provided by the caller on
+/// each tick.
 #[derive(Clone, Copy)]
 pub struct DeciderContext<'a> {
-    /// The store answers this node, so that it may decide.
+    /// Whether the store is reachable from this node; otherwise it can't become the
+    /// decider.
     pub eligible: bool,
-    /// Eligible nodes before this one in the order.
+    /// Number of eligible nodes before this one in the takeover order.
     pub rank: u32,
-    /// Slots of a service's back ends: those of the given version, and the others.
+    /// Returns the slots (calls at a time) of a service's backends: those of the given
+    /// version, and those of the others.
     pub slots: &'a dyn Fn(&ResourceName, &SoftwareVersion) -> (u32, u32),
-    /// Time within which a new decider hears all that the fleet has seen.
+    /// Time within which a new decider has received the evidence of all nodes.
     pub evidence_collection_time: Duration,
 }
 
-/// One node's part in deciding.
+/// Decides on rollouts while this node holds the lease, and tries to get it when nobody
+/// does.
 #[derive(Debug)]
 pub struct Decider {
     me: NodeId,
     bounds: RolloutBounds,
     role: Role,
-    /// The call under way, and when it began.
-    calling: Option<(DeciderRequest, Moment)>,
-    next_try: Moment,
-    next_round: Moment,
-    last_round: Moment,
-    /// Last change of each state on record; known while this node decides.
-    on_record: BTreeMap<ResourceName, StoredRollout>,
-    cases: BTreeMap<ResourceName, Case>,
-    /// What is on record may differ from `on_record`.
-    doubts_records: bool,
-    /// From when on the records are to be compared with what is known: owed until they
-    /// were read, or written, and hold all of it.
+    /// The store request in flight, and when it was sent.
+    in_flight: Option<(DeciderRequest, Moment)>,
+    next_attempt_at: Moment,
+    next_evaluation_at: Moment,
+    last_evaluation_at: Moment,
+    /// The persisted rollout states by service; known while this node is the decider.
+    persisted: BTreeMap<ResourceName, StoredRollout>,
+    evaluations: BTreeMap<ResourceName, Evaluation>,
+    /// The records in the store may differ from `persisted`.
+    records_uncertain: bool,
+    /// From when on the store's records have to be compared with the known states. Cleared
+    /// once the records were read or written and match.
     recheck_from: Option<Moment>,
-    /// The highest term that this node has claimed; the store may forget it.
-    claimed_term: u64,
-    /// The store came back from an older copy, and nobody is known to have looked since.
+    /// The highest term that this node has claimed. A restored store may have lost it.
+    highest_claimed_term: u64,
+    /// The store was restored from an older backup, and this node doesn't know that another
+    /// one has compared the records since.
     restored: bool,
-    /// The call under way was begun before the store was restored.
-    call_is_void: bool,
+    /// The request in flight was sent before the store was restored.
+    in_flight_is_void: bool,
 }
 
 impl Decider {
-    /// A node that decides nothing yet.
+    /// Creates a node that is not the decider.
     pub fn new(me: NodeId, bounds: RolloutBounds) -> Self {
         Self {
             me,
             bounds,
             role: Role::Idle,
-            calling: None,
-            next_try: Moment::default(),
-            next_round: Moment::default(),
-            last_round: Moment::default(),
-            on_record: BTreeMap::new(),
-            cases: BTreeMap::new(),
-            doubts_records: false,
+            in_flight: None,
+            next_attempt_at: Moment::default(),
+            next_evaluation_at: Moment::default(),
+            last_evaluation_at: Moment::default(),
+            persisted: BTreeMap::new(),
+            evaluations: BTreeMap::new(),
+            records_uncertain: false,
             recheck_from: None,
-            claimed_term: 0,
+            highest_claimed_term: 0,
             restored: false,
-            call_is_void: false,
+            in_flight_is_void: false,
         }
     }
 
-    /// True while this node decides.
+    /// Returns whether this node holds the lease at `now`.
     pub fn holds_lease(&self, now: Moment) -> bool {
-        matches!(&self.role, Role::Decides(lease) if now < lease.holds_until)
+        matches!(&self.role, Role::Decider(lease) if now < lease.holds_until)
     }
 
-    /// Takes what a node tells to have seen.
+    /// Applies the evidence that a node reports.
     pub fn on_evidence(
         &mut self,
         from: &NodeId,
         process_epoch: ProcessEpoch,
         evidence: &[VersionEvidence],
     ) {
-        for seen in evidence {
-            let Some(case) = self.cases.get_mut(&seen.service) else {
+        for evidence_row in evidence {
+            let Some(evaluation) = self.evaluations.get_mut(&evidence_row.service) else {
                 continue;
             };
-            if case.order != seen.order {
+            if evaluation.order != evidence_row.order {
                 continue;
             }
-            let key = (seen.version.clone(), seen.group, seen.route.clone());
-            let heard = case.heard.entry((from.clone(), process_epoch)).or_default();
-            let before = heard.entry(key).or_default();
-            // A smaller count is an earlier report that came late.
-            let Some(counts) = seen.counts.since(before) else {
+            let key = (
+                evidence_row.version.clone(),
+                evidence_row.group,
+                evidence_row.route.clone(),
+            );
+            let node_counts = evaluation
+                .counts_by_node
+                .entry((from.clone(), process_epoch))
+                .or_default();
+            let before = node_counts.entry(key).or_default();
+            // A smaller count is from an earlier report that arrived late.
+            let Some(counts) = evidence_row.counts.since(before) else {
                 continue;
             };
-            before.clone_from(&seen.counts);
+            before.clone_from(&evidence_row.counts);
             if counts.responses > 0 {
-                case.round.push(VersionEvidence {
+                evaluation.round.push(VersionEvidence {
                     counts,
-                    ..seen.clone()
+                    ..evidence_row.clone()
                 });
             }
         }
     }
 
-    /// Lets time pass.
+    /// Advances time: evaluates rollouts that are due, and returns what to send and log.
     pub fn tick(
         &mut self,
         table: &mut RolloutTable,
         context: &DeciderContext<'_>,
         now: Moment,
     ) -> DeciderOutput {
-        let mut step = DeciderOutput::default();
-        if matches!(self.role, Role::Decides(_)) && !self.holds_lease(now) {
+        let mut output = DeciderOutput::default();
+        if matches!(self.role, Role::Decider(_)) && !self.holds_lease(now) {
             self.step_down(now);
         }
         if self.holds_lease(now) {
-            self.decide(table, context, now, &mut step);
+            self.decide(table, context, now, &mut output);
         }
-        if self.calling.is_none() {
-            step.request = self.next_call(table, context, now);
-            if let Some(call) = &step.request {
-                self.calling = Some((call.clone(), now));
+        if self.in_flight.is_none() {
+            output.request = self.next_request(table, context, now);
+            if let Some(request) = &output.request {
+                self.in_flight = Some((request.clone(), now));
             }
         }
-        step
+        output
     }
 
     fn step_down(&mut self, now: Moment) {
         self.role = Role::Idle;
-        self.next_try = now + PAUSE;
-        self.on_record.clear();
-        self.cases.clear();
-        self.doubts_records = false;
+        self.next_attempt_at = now + TAKEOVER_RETRY_DELAY;
+        self.persisted.clear();
+        self.evaluations.clear();
+        self.records_uncertain = false;
     }
 
-    fn next_call(
+    fn next_request(
         &mut self,
         table: &RolloutTable,
         context: &DeciderContext<'_>,
         now: Moment,
     ) -> Option<DeciderRequest> {
         match &self.role {
-            Role::Decides(lease) if now >= lease.renew_at => {
+            Role::Decider(lease) if now >= lease.renew_at => {
                 Some(DeciderRequest::Renew { lease: lease.id })
             }
-            Role::Decides(_) if now < self.next_try => None,
-            Role::Decides(_) if self.doubts_records => Some(DeciderRequest::Read),
-            Role::Decides(lease) => match self.unrecorded(table, now) {
+            Role::Decider(_) if now < self.next_attempt_at => None,
+            Role::Decider(_) if self.records_uncertain => Some(DeciderRequest::Read),
+            Role::Decider(lease) => match self.unpersisted(table, now) {
                 Some((state, expected)) => Some(DeciderRequest::Write {
                     state,
                     expected,
@@ -335,57 +353,67 @@
                 life: LEASE_TTL,
             }),
             Role::Idle => self
-                .should_try(table, context, now)
+                .should_try_takeover(table, context, now)
                 .then_some(DeciderRequest::Read),
         }
     }
 
-    /// True when nobody seems to decide, and it is this node's turn.
-    fn should_try(
+    /// Returns whether there seems to be no decider and it is this node's turn to try.
+    fn should_try_takeover(
         &mut self,
         table: &RolloutTable,
         context: &DeciderContext<'_>,
         now: Moment,
     ) -> bool {
-        let turn = TURN * context.rank;
-        if !context.eligible || now < self.next_try {
+        let takeover_delay = TAKEOVER_DELAY_PER_RANK * context.rank;
+        if !context.eligible || now < self.next_attempt_at {
             return false;
         }
-        if self.restored && context.rank >= RECHECKERS {
+        if self.restored && context.rank >= RECORD_CHECKERS {
             self.restored = false;
             self.recheck_from = None;
         }
-        if self.recheck_from.is_some_and(|from| now >= from + turn) {
+        if self
+            .recheck_from
+            .is_some_and(|from| now >= from + takeover_delay)
+        {
             return true;
         }
         let Some(silence) = table.longest_silence(now) else {
             return false;
         };
-        let untouched = table.states(now).iter().all(|state| state.term == 0);
-        let patience = if untouched { Duration::ZERO } else { SILENCE };
-        silence >= patience + turn
+        let has_no_decider = table.states(now).iter().all(|state| state.term == 0);
+        let timeout = if has_no_decider {
+            Duration::ZERO
+        } else {
+            TAKEOVER_TIMEOUT
+        };
+        silence >= timeout + takeover_delay
     }
 
-    /// The store may have lost what was on record: it is compared with what is known.
+    /// Schedules a comparison of the records with the known states, because the store may
+    /// have lost some.
     pub fn recheck(&mut self, now: Moment) {
         self.recheck_from = Some(now);
-        self.doubts_records = true;
+        self.records_uncertain = true;
     }
 
-    /// The store came back from an older copy. A lease of before is none any more, whatever
-    /// bears its number now: this node stops, and takes its place anew.
+    /// Handles a restore of the store from an older backup. Leases from before are invalid,
+    /// even if one with the same id exists now: this node steps down and may acquire a new
+    /// one.
     pub fn on_store_restored(&mut self, table: &RolloutTable, now: Moment) {
-        self.call_is_void = self.calling.is_some();
+        self.in_flight_is_void = self.in_flight.is_some();
         self.step_down(now);
         self.restored = !table.is_empty();
         self.recheck_from = self.restored.then_some(now);
     }
 
-    /// A state that is not on record as it is known, with the last change of what is.
-    fn unrecorded(&self, table: &RolloutTable, now: Moment) -> Option<(RolloutState, u64)> {
+    /// Returns a known state that isn't persisted as it is, with the store revision of its
+    /// record.
+    fn unpersisted(&self, table: &RolloutTable, now: Moment) -> Option<(RolloutState, u64)> {
         table.states(now).into_iter().find_map(|state| {
-            let stored = self.on_record.get(&state.service);
-            let state = self.to_record(state);
+            let stored = self.persisted.get(&state.service);
+            let state = self.persisted_form(state);
             let differs = stored.is_none_or(|stored| {
                 (stored.state.order, stored.state.phase) != (state.order, state.phase)
             });
@@ -394,13 +422,15 @@
         })
     }
 
-    /// What the record is to hold: a move is not on record, since who takes over judges
-    /// anew; what is being ended is on record as its end.
-    fn to_record(&self, state: RolloutState) -> RolloutState {
-        let case = self.cases.get(&state.service);
+    /// The form in which a state is persisted. A shift of traffic is persisted as running,
+    /// since the next decider evaluates from scratch; a rollback is persisted as finished.
+    fn persisted_form(&self, state: RolloutState) -> RolloutState {
+        let evaluation = self.evaluations.get(&state.service);
         let phase = match state.phase {
             Phase::RollingBack => Phase::RolledBack,
-            Phase::Moving if case.is_some_and(|case| case.succeeds) => Phase::Succeeded,
+            Phase::Moving if evaluation.is_some_and(|evaluation| evaluation.has_succeeded) => {
+                Phase::Succeeded
+            }
             Phase::Moving => Phase::Running,
             phase => phase,
         };
@@ -409,7 +439,7 @@
             _ => 0,
         };
         let term = match &self.role {
-            Role::Decides(lease) => lease.term,
+            Role::Decider(lease) => lease.term,
             _ => state.term,
         };
         RolloutState {
@@ -420,24 +450,24 @@
         }
     }
 
-    // ---- answers of the store ----
+    // ---- store responses ----
 
-    /// Takes the answer to the call under way.
+    /// Applies the store's response to the request in flight.
     pub fn on_response(
         &mut self,
-        answer: DeciderResponse,
+        response: DeciderResponse,
         table: &mut RolloutTable,
         now: Moment,
     ) -> DeciderOutput {
-        let mut step = DeciderOutput::default();
-        let Some((call, begun)) = self.calling.take() else {
-            return step;
+        let mut output = DeciderOutput::default();
+        let Some((request, sent_at)) = self.in_flight.take() else {
+            return output;
         };
-        if std::mem::take(&mut self.call_is_void) {
+        if std::mem::take(&mut self.in_flight_is_void) {
             self.step_down(now);
-            return step;
+            return output;
         }
-        match (call, answer) {
+        match (request, response) {
             (
                 DeciderRequest::Read,
                 DeciderResponse::Records {
@@ -445,41 +475,41 @@
                     term,
                     states,
                 },
-            ) => self.on_records(fence, term, states, table, now, &mut step),
+            ) => self.on_records(fence, term, states, table, now, &mut output),
             (DeciderRequest::Claim { term, .. }, DeciderResponse::Claimed { lease, fence }) => {
-                self.claimed_term = self.claimed_term.max(term);
-                self.next_round = now;
-                self.last_round = now;
-                self.next_try = now;
-                self.role = Role::Decides(Lease {
+                self.highest_claimed_term = self.highest_claimed_term.max(term);
+                self.next_evaluation_at = now;
+                self.last_evaluation_at = now;
+                self.next_attempt_at = now;
+                self.role = Role::Decider(Lease {
                     id: lease,
                     fence,
                     term,
-                    holds_until: begun + LEASE_TTL,
-                    renew_at: begun + RENEWAL,
+                    holds_until: sent_at + LEASE_TTL,
+                    renew_at: sent_at + RENEWAL_INTERVAL,
                 });
             }
             (DeciderRequest::Renew { .. }, DeciderResponse::Kept) => {
-                if let Role::Decides(lease) = &mut self.role {
-                    lease.holds_until = begun + LEASE_TTL;
-                    lease.renew_at = begun + RENEWAL;
+                if let Role::Decider(lease) = &mut self.role {
+                    lease.holds_until = sent_at + LEASE_TTL;
+                    lease.renew_at = sent_at + RENEWAL_INTERVAL;
                 }
             }
             (DeciderRequest::Renew { .. }, DeciderResponse::Failed) => {
-                if let Role::Decides(lease) = &mut self.role {
-                    lease.renew_at = now + RETRY;
+                if let Role::Decider(lease) = &mut self.role {
+                    lease.renew_at = now + REQUEST_RETRY_DELAY;
                 }
             }
             (DeciderRequest::Write { state, .. }, DeciderResponse::Written { revision }) => {
-                self.on_written(state, revision, table, now, &mut step);
+                self.on_written(state, revision, table, now, &mut output);
             }
             (DeciderRequest::Write { .. } | DeciderRequest::Read, _) if self.holds_lease(now) => {
-                self.doubts_records = true;
-                self.next_try = now + RETRY;
+                self.records_uncertain = true;
+                self.next_attempt_at = now + REQUEST_RETRY_DELAY;
             }
             _ => self.step_down(now),
         }
-        step
+        output
     }
 
     fn on_records(
@@ -489,46 +519,47 @@
         states: Vec<StoredRollout>,
         table: &mut RolloutTable,
         now: Moment,
-        step: &mut DeciderOutput,
+        output: &mut DeciderOutput,
     ) {
         for stored in &states {
             if table.merge(stored.state.clone(), now) {
-                step.updates.push(stored.state.clone());
+                output.updates.push(stored.state.clone());
             }
         }
         let by_service = states
             .into_iter()
             .map(|stored| (stored.state.service.clone(), stored));
-        self.on_record = by_service.collect();
-        self.doubts_records = false;
-        if let Role::Decides(lease) = &self.role {
+        self.persisted = by_service.collect();
+        self.records_uncertain = false;
+        if let Role::Decider(lease) = &self.role {
             if fence == Some(lease.fence) {
-                self.settle_recheck(table, now);
+                self.finish_recheck(table, now);
             } else {
                 self.step_down(now);
             }
             return;
         }
-        self.settle_recheck(table, now);
-        let unrecorded = self.unrecorded(table, now).is_some();
+        self.finish_recheck(table, now);
+        let unpersisted = self.unpersisted(table, now).is_some();
         if fence.is_some() && self.recheck_from.is_some() {
-            // Who decides may put it on record, or be gone.
+            // The holder of the lease may persist the missing states itself, or may be
+            // gone.
             self.recheck_from = Some(now + LEASE_TTL);
         }
-        let needed = table.has_open() || unrecorded;
+        let needed = table.has_open() || unpersisted;
         if fence.is_some() || !needed {
             self.step_down(now);
             return;
         }
         let known = table.states(now).into_iter().map(|state| state.term);
-        let term = known.fold(term.max(self.claimed_term), u64::max);
+        let term = known.fold(term.max(self.highest_claimed_term), u64::max);
         let term = term.saturating_add(1);
         self.role = Role::Candidate { term };
     }
 
-    /// A recheck is done once the records hold all that is known.
-    fn settle_recheck(&mut self, table: &RolloutTable, now: Moment) {
-        if self.unrecorded(table, now).is_none() {
+    /// The comparison is complete once the records contain all known states.
+    fn finish_recheck(&mut self, table: &RolloutTable, now: Moment) {
+        if self.unpersisted(table, now).is_none() {
             self.recheck_from = None;
             self.restored = false;
         }
@@ -540,24 +571,24 @@
         revision: u64,
         table: &mut RolloutTable,
         now: Moment,
-        step: &mut DeciderOutput,
+        output: &mut DeciderOutput,
     ) {
         if state.phase.is_ended() && table.merge(state.clone(), now) {
-            step.updates.push(state.clone());
+            output.updates.push(state.clone());
         }
-        let reason = "on record".to_string();
-        step.decisions.push(RolloutDecision {
+        let reason = "persisted".to_string();
+        output.decisions.push(RolloutDecision {
             state: state.clone(),
             reason,
         });
         let stored = StoredRollout {
             state,
             revision,
-            // Only who reads it from the store needs it.
+            // Only meaningful in states that were read from the store.
             written_ms: 0,
         };
-        self.on_record.insert(stored.state.service.clone(), stored);
-        self.settle_recheck(table, now);
+        self.persisted.insert(stored.state.service.clone(), stored);
+        self.finish_recheck(table, now);
     }
 
     // ---- decisions ----
@@ -567,35 +598,36 @@
         table: &mut RolloutTable,
         context: &DeciderContext<'_>,
         now: Moment,
-        step: &mut DeciderOutput,
+        output: &mut DeciderOutput,
     ) {
-        let Role::Decides(lease) = &self.role else {
+        let Role::Decider(lease) = &self.role else {
             return;
         };
-        if now < self.next_round {
+        if now < self.next_evaluation_at {
             return;
         }
         let term = lease.term;
-        let passed = now.since(self.last_round);
-        self.last_round = now;
-        let hurry = table.states(now).iter().any(schedule::is_near_end);
-        self.next_round = now
-            + if hurry {
-                HURRIED_EVALUATION_INTERVAL
+        let passed = now.since(self.last_evaluation_at);
+        self.last_evaluation_at = now;
+        let is_urgent = table.states(now).iter().any(schedule::is_near_end);
+        self.next_evaluation_at = now
+            + if is_urgent {
+                URGENT_EVALUATION_INTERVAL
             } else {
                 EVALUATION_INTERVAL
             };
         for state in table.states(now) {
-            // What is not on record yet gets no calls: nobody could end it.
-            let recorded = self.on_record.get(&state.service);
-            if recorded.is_none_or(|stored| stored.state.order != state.order) {
+            // An order gets no calls before it is persisted: another decider couldn't end
+            // it.
+            let stored = self.persisted.get(&state.service);
+            if stored.is_none_or(|stored| stored.state.order != state.order) {
                 continue;
             }
             if state.phase.is_ended() {
-                self.cases.remove(&state.service);
+                self.evaluations.remove(&state.service);
                 continue;
             }
-            let (decided, reason) = self.judge(&state, context, passed, now);
+            let (decided, reason) = self.evaluate(&state, context, passed, now);
             let next = RolloutState {
                 term,
                 step: state.step.saturating_add(1),
@@ -604,68 +636,75 @@
             };
             if !next.has_same_decision(&state) {
                 let state = next.clone();
-                step.decisions.push(RolloutDecision { state, reason });
+                output.decisions.push(RolloutDecision { state, reason });
             }
             if table.merge(next.clone(), now) {
-                step.updates.push(next);
+                output.updates.push(next);
             }
         }
     }
 
-    /// One round of one roll-out: its state from now on, and what that rests on.
-    fn judge(
+    /// Evaluates one rollout: returns its next state and the reason.
+    fn evaluate(
         &mut self,
         state: &RolloutState,
         context: &DeciderContext<'_>,
         passed: Duration,
         now: Moment,
     ) -> (RolloutState, String) {
-        let case = case_of(&mut self.cases, state, now);
-        case.take_round(passed);
+        let evaluation = evaluation_of(&mut self.evaluations, state, now);
+        evaluation.take_round(passed);
         let with = |phase, share_permille| RolloutState {
             phase,
             share_permille,
             ..state.clone()
         };
         if state.phase == Phase::RollingBack {
-            return (with(Phase::RollingBack, 0), "not on record yet".to_string());
+            return (
+                with(Phase::RollingBack, 0),
+                "the rollback is not persisted yet".to_string(),
+            );
         }
-        if let Some(bad) = case.judge.regression() {
-            return (with(Phase::RollingBack, 0), bad.to_string());
+        if let Some(regression) = evaluation.evaluator.regression() {
+            return (with(Phase::RollingBack, 0), regression.to_string());
         }
-        let (answers, target_answers) = case.judge.answers();
+        let (responses, target_responses) = evaluation.evaluator.responses();
         if state.phase == Phase::Moving {
-            case.moving_since.get_or_insert((now, target_answers));
+            evaluation
+                .shifting_since
+                .get_or_insert((now, target_responses));
         }
-        let answers_at_move = case.moving_since.map_or(0, |(_, answers)| answers);
+        let responses_at_shift = evaluation
+            .shifting_since
+            .map_or(0, |(_, responses)| responses);
         let (target_slots, other_slots) = (context.slots)(&state.service, &state.target);
         let progress = RolloutProgress {
-            answers,
-            target_answers,
-            rate: case.rate,
+            responses,
+            target_responses,
+            rate: evaluation.rate,
             target_slots,
             other_slots,
-            moving_for: case.moving_since.map(|(since, _)| now.since(since)),
-            answers_since_move: target_answers.saturating_sub(answers_at_move),
-            reporters: case.heard.len(),
-            evidence_collected_for: now.since(case.since),
+            shifting_for: evaluation.shifting_since.map(|(since, _)| now.since(since)),
+            responses_since_shift: target_responses.saturating_sub(responses_at_shift),
+            reporters: evaluation.counts_by_node.len(),
+            evidence_collected_for: now.since(evaluation.since),
             evidence_collection_time: context.evidence_collection_time,
         };
         let mut reason = format!(
-            "{target_answers} of {answers} answers, {:.0} a second, {target_slots} slots beside {other_slots}, {} ms of {} ms",
-            case.rate,
+            "{target_responses} of {responses} responses, {:.0} per second, {target_slots} slots against {other_slots}, {} ms of {} ms",
+            evaluation.rate,
             state.elapsed.as_millis(),
             state.duration.as_millis(),
         );
         let next = match schedule::next_action(state, &progress, &self.bounds) {
-            NextAction::Judge { permille } => with(Phase::Running, permille),
-            NextAction::Move => with(Phase::Moving, ALL_CALLS_PERMILLE),
+            NextAction::Evaluate { permille } => with(Phase::Running, permille),
+            NextAction::ShiftTraffic => with(Phase::Moving, ALL_CALLS_PERMILLE),
             NextAction::Succeed => {
-                case.succeeds = true;
+                evaluation.has_succeeded = true;
                 with(Phase::Moving, ALL_CALLS_PERMILLE)
             }
-            NextAction::GiveUp(lack) => {
-                reason = format!("{}: {reason}", lack.as_str());
+            NextAction::RollBack(unmet) => {
+                reason = format!("{}: {reason}", unmet.as_str());
                 with(Phase::RollingBack, 0)
             }
         };
@@ -673,39 +712,43 @@
     }
 }
 
-impl Case {
+impl Evaluation {
     fn take_round(&mut self, passed: Duration) {
         let round = std::mem::take(&mut self.round);
-        let answers = round.iter().map(|seen| f64::from(seen.counts.responses));
-        let answers: f64 = answers.sum();
-        self.judge.take(&round, passed);
+        let responses = round
+            .iter()
+            .map(|evidence_row| f64::from(evidence_row.counts.responses));
+        let responses: f64 = responses.sum();
+        self.evaluator.add_round(&round, passed);
         let passed = passed.as_secs_f64();
         if passed > 0.0 {
-            let weight = (passed / RATE_TIME).min(1.0);
-            let rate = answers / passed;
+            let weight = (passed / RATE_TIME_CONSTANT_SECS).min(1.0);
+            let rate = responses / passed;
             self.rate += (rate - self.rate) * weight;
         }
     }
 }
 
-fn case_of<'a>(
-    cases: &'a mut BTreeMap<ResourceName, Case>,
+fn evaluation_of<'a>(
+    evaluations: &'a mut BTreeMap<ResourceName, Evaluation>,
     state: &RolloutState,
     now: Moment,
-) -> &'a mut Case {
-    let known = cases.get(&state.service);
-    if known.is_none_or(|case| case.order != state.order) {
-        let case = Case {
+) -> &'a mut Evaluation {
+    let known = evaluations.get(&state.service);
+    if known.is_none_or(|evaluation| evaluation.order != state.order) {
+        let evaluation = Evaluation {
             order: state.order,
-            judge: VersionEvaluator::new(state.target.clone()),
-            heard: BTreeMap::new(),
+            evaluator: VersionEvaluator::new(state.target.clone()),
+            counts_by_node: BTreeMap::new(),
             round: Vec::new(),
             rate: 0.0,
             since: now,
-            moving_since: None,
-            succeeds: false,
+            shifting_since: None,
+            has_succeeded: false,
         };
-        cases.insert(state.service.clone(), case);
+        evaluations.insert(state.service.clone(), evaluation);
     }
-    cases.get_mut(&state.service).expect("it was just inserted")
+    evaluations
+        .get_mut(&state.service)
+        .expect("it was just inserted")
 }
--- a/crates/rampthread-core/src/rollout/evaluation.rs
+++ b/crates/rampthread-core/src/rollout/evaluation.rs
@@ -1,16 +1,18 @@
-//! Whether the new version is worse than the one beside it.
+//! Detects whether the new version is worse than the present one.
 //!
-//! A sequential test (CUSUM, Page 1954) for each route: every answer of the new version
-//! adds to a score by how much likelier it is from a bad version than from one like that
-//! beside it, and a score never falls below zero, so that a version that turns bad late
-//! is found as soon as one that was bad at once. What is usual comes from the other
-//! version's answers of the last seconds: trouble that strikes both is no evidence.
+//! Uses a sequential test (CUSUM, Page 1954) per route: every response of the new version
+//! adds its log-likelihood ratio, a bad version against one like the present version, to a
+//! score. A score never falls below zero, so that a version that degrades late is detected
+//! as fast as one that was bad from the start. The baseline is taken from the other
+//! version's responses of the last seconds, so that an outage affecting both is no
+//! evidence.
 //!
-//! Measured are the share of failures and the share of slow answers, at several points of
-//! the usual times: some versions are slow for all calls, some for a few.
+//! Compared are the ratio of failures, and the ratio of slow responses at several quantiles
+//! of the baseline: some versions are slow for all calls, some for a few.
 //!
-//! One bad back end is no bad version. The back ends of each version fall into groups, and
-//! of failures the worst quarter of the groups counts for nothing, on both sides.
+//! A single bad backend doesn't make a version bad. The backends of each version are hashed
+//! into groups, and the worst quarter of the groups is excluded from the failure counts of
+//! both versions.
 
 use super::evidence::{BACKEND_GROUPS, LATENCY_BUCKETS, ResponseCounts, VersionEvidence};
 use crate::ids::{ResourceName, SoftwareVersion};
@@ -18,68 +20,69 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Score at which the version is bad: a good one reaches it once in thousands of answers.
-const BAD_SCORE: f64 = 8.0;
-/// Bad answers beyond the usual ones that callers are to bear, however much trouble there
-/// is beside the version: in rough times the scores alone take long.
-const MOST_EXCESS: f64 = 18.0;
-/// Time in which what was seen loses half of its weight.
+/// Score from which on a version is bad. A good version reaches it once in thousands of
+/// responses.
+const REGRESSION_SCORE: f64 = 8.0;
+/// Maximum number of bad responses in excess of the baseline, however bad the baseline is.
+/// During outages the scores alone would take too long.
+const MAX_EXCESS: f64 = 18.0;
+/// Half-life of the weight of past responses.
 const HALF_LIFE: Duration = Duration::from_secs(4);
-/// Answers of the other version on a route before anything is compared with them.
-const LEAST_BASELINE: f64 = 20.0;
-/// Of so many groups that have answered, one counts for nothing.
+/// Minimum number of the other version's responses on a route as a baseline.
+const MIN_BASELINE_RESPONSES: f64 = 20.0;
+/// Number of groups with responses per group that may be excluded.
 const GROUPS_PER_OUTLIER: usize = 4;
-/// Bad answers before a group may be left out.
-const LEAST_OUTLIER: f64 = 1.5;
-/// Failures that are usual before any was seen, and answers that they weigh as much as.
+/// Minimum number of bad responses for a group to be excluded.
+const MIN_OUTLIER_RESPONSES: f64 = 1.5;
+/// Prior failure rate of the baseline: these failures in this many responses.
 const PRIOR_FAILURES: f64 = 0.4;
-const PRIOR_ANSWERS: f64 = 40.0;
-/// A bad version fails at least so much larger a share of calls.
-const WORSE_FAILURES: f64 = 0.1;
-/// And at least so many times the usual share.
-const WORSE_FAILURES_RATIO: f64 = 2.0;
-/// Points of the usual times, as shares of answers that take longer.
-const TAILS: [f64; 3] = [0.5, 0.2, 0.05];
-/// By how much larger a share of answers beyond each of them a bad version has at least.
-const WORSE_TIMES: [f64; 3] = [0.2, 0.15, 0.08];
-/// The one of them that few usual answers reach.
-const LONGEST_TAIL: usize = TAILS.len() - 1;
-/// Part of a tail that a good version may have beyond the allowed steps.
-const STILL_USUAL: f64 = 0.25;
-/// Steps of time by which a good version may be slower than the other one: back ends of
-/// one service differ in speed, and the new ones run few calls. Two are a factor of two.
-const ALLOWED_STEPS: usize = 2;
-/// Largest share that is taken for usual, so that the scores stay finite.
-const MOST_USUAL: f64 = 0.75;
+const PRIOR_RESPONSES: f64 = 40.0;
+/// Minimum increase of the failure ratio in a bad version.
+const MIN_FAILURE_INCREASE: f64 = 0.1;
+/// Minimum factor between the failure ratios of a bad version and the baseline.
+const MIN_FAILURE_FACTOR: f64 = 2.0;
+/// Quantiles of the baseline's latency that are compared, as ratios of slower responses.
+const TAIL_RATIOS: [f64; 3] = [0.5, 0.2, 0.05];
+/// Minimum increase of the ratio beyond each of these quantiles in a bad version.
+const MIN_TAIL_INCREASES: [f64; 3] = [0.2, 0.15, 0.08];
+/// The quantile that the fewest responses of the baseline exceed.
+const LAST_TAIL: usize = TAIL_RATIOS.len() - 1;
+/// Ratio of each tail that a good version may have beyond the tolerated latency.
+const TOLERATED_TAIL_RATIO: f64 = 0.25;
+/// Histogram buckets by which a good version may be slower, since the speed of backends
+/// varies and the new ones get few calls. Two buckets are a factor of two.
+const TOLERATED_BUCKETS: usize = 2;
+/// Maximum of a baseline ratio, which keeps the scores finite.
+const MAX_BASELINE_RATIO: f64 = 0.75;
 
-/// What is compared: failures, and one for each of the tails.
-const MEASURES: usize = 1 + TAILS.len();
-/// The measure of failures; that of tail `n` is `1 + n`.
+/// Number of measures: failures, and one per quantile.
+const MEASURES: usize = 1 + TAIL_RATIOS.len();
+/// Index of the failure measure; quantile `n` has the index `1 + n`.
 const FAILURES: usize = 0;
 
-/// Why a version is bad: the inputs of the verdict.
+/// A detected regression of the new version and the data behind it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionRegression {
-    /// The route on which it shows.
+    /// Route on which the regression was detected.
     pub route: ResourceName,
-    /// What shows.
+    /// What is worse than in the baseline.
     pub symptom: Symptom,
-    /// The score, or the bad answers beyond the usual ones.
+    /// CUSUM score, or for `Excess` the number of bad responses in excess of the baseline.
     pub score: f64,
-    /// Answers and failures of the new version on the route.
-    pub answers: u32,
-    /// Of these, failures.
+    /// Responses of the new version on the route.
+    pub responses: u32,
+    /// Failures among `responses`.
     pub failures: u32,
 }
 
-/// In what a version is worse.
+/// The kind of regression.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Symptom {
-    /// More of its answers are failures.
+    /// The new version has a higher ratio of failures.
     Failures,
-    /// More of its answers are slow.
+    /// The new version has a higher ratio of slow responses.
     Slow,
-    /// More of its answers are failures or slow, all together.
+    /// The new version has too many failures and slow responses in total.
     Excess,
 }
 
@@ -87,64 +90,68 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let symptom = match self.symptom {
             Symptom::Failures => "failures",
-            Symptom::Slow => "slow answers",
-            Symptom::Excess => "failures and slow answers",
+            Symptom::Slow => "slow responses",
+            Symptom::Excess => "failures and slow responses",
         };
         write!(
             formatter,
-            "{symptom} on route {}: score {:.1}, {} of {} answers failed",
-            self.route, self.score, self.failures, self.answers
+            "{symptom} on route {}: score {:.1}, {} of {} responses failed",
+            self.route, self.score, self.failures, self.responses
         )
     }
 }
 
-/// Answers of a group of back ends, those of the last seconds weighing most.
+/// Responses of one group of backends, exponentially weighted by age.
 #[derive(Debug, Clone, Default)]
-struct Recent {
-    answers: f64,
+struct DecayingCounts {
+    responses: f64,
     failures: f64,
-    times: [f64; LATENCY_BUCKETS],
+    latencies: [f64; LATENCY_BUCKETS],
 }
 
-impl Recent {
-    fn fade(&mut self, passed: Duration) {
+impl DecayingCounts {
+    fn decay(&mut self, passed: Duration) {
         let left = 0.5_f64.powf(passed.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        self.answers *= left;
+        self.responses *= left;
         self.failures *= left;
-        for time in &mut self.times {
-            *time *= left;
+        for count in &mut self.latencies {
+            *count *= left;
         }
     }
 
     fn add(&mut self, counts: &ResponseCounts) {
-        self.answers += f64::from(counts.responses);
+        self.responses += f64::from(counts.responses);
         self.failures += f64::from(counts.failures);
-        for (sum, count) in self.times.iter_mut().zip(&counts.latency_histogram) {
+        for (sum, count) in self.latencies.iter_mut().zip(&counts.latency_histogram) {
             *sum += f64::from(*count);
         }
     }
 
     fn merge(&mut self, other: &Self) {
-        self.answers += other.answers;
+        self.responses += other.responses;
         self.failures += other.failures;
-        for (sum, count) in self.times.iter_mut().zip(&other.times) {
+        for (sum, count) in self.latencies.iter_mut().zip(&other.latencies) {
             *sum += count;
         }
     }
 
-    /// Bad answers by a measure, and all that it looks at; `slow` from that step on.
-    fn bad(&self, measure: usize, slow: usize) -> (f64, f64) {
+    /// Bad responses of a measure, and all responses that it covers. Latency measures count
+    /// buckets from `slow_from` on as bad.
+    fn bad(&self, measure: usize, slow_from: usize) -> (f64, f64) {
         match measure {
-            FAILURES => (self.failures, self.answers),
-            _ => (self.times[slow..].iter().sum(), self.times.iter().sum()),
+            FAILURES => (self.failures, self.responses),
+            _ => (
+                self.latencies[slow_from..].iter().sum(),
+                self.latencies.iter().sum(),
+            ),
         }
     }
 
-    /// The first step that at most `tail` of the answers reach.
+    /// The first bucket that at most a ratio `tail` of the responses reach.
     fn tail(&self, tail: f64) -> usize {
-        let total: f64 = self.times.iter().sum();
+        let total: f64 = self.latencies.iter().sum();
         let mut above = total;
-        for (step, count) in self.times.iter().enumerate() {
+        for (step, count) in self.latencies.iter().enumerate() {
             if above <= tail * total {
                 return step;
             }
@@ -154,89 +161,90 @@
     }
 }
 
-/// One version's answers on a route, by group.
+/// One version's responses on a route, by group.
 #[derive(Debug, Clone, Default)]
-struct ByGroup([Recent; BACKEND_GROUPS as usize]);
+struct CountsByGroup([DecayingCounts; BACKEND_GROUPS as usize]);
 
-impl ByGroup {
-    fn group(&mut self, group: u8) -> &mut Recent {
+impl CountsByGroup {
+    fn group(&mut self, group: u8) -> &mut DecayingCounts {
         &mut self.0[usize::from(group % BACKEND_GROUPS)]
     }
 
-    fn all(&self) -> Recent {
-        let mut sum = Recent::default();
+    fn all(&self) -> DecayingCounts {
+        let mut sum = DecayingCounts::default();
         for group in &self.0 {
             sum.merge(group);
         }
         sum
     }
 
-    /// Groups that may be left out.
-    fn most_outliers(&self) -> usize {
-        let seen = self.0.iter().filter(|group| group.answers > 0.0);
-        seen.count() / GROUPS_PER_OUTLIER
+    /// Maximum number of groups to exclude, from the number of groups with responses.
+    fn max_outliers(&self) -> usize {
+        let evidence = self.0.iter().filter(|group| group.responses > 0.0);
+        evidence.count() / GROUPS_PER_OUTLIER
     }
 
-    /// Groups that count for nothing by a measure: those with most bad answers.
+    /// The groups to exclude for a measure: up to `max_outliers`, those with the most bad
+    /// responses.
     fn outliers(
         &self,
         measure: usize,
-        slow: usize,
-        most: usize,
+        slow_from: usize,
+        max_outliers: usize,
     ) -> [bool; BACKEND_GROUPS as usize] {
         let mut worst: Vec<(f64, usize)> = self
             .0
             .iter()
             .enumerate()
-            .map(|(index, group)| (group.bad(measure, slow).0, index))
-            .filter(|(bad, _)| *bad >= LEAST_OUTLIER)
+            .map(|(index, group)| (group.bad(measure, slow_from).0, index))
+            .filter(|(bad, _)| *bad >= MIN_OUTLIER_RESPONSES)
             .collect();
         worst.sort_by(|left, right| right.0.total_cmp(&left.0));
         let mut outliers = [false; BACKEND_GROUPS as usize];
-        for (_, index) in worst.iter().take(most) {
+        for (_, index) in worst.iter().take(max_outliers) {
             outliers[*index] = true;
         }
         outliers
     }
 
-    /// Bad answers and all answers, without those of `outliers`.
-    fn bad_without(
+    /// Bad responses and all responses, without those of the groups in `outliers`.
+    fn bad_excluding(
         &self,
         outliers: &[bool; BACKEND_GROUPS as usize],
         measure: usize,
-        slow: usize,
+        slow_from: usize,
     ) -> (f64, f64) {
         let kept = self.0.iter().zip(outliers).filter(|(_, out)| !**out);
-        kept.map(|(group, _)| group.bad(measure, slow))
+        kept.map(|(group, _)| group.bad(measure, slow_from))
             .fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 }
 
-/// What is known of one route.
+/// Evaluation of one route.
 #[derive(Debug, Clone, Default)]
 struct RouteEvaluator {
-    other: ByGroup,
-    target: ByGroup,
-    /// Answers of this round.
-    other_round: ByGroup,
-    target_round: ByGroup,
+    other: CountsByGroup,
+    target: CountsByGroup,
+    /// Responses since the previous evaluation.
+    other_round: CountsByGroup,
+    target_round: CountsByGroup,
     scores: [f64; MEASURES],
-    /// Bad answers beyond those that the other version would have given.
+    /// Bad responses of the target in excess of the baseline.
     excess: f64,
-    answers: u32,
+    responses: u32,
     failures: u32,
 }
 
 impl RouteEvaluator {
-    fn fade(&mut self, passed: Duration) {
+    fn decay(&mut self, passed: Duration) {
         for group in self.other.0.iter_mut().chain(&mut self.target.0) {
-            group.fade(passed);
+            group.decay(passed);
         }
     }
 
-    fn take(&mut self, group: u8, counts: &ResponseCounts, of_target: bool) {
+    fn add(&mut self, group: u8, counts: &ResponseCounts, of_target: bool) {
         if of_target {
-            self.answers = self.answers.saturating_add(counts.responses);
+            self.responses = self.responses.saturating_add(counts.responses);
             self.failures = self.failures.saturating_add(counts.failures);
             self.target_round.group(group).add(counts);
         } else {
@@ -244,19 +252,19 @@
         }
     }
 
-    /// Judges the answers of this round by what was seen before and beside them.
+    /// Evaluates the responses of the current round against the baseline.
     fn end_round(&mut self) {
         let other_round = std::mem::take(&mut self.other_round);
         let target_round = std::mem::take(&mut self.target_round);
         for (sum, round) in self.other.0.iter_mut().zip(&other_round.0) {
             sum.merge(round);
         }
-        let usual = self.other.all();
-        if usual.answers >= LEAST_BASELINE {
-            self.judge(FAILURES, 0, &other_round, &target_round);
-            for (index, tail) in TAILS.into_iter().enumerate() {
-                let slow = (usual.tail(tail) + ALLOWED_STEPS).min(LATENCY_BUCKETS);
-                self.judge(1 + index, slow, &other_round, &target_round);
+        let baseline = self.other.all();
+        if baseline.responses >= MIN_BASELINE_RESPONSES {
+            self.evaluate(FAILURES, 0, &other_round, &target_round);
+            for (index, tail) in TAIL_RATIOS.into_iter().enumerate() {
+                let slow_from = (baseline.tail(tail) + TOLERATED_BUCKETS).min(LATENCY_BUCKETS);
+                self.evaluate(1 + index, slow_from, &other_round, &target_round);
             }
         }
         for (sum, round) in self.target.0.iter_mut().zip(&target_round.0) {
@@ -264,49 +272,59 @@
         }
     }
 
-    fn judge(&mut self, measure: usize, slow: usize, other: &ByGroup, target: &ByGroup) {
-        // Speeds differ among sound back ends too; only failures tell bad ones.
-        let most = match measure {
-            FAILURES => self.target.most_outliers(),
+    fn evaluate(
+        &mut self,
+        measure: usize,
+        slow_from: usize,
+        other_round: &CountsByGroup,
+        target_round: &CountsByGroup,
+    ) {
+        // Latency differs between sound backends too; only failures identify bad ones.
+        let max_outliers = match measure {
+            FAILURES => self.target.max_outliers(),
             _ => 0,
         };
-        let left_out = self.target.outliers(measure, slow, most);
-        let (bad, answers) = target.bad_without(&left_out, measure, slow);
-        if answers <= 0.0 {
+        let excluded = self.target.outliers(measure, slow_from, max_outliers);
+        let (bad, responses) = target_round.bad_excluding(&excluded, measure, slow_from);
+        if responses <= 0.0 {
             return;
         }
-        // As many on both sides: bad back ends of the new version show only after a while.
-        let most = left_out.iter().filter(|out| **out).count();
-        let left_out = self.other.outliers(measure, slow, most);
-        let (usual_bad, usual_answers) = self.other.bad_without(&left_out, measure, slow);
-        let (bad_now, answers_now) = other.bad_without(&left_out, measure, slow);
+        // Exclude the same number on both sides: bad backends of the new version show only
+        // after a while.
+        let max_outliers = excluded.iter().filter(|out| **out).count();
+        let excluded = self.other.outliers(measure, slow_from, max_outliers);
+        let (baseline_bad, baseline_responses) =
+            self.other.bad_excluding(&excluded, measure, slow_from);
+        let (current_bad, current_responses) =
+            other_round.bad_excluding(&excluded, measure, slow_from);
         let recent = match measure {
-            FAILURES => (usual_bad + PRIOR_FAILURES) / (usual_answers + PRIOR_ANSWERS),
-            _ => (usual_bad / usual_answers.max(1.0)).max(TAILS[measure - 1] * STILL_USUAL),
+            FAILURES => (baseline_bad + PRIOR_FAILURES) / (baseline_responses + PRIOR_RESPONSES),
+            _ => (baseline_bad / baseline_responses.max(1.0))
+                .max(TAIL_RATIOS[measure - 1] * TOLERATED_TAIL_RATIO),
         };
-        let at_present = match answers_now >= LEAST_BASELINE {
-            true => bad_now / answers_now,
+        let current = match current_responses >= MIN_BASELINE_RESPONSES {
+            true => current_bad / current_responses,
             false => recent,
         };
-        if measure == FAILURES || measure == 1 + LONGEST_TAIL {
-            self.excess += bad - answers * at_present;
+        if measure == FAILURES || measure == 1 + LAST_TAIL {
+            self.excess += bad - responses * current;
         }
-        // A wave that strikes both versions may have begun a moment ago.
-        let usual = recent.max(at_present).min(MOST_USUAL);
-        let worse = match measure {
-            FAILURES => (usual + WORSE_FAILURES).max(usual * WORSE_FAILURES_RATIO),
-            _ => usual + WORSE_TIMES[measure - 1],
+        // An outage that affects both versions may have just begun.
+        let baseline = recent.max(current).min(MAX_BASELINE_RATIO);
+        let bad_ratio = match measure {
+            FAILURES => (baseline + MIN_FAILURE_INCREASE).max(baseline * MIN_FAILURE_FACTOR),
+            _ => baseline + MIN_TAIL_INCREASES[measure - 1],
         };
-        let worse = worse.min(0.5 + usual / 2.0);
-        let for_bad = (worse / usual).ln();
-        let for_good = ((1.0 - worse) / (1.0 - usual)).ln();
+        let bad_ratio = bad_ratio.min(0.5 + baseline / 2.0);
+        let bad_weight = (bad_ratio / baseline).ln();
+        let good_weight = ((1.0 - bad_ratio) / (1.0 - baseline)).ln();
         let score = &mut self.scores[measure];
-        *score = (*score + bad * for_bad + (answers - bad) * for_good).max(0.0);
+        *score = (*score + bad * bad_weight + (responses - bad) * good_weight).max(0.0);
     }
 
     fn regression(&self, route: &ResourceName) -> Option<VersionRegression> {
         let mut scores = self.scores.iter().copied().enumerate();
-        let (measure, score) = scores.find(|(_, score)| *score >= BAD_SCORE)?;
+        let (measure, score) = scores.find(|(_, score)| *score >= REGRESSION_SCORE)?;
         let symptom = match measure {
             FAILURES => Symptom::Failures,
             _ => Symptom::Slow,
@@ -324,68 +342,73 @@
             route: route.clone(),
             symptom,
             score,
-            answers: self.answers,
+            responses: self.responses,
             failures: self.failures,
         }
     }
 }
 
-/// Judges one version against the other one, from what the fleet has seen of both.
+/// Evaluates one version against the others, from the evidence of the whole fleet.
 #[derive(Debug, Clone)]
 pub struct VersionEvaluator {
     target: SoftwareVersion,
     routes: BTreeMap<ResourceName, RouteEvaluator>,
-    /// Answers of all versions, and of the target.
-    answers: u64,
-    target_answers: u64,
+    /// Responses of all versions, and of the target.
+    responses: u64,
+    target_responses: u64,
 }
 
 impl VersionEvaluator {
-    /// Judges `target`; nothing is known of it yet.
+    /// Creates an evaluation of `target` without any responses.
     pub fn new(target: SoftwareVersion) -> Self {
         Self {
             target,
             routes: BTreeMap::new(),
-            answers: 0,
-            target_answers: 0,
+            responses: 0,
+            target_responses: 0,
         }
     }
 
-    /// Takes what has been counted since the last round, which was `passed` ago.
-    pub fn take(&mut self, round: &[VersionEvidence], passed: Duration) {
-        for judge in self.routes.values_mut() {
-            judge.fade(passed);
+    /// Adds the counts since the last round, which was `passed` ago, and evaluates them.
+    pub fn add_round(&mut self, round: &[VersionEvidence], passed: Duration) {
+        for route_evaluator in self.routes.values_mut() {
+            route_evaluator.decay(passed);
         }
-        for seen in round {
-            let of_target = seen.version == self.target;
-            let answers = u64::from(seen.counts.responses);
-            self.answers += answers;
-            self.target_answers += if of_target { answers } else { 0 };
-            let judge = self.routes.entry(seen.route.clone()).or_default();
-            judge.take(seen.group, &seen.counts, of_target);
+        for evidence in round {
+            let of_target = evidence.version == self.target;
+            let responses = u64::from(evidence.counts.responses);
+            self.responses += responses;
+            self.target_responses += if of_target { responses } else { 0 };
+            let route_evaluator = self.routes.entry(evidence.route.clone()).or_default();
+            route_evaluator.add(evidence.group, &evidence.counts, of_target);
         }
-        for judge in self.routes.values_mut() {
-            judge.end_round();
+        for route_evaluator in self.routes.values_mut() {
+            route_evaluator.end_round();
         }
     }
 
-    /// Why the version is bad; none while it is not known to be.
+    /// Returns the detected regression, or `None` if there is none so far.
     pub fn regression(&self) -> Option<VersionRegression> {
         let mut routes = self.routes.iter();
-        let by_score = routes.find_map(|(route, judge)| judge.regression(route));
+        let by_score =
+            routes.find_map(|(route, route_evaluator)| route_evaluator.regression(route));
         by_score.or_else(|| self.excess_regression())
     }
 
     fn excess_regression(&self) -> Option<VersionRegression> {
-        let excess: f64 = self.routes.values().map(|judge| judge.excess).sum();
+        let excess: f64 = self
+            .routes
+            .values()
+            .map(|route_evaluator| route_evaluator.excess)
+            .sum();
         let routes = self.routes.iter();
         let worst = routes.max_by(|left, right| left.1.excess.total_cmp(&right.1.excess));
-        let (route, judge) = worst.filter(|_| excess >= MOST_EXCESS)?;
-        Some(judge.regression_by(route, Symptom::Excess, excess))
+        let (route, route_evaluator) = worst.filter(|_| excess >= MAX_EXCESS)?;
+        Some(route_evaluator.regression_by(route, Symptom::Excess, excess))
     }
 
-    /// Answers of all versions, and of the new one, so far.
-    pub fn answers(&self) -> (u64, u64) {
-        (self.answers, self.target_answers)
+    /// Total responses of all versions, and of the target.
+    pub fn responses(&self) -> (u64, u64) {
+        (self.responses, self.target_responses)
     }
 }
--- a/crates/rampthread-core/src/rollout/evidence.rs
+++ b/crates/rampthread-core/src/rollout/evidence.rs
@@ -1,7 +1,7 @@
-//! What callers got from each version of a service.
+//! Counts of the responses that callers got from each version of a service.
 //!
-//! Counts go up from the order on and are told whole, so that a lost message loses
-//! nothing and a new decider hears everything.
+//! Counters increase from the order on and are reported as totals: a lost message loses
+//! nothing, and a new decider receives the full counts.
 
 use super::state::OrderId;
 use crate::ids::{NodeId, ResourceName, SoftwareVersion};
@@ -9,74 +9,78 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Buckets of the histogram of answer times: each begins at √2 times the one before, from
-/// 1 ms; the last takes all from 4 s on.
+/// Buckets of the latency histogram. Lower bounds start at 1 ms and grow by a factor of √2;
+/// the last bucket is unbounded from 4 s on.
 pub const LATENCY_BUCKETS: usize = 25;
-/// Groups into which the back ends of a version fall: one bad back end shows in one of
-/// them, a bad version in all.
+/// Groups that the backends of a version are hashed into: one bad backend affects one
+/// group, a bad version all of them.
 pub const BACKEND_GROUPS: u8 = 16;
-/// Key by which back ends fall into groups.
+/// Hash key of the assignment to groups. Must be the same on all nodes.
 const GROUP_KEY: &str = "roll-out groups";
 
-/// What the callers of one node got from one version of a service on one route, since
-/// the order.
+/// Responses that the callers of one node got from one version of a service on one route,
+/// since the order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionEvidence {
-    /// The service.
+    /// The service that was called.
     pub service: ResourceName,
-    /// The order under which it was seen.
+    /// The order that was in effect.
     pub order: OrderId,
-    /// The version that answered.
+    /// The version that responded.
     pub version: SoftwareVersion,
-    /// Group of the back ends that answered.
+    /// Group of the backends that responded, below [`BACKEND_GROUPS`].
     pub group: u8,
-    /// The route.
+    /// The route of the calls.
     pub route: ResourceName,
-    /// What was counted.
+    /// Totals since the order.
     pub counts: ResponseCounts,
 }
 
-/// Answers of one kind, counted.
+/// Counters of responses, with a latency histogram.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ResponseCounts {
-    /// Answers, failures among them.
+    /// All responses, including failures.
     pub responses: u32,
-    /// Answers that were failures of the back end.
+    /// Responses that count as failures of the backend.
     pub failures: u32,
-    /// Good answers by their time: index `n` counts those of at least `2^(n/2)` ms.
+    /// Latency histogram of the successful responses: index `n` counts those of at least
+    /// `2^(n/2)` ms.
     pub latency_histogram: [u32; LATENCY_BUCKETS],
 }
 
-/// What one answer was.
+/// How one response is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseOutcome {
-    /// The back end failed it, or did not answer until the deadline.
+    /// The backend failed the call, or didn't respond before the deadline.
     Failure,
-    /// It came after this time.
+    /// A successful response, after this time.
     Success(Duration),
-    /// It was good, and its time says nothing: the back end has just started.
+    /// A successful response of a backend that has just started, whose latency isn't
+    /// representative.
     SuccessDuringWarmUp,
 }
 
 impl ResponseCounts {
-    /// Counts one answer.
-    pub fn record(&mut self, answer: ResponseOutcome) {
+    /// Counts one response.
+    pub fn record(&mut self, outcome: ResponseOutcome) {
         self.responses += 1;
-        match answer {
+        match outcome {
             ResponseOutcome::Failure => self.failures += 1,
-            ResponseOutcome::Success(time) => self.latency_histogram[step_of(time)] += 1,
+            ResponseOutcome::Success(latency) => {
+                self.latency_histogram[latency_bucket(latency)] += 1
+            }
             ResponseOutcome::SuccessDuringWarmUp => {}
         }
     }
 
-    /// What has been counted since `earlier`; none where it was counted before that.
+    /// Returns the difference to `earlier`, or `None` if `earlier` is the later count.
     pub fn since(&self, earlier: &Self) -> Option<Self> {
         if self.responses < earlier.responses || self.failures < earlier.failures {
             return None;
         }
         let mut latency_histogram = self.latency_histogram;
-        for (now, before) in latency_histogram.iter_mut().zip(&earlier.latency_histogram) {
-            *now = now.saturating_sub(*before);
+        for (count, earlier_count) in latency_histogram.iter_mut().zip(&earlier.latency_histogram) {
+            *count = count.saturating_sub(*earlier_count);
         }
         Some(Self {
             responses: self.responses - earlier.responses,
@@ -85,58 +89,59 @@
         })
     }
 
-    /// Adds `other`.
+    /// Adds the counts of `other`; they saturate.
     pub fn add(&mut self, other: &Self) {
         self.responses = self.responses.saturating_add(other.responses);
         self.failures = self.failures.saturating_add(other.failures);
-        for (sum, more) in self
+        for (sum, added) in self
             .latency_histogram
             .iter_mut()
             .zip(&other.latency_histogram)
         {
-            *sum = sum.saturating_add(*more);
+            *sum = sum.saturating_add(*added);
         }
     }
 }
 
-fn step_of(time: Duration) -> usize {
-    let millis = (time.as_secs_f64() * 1_000.0).max(1.0);
-    let step = (2.0 * millis.log2()).floor() as usize;
-    step.min(LATENCY_BUCKETS - 1)
+fn latency_bucket(latency: Duration) -> usize {
+    let millis = (latency.as_secs_f64() * 1_000.0).max(1.0);
+    let bucket = (2.0 * millis.log2()).floor() as usize;
+    bucket.min(LATENCY_BUCKETS - 1)
 }
 
-/// The group of the back end beside `node`.
+/// The group of the backend at `node`.
 pub fn backend_group(node: &NodeId) -> u8 {
     (rendezvous::weight(GROUP_KEY, node) % u64::from(BACKEND_GROUPS)) as u8
 }
 
-type Row = (SoftwareVersion, u8, ResourceName);
+type CounterKey = (SoftwareVersion, u8, ResourceName);
 
-/// What one node has counted under the newest order of each service.
+/// Counters of one node under the latest order of each service.
 #[derive(Debug, Default)]
 pub struct EvidenceRecorder {
-    orders: BTreeMap<ResourceName, (OrderId, BTreeMap<Row, ResponseCounts>)>,
+    orders: BTreeMap<ResourceName, (OrderId, BTreeMap<CounterKey, ResponseCounts>)>,
 }
 
 impl EvidenceRecorder {
-    /// Counts an answer of the back end beside `node`. An order that is new begins anew.
-    pub fn record(&mut self, place: ResponseSource<'_>, answer: ResponseOutcome) {
-        let known = self.orders.entry(place.service.clone());
-        let (order, rows) = known.or_insert_with(|| (place.order, BTreeMap::new()));
-        if *order != place.order {
-            *order = place.order;
-            rows.clear();
+    /// Counts a response. A new order resets the service's counters.
+    pub fn record(&mut self, source: ResponseSource<'_>, outcome: ResponseOutcome) {
+        let entry = self.orders.entry(source.service.clone());
+        let (order, counters) = entry.or_insert_with(|| (source.order, BTreeMap::new()));
+        if *order != source.order {
+            *order = source.order;
+            counters.clear();
         }
-        let group = backend_group(place.node);
-        let row = (place.version.clone(), group, place.route.clone());
-        rows.entry(row).or_default().record(answer);
+        let group = backend_group(source.node);
+        let key = (source.version.clone(), group, source.route.clone());
+        counters.entry(key).or_default().record(outcome);
     }
 
-    /// Everything that was counted.
+    /// Returns all counters, for a report to the decider.
     pub fn all(&self) -> Vec<VersionEvidence> {
         let orders = self.orders.iter();
-        let rows = orders.flat_map(|(service, (order, rows))| {
-            rows.iter()
+        let counters = orders.flat_map(|(service, (order, counters))| {
+            counters
+                .iter()
                 .map(|((version, group, route), counts)| VersionEvidence {
                     service: service.clone(),
                     order: *order,
@@ -146,26 +151,26 @@
                     counts: counts.clone(),
                 })
         });
-        rows.collect()
+        counters.collect()
     }
 
-    /// Keeps what belongs to open roll-outs.
+    /// Drops the counters of services for which `open` returns false.
     pub fn retain(&mut self, open: impl Fn(&ResourceName, OrderId) -> bool) {
         self.orders
             .retain(|service, (order, _)| open(service, *order));
     }
 }
 
-/// Where an answer came from.
+/// Where a response came from: the labels of its counters.
 #[derive(Debug, Clone, Copy)]
 pub struct ResponseSource<'a> {
-    /// The service.
+    /// The service that was called.
     pub service: &'a ResourceName,
-    /// The order that is carried out.
+    /// The order in effect.
     pub order: OrderId,
-    /// The version that answered.
+    /// The version that responded.
     pub version: &'a SoftwareVersion,
-    /// The node beside the back end.
+    /// The node of the backend.
     pub node: &'a NodeId,
     /// The route of the call.
     pub route: &'a ResourceName,
--- a/crates/rampthread-core/src/rollout/exposure.rs
+++ b/crates/rampthread-core/src/rollout/exposure.rs
@@ -1,8 +1,10 @@
-//! Which calls of one entry may go to the version under judgement.
+//! Limits the calls that one entry node (the node that receives calls from their callers)
+//! may send to the version of an open rollout.
 //!
-//! Each entry holds the share by itself: what it has seen answered earns credit, each call
-//! to the version spends it. So the share holds over all entries whatever they know of
-//! each other, in a burst as with thin traffic, and refused calls earn nothing.
+//! Each entry node enforces the share by itself: every response that it sees adds credit,
+//! and every call to the new version spends credit. The share therefore holds over all
+//! entry nodes without coordination, in bursts as with little traffic, and rejected calls
+//! add no credit.
 
 use super::state::{ALL_CALLS_PERMILLE, OrderId};
 use crate::call::balance::Endpoint;
@@ -10,70 +12,74 @@
 use crate::rendezvous;
 use std::collections::BTreeMap;
 
-/// Most calls that an entry saves up while the version has no room.
+/// Maximum credit, in calls, that an entry node accumulates while the version has no
+/// capacity.
 const MAX_CREDIT: f64 = 2.0;
-/// Part of the slack that entries begin with, all together; the rest is for entries that
-/// restart and for calls that are under way at a roll-back.
-const SLACK_AT_START: f64 = 0.25;
-/// A version on so many times as many back ends as another is the present one of the two.
-const FAR_MORE: usize = 2;
-/// Key of the order in which back ends of the new version take turns under load.
-const TURNS_KEY: &str = "roll-out turns";
-
-/// What an entry may do with the versions of one service.
+/// Ratio of the slack that all entry nodes start with in total. The rest is reserved for
+/// restarted nodes and for calls in flight during a rollback.
+const INITIAL_SLACK_RATIO: f64 = 0.25;
+/// Factor by which a version must have more backends than another one to count as the
+/// present one.
+const PRESENT_VERSION_FACTOR: usize = 2;
+/// Hash key of the order in which backends of the new version take turns under load.
+const TURN_ORDER_KEY: &str = "roll-out turns";
+
+/// How an entry node may distribute the calls of one service over its versions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionRule {
-    /// The order that it comes from.
+    /// The order that this rule results from.
     pub order: OrderId,
-    /// The version that is, or was, under judgement.
+    /// The version that the order rolls out.
     pub target: SoftwareVersion,
-    /// What it may get.
+    /// Traffic that the target version may get.
     pub share: VersionShare,
-    /// The roll-out has not ended.
+    /// Whether the rollout is open, i.e. has not ended.
     pub open: bool,
 }
 
 impl VersionRule {
-    /// True while evidence counts.
+    /// Returns whether responses are counted for the evaluation.
     pub fn collects_evidence(&self) -> bool {
         self.open
     }
 }
 
-/// What the version under judgement may get.
+/// Traffic that the version of a rollout may get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionShare {
-    /// No call.
+    /// The version gets no calls.
     Blocked,
-    /// No call, unless no other version is left: nobody decides yet, and the roll-out may
-    /// have ended long ago.
+    /// The version gets calls only if no other version is available. Applies without a
+    /// decider, when the rollout may have ended long ago.
     LastResort,
-    /// Some of a thousand answered calls.
+    /// The version gets calls up to a ratio of the service's responses.
     Limited {
-        /// How many.
+        /// Maximum ratio, in thousandths.
         permille: u16,
-        /// Counts the decider's rounds: back ends take turns by it.
+        /// Sequence number of the decider's evaluation; backends take turns by it.
         round: u64,
     },
-    /// All calls, as long as it has back ends.
+    /// The version gets all calls, as long as it has backends.
     Preferred,
 }
 
-/// One entry's credit for the version under judgement of one order.
+/// Credit of one entry node for calls to the version of one order.
 #[derive(Debug, Clone)]
 pub struct ExposureLimiter {
     order: OrderId,
     credit: f64,
-    /// Calls sent to the version, which take turns between all back ends and one.
+    /// Calls sent to the version; they alternate between all of its backends and a single
+    /// one.
     sent: u64,
 }
 
 impl ExposureLimiter {
-    /// An entry that has seen nothing of `order`: one of `nodes` that share the slack.
-    /// `chance`, from 0 to 1, spreads their first calls over time.
+    /// Creates the limiter of an entry node that has seen no response under `order` and is
+    /// one of `nodes` that share the slack. `chance`, random in `0.0..=1.0`, spreads the
+    /// nodes' first calls over time.
     pub fn new(order: OrderId, slack: f64, nodes: usize, chance: f64) -> Self {
-        let part = SLACK_AT_START * slack / nodes.max(1) as f64;
-        let credit = (2.0 * part).min(1.0) * chance;
+        let initial_credit = INITIAL_SLACK_RATIO * slack / nodes.max(1) as f64;
+        let credit = (2.0 * initial_credit).min(1.0) * chance;
         Self {
             order,
             credit,
@@ -81,31 +87,31 @@
         }
     }
 
-    /// The order that it counts for.
+    /// The order whose version is limited.
     pub fn order(&self) -> OrderId {
         self.order
     }
 
-    /// A call of the service was answered by a back end of any version.
+    /// Adds credit for a response of a backend of any version.
     pub fn on_response(&mut self, permille: u16) {
         let share = f64::from(permille) / f64::from(ALL_CALLS_PERMILLE);
         self.credit = (self.credit + share).min(MAX_CREDIT);
     }
 
-    /// True when a call may go to the version.
+    /// Returns whether there is credit for a call to the version.
     pub fn may_send(&self) -> bool {
         self.credit >= 1.0
     }
 
-    /// A call goes to the version.
+    /// Spends credit for a call to the version.
     pub fn on_sent(&mut self) {
         self.credit -= 1.0;
         self.sent += 1;
     }
 
-    /// Which back ends of the version the next call may go to. Every other call goes to
-    /// the one whose turn it is, so that one of them at a time has about as much work as
-    /// those of the version beside it: some versions fail only under load.
+    /// Backends of the version that the next call may go to. Every other call goes to a
+    /// single one, which changes with `round`. That backend gets about as much load as
+    /// those of the other version: some defects show only under load.
     pub fn eligible_backends(&self, version: Vec<Endpoint>, round: u64) -> Vec<Endpoint> {
         if self.sent.is_multiple_of(2) || version.len() < 2 {
             return version;
@@ -114,7 +120,7 @@
             .iter()
             .map(|endpoint| {
                 (
-                    rendezvous::weight(TURNS_KEY, &endpoint.node),
+                    rendezvous::weight(TURN_ORDER_KEY, &endpoint.node),
                     &endpoint.node,
                 )
             })
@@ -129,8 +135,8 @@
     }
 }
 
-/// Back ends of the version under judgement, and the others. One whose version is not
-/// known counts as one of the others: it must not lose its calls.
+/// Splits candidates into backends of `target` and others. A backend of unknown version
+/// counts as one of the others, so that it doesn't lose its calls.
 pub fn split_by_version<'a>(
     candidates: &[Endpoint],
     version_of: impl Fn(&NodeId) -> Option<&'a SoftwareVersion>,
@@ -140,9 +146,9 @@
     all.partition(|endpoint| version_of(&endpoint.node) == Some(target))
 }
 
-/// Of several versions of which no roll-out is known, the one that counts as the present
-/// one. Names of versions rise as a rule, so it is the first by name, unless another one
-/// stands on far more back ends. None where there are no two versions.
+/// Of several versions without a known rollout, returns the one that counts as present: the
+/// lowest by natural order of the names, unless another one has far more backends. `None`
+/// with fewer than two versions.
 pub fn presumed_version<'a>(
     versions: impl Iterator<Item = &'a SoftwareVersion>,
 ) -> Option<&'a SoftwareVersion> {
@@ -157,14 +163,14 @@
         .iter()
         .min_by_key(|(version, _)| name_parts(version))?;
     let most = counts.iter().max_by_key(|(_, count)| **count)?;
-    let presumed = match *most.1 > first.1 * FAR_MORE {
+    let presumed = match *most.1 > first.1 * PRESENT_VERSION_FACTOR {
         true => most,
         false => first,
     };
     Some(*presumed.0)
 }
 
-/// A part of a version's name: numbers compare by their value.
+/// A run of digits or other characters in a version's name; numbers compare by value.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum NamePart<'a> {
     Number(u64),
--- a/crates/rampthread-core/src/rollout/mod.rs
+++ b/crates/rampthread-core/src/rollout/mod.rs
@@ -1,17 +1,17 @@
-//! Roll-outs: moving a service's traffic to back ends of another software version, judged
-//! by what callers of the whole fleet get.
+//! Rollouts: gradual shift of a service's traffic to backends of another software version,
+//! with an automatic rollback based on the responses that callers in the whole fleet get.
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! |---|---|
-//! | [`state`] | how far a roll-out is, and which of two states is the later |
-//! | [`table`] | what this node knows of all roll-outs, and which orders are new |
-//! | [`exposure`] | which calls may go to the version under judgement |
-//! | [`evidence`] | what callers got from each version |
-//! | [`evaluation`] | whether the new version is worse than the one beside it |
-//! | [`schedule`] | when the traffic moves, and when the roll-out ends |
-//! | [`decider`] | who decides, under a lease, and what stands in the store |
+//! | [`state`] | state of a rollout, and the order between two states |
+//! | [`table`] | all rollouts known to a node, and which orders are new |
+//! | [`exposure`] | which calls may go to the new version |
+//! | [`evidence`] | responses that callers got from each version |
+//! | [`evaluation`] | whether the new version is worse than the present one |
+//! | [`schedule`] | when traffic shifts, and when the rollout ends |
+//! | [`decider`] | which node decides, its lease, and the persisted state |
 //!
-//! `docs/design/roll-outs.md` has the whole.
+//! `docs/design/roll-outs.md` describes the design.
 
 pub mod decider;
 pub mod evaluation;
@@ -29,13 +29,13 @@
 
 use std::time::Duration;
 
-/// What the operator allows every roll-out.
+/// Limits on the effect of a bad version, from the operator's settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RolloutBounds {
-    /// Largest part of a service's calls that a bad version may get.
+    /// Maximum ratio of a service's calls that a bad version may get.
     pub exposure_share: f64,
-    /// Calls that it may get besides.
+    /// Calls that a bad version may get in addition to the ratio.
     pub exposure_slack_calls: f64,
-    /// Time within which a bad version gets no more calls.
+    /// Time within which a bad version must stop getting calls.
     pub rollback_deadline: Duration,
 }
--- a/crates/rampthread-core/src/rollout/schedule.rs
+++ b/crates/rampthread-core/src/rollout/schedule.rs
@@ -1,208 +1,229 @@
-//! When the traffic moves to a version that was not found bad, and when the roll-out ends.
+//! When traffic shifts to a version without a detected regression, and when the rollout
+//! ends.
 //!
-//! A version may turn bad at any time, and what it gets until the deadline is bounded. So
-//! the share stays small, and the traffic moves once what is left of the calls until then
-//! fits into the bound; at the latest in time to leave the old back ends.
+//! A version may fail at any time, and the calls that it gets until the deadline are
+//! bounded. Therefore its share stays small, and traffic shifts once the remaining calls
+//! until the deadline fit into the bound; at the latest in time to drain the old backends.
 
 use super::RolloutBounds;
 use super::state::{ALL_CALLS_PERMILLE, Phase, RolloutState};
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Least and largest part of the exposure that the version gets while it is judged. What
-/// is left is for the calls between the move and the deadline.
-const JUDGED_PART: RangeInclusive<f64> = 0.25..=0.5;
-/// Part of the exposure that is used; the rest is for calls under way and for evidence
-/// that is not told yet.
-const USED_PART: f64 = 0.9;
-/// Latest move before the deadline: news of it reach all nodes, and calls under way at
-/// the old back ends end.
-const LATEST_MOVE: Duration = Duration::from_millis(900);
-/// Earliest move before the deadline.
-const EARLIEST_MOVE: Duration = Duration::from_secs(4);
-/// When the end is written before the deadline: a write and one further try.
-const WRITE_TIME: Duration = Duration::from_millis(450);
-/// Least time between the move and the end, also past the deadline; a quarter of the
-/// order's time where that is less.
-const LEAST_MOVE: Duration = Duration::from_millis(450);
-/// Time after the deadline for which a version without enough back ends is waited for.
-const LAST_WAIT: Duration = Duration::from_secs(5);
-/// Part of the slack for a version that is tried by the move itself.
-const SLACK_OF_MOVE: f64 = 0.5;
-/// Slots of the new version that are enough, as a part of those of the others.
-const ENOUGH_SLOTS: f64 = 0.6;
+/// Minimum and maximum ratio of the permitted exposure for the evaluation phase. The rest
+/// is reserved for the calls between the shift and the deadline.
+const EVALUATION_EXPOSURE_RATIOS: RangeInclusive<f64> = 0.25..=0.5;
+/// Ratio of the permitted exposure that is planned for; the rest is reserved for calls in
+/// flight and for evidence not yet reported.
+const PLANNED_EXPOSURE_RATIO: f64 = 0.9;
+/// Latest shift before the deadline: time for the update to reach all nodes, and for calls
+/// in flight at the old backends to complete.
+const LATEST_SHIFT: Duration = Duration::from_millis(900);
+/// Earliest shift before the deadline.
+const EARLIEST_SHIFT: Duration = Duration::from_secs(4);
+/// Time before the deadline at which success is persisted: enough for a write and one
+/// retry.
+const SUCCESS_WRITE_TIME: Duration = Duration::from_millis(450);
+/// Minimum time between the shift and the end, also past the deadline; at most a quarter of
+/// the order's duration.
+const MIN_SHIFT_TIME: Duration = Duration::from_millis(450);
+/// Time past the deadline after which a rollout with unmet conditions is rolled back.
+const OVERTIME: Duration = Duration::from_secs(5);
+/// Ratio of the slack that may be used by a version whose first calls come with the shift.
+const SHIFT_SLACK_RATIO: f64 = 0.5;
+/// Sufficient capacity of the new version, as a ratio of the other versions' slots.
+const SUFFICIENT_SLOTS_RATIO: f64 = 0.6;
 
-/// True near the end, where the decider must not wait for its next round.
+/// Returns whether the deadline is near, so that the decider has to evaluate more often.
 pub fn is_near_end(state: &RolloutState) -> bool {
     let left = state.duration.saturating_sub(state.elapsed);
-    !state.phase.is_ended() && left <= EARLIEST_MOVE
+    !state.phase.is_ended() && left <= EARLIEST_SHIFT
 }
 
-/// What the fleet has seen of a roll-out.
+/// What the decider knows about the progress of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct RolloutProgress {
-    /// Calls answered by all versions since the order.
-    pub answers: u64,
-    /// Calls answered by the new version.
-    pub target_answers: u64,
-    /// Calls a second that are answered at present.
+    /// Responses of all versions since the order.
+    pub responses: u64,
+    /// Responses of the new version since the order.
+    pub target_responses: u64,
+    /// Present rate of responses per second.
     pub rate: f64,
-    /// Slots of the new version's back ends.
+    /// Slots (calls at a time) of the new version's backends.
     pub target_slots: u32,
-    /// Slots of the others.
+    /// Slots of the other versions' backends.
     pub other_slots: u32,
-    /// Time since the traffic began to move.
-    pub moving_for: Option<Duration>,
-    /// Calls answered by the new version that were heard of since then.
-    pub answers_since_move: u64,
-    /// Lives of nodes that have told evidence: each began with no call earned.
+    /// Time since traffic began to shift; `None` before.
+    pub shifting_for: Option<Duration>,
+    /// Responses of the new version reported since the shift.
+    pub responses_since_shift: u64,
+    /// Number of process epochs of nodes that reported evidence. Each starts without credit
+    /// for a call to the new version.
     pub reporters: usize,
-    /// Time for which this decider has been told evidence.
+    /// Time for which this decider has collected evidence.
     pub evidence_collected_for: Duration,
-    /// Time within which it hears all that the fleet has seen.
+    /// Time within which a decider receives the evidence of all nodes.
     pub evidence_collection_time: Duration,
 }
 
-/// What a version lacks to go on.
+/// Condition for the next step that is not met.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MissingCondition {
-    /// Back ends that could take over.
-    Slots,
-    /// The decider is new: it has not heard the whole fleet.
-    Hearing,
-    /// No call of the service was answered: nothing shows that the version is any good.
+pub enum UnmetCondition {
+    /// The new version's backends have too few slots to take over.
+    Capacity,
+    /// The decider has just taken over and lacks the evidence of some nodes.
+    Evidence,
+    /// The service got no calls, so nothing shows whether the version works.
     Traffic,
-    /// Calls were answered, none by the version.
-    TargetAnswers,
-    /// It has answered no call since the move.
-    AnswersSinceMove,
+    /// The service got calls, but the new version didn't.
+    TargetResponses,
+    /// The new version has not responded to any call since the shift.
+    ResponsesSinceShift,
 }
 
-impl MissingCondition {
-    /// The words for logs.
+impl UnmetCondition {
+    /// Description for logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            MissingCondition::Slots => "too few slots to take over",
-            MissingCondition::Hearing => "the fleet was not heard yet",
-            MissingCondition::Traffic => "no call was answered, so nothing shows that it is good",
-            MissingCondition::TargetAnswers => "it has answered no call",
-            MissingCondition::AnswersSinceMove => "it has answered no call since the move",
+            UnmetCondition::Capacity => "the new version has too few slots to take over",
+            UnmetCondition::Evidence => "the evidence of some nodes has not been received yet",
+            UnmetCondition::Traffic => {
+                "no call was answered, so nothing shows that the version works"
+            }
+            UnmetCondition::TargetResponses => "the new version has answered no call",
+            UnmetCondition::ResponsesSinceShift => {
+                "the new version has answered no call since the traffic shifted to it"
+            }
         }
     }
 }
 
 impl RolloutProgress {
-    fn has_enough_slots(&self) -> bool {
-        let needed = f64::from(self.other_slots) * ENOUGH_SLOTS;
+    fn has_enough_capacity(&self) -> bool {
+        let needed = f64::from(self.other_slots) * SUFFICIENT_SLOTS_RATIO;
         self.target_slots > 0 && f64::from(self.target_slots) >= needed
     }
 
-    /// What is missing for the next step of `state`, if anything.
-    pub fn missing_condition(
+    /// Returns the first unmet condition for the next step of `state`.
+    pub fn unmet_condition(
         &self,
         state: &RolloutState,
         bounds: &RolloutBounds,
-    ) -> Option<MissingCondition> {
+    ) -> Option<UnmetCondition> {
         let moving = state.phase == Phase::Moving;
-        let lacks = [
-            (!moving && !self.has_enough_slots(), MissingCondition::Slots),
+        let conditions = [
+            (
+                !moving && !self.has_enough_capacity(),
+                UnmetCondition::Capacity,
+            ),
             (
                 self.evidence_collected_for < self.evidence_collection_time,
-                MissingCondition::Hearing,
+                UnmetCondition::Evidence,
             ),
-            (self.answers == 0, MissingCondition::Traffic),
+            (self.responses == 0, UnmetCondition::Traffic),
             (
-                !moving && self.target_answers == 0 && !self.is_thin(state, bounds),
-                MissingCondition::TargetAnswers,
+                !moving && self.target_responses == 0 && !self.is_low_traffic(state, bounds),
+                UnmetCondition::TargetResponses,
             ),
             (
-                moving && self.answers_since_move == 0,
-                MissingCondition::AnswersSinceMove,
+                moving && self.responses_since_shift == 0,
+                UnmetCondition::ResponsesSinceShift,
             ),
         ];
-        let found = lacks.into_iter().find(|(lacks, _)| *lacks);
-        found.map(|(_, lack)| lack)
+        let found = conditions.into_iter().find(|(unmet, _)| *unmet);
+        found.map(|(_, unmet)| unmet)
     }
 
-    /// True where the traffic is so thin that no entry has earned a call to the version,
-    /// and the calls after the latest move fit into the bound: the move tries it.
-    fn is_thin(&self, state: &RolloutState, bounds: &RolloutBounds) -> bool {
+    /// Returns whether traffic is so low that no entry node has credit for a call to the
+    /// new version, and the calls after the latest shift fit into the bound. The shift
+    /// itself then brings the first calls.
+    fn is_low_traffic(&self, state: &RolloutState, bounds: &RolloutBounds) -> bool {
         let permille = f64::from(evaluation_permille(state.duration, bounds));
-        let earned = self.answers as f64 * permille / f64::from(ALL_CALLS_PERMILLE);
-        let rest = self.rate * LATEST_MOVE.as_secs_f64();
-        let share = bounds.exposure_share * USED_PART * (self.answers as f64 + rest);
+        let earned = self.responses as f64 * permille / f64::from(ALL_CALLS_PERMILLE);
+        let remaining_calls = self.rate * LATEST_SHIFT.as_secs_f64();
+        let share = bounds.exposure_share
+            * PLANNED_EXPOSURE_RATIO
+            * (self.responses as f64 + remaining_calls);
         earned < self.reporters as f64
-            && rest <= share + bounds.exposure_slack_calls * SLACK_OF_MOVE
+            && remaining_calls <= share + bounds.exposure_slack_calls * SHIFT_SLACK_RATIO
     }
 }
 
-/// What is to be done with a roll-out whose version was not found bad.
+/// Next action for a rollout without a detected regression.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextAction {
-    /// It gets this share and is judged further.
-    Judge {
-        /// Of a thousand calls.
+    /// Continue to evaluate with this share of the traffic.
+    Evaluate {
+        /// The share, in thousandths.
         permille: u16,
     },
-    /// The traffic moves to it.
-    Move,
-    /// It has succeeded: that goes on record.
+    /// Shift the traffic to the new version.
+    ShiftTraffic,
+    /// The rollout has succeeded, which has to be persisted.
     Succeed,
-    /// It was waited for long enough.
-    GiveUp(MissingCondition),
+    /// Roll back, since this condition was not met in time.
+    RollBack(UnmetCondition),
 }
 
-/// Share of the calls, of a thousand, that a version under judgement gets: with the calls
-/// after the latest move it makes up the exposure.
+/// Share of the calls for the evaluation phase, in thousandths. Together with the calls
+/// after the latest shift it stays within the permitted exposure.
 pub fn evaluation_permille(duration: Duration, bounds: &RolloutBounds) -> u16 {
-    let judged = duration.saturating_sub(LATEST_MOVE).as_secs_f64();
-    let allowed = bounds.exposure_share * USED_PART * duration.as_secs_f64();
-    let share = (allowed - LATEST_MOVE.as_secs_f64()) / judged.max(f64::EPSILON);
-    let (least, most) = (JUDGED_PART.start(), JUDGED_PART.end());
+    let evaluation_secs = duration.saturating_sub(LATEST_SHIFT).as_secs_f64();
+    let allowed = bounds.exposure_share * PLANNED_EXPOSURE_RATIO * duration.as_secs_f64();
+    let share = (allowed - LATEST_SHIFT.as_secs_f64()) / evaluation_secs.max(f64::EPSILON);
+    let (least, most) = (
+        EVALUATION_EXPOSURE_RATIOS.start(),
+        EVALUATION_EXPOSURE_RATIOS.end(),
+    );
     let share = share.clamp(bounds.exposure_share * least, bounds.exposure_share * most);
     (share * f64::from(ALL_CALLS_PERMILLE)) as u16
 }
 
-/// What comes next in `state`.
+/// Decides on the next action for a rollout in `state`.
 pub fn next_action(
     state: &RolloutState,
     progress: &RolloutProgress,
     bounds: &RolloutBounds,
 ) -> NextAction {
     let left = state.duration.saturating_sub(state.elapsed);
-    let lack = progress.missing_condition(state, bounds);
-    if let Some(lack) = lack.filter(|lack| is_given_up(*lack, state, progress)) {
-        return NextAction::GiveUp(lack);
+    let unmet = progress.unmet_condition(state, bounds);
+    if let Some(unmet) = unmet.filter(|unmet| is_overdue(*unmet, state, progress)) {
+        return NextAction::RollBack(unmet);
     }
     if state.phase == Phase::Moving {
-        let moved = progress.moving_for.unwrap_or_default();
-        let in_time = left <= WRITE_TIME && moved >= LEAST_MOVE.min(state.duration / 4);
-        let done = in_time && lack.is_none();
+        let shifted_for = progress.shifting_for.unwrap_or_default();
+        let is_time =
+            left <= SUCCESS_WRITE_TIME && shifted_for >= MIN_SHIFT_TIME.min(state.duration / 4);
+        let done = is_time && unmet.is_none();
         return if done {
             NextAction::Succeed
         } else {
-            NextAction::Move
+            NextAction::ShiftTraffic
         };
     }
-    let due = left <= LATEST_MOVE || (left <= EARLIEST_MOVE && rest_fits(left, progress, bounds));
-    if due && lack.is_none() {
-        return NextAction::Move;
+    let due = left <= LATEST_SHIFT || (left <= EARLIEST_SHIFT && rest_fits(left, progress, bounds));
+    if due && unmet.is_none() {
+        return NextAction::ShiftTraffic;
     }
-    NextAction::Judge {
+    NextAction::Evaluate {
         permille: evaluation_permille(state.duration, bounds),
     }
 }
 
-/// True when what lacks was waited for long enough. Slots are known without evidence; for
-/// the rest a decider that took over late waits as long as any other.
-fn is_given_up(lack: MissingCondition, state: &RolloutState, progress: &RolloutProgress) -> bool {
-    let heard = progress.evidence_collected_for >= progress.evidence_collection_time + LAST_WAIT;
-    state.elapsed >= state.duration + LAST_WAIT && (heard || lack == MissingCondition::Slots)
+/// Returns whether the time to meet `unmet` is over. Capacity is known without evidence; for
+/// the other conditions a decider that took over late waits as long as any other.
+fn is_overdue(unmet: UnmetCondition, state: &RolloutState, progress: &RolloutProgress) -> bool {
+    let has_evidence =
+        progress.evidence_collected_for >= progress.evidence_collection_time + OVERTIME;
+    state.elapsed >= state.duration + OVERTIME
+        && (has_evidence || unmet == UnmetCondition::Capacity)
 }
 
-/// True when all calls until the deadline may go to the version.
+/// Returns whether all calls until the deadline may go to the new version.
 fn rest_fits(left: Duration, progress: &RolloutProgress, bounds: &RolloutBounds) -> bool {
-    let rest = progress.rate * left.as_secs_f64();
-    let allowed = bounds.exposure_share * USED_PART * (progress.answers as f64 + rest);
-    progress.answers > 0 && progress.target_answers as f64 + rest <= allowed
+    let remaining_calls = progress.rate * left.as_secs_f64();
+    let allowed = bounds.exposure_share
+        * PLANNED_EXPOSURE_RATIO
+        * (progress.responses as f64 + remaining_calls);
+    progress.responses > 0 && progress.target_responses as f64 + remaining_calls <= allowed
 }
--- a/crates/rampthread-core/src/rollout/state.rs
+++ b/crates/rampthread-core/src/rollout/state.rs
@@ -1,52 +1,52 @@
-//! How far a roll-out is, and which of two states is the later one.
+//! State of a rollout, and the order between two states.
 
 use crate::ids::{NodeId, ResourceName, SoftwareVersion};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Names an order to roll out; a later order for the same service is greater.
+/// Identifies an order. Later orders for the same service have greater ids.
 pub type OrderId = u64;
 
-/// All of a service's calls, in thousandths.
+/// All calls of a service, in thousandths.
 pub const ALL_CALLS_PERMILLE: u16 = 1_000;
 
-/// An operator's order to move a service's traffic to another version.
+/// An operator's order to shift a service's traffic to another version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// The service.
+    /// The service to roll out.
     pub service: ResourceName,
-    /// Which order it is.
+    /// Id of this order, greater than those of the service's earlier orders.
     pub order: OrderId,
-    /// The version that is brought in.
+    /// The version to roll out.
     pub target: SoftwareVersion,
-    /// Time after the order within which it is to be done.
+    /// Time from the order to its deadline.
     pub duration: Duration,
 }
 
-/// How far a roll-out is. A state never goes to an earlier phase: whoever learns of two
-/// keeps the later one.
+/// Phase of a rollout. Phases never go back: of two states, a node keeps the later one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// The new version gets a share of the traffic and is judged.
+    /// The new version gets a share of the traffic and is evaluated.
     Running,
-    /// It was not found bad: the traffic moves to it.
+    /// No regression was detected; traffic shifts to the new version.
     Moving,
-    /// It was found bad and gets no traffic; that is not on record yet.
+    /// A regression was detected or conditions were not met; the version gets no traffic,
+    /// but that is not persisted yet.
     RollingBack,
-    /// On record: the new version has taken over.
+    /// Final and persisted: the new version has taken over.
     Succeeded,
-    /// On record: the new version gets no traffic.
+    /// Final and persisted: the new version gets no traffic.
     RolledBack,
 }
 
 impl Phase {
-    /// True when the roll-out stays as it is.
+    /// Returns whether the phase is final.
     pub fn is_ended(self) -> bool {
         matches!(self, Phase::Succeeded | Phase::RolledBack)
     }
 
-    /// The name in logs and views.
+    /// Name of the phase in logs and API responses.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::Running => "running",
@@ -58,33 +58,33 @@
     }
 }
 
-/// The state of one roll-out as nodes tell it to each other.
+/// The state of one rollout, as nodes exchange it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutState {
-    /// The service.
+    /// The service that is rolled out.
     pub service: ResourceName,
-    /// The order that it carries out.
+    /// The order that is executed.
     pub order: OrderId,
-    /// The version that is brought in.
+    /// The version that is rolled out.
     pub target: SoftwareVersion,
-    /// How far it is.
+    /// Present phase of the rollout.
     pub phase: Phase,
-    /// Share of the service's calls that the new version may get, of a thousand.
+    /// Maximum share of the service's calls for the new version, in thousandths.
     pub share_permille: u16,
-    /// Counts who has decided, one after the other.
+    /// Incremented with each new decider; 0 before the first one.
     pub term: u64,
-    /// Counts what the present decider has told: it shows that the decider lives.
+    /// Incremented with each update of a decider; shows that it is alive.
     pub step: u64,
-    /// Time since the order.
+    /// Time since the order, as of when this state was sent or received.
     pub elapsed: Duration,
-    /// Time after the order within which it is to be done.
+    /// Time from the order to its deadline.
     pub duration: Duration,
-    /// Who decides, and gets the evidence; none yet.
+    /// The decider, which receives the evidence; `None` before the first one.
     pub decider: Option<NodeId>,
 }
 
 impl RolloutState {
-    /// An order that nobody has taken up.
+    /// Initial state of the rollout that `order` starts, without a decider.
     pub fn from_order(order: &RolloutOrder, elapsed: Duration) -> Self {
         Self {
             service: order.service.clone(),
@@ -100,8 +100,8 @@
         }
     }
 
-    /// True when `self` is later than `other`. This is a total order, so that all nodes
-    /// end up with the same state whatever they hear first.
+    /// Returns whether `self` is later than `other`. The order is total, so that all nodes
+    /// converge to the same state regardless of the order of messages.
     pub fn supersedes(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
@@ -110,7 +110,7 @@
         (self.order, self.phase, self.term, self.step)
     }
 
-    /// True when both say the same but for who tells it and when.
+    /// Returns whether both contain the same decision, apart from term, step and time.
     pub fn has_same_decision(&self, other: &Self) -> bool {
         self.order == other.order
             && self.phase == other.phase
--- a/crates/rampthread-core/src/rollout/table.rs
+++ b/crates/rampthread-core/src/rollout/table.rs
@@ -1,4 +1,4 @@
-//! What one node knows of all roll-outs.
+//! All rollouts known to one node.
 
 use super::RolloutBounds;
 use super::exposure::{VersionRule, VersionShare};
@@ -8,141 +8,153 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Part of the time to roll back after which a share that is not confirmed ends: a node
-/// that no longer hears of the decider must not go on with a version found bad.
-const CONFIRMATION_SHARE: f64 = 0.3;
-/// Time for which a version that was rolled out is preferred. The earlier back ends are
-/// gone by then; a version that comes without an order is no less than any other.
-const PREFERENCE: Duration = Duration::from_secs(30);
+/// Ratio of the rollback deadline after which a share without confirmation expires: a node
+/// that no longer receives updates must not keep sending calls to a version that may have
+/// been rolled back.
+const CONFIRMATION_RATIO: f64 = 0.3;
+/// Time for which the new version is preferred after success. Its predecessor's backends
+/// are gone by then; versions that appear later without an order get the same treatment as
+/// any other.
+const PREFERENCE_TIME: Duration = Duration::from_secs(30);
 
-/// How an order came to be known.
+/// How an order became known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderSource {
-    /// It was written just now.
+    /// The order was observed as a new write to the store.
     NewWrite,
-    /// It was found: the store may have come back from an older copy.
+    /// The order was read as an existing record: the store may have been restored from an
+    /// older backup.
     Existing,
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct ReceivedState {
     state: RolloutState,
-    /// When it was heard, which its `elapsed` refers to.
-    at: Moment,
+    /// When the state was received; the reference of its `elapsed`.
+    received_at: Moment,
 }
 
-impl Held {
+impl ReceivedState {
     fn elapsed(&self, now: Moment) -> Duration {
-        self.state.elapsed + now.since(self.at)
+        self.state.elapsed + now.since(self.received_at)
     }
 }
 
-/// The newest state of each service's roll-out.
+/// The latest state of each service's rollout.
 #[derive(Debug, Default)]
 pub struct RolloutTable {
-    held: BTreeMap<ResourceName, Held>,
+    states: BTreeMap<ResourceName, ReceivedState>,
 }
 
 impl RolloutTable {
-    /// Takes what somebody tells; true when it is later than what is held.
+    /// Merges a state from another node or the store. Returns whether it is later than the
+    /// known one.
     pub fn merge(&mut self, state: RolloutState, now: Moment) -> bool {
         let mut state = state;
-        if let Some(held) = self.held.get_mut(&state.service) {
-            if held.state.order == state.order {
-                // Who tells the longer time has known the order longer.
-                let missed = state.elapsed.saturating_sub(held.elapsed(now));
-                held.state.elapsed += missed;
-                state.elapsed = held.elapsed(now);
+        if let Some(known) = self.states.get_mut(&state.service) {
+            if known.state.order == state.order {
+                // The greater elapsed time is from a node that has known the order for
+                // longer.
+                let missed = state.elapsed.saturating_sub(known.elapsed(now));
+                known.state.elapsed += missed;
+                state.elapsed = known.elapsed(now);
             }
-            if !state.supersedes(&held.state) {
+            if !state.supersedes(&known.state) {
                 return false;
             }
         }
-        let held = Held { state, at: now };
-        self.held.insert(held.state.service.clone(), held);
+        let known = ReceivedState {
+            state,
+            received_at: now,
+        };
+        self.states.insert(known.state.service.clone(), known);
         true
     }
 
-    /// Takes an order; true when it is a new one. The same target again is the order that
-    /// is held: the store may have been restored, and the order written again.
+    /// Applies an order; returns whether it is new. An order with the target of the known
+    /// one is the same: the store may have been restored and the order written again.
     pub fn accept_order(&mut self, order: &RolloutOrder, source: OrderSource, now: Moment) -> bool {
         let mut order = order.clone();
-        if let Some(held) = self.held.get(&order.service) {
-            let older = order.order <= held.state.order;
-            let repeated = order.target == held.state.target;
+        if let Some(known) = self.states.get(&order.service) {
+            let older = order.order <= known.state.order;
+            let repeated = order.target == known.state.target;
             if repeated || (older && source == OrderSource::Existing) {
                 return false;
             }
-            order.order = order.order.max(held.state.order.saturating_add(1));
+            order.order = order.order.max(known.state.order.saturating_add(1));
         }
         self.merge(RolloutState::from_order(&order, Duration::ZERO), now)
     }
 
-    /// The state of `service`, as of now.
+    /// The state of `service`, with the time elapsed until `now`.
     pub fn state(&self, service: &ResourceName, now: Moment) -> Option<RolloutState> {
-        let held = self.held.get(service)?;
-        let elapsed = held.elapsed(now);
+        let known = self.states.get(service)?;
+        let elapsed = known.elapsed(now);
         Some(RolloutState {
             elapsed,
-            ..held.state.clone()
+            ..known.state.clone()
         })
     }
 
-    /// All states, as of now.
+    /// All states, with the time elapsed until `now`.
     pub fn states(&self, now: Moment) -> Vec<RolloutState> {
-        let services = self.held.keys();
+        let services = self.states.keys();
         services
             .filter_map(|service| self.state(service, now))
             .collect()
     }
 
-    /// True when nothing is known of any roll-out.
+    /// Returns whether no rollout is known, open or ended.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.states.is_empty()
     }
 
-    /// True while a roll-out has not ended.
+    /// Returns whether any rollout has not ended.
     pub fn has_open(&self) -> bool {
-        self.held.values().any(|held| !held.state.phase.is_ended())
+        self.states
+            .values()
+            .any(|known| !known.state.phase.is_ended())
     }
 
-    /// Time since an open roll-out was last confirmed, the longest of all.
+    /// Time since the last update of an open rollout; the maximum over all of them, or
+    /// `None` without any.
     pub fn longest_silence(&self, now: Moment) -> Option<Duration> {
-        let open = self.held.values();
-        open.filter(|held| !held.state.phase.is_ended())
-            .map(|held| now.since(held.at))
+        let open = self.states.values();
+        open.filter(|known| !known.state.phase.is_ended())
+            .map(|known| now.since(known.received_at))
             .max()
     }
 
-    /// What entries may do with the versions of each service.
+    /// The routing rules for the versions of each service that result from its rollout.
     pub fn rules(
         &self,
         bounds: &RolloutBounds,
         now: Moment,
     ) -> BTreeMap<ResourceName, VersionRule> {
-        let patience = bounds.rollback_deadline.mul_f64(CONFIRMATION_SHARE);
-        let rules = self.held.iter().filter_map(|(service, held)| {
-            let silence = now.since(held.at);
-            let share = match held.state.phase {
-                Phase::Running if held.state.term == 0 => VersionShare::LastResort,
-                Phase::Running if silence < patience => VersionShare::Limited {
-                    permille: held.state.share_permille,
-                    round: held.state.step,
+        let confirmation_timeout = bounds.rollback_deadline.mul_f64(CONFIRMATION_RATIO);
+        let rules = self.states.iter().filter_map(|(service, known)| {
+            let since_update = now.since(known.received_at);
+            let share = match known.state.phase {
+                Phase::Running if known.state.term == 0 => VersionShare::LastResort,
+                Phase::Running if since_update < confirmation_timeout => VersionShare::Limited {
+                    permille: known.state.share_permille,
+                    round: known.state.step,
                 },
-                // Not even alone: a version that may have been found bad since, with calls
-                // that no share counts, would break the bound wherever others are shut out.
+                // Not even as a last resort: the version may have been rolled back since,
+                // and calls that no share limits would exceed the exposure bound wherever
+                // the other backends are unavailable.
                 Phase::Running | Phase::RollingBack | Phase::RolledBack => VersionShare::Blocked,
-                Phase::Moving if silence < patience => VersionShare::Preferred,
-                // The old back ends may be gone by now.
+                Phase::Moving if since_update < confirmation_timeout => VersionShare::Preferred,
+                // The old version's backends may be gone by now.
                 Phase::Moving => VersionShare::LastResort,
-                Phase::Succeeded if silence < PREFERENCE => VersionShare::Preferred,
+                Phase::Succeeded if since_update < PREFERENCE_TIME => VersionShare::Preferred,
                 Phase::Succeeded => return None,
             };
             let rule = VersionRule {
-                order: held.state.order,
-                target: held.state.target.clone(),
+                order: known.state.order,
+                target: known.state.target.clone(),
                 share,
-                open: !held.state.phase.is_ended(),
+                open: !known.state.phase.is_ended(),
             };
             Some((service.clone(), rule))
         });
--- a/crates/rampthread-core/tests/rollout_evaluation.rs
+++ b/crates/rampthread-core/tests/rollout_evaluation.rs
@@ -1,5 +1,6 @@
-//! Verdicts on versions: false alarms on good ones, time and bad answers until a bad one is
-//! found. The sequential test is compared with fixed windows on the same answers.
+//! Accuracy of the version evaluation: false positives for good versions, time and bad
+//! responses until a bad one is detected. Compares the sequential test with fixed windows
+//! on the same responses.
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::evaluation::VersionEvaluator;
@@ -14,28 +15,28 @@
 
 const ROUND: Duration = Duration::from_millis(400);
 const LENGTH: Duration = Duration::from_secs(14);
-/// Back ends of each version.
-const BACK_ENDS: usize = 22;
-/// Answers a second of the service.
+/// Backends of each version.
+const BACKENDS: usize = 22;
+/// Responses of the service per second.
 const RATE: f64 = 600.0;
-/// Share of them that the new version gives.
+/// Ratio of the responses that come from the new version.
 const SHARE: f64 = 0.04;
 
 fn version(text: &str) -> SoftwareVersion {
     SoftwareVersion::new(text).unwrap()
 }
 
-/// How the new version differs from the other one.
+/// Difference between the new version and the other one.
 #[derive(Debug, Clone, Copy)]
 struct Version {
-    /// Share of its answers that fail, from `from` on.
+    /// Ratio of its responses that fail, since `from`.
     fails: f64,
-    /// Share of its answers that are slow, from `from` on.
+    /// Ratio of its responses that are slow, since `from`.
     slow_share: f64,
-    /// How many times slower these are.
+    /// Factor of the latency of slow responses.
     slow: f64,
     from: Duration,
-    /// On one route of two only.
+    /// Affects one of two routes only.
     one_route: bool,
 }
 
@@ -47,70 +48,71 @@
     one_route: false,
 };
 
-/// What strikes both versions alike.
+/// Disturbance that affects both versions.
 #[derive(Debug, Clone, Copy)]
-struct Trouble {
-    /// Back ends of 100 that fail part of their answers.
-    grey_percent: usize,
-    /// Share of all answers that fail in waves of a second.
-    wave: f64,
-    /// How much queues lengthen times, at most.
-    queue: f64,
+struct Disturbance {
+    /// Percentage of backends that fail part of their requests.
+    faulty_backend_percent: usize,
+    /// Failure ratio during periodic outages of one second.
+    outage: f64,
+    /// Maximum factor that queueing adds to the latency.
+    queueing: f64,
 }
 
-const CALM: Trouble = Trouble {
-    grey_percent: 0,
-    wave: 0.0,
-    queue: 0.3,
+const CALM: Disturbance = Disturbance {
+    faulty_backend_percent: 0,
+    outage: 0.0,
+    queueing: 0.3,
 };
-const ROUGH: Trouble = Trouble {
-    grey_percent: 14,
-    wave: 0.3,
-    queue: 4.0,
+const ROUGH: Disturbance = Disturbance {
+    faulty_backend_percent: 14,
+    outage: 0.3,
+    queueing: 4.0,
 };
 
-struct World {
+struct SimulatedService {
     rng: ChaCha8Rng,
     new: Version,
-    trouble: Trouble,
+    disturbance: Disturbance,
     speeds: Vec<f64>,
-    grey: Vec<bool>,
+    faulty: Vec<bool>,
 }
 
-impl World {
-    fn new(seed: u64, new: Version, trouble: Trouble) -> Self {
+impl SimulatedService {
+    fn new(seed: u64, new: Version, disturbance: Disturbance) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let speeds = (0..2 * BACK_ENDS)
+        let speeds = (0..2 * BACKENDS)
             .map(|_| rng.random_range(0.65..1.55))
             .collect();
-        let grey = (0..2 * BACK_ENDS)
-            .map(|_| rng.random_range(0..100) < trouble.grey_percent)
+        let faulty = (0..2 * BACKENDS)
+            .map(|_| rng.random_range(0..100) < disturbance.faulty_backend_percent)
             .collect();
         Self {
             rng,
             new,
-            trouble,
+            disturbance,
             speeds,
-            grey,
+            faulty,
         }
     }
 
-    /// One round of evidence, and the bad answers among those of the new version.
+    /// Evidence of one round, and the number of responses of the new version that are bad
+    /// by its own fault.
     fn round(&mut self, at: Duration) -> (Vec<VersionEvidence>, u32) {
         let mut rows: BTreeMap<(bool, u8, usize), ResponseCounts> = BTreeMap::new();
         let mut bad = 0;
-        let in_wave = at.as_secs() % 4 == 2;
-        let answers = (RATE * ROUND.as_secs_f64()) as usize;
-        for _ in 0..answers {
+        let in_outage = at.as_secs() % 4 == 2;
+        let responses = (RATE * ROUND.as_secs_f64()) as usize;
+        for _ in 0..responses {
             let new = self.rng.random_bool(SHARE);
             let route = usize::from(self.rng.random_bool(0.4));
-            let back_end = self.rng.random_range(0..BACK_ENDS) + usize::from(new) * BACK_ENDS;
-            let (answer, was_bad) = self.answer(new, route, back_end, at, in_wave);
+            let backend = self.rng.random_range(0..BACKENDS) + usize::from(new) * BACKENDS;
+            let (outcome, was_bad) = self.respond(new, route, backend, at, in_outage);
             bad += u32::from(was_bad);
-            let node = NodeId::new(&format!("node-{back_end}")).unwrap();
+            let node = NodeId::new(&format!("node-{backend}")).unwrap();
             rows.entry((new, backend_group(&node), route))
                 .or_default()
-                .record(answer);
+                .record(outcome);
         }
         let evidence = rows
             .into_iter()
@@ -125,51 +127,51 @@
         (evidence.collect(), bad)
     }
 
-    fn answer(
+    fn respond(
         &mut self,
         new: bool,
         route: usize,
-        back_end: usize,
+        backend: usize,
         at: Duration,
-        in_wave: bool,
+        in_outage: bool,
     ) -> (ResponseOutcome, bool) {
-        let struck = new && at >= self.new.from && (!self.new.one_route || route == 0);
-        let grey = self.grey[back_end] && self.rng.random_bool(0.45);
-        let wave = in_wave && self.rng.random_bool(self.trouble.wave);
-        let own = struck && self.rng.random_bool(self.new.fails);
-        if grey || wave || own {
-            return (ResponseOutcome::Failure, own);
+        let affected = new && at >= self.new.from && (!self.new.one_route || route == 0);
+        let faulty = self.faulty[backend] && self.rng.random_bool(0.45);
+        let outage = in_outage && self.rng.random_bool(self.disturbance.outage);
+        let own_failure = affected && self.rng.random_bool(self.new.fails);
+        if faulty || outage || own_failure {
+            return (ResponseOutcome::Failure, own_failure);
         }
-        let slow = struck && self.rng.random_bool(self.new.slow_share);
-        let queue =
-            1.0 + self.rng.random_range(0.0..=self.trouble.queue) * self.rng.random::<f64>();
+        let slow = affected && self.rng.random_bool(self.new.slow_share);
+        let queueing =
+            1.0 + self.rng.random_range(0.0..=self.disturbance.queueing) * self.rng.random::<f64>();
         let factor = if slow { self.new.slow } else { 1.0 };
-        let work = 220.0 * self.rng.random_range(0.7..1.3) * self.speeds[back_end];
-        let time = Duration::from_secs_f64(work * queue * factor / 1_000.0);
+        let work = 220.0 * self.rng.random_range(0.7..1.3) * self.speeds[backend];
+        let time = Duration::from_secs_f64(work * queueing * factor / 1_000.0);
         (ResponseOutcome::Success(time), slow)
     }
 }
 
-/// A way to judge.
-trait Judge {
-    fn take(&mut self, round: &[VersionEvidence]);
-    fn is_bad(&self) -> bool;
+/// An evaluation method under test.
+trait EvaluationMethod {
+    fn add_round(&mut self, round: &[VersionEvidence]);
+    fn detects_regression(&self) -> bool;
 }
 
 struct Sequential(VersionEvaluator);
 
-impl Judge for Sequential {
-    fn take(&mut self, round: &[VersionEvidence]) {
-        self.0.take(round, ROUND);
+impl EvaluationMethod for Sequential {
+    fn add_round(&mut self, round: &[VersionEvidence]) {
+        self.0.add_round(round, ROUND);
     }
 
-    fn is_bad(&self) -> bool {
+    fn detects_regression(&self) -> bool {
         self.0.regression().is_some()
     }
 }
 
-/// Windows of two seconds: failures, and answers above twice the other version's 95th
-/// percentile, as two proportions with a z-test.
+/// Baseline method: windows of two seconds, two-proportion z-tests for failures and for
+/// responses slower than twice the other version's 95th percentile.
 #[derive(Default)]
 struct FixedWindows {
     rounds: u32,
@@ -178,11 +180,11 @@
 }
 
 const WINDOW_ROUNDS: u32 = 5;
-const LEAST_ANSWERS: u32 = 20;
+const MIN_RESPONSES: u32 = 20;
 const Z_BAD: f64 = 4.0;
 
-impl Judge for FixedWindows {
-    fn take(&mut self, round: &[VersionEvidence]) {
+impl EvaluationMethod for FixedWindows {
+    fn add_round(&mut self, round: &[VersionEvidence]) {
         for seen in round {
             let key = (seen.route.clone(), seen.version == version("v2"));
             self.counts.entry(key).or_default().add(&seen.counts);
@@ -197,13 +199,13 @@
         }
     }
 
-    fn is_bad(&self) -> bool {
+    fn detects_regression(&self) -> bool {
         self.bad
     }
 }
 
 fn is_worse(new: &ResponseCounts, other: &ResponseCounts) -> bool {
-    if new.responses < LEAST_ANSWERS {
+    if new.responses < MIN_RESPONSES {
         return false;
     }
     let mut above: u32 = other.latency_histogram.iter().sum();
@@ -218,96 +220,107 @@
             .iter()
             .sum::<u32>()
     };
-    let fails = z(new.failures, new.responses, other.failures, other.responses);
-    let lates = z(slow(new), new.responses, slow(other), other.responses);
-    fails > Z_BAD || lates > Z_BAD
+    let failures_z = z_score(new.failures, new.responses, other.failures, other.responses);
+    let slow_z = z_score(slow(new), new.responses, slow(other), other.responses);
+    failures_z > Z_BAD || slow_z > Z_BAD
 }
 
-fn z(bad: u32, answers: u32, other_bad: u32, other_answers: u32) -> f64 {
-    let (n, m) = (f64::from(answers), f64::from(other_answers.max(1)));
+fn z_score(bad: u32, responses: u32, other_bad: u32, other_responses: u32) -> f64 {
+    let (n, m) = (f64::from(responses), f64::from(other_responses.max(1)));
     let pooled = (f64::from(bad + other_bad) + 1.0) / (n + m + 2.0);
     let spread = (pooled * (1.0 - pooled) * (1.0 / n + 1.0 / m)).sqrt();
     (f64::from(bad) / n - f64::from(other_bad) / m) / spread
 }
 
-/// Bad answers that start the operators' clock, and the time left then.
-const CLOCK_STARTS_AT: u32 = 50;
-const ROLL_BACK: Duration = Duration::from_secs(5);
-/// Time until all entries know.
-const TELLING: Duration = Duration::from_secs(1);
+/// Bad responses from which on the operator's rollback deadline counts, and that deadline.
+const DEADLINE_STARTS_AT: u32 = 50;
+const ROLLBACK_DEADLINE: Duration = Duration::from_secs(5);
+/// Time until all entry nodes have the decision.
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// What became of one version.
+/// Result of the simulation of one version.
 #[derive(Debug, Clone, Copy)]
 struct Outcome {
-    /// Since it turned bad.
-    found_after: Option<Duration>,
-    bad_answers: u32,
-    /// When it had given as many bad answers as start the operators' clock.
-    clock_started: Option<Duration>,
-    /// When it was found.
-    found_at: Option<Duration>,
+    /// Time from the onset of the fault to the detection of the regression.
+    detected_after: Option<Duration>,
+    bad_responses: u32,
+    /// When the number of bad responses reached [`DEADLINE_STARTS_AT`].
+    deadline_started: Option<Duration>,
+    /// When the regression was detected.
+    detected_at: Option<Duration>,
 }
 
-fn play(seed: u64, new: Version, trouble: Trouble, judge: &mut dyn Judge) -> Outcome {
-    let mut world = World::new(seed, new, trouble);
+fn simulate(
+    seed: u64,
+    new: Version,
+    disturbance: Disturbance,
+    method: &mut dyn EvaluationMethod,
+) -> Outcome {
+    let mut service = SimulatedService::new(seed, new, disturbance);
     let mut at = Duration::ZERO;
-    let mut bad_answers = 0;
-    let mut clock_started = None;
+    let mut bad_responses = 0;
+    let mut deadline_started = None;
     while at < LENGTH {
-        let (round, bad) = world.round(at);
+        let (round, bad) = service.round(at);
         at += ROUND;
-        bad_answers += bad;
-        if bad_answers >= CLOCK_STARTS_AT {
-            clock_started.get_or_insert(at);
+        bad_responses += bad;
+        if bad_responses >= DEADLINE_STARTS_AT {
+            deadline_started.get_or_insert(at);
         }
-        judge.take(&round);
-        if judge.is_bad() {
-            let found_after = Some(at.saturating_sub(new.from));
+        method.add_round(&round);
+        if method.detects_regression() {
+            let detected_after = Some(at.saturating_sub(new.from));
             return Outcome {
-                found_after,
-                bad_answers,
-                clock_started,
-                found_at: Some(at),
+                detected_after,
+                bad_responses,
+                deadline_started,
+                detected_at: Some(at),
             };
         }
     }
     Outcome {
-        found_after: None,
-        bad_answers,
-        clock_started,
-        found_at: None,
+        detected_after: None,
+        bad_responses,
+        deadline_started,
+        detected_at: None,
     }
 }
 
-fn sequential() -> Box<dyn Judge> {
+fn sequential() -> Box<dyn EvaluationMethod> {
     Box::new(Sequential(VersionEvaluator::new(version("v2"))))
 }
 
-fn fixed_windows() -> Box<dyn Judge> {
+fn fixed_windows() -> Box<dyn EvaluationMethod> {
     Box::<FixedWindows>::default()
 }
 
 fn outcomes(
     new: Version,
-    trouble: Trouble,
+    disturbance: Disturbance,
     seeds: u64,
-    judge: fn() -> Box<dyn Judge>,
+    method: fn() -> Box<dyn EvaluationMethod>,
 ) -> Vec<Outcome> {
     (0..seeds)
-        .map(|seed| play(seed, new, trouble, judge().as_mut()))
+        .map(|seed| simulate(seed, new, disturbance, method().as_mut()))
         .collect()
 }
 
 #[rstest]
 #[case::calm(CALM)]
 #[case::rough(ROUGH)]
-fn good_versions_have_no_regression_detected(#[case] trouble: Trouble) {
-    let all = outcomes(GOOD, trouble, 300, sequential);
-    let alarms = all.iter().filter(|one| one.found_after.is_some()).count();
-    assert!(alarms <= 3, "{alarms} of 300 good versions were found bad");
+fn good_versions_have_no_regression_detected(#[case] disturbance: Disturbance) {
+    let all = outcomes(GOOD, disturbance, 300, sequential);
+    let false_positives = all
+        .iter()
+        .filter(|one| one.detected_after.is_some())
+        .count();
+    assert!(
+        false_positives <= 3,
+        "{false_positives} of 300 good versions were reported as regressions"
+    );
 }
 
-/// The operators' bound: 50 bad answers, and 5 s after them.
+/// The operator's bound: detection and rollback within 5 s of the 50th bad response.
 #[rstest]
 #[case::fails_at_once(Version { fails: 0.3, ..GOOD })]
 #[case::fails_seldom(Version { fails: 0.15, ..GOOD })]
@@ -316,26 +329,29 @@
 #[case::slow(Version { slow_share: 1.0, slow: 4.0, ..GOOD })]
 #[case::slow_in_part(Version { slow_share: 0.4, slow: 4.0, ..GOOD })]
 #[case::slow_late(Version { slow_share: 0.5, slow: 4.0, from: Duration::from_secs(6), ..GOOD })]
-fn regressions_are_detected_in_time(#[case] new: Version, #[values(CALM, ROUGH)] trouble: Trouble) {
-    let all = outcomes(new, trouble, 60, sequential);
+fn regressions_are_detected_in_time(
+    #[case] new: Version,
+    #[values(CALM, ROUGH)] disturbance: Disturbance,
+) {
+    let all = outcomes(new, disturbance, 60, sequential);
     let late = |one: &&Outcome| {
-        let Some(started) = one.clock_started else {
+        let Some(started) = one.deadline_started else {
             return false;
         };
-        one.found_at
-            .is_none_or(|found| found > started + ROLL_BACK - TELLING)
+        one.detected_at
+            .is_none_or(|found| found > started + ROLLBACK_DEADLINE - PROPAGATION_TIME)
     };
     let late = all.iter().filter(late).count();
-    assert!(late == 0, "{late} of 60 were found too late");
-    let missed = all.iter().filter(|one| one.found_at.is_none()).count();
-    println!("{missed} of 60 not found, none of them with {CLOCK_STARTS_AT} bad answers");
+    assert!(late == 0, "{late} of 60 were detected too late");
+    let missed = all.iter().filter(|one| one.detected_at.is_none()).count();
+    println!("{missed} of 60 not detected, none of them with {DEADLINE_STARTS_AT} bad responses");
 }
 
-/// Prints the figures of both ways: `--nocapture --ignored`.
+/// Prints the results of both methods: run with `--nocapture --ignored`.
 #[test]
-#[ignore = "a table for the design note"]
+#[ignore = "prints a table for the design documentation"]
 fn table_of_both_methods() {
-    let kinds = [
+    let versions = [
         ("good", GOOD),
         ("fails 30%", Version { fails: 0.3, ..GOOD }),
         (
@@ -387,20 +403,23 @@
             },
         ),
     ];
-    for (trouble_name, trouble) in [("calm", CALM), ("rough", ROUGH)] {
-        for (name, new) in kinds {
-            for (way, judge) in [
-                ("sequential", sequential as fn() -> Box<dyn Judge>),
+    for (disturbance_name, disturbance) in [("calm", CALM), ("rough", ROUGH)] {
+        for (name, new) in versions {
+            for (method_name, method) in [
+                (
+                    "sequential",
+                    sequential as fn() -> Box<dyn EvaluationMethod>,
+                ),
                 ("windows", fixed_windows),
             ] {
-                let all = outcomes(new, trouble, 300, judge);
+                let all = outcomes(new, disturbance, 300, method);
                 let mut times: Vec<Duration> =
-                    all.iter().filter_map(|one| one.found_after).collect();
+                    all.iter().filter_map(|one| one.detected_after).collect();
                 times.sort();
-                let mean = all.iter().map(|one| one.bad_answers).sum::<u32>() / 300;
+                let mean = all.iter().map(|one| one.bad_responses).sum::<u32>() / 300;
                 let at = |share: f64| times.get((times.len() as f64 * share) as usize).copied();
                 println!(
-                    "{trouble_name} | {name} | {way} | found {} of 300 | median {:?} | p95 {:?} | bad answers {mean}",
+                    "{disturbance_name} | {name} | {method_name} | detected {} of 300 | median {:?} | p95 {:?} | bad responses {mean}",
                     times.len(),
                     at(0.5),
                     at(0.95)
--- a/crates/rampthread-core/tests/rollout_evidence.rs
+++ b/crates/rampthread-core/tests/rollout_evidence.rs
@@ -1,4 +1,4 @@
-//! What a decider makes of reports that come late, twice or from a node that has restarted.
+//! Evidence reports that arrive late, twice or from a restarted node.
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::decider::DeciderContext;
@@ -21,21 +21,21 @@
     rollback_deadline: Duration::from_secs(3),
 };
 
-/// Reports as life and answers, in the order in which they arrive.
+/// Reports as process epoch and number of responses, in order of arrival.
 #[rstest]
 #[case::once(&[(1, 30)], 30)]
 #[case::twice(&[(1, 30), (1, 30)], 30)]
 #[case::late(&[(1, 30), (1, 10), (1, 40)], 40)]
-#[case::of_two_lives(&[(1, 30), (2, 10)], 40)]
-#[case::late_from_the_life_before(&[(1, 30), (2, 10), (1, 20), (2, 15)], 45)]
-fn each_answer_counts_once(#[case] reports: &[(u64, u32)], #[case] answers: u32) {
-    let reason = reason_of_the_move(reports);
-    let expected = format!("{answers} of {answers} answers,");
+#[case::of_two_process_epochs(&[(1, 30), (2, 10)], 40)]
+#[case::late_from_the_previous_epoch(&[(1, 30), (2, 10), (1, 20), (2, 15)], 45)]
+fn each_response_counts_once(#[case] reports: &[(u64, u32)], #[case] responses: u32) {
+    let reason = reason_for_the_shift(reports);
+    let expected = format!("{responses} of {responses} responses,");
     assert!(reason.starts_with(&expected), "{reason}");
 }
 
-/// Plays a roll-out with these reports up to the move.
-fn reason_of_the_move(reports: &[(u64, u32)]) -> String {
+/// Runs a rollout with these reports until traffic shifts.
+fn reason_for_the_shift(reports: &[(u64, u32)]) -> String {
     let mut decider = Decider::new(NodeId::new("node-1").unwrap(), BOUNDS);
     let mut table = RolloutTable::default();
     assert!(table.accept_order(&order(), OrderSource::NewWrite, START));
@@ -49,26 +49,26 @@
     let mut reports = reports.iter();
     let mut now = START;
     while now < START + DURATION {
-        let step = decider.tick(&mut table, &context, now);
-        let mut made = step.decisions.iter();
-        if let Some(made) = made.find(|made| made.state.phase == Phase::Moving) {
-            return made.reason.clone();
+        let output = decider.tick(&mut table, &context, now);
+        let mut decisions = output.decisions.iter();
+        if let Some(decision) = decisions.find(|decision| decision.state.phase == Phase::Moving) {
+            return decision.reason.clone();
         }
-        if let Some(call) = step.request {
-            decider.on_response(answer(&call), &mut table, now);
+        if let Some(call) = output.request {
+            decider.on_response(response_to(&call), &mut table, now);
         }
-        // By then the decider has taken up the order.
+        // By then the decider has started to evaluate the order.
         if now > START + Duration::from_secs(1)
-            && let Some((process_epoch, answers)) = reports.next()
+            && let Some((process_epoch, responses)) = reports.next()
         {
-            decider.on_evidence(&from, *process_epoch, &[evidence(*answers)]);
+            decider.on_evidence(&from, *process_epoch, &[evidence(*responses)]);
         }
         now = now + STEP;
     }
-    panic!("the traffic did not move");
+    panic!("the traffic did not shift");
 }
 
-fn answer(call: &DeciderRequest) -> DeciderResponse {
+fn response_to(call: &DeciderRequest) -> DeciderResponse {
     match call {
         DeciderRequest::Read => DeciderResponse::Records {
             fence: None,
@@ -90,7 +90,7 @@
     }
 }
 
-fn evidence(answers: u32) -> VersionEvidence {
+fn evidence(responses: u32) -> VersionEvidence {
     VersionEvidence {
         service: order().service,
         order: 4,
@@ -98,7 +98,7 @@
         group: 0,
         route: ResourceName::new("route").unwrap(),
         counts: ResponseCounts {
-            responses: answers,
+            responses,
             failures: 0,
             latency_histogram: [0; LATENCY_BUCKETS],
         },
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -1,11 +1,11 @@
-//! What an entry lets through to a version under judgement, and which of two states counts.
+//! Exposure limits of entry nodes, the order between rollout states, and the schedule.
 
 use proptest::prelude::*;
 use rampthread_core::call::balance::Endpoint;
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion, Zone};
 use rampthread_core::rollout::exposure::{presumed_version, split_by_version};
 use rampthread_core::rollout::schedule::{
-    MissingCondition, NextAction, RolloutProgress, evaluation_permille, next_action,
+    NextAction, RolloutProgress, UnmetCondition, evaluation_permille, next_action,
 };
 use rampthread_core::rollout::table::OrderSource;
 use rampthread_core::rollout::{
@@ -60,9 +60,10 @@
 }
 
 proptest! {
-    /// Bursts, thin traffic and restarts: a fleet of entries holds the share.
+    /// The share holds over a whole fleet of entry nodes with bursts, low traffic and
+    /// restarts.
     #[test]
-    fn the_share_holds_over_all_entries(
+    fn exposure_share_holds_over_all_entries(
         nodes in 1_usize..120,
         permille in 1_u16..100,
         traffic in prop::collection::vec((0_usize..120, 0_u32..400), 1..80),
@@ -84,7 +85,7 @@
                 entry.on_response(permille);
             }
         }
-        // A second life of an entry begins with the same part of the slack.
+        // A restarted entry node starts with the same part of the slack again.
         let restarted = restarts.len() as f64;
         for index in restarts {
             entries[index % nodes] = new();
@@ -94,38 +95,38 @@
         prop_assert!(f64::from(target) <= share * f64::from(total) + slack);
     }
 
-    /// Whatever is heard in whatever order, all end up with the same state, and none goes
-    /// to an earlier phase.
+    /// Nodes converge to the same state for any order of messages, and phases never go
+    /// back.
     #[test]
-    fn all_nodes_end_up_with_the_same_state(
-        told in prop::collection::vec((1_u64..3, phase(), 0_u64..4, 0_u64..6), 1..20),
+    fn nodes_converge_to_the_same_state(
+        states in prop::collection::vec((1_u64..3, phase(), 0_u64..4, 0_u64..6), 1..20),
         seed in any::<u64>(),
     ) {
         let now = Moment(1_000_000);
-        let mut shuffled = told.clone();
+        let mut shuffled = states.clone();
         let length = shuffled.len();
         for index in 0..length {
             shuffled.swap(index, (seed as usize).wrapping_add(index * 7) % length);
         }
-        let hear = |told: &[(u64, Phase, u64, u64)]| {
+        let merge_all = |states: &[(u64, Phase, u64, u64)]| {
             let mut table = RolloutTable::default();
             let mut known: Option<(u64, Phase)> = None;
-            for (order, phase, term, step) in told {
+            for (order, phase, term, step) in states {
                 table.merge(state(*order, *phase, *term, *step), now);
-                let held = table.state(&name("shop"), now).unwrap();
-                let held = (held.order, held.phase);
-                assert!(known.is_none_or(|known| held >= known));
-                known = Some(held);
+                let state = table.state(&name("shop"), now).unwrap();
+                let state = (state.order, state.phase);
+                assert!(known.is_none_or(|known| state >= known));
+                known = Some(state);
             }
-            let held = table.state(&name("shop"), now).unwrap();
-            (held.order, held.phase, held.term, held.step)
+            let state = table.state(&name("shop"), now).unwrap();
+            (state.order, state.phase, state.term, state.step)
         };
-        prop_assert_eq!(hear(&told), hear(&shuffled));
+        prop_assert_eq!(merge_all(&states), merge_all(&shuffled));
     }
 
-    /// The judged share and the calls after the latest move fit into the bound.
+    /// The evaluated share and the calls after the latest shift stay within the bound.
     #[test]
-    fn a_version_that_shows_nothing_stays_within_the_bound(
+    fn version_without_regression_stays_within_the_bound(
         seconds in 12_u64..3_600,
         rate in 10.0_f64..5_000.0,
     ) {
@@ -141,20 +142,22 @@
             target += if phase == Phase::Running { share * calls } else { calls };
             at += step;
             let progress = RolloutProgress {
-                answers: total as u64,
-                target_answers: target as u64,
+                responses: total as u64,
+                target_responses: target as u64,
                 rate,
                 target_slots: 100,
                 other_slots: 100,
-                moving_for: moving.map(|since| at - since),
-                ..heard()
+                shifting_for: moving.map(|since| at - since),
+                ..progress()
             };
             let known = RolloutState {
                 elapsed: at,
                 duration,
                 ..state(1, phase, 1, 1)
             };
-            if phase == Phase::Running && next_action(&known, &progress, &BOUNDS) == NextAction::Move {
+            if phase == Phase::Running
+                && next_action(&known, &progress, &BOUNDS) == NextAction::ShiftTraffic
+            {
                 phase = Phase::Moving;
                 moving = Some(at);
             }
@@ -165,7 +168,7 @@
 }
 
 #[test]
-fn a_share_that_is_not_confirmed_ends() {
+fn unconfirmed_share_expires() {
     let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
     table.merge(state(1, Phase::Running, 1, 1), now);
@@ -175,9 +178,9 @@
     assert_eq!(share(later), VersionShare::Blocked);
 }
 
-/// The decider may have found it bad since, and the word of it not have arrived.
+/// A regression may have been detected meanwhile without the update having arrived.
 #[test]
-fn a_move_that_is_not_confirmed_leaves_the_others_their_calls() {
+fn unconfirmed_shift_returns_calls_to_other_versions() {
     let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
     table.merge(state(1, Phase::Moving, 1, 1), now);
@@ -192,35 +195,35 @@
 #[rstest]
 #[case::another_target(order(9, "v3"), OrderSource::NewWrite, true)]
 #[case::the_same_again(order(9, "v2"), OrderSource::NewWrite, false)]
-#[case::an_older_one_found(order(3, "v1"), OrderSource::Existing, false)]
+#[case::an_older_existing_one(order(3, "v1"), OrderSource::Existing, false)]
 #[case::written_after_a_restore(order(3, "v3"), OrderSource::NewWrite, true)]
-fn orders_that_count(
+fn orders_are_accepted_or_ignored(
     #[case] second: RolloutOrder,
     #[case] source: OrderSource,
-    #[case] counts: bool,
+    #[case] is_accepted: bool,
 ) {
     let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
     table.merge(state(5, Phase::Succeeded, 1, 9), now);
-    assert_eq!(table.accept_order(&second, source, now), counts);
-    let held = table.state(&name("shop"), now).unwrap();
-    assert_eq!(held.phase == Phase::Running, counts);
+    assert_eq!(table.accept_order(&second, source, now), is_accepted);
+    let state = table.state(&name("shop"), now).unwrap();
+    assert_eq!(state.phase == Phase::Running, is_accepted);
 }
 
 #[rstest]
-#[case::one(&["v1", "v1"], None)]
-#[case::far_more(&["v2", "v1", "v2", "v2"], Some("v2"))]
-#[case::more(&["v2", "v1", "v2"], Some("v1"))]
-#[case::as_many(&["v10", "v9"], Some("v9"))]
-fn the_present_one_of_several_versions(#[case] all: &[&str], #[case] presumed: Option<&str>) {
+#[case::single_version(&["v1", "v1"], None)]
+#[case::far_more_backends(&["v2", "v1", "v2", "v2"], Some("v2"))]
+#[case::more_backends(&["v2", "v1", "v2"], Some("v1"))]
+#[case::equal_backends(&["v10", "v9"], Some("v9"))]
+fn presumed_version_among_several(#[case] all: &[&str], #[case] expected: Option<&str>) {
     let all: Vec<SoftwareVersion> = all.iter().map(|text| version(text)).collect();
-    let found = presumed_version(all.iter());
-    assert_eq!(found.map(SoftwareVersion::as_str), presumed);
+    let actual = presumed_version(all.iter());
+    assert_eq!(actual.map(SoftwareVersion::as_str), expected);
 }
 
-/// Every back end of the new version gets its turn under load.
+/// Every backend of the new version must be tried under load.
 #[test]
-fn back_ends_take_turns() {
+fn backends_take_turns_under_load() {
     let endpoints = endpoints();
     let mut limiter = ExposureLimiter::new(1, BOUNDS.exposure_slack_calls, 1, 1.0);
     assert_eq!(limiter.eligible_backends(endpoints.clone(), 0).len(), 5);
@@ -236,111 +239,130 @@
 }
 
 #[rstest]
-#[case::too_few_slots(20, NextAction::Judge { permille: 30 })]
-#[case::enough(80, NextAction::Move)]
-fn traffic_moves_only_to_enough_back_ends(#[case] target_slots: u32, #[case] expected: NextAction) {
+#[case::too_few_slots(20, NextAction::Evaluate { permille: 30 })]
+#[case::enough(80, NextAction::ShiftTraffic)]
+fn traffic_shifts_only_with_enough_capacity(
+    #[case] target_slots: u32,
+    #[case] expected: NextAction,
+) {
     let known = RolloutState {
         elapsed: Duration::from_millis(11_500),
         ..state(1, Phase::Running, 1, 1)
     };
     let progress = RolloutProgress {
-        answers: 1_000,
-        target_answers: 30,
+        responses: 1_000,
+        target_responses: 30,
         rate: 100.0,
         target_slots,
         other_slots: 100,
-        moving_for: None,
-        ..heard()
+        shifting_for: None,
+        ..progress()
     };
-    let found = next_action(&known, &progress, &BOUNDS);
+    let actual = next_action(&known, &progress, &BOUNDS);
     assert_eq!(
-        std::mem::discriminant(&found),
+        std::mem::discriminant(&actual),
         std::mem::discriminant(&expected)
     );
 }
 
-/// A decider that has heard the whole fleet.
-fn heard() -> RolloutProgress {
+/// Progress as known to a decider with the evidence of all nodes.
+fn progress() -> RolloutProgress {
     RolloutProgress {
-        answers: 1_000,
-        target_answers: 30,
+        responses: 1_000,
+        target_responses: 30,
         rate: 100.0,
         target_slots: 100,
         other_slots: 100,
-        moving_for: None,
-        answers_since_move: 0,
+        shifting_for: None,
+        responses_since_shift: 0,
         reporters: 10,
         evidence_collected_for: Duration::from_secs(9),
         evidence_collection_time: Duration::from_secs(2),
     }
 }
 
-/// What comes next, whatever the share of a version that is judged further.
-fn progress_of(phase: Phase, elapsed_ms: u64, progress: RolloutProgress) -> NextAction {
+/// The next action, with any share of a continued evaluation normalized to 0.
+fn action_for(phase: Phase, elapsed_ms: u64, progress: RolloutProgress) -> NextAction {
     let known = RolloutState {
         elapsed: Duration::from_millis(elapsed_ms),
         ..state(1, phase, 1, 1)
     };
     match next_action(&known, &progress, &BOUNDS) {
-        NextAction::Judge { .. } => NextAction::Judge { permille: 0 },
-        found => found,
+        NextAction::Evaluate { .. } => NextAction::Evaluate { permille: 0 },
+        actual => actual,
     }
 }
 
-const JUDGE: NextAction = NextAction::Judge { permille: 0 };
+const EVALUATE: NextAction = NextAction::Evaluate { permille: 0 };
 
 #[rstest]
-#[case::heard(heard(), 11_500, NextAction::Move)]
-#[case::took_over_late(RolloutProgress { evidence_collected_for: Duration::from_secs(1), ..heard() }, 11_500, JUDGE)]
-#[case::took_over_long_after(RolloutProgress { evidence_collected_for: Duration::ZERO, ..heard() }, 60_000, JUDGE)]
-#[case::no_answer_of_it(RolloutProgress { target_answers: 0, ..heard() }, 11_500, JUDGE)]
-#[case::none_at_last(
-    RolloutProgress { target_answers: 0, ..heard() }, 17_500, NextAction::GiveUp(MissingCondition::TargetAnswers)
+#[case::all_evidence(progress(), 11_500, NextAction::ShiftTraffic)]
+#[case::decider_took_over_late(
+    RolloutProgress { evidence_collected_for: Duration::from_secs(1), ..progress() },
+    11_500,
+    EVALUATE
+)]
+#[case::decider_took_over_after_deadline(
+    RolloutProgress { evidence_collected_for: Duration::ZERO, ..progress() },
+    60_000,
+    EVALUATE
+)]
+#[case::no_target_response(RolloutProgress { target_responses: 0, ..progress() }, 11_500, EVALUATE)]
+#[case::overdue_without_target_response(
+    RolloutProgress { target_responses: 0, ..progress() },
+    17_500,
+    NextAction::RollBack(UnmetCondition::TargetResponses)
+)]
+#[case::no_traffic(
+    RolloutProgress { responses: 0, target_responses: 0, rate: 0.0, ..progress() },
+    11_500,
+    EVALUATE
 )]
-#[case::no_traffic(RolloutProgress { answers: 0, target_answers: 0, rate: 0.0, ..heard() }, 11_500, JUDGE)]
-#[case::no_traffic_at_last(
-    RolloutProgress { answers: 0, target_answers: 0, rate: 0.0, ..heard() },
+#[case::overdue_without_traffic(
+    RolloutProgress { responses: 0, target_responses: 0, rate: 0.0, ..progress() },
     17_500,
-    NextAction::GiveUp(MissingCondition::Traffic)
+    NextAction::RollBack(UnmetCondition::Traffic)
 )]
-#[case::thin_traffic(
-    RolloutProgress { answers: 60, target_answers: 0, rate: 5.0, ..heard() }, 11_500, NextAction::Move
+#[case::low_traffic(
+    RolloutProgress { responses: 60, target_responses: 0, rate: 5.0, ..progress() },
+    11_500,
+    NextAction::ShiftTraffic
 )]
-fn traffic_moves_only_on_evidence(
+fn traffic_shifts_only_on_evidence(
     #[case] progress: RolloutProgress,
     #[case] elapsed_ms: u64,
     #[case] expected: NextAction,
 ) {
-    assert_eq!(progress_of(Phase::Running, elapsed_ms, progress), expected);
+    assert_eq!(action_for(Phase::Running, elapsed_ms, progress), expected);
 }
 
 #[rstest]
-#[case::heard(1, 9_000, 11_800, NextAction::Succeed)]
-#[case::nothing_since_the_move(0, 9_000, 11_800, NextAction::Move)]
-#[case::nothing_at_last(
+#[case::all_evidence(1, 9_000, 11_800, NextAction::Succeed)]
+#[case::no_response_since_the_shift(0, 9_000, 11_800, NextAction::ShiftTraffic)]
+#[case::overdue_without_response(
     0,
     9_000,
     17_500,
-    NextAction::GiveUp(MissingCondition::AnswersSinceMove)
+    NextAction::RollBack(UnmetCondition::ResponsesSinceShift)
 )]
-#[case::took_over_amid_it(1, 500, 17_500, NextAction::Move)]
-fn a_move_succeeds_only_on_evidence(
-    #[case] answers_since_move: u64,
-    #[case] hearing_ms: u64,
+#[case::decider_took_over_during_shift(1, 500, 17_500, NextAction::ShiftTraffic)]
+fn shift_succeeds_only_on_evidence(
+    #[case] responses_since_shift: u64,
+    #[case] evidence_ms: u64,
     #[case] elapsed_ms: u64,
     #[case] expected: NextAction,
 ) {
     let progress = RolloutProgress {
-        moving_for: Some(Duration::from_millis(500)),
-        answers_since_move,
-        evidence_collected_for: Duration::from_millis(hearing_ms),
-        ..heard()
+        shifting_for: Some(Duration::from_millis(500)),
+        responses_since_shift,
+        evidence_collected_for: Duration::from_millis(evidence_ms),
+        ..progress()
     };
-    assert_eq!(progress_of(Phase::Moving, elapsed_ms, progress), expected);
+    assert_eq!(action_for(Phase::Moving, elapsed_ms, progress), expected);
 }
 
 #[test]
-fn a_back_end_of_an_unknown_version_is_one_of_the_others() {
+fn backend_of_unknown_version_counts_as_other() {
     let endpoints = endpoints();
     let (old, new) = (version("v1"), version("v2"));
     let version_of = |node: &NodeId| match node.as_str() {
@@ -349,9 +371,9 @@
         _ => Some(&new),
     };
     let (target, others) = split_by_version(&endpoints, version_of, &new);
-    let names = |found: Vec<Endpoint>| -> Vec<String> {
-        let nodes = found.iter();
-        nodes.map(|found| found.node.to_string()).collect()
+    let names = |actual: Vec<Endpoint>| -> Vec<String> {
+        let nodes = actual.iter();
+        nodes.map(|actual| actual.node.to_string()).collect()
     };
     assert_eq!(names(target), ["node-2", "node-3", "node-4"]);
     assert_eq!(names(others), ["node-0", "node-1"]);
--- a/crates/rampthread-core/tests/rollout_restored.rs
+++ b/crates/rampthread-core/tests/rollout_restored.rs
@@ -1,4 +1,4 @@
-//! The decider of roll-outs where the store comes back from an older copy.
+//! The rollout decider when the store is restored from an older backup.
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::decider::{DeciderContext, DeciderOutput};
@@ -12,8 +12,8 @@
 
 const START: Moment = Moment(3_600_000_000);
 const STEP: Duration = Duration::from_millis(50);
-/// Longer than any pause before the store is asked again.
-const LONG: Duration = Duration::from_secs(2);
+/// Longer than any delay before the next store request.
+const LONGEST_DELAY: Duration = Duration::from_secs(2);
 
 const BOUNDS: RolloutBounds = RolloutBounds {
     exposure_share: 0.05,
@@ -39,7 +39,7 @@
         }
     }
 
-    fn order(&mut self) {
+    fn receive_order(&mut self) {
         let order = order();
         assert!(
             self.table
@@ -57,40 +57,41 @@
         self.decider.tick(&mut self.table, &context, self.now)
     }
 
-    /// The next call to the store within [`LONG`].
-    fn call(&mut self) -> Option<DeciderRequest> {
-        let until = self.now + LONG;
+    /// The next store request within [`LONG`].
+    fn next_request(&mut self) -> Option<DeciderRequest> {
+        let until = self.now + LONGEST_DELAY;
         while self.now < until {
-            if let Some(call) = self.tick().request {
-                return Some(call);
+            if let Some(request) = self.tick().request {
+                return Some(request);
             }
             self.now = self.now + STEP;
         }
         None
     }
 
-    fn answer(&mut self, answer: DeciderResponse) {
-        self.decider.on_response(answer, &mut self.table, self.now);
+    fn respond(&mut self, response: DeciderResponse) {
+        self.decider
+            .on_response(response, &mut self.table, self.now);
     }
 
     fn restore(&mut self) {
         self.decider.on_store_restored(&self.table, self.now);
     }
 
-    /// Becomes the decider, under this lease.
-    fn decide(&mut self, lease: u64) -> u64 {
-        assert_eq!(self.call(), Some(DeciderRequest::Read));
-        self.answer(empty());
-        let Some(DeciderRequest::Claim { term, .. }) = self.call() else {
-            panic!("no claim");
+    /// Acquires the lease with this id and returns the term.
+    fn acquire_lease(&mut self, lease: u64) -> u64 {
+        assert_eq!(self.next_request(), Some(DeciderRequest::Read));
+        self.respond(no_records());
+        let Some(DeciderRequest::Claim { term, .. }) = self.next_request() else {
+            panic!("the node did not claim the lease");
         };
-        self.answer(DeciderResponse::Claimed { lease, fence: 9 });
+        self.respond(DeciderResponse::Claimed { lease, fence: 9 });
         assert!(self.decider.holds_lease(self.now));
         term
     }
 }
 
-fn empty() -> DeciderResponse {
+fn no_records() -> DeciderResponse {
     DeciderResponse::Records {
         fence: None,
         term: 0,
@@ -98,87 +99,93 @@
     }
 }
 
-/// Its lease may be somebody else's by now, and the revision of its record too.
+/// After a restore, another node may hold a lease with the same id and revision.
 #[test]
-fn a_decider_stops_and_takes_its_place_anew_in_a_later_term() {
+fn decider_steps_down_and_returns_in_a_later_term() {
     let mut node = Node::new();
-    node.order();
-    let term = node.decide(7);
-    assert!(matches!(node.call(), Some(DeciderRequest::Write { .. })));
-    node.answer(DeciderResponse::Written { revision: 10 });
+    node.receive_order();
+    let term = node.acquire_lease(7);
+    assert!(matches!(
+        node.next_request(),
+        Some(DeciderRequest::Write { .. })
+    ));
+    node.respond(DeciderResponse::Written { revision: 10 });
     node.tick();
     node.restore();
     assert!(!node.decider.holds_lease(node.now));
-    assert!(node.decide(7) > term);
+    assert!(node.acquire_lease(7) > term);
 }
 
 #[test]
-fn an_answer_to_a_call_of_before_is_no_answer() {
+fn response_to_a_request_before_the_restore_is_ignored() {
     let mut node = Node::new();
-    node.order();
-    assert_eq!(node.call(), Some(DeciderRequest::Read));
-    node.answer(empty());
-    assert!(matches!(node.call(), Some(DeciderRequest::Claim { .. })));
+    node.receive_order();
+    assert_eq!(node.next_request(), Some(DeciderRequest::Read));
+    node.respond(no_records());
+    assert!(matches!(
+        node.next_request(),
+        Some(DeciderRequest::Claim { .. })
+    ));
     node.restore();
-    node.answer(DeciderResponse::Claimed { lease: 7, fence: 9 });
+    node.respond(DeciderResponse::Claimed { lease: 7, fence: 9 });
     assert!(!node.decider.holds_lease(node.now));
-    assert_eq!(node.call(), Some(DeciderRequest::Read));
+    assert_eq!(node.next_request(), Some(DeciderRequest::Read));
 }
 
-/// The copy lacks the end of a roll-out, which operators read there.
+/// The backup lacks the end of a rollout, which operators look up in the store.
 #[test]
-fn an_end_that_the_copy_lacks_is_put_on_record_again() {
+fn end_missing_in_the_backup_is_persisted_again() {
     let mut node = Node::new();
-    let ended = RolloutState {
+    let ended_state = RolloutState {
         phase: Phase::Succeeded,
         term: 3,
-        ..begun()
+        ..initial_state()
     };
-    assert!(node.table.merge(ended, node.now));
-    assert_eq!(node.call(), None);
+    assert!(node.table.merge(ended_state, node.now));
+    assert_eq!(node.next_request(), None);
     node.restore();
-    node.decide(1);
-    let Some(DeciderRequest::Write { state, .. }) = node.call() else {
-        panic!("nothing is written");
+    node.acquire_lease(1);
+    let Some(DeciderRequest::Write { state, .. }) = node.next_request() else {
+        panic!("the node did not write the state");
     };
     assert_eq!((state.phase, state.order), (Phase::Succeeded, 4));
 }
 
-/// A copy may name a decider whose lease goes on for a moment.
+/// The backup may contain a lease that has not expired yet.
 #[test]
-fn while_the_copy_names_a_decider_the_records_are_read_again() {
+fn records_are_read_again_while_the_backup_has_a_lease() {
     let mut node = Node::new();
-    let ended = RolloutState {
+    let ended_state = RolloutState {
         phase: Phase::RolledBack,
         term: 3,
-        ..begun()
+        ..initial_state()
     };
-    assert!(node.table.merge(ended, node.now));
+    assert!(node.table.merge(ended_state, node.now));
     node.restore();
-    assert_eq!(node.call(), Some(DeciderRequest::Read));
-    node.answer(DeciderResponse::Records {
+    assert_eq!(node.next_request(), Some(DeciderRequest::Read));
+    node.respond(DeciderResponse::Records {
         fence: Some(2),
         term: 1,
         states: Vec::new(),
     });
-    assert_eq!(node.call(), None);
-    assert_eq!(node.call(), Some(DeciderRequest::Read));
+    assert_eq!(node.next_request(), None);
+    assert_eq!(node.next_request(), Some(DeciderRequest::Read));
 }
 
 #[test]
-fn without_roll_outs_and_far_down_the_order_the_store_is_not_asked() {
+fn low_rank_or_no_rollouts_sends_no_store_request() {
     let mut node = Node::new();
     node.restore();
-    assert_eq!(node.call(), None);
-    let ended = RolloutState {
+    assert_eq!(node.next_request(), None);
+    let ended_state = RolloutState {
         phase: Phase::Succeeded,
-        ..begun()
+        ..initial_state()
     };
-    assert!(node.table.merge(ended, node.now));
+    assert!(node.table.merge(ended_state, node.now));
     node.rank = 40;
     node.restore();
     for _ in 0..20 {
-        assert_eq!(node.call(), None);
+        assert_eq!(node.next_request(), None);
     }
 }
 
@@ -191,48 +198,60 @@
     }
 }
 
-fn begun() -> RolloutState {
+fn initial_state() -> RolloutState {
     RolloutState::from_order(&order(), Duration::ZERO)
 }
 
-/// The order was written again. Calls fail and claims are refused, and what the store has
-/// lost is still put on record.
+/// The order was written again. Requests fail and claims are rejected, but the state that
+/// the store has lost must be persisted in the end.
 #[test]
-fn a_recheck_is_owed_until_the_records_hold_what_is_known() {
+fn recheck_is_repeated_until_records_match() {
     let mut node = Node::new();
     assert!(node.table.merge(rolled_back(), node.now));
     node.decider.recheck(node.now);
-    assert_eq!(node.call(), Some(DeciderRequest::Read));
-    node.answer(DeciderResponse::Failed);
-    assert_eq!(node.call(), Some(DeciderRequest::Read));
-    node.answer(empty());
-    assert!(matches!(node.call(), Some(DeciderRequest::Claim { .. })));
-    node.answer(DeciderResponse::Conflict);
-    node.decide(7);
-    assert!(matches!(node.call(), Some(DeciderRequest::Write { .. })));
-    node.answer(DeciderResponse::Conflict);
-    assert_eq!(node.call(), Some(DeciderRequest::Read));
-    node.answer(DeciderResponse::Records {
+    assert_eq!(node.next_request(), Some(DeciderRequest::Read));
+    node.respond(DeciderResponse::Failed);
+    assert_eq!(node.next_request(), Some(DeciderRequest::Read));
+    node.respond(no_records());
+    assert!(matches!(
+        node.next_request(),
+        Some(DeciderRequest::Claim { .. })
+    ));
+    node.respond(DeciderResponse::Conflict);
+    node.acquire_lease(7);
+    assert!(matches!(
+        node.next_request(),
+        Some(DeciderRequest::Write { .. })
+    ));
+    node.respond(DeciderResponse::Conflict);
+    assert_eq!(node.next_request(), Some(DeciderRequest::Read));
+    node.respond(DeciderResponse::Records {
         fence: Some(9),
         term: 1,
         states: Vec::new(),
     });
-    assert!(matches!(node.call(), Some(DeciderRequest::Write { .. })));
-    node.answer(DeciderResponse::Written { revision: 12 });
-    assert_eq!(node.call(), Some(DeciderRequest::Release { lease: 7 }));
-    node.answer(DeciderResponse::Kept);
-    assert_eq!(node.call(), None);
-    node.now = node.now + LONG + LONG;
-    assert_eq!(node.call(), None);
+    assert!(matches!(
+        node.next_request(),
+        Some(DeciderRequest::Write { .. })
+    ));
+    node.respond(DeciderResponse::Written { revision: 12 });
+    assert_eq!(
+        node.next_request(),
+        Some(DeciderRequest::Release { lease: 7 })
+    );
+    node.respond(DeciderResponse::Kept);
+    assert_eq!(node.next_request(), None);
+    node.now = node.now + LONGEST_DELAY + LONGEST_DELAY;
+    assert_eq!(node.next_request(), None);
 }
 
 #[test]
-fn a_recheck_that_finds_all_on_record_is_done() {
+fn recheck_with_matching_records_is_complete() {
     let mut node = Node::new();
     assert!(node.table.merge(rolled_back(), node.now));
     node.decider.recheck(node.now);
-    assert_eq!(node.call(), Some(DeciderRequest::Read));
-    node.answer(DeciderResponse::Records {
+    assert_eq!(node.next_request(), Some(DeciderRequest::Read));
+    node.respond(DeciderResponse::Records {
         fence: None,
         term: 3,
         states: vec![StoredRollout {
@@ -241,14 +260,14 @@
             written_ms: 0,
         }],
     });
-    node.now = node.now + LONG;
-    assert_eq!(node.call(), None);
+    node.now = node.now + LONGEST_DELAY;
+    assert_eq!(node.next_request(), None);
 }
 
 fn rolled_back() -> RolloutState {
     RolloutState {
         phase: Phase::RolledBack,
         term: 3,
-        ..begun()
+        ..initial_state()
     }
 }
