--- a/crates/rampthread-core/src/call/quota/zone_balance.rs
+++ b/crates/rampthread-core/src/call/quota/zone_balance.rs
@@ -23,12 +23,12 @@
 }
 
 impl ZoneBalance {
-    pub(super) fn new(zone: Zone, asked: f64, at: Moment) -> Self {
+    pub(super) fn new(zone: Zone, demand: f64, updated_at: Moment) -> Self {
         Self {
             zone,
-            usual_demand: asked,
+            usual_demand: demand,
             balance: 0.0,
-            updated_at: at,
+            updated_at,
         }
     }
 
