--- a/crates/rampthread-node/src/api/reads.rs
+++ b/crates/rampthread-node/src/api/reads.rs
@@ -112,7 +112,7 @@
 /// backend.
 pub async fn explain(request: Request<ApiState>) -> tide::Result {
     let subject = request.param("subject").unwrap_or_default();
-    let entries = request.state().control.journal.about(subject);
+    let entries = request.state().control.decision_log.entries_about(subject);
     Ok(json(StatusCode::Ok, &entries))
 }
 
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -289,7 +289,7 @@
 
     /// Records a failed call among this node's decisions, for the operator API.
     fn record_failed_call(&self, call_id: &str, call_error: &CallError) {
-        self.control().journal.note(Decision::CallFailed {
+        self.control().decision_log.record(Decision::CallFailed {
             call_id: call_id.to_string(),
             reason: format!(
                 "{} {}: {}",
--- a/crates/rampthread-node/src/control/actions.rs
+++ b/crates/rampthread-node/src/control/actions.rs
@@ -74,7 +74,7 @@
         if let Decision::Rollout { phase, .. } = &decision {
             self.metrics.count_roll_out(*phase);
         }
-        self.journal.note(decision);
+        self.decision_log.record(decision);
     }
 
     fn ask_store(self: &Arc<Self>, request_id: RequestId, request: StoreRequest) {
--- a/crates/rampthread-node/src/control/document_watch.rs
+++ b/crates/rampthread-node/src/control/document_watch.rs
@@ -366,7 +366,7 @@
         self.backoff.succeeded();
         self.failures = 0;
         if std::mem::take(&mut self.told_lost) {
-            self.control.journal.note(Decision::StoreAvailable);
+            self.control.decision_log.record(Decision::StoreAvailable);
         }
         self.control.store_answers(true);
     }
@@ -388,8 +388,8 @@
         if !told {
             let reason = error.to_string();
             self.control
-                .journal
-                .note(Decision::StoreUnavailable { reason });
+                .decision_log
+                .record(Decision::StoreUnavailable { reason });
         }
         self.control.store_answers(false);
     }
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -11,7 +11,7 @@
 use super::rollouts::VersionRules;
 use crate::call_log::CallLog;
 use crate::clock::Clock;
-use crate::journal::Journal;
+use crate::decision_log::DecisionLog;
 use crate::metrics::Metrics;
 use crate::task_group::TaskGroup;
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -69,7 +69,7 @@
     /// What is counted.
     pub metrics: Arc<Metrics>,
     /// What was decided.
-    pub journal: Arc<Journal>,
+    pub decision_log: Arc<DecisionLog>,
     /// Lines about calls.
     pub call_log: CallLog,
     /// Names requests by what they ask for.
@@ -147,7 +147,7 @@
             id: id.clone(),
             clock,
             metrics: metrics.clone(),
-            journal: Arc::new(Journal::new(clock)),
+            decision_log: Arc::new(DecisionLog::new(clock)),
             call_log: CallLog::new(clock, metrics),
             identity_key: parts.identity_key,
             agent: Mutex::new(agent),
@@ -441,7 +441,7 @@
             self.refresh_zone_loads(now);
             self.refresh_version_rules();
             self.show_store_watch(now);
-            self.journal.tell_left_out();
+            self.decision_log.report_suppressed();
             async_std::task::sleep(TICK).await;
         }
     }
--- a/crates/rampthread-node/src/journal.rs
+++ b/crates/rampthread-node/src/decision_log.rs
@@ -12,7 +12,7 @@
 
 /// A decision and the time at which it was recorded.
 #[derive(Debug, Clone, Serialize)]
-pub struct JournalEntry {
+pub struct DecisionLogEntry {
     /// Wall-clock time in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// The decision and the facts behind it.
@@ -23,14 +23,14 @@
 /// Ring buffer of decisions, which are also written to the log. Frequent kinds of log lines
 /// are rate-limited and summarized.
 #[derive(Debug)]
-pub struct Journal {
+pub struct DecisionLog {
     clock: Clock,
-    entries: Mutex<VecDeque<JournalEntry>>,
+    entries: Mutex<VecDeque<DecisionLogEntry>>,
     /// Rate limiter for log lines about members, watches and rejected versions, by cause.
     lines: Mutex<LogRateLimiter>,
 }
 
-impl Journal {
+impl DecisionLog {
     /// Creates an empty decision log.
     pub fn new(clock: Clock) -> Self {
         Self {
@@ -41,11 +41,11 @@
     }
 
     /// Records a decision, and logs it unless its rate limit is reached.
-    pub fn note(&self, decision: Decision) {
+    pub fn record(&self, decision: Decision) {
         if self.may_log(&decision) {
             log(&decision);
         }
-        let entry = JournalEntry {
+        let entry = DecisionLogEntry {
             at_ms: wall_clock_micros() / 1_000,
             decision,
         };
@@ -68,7 +68,7 @@
     }
 
     /// Logs the number of suppressed lines by cause, when a summary is due.
-    pub fn tell_left_out(&self) {
+    pub fn report_suppressed(&self) {
         let left_out = lock(&self.lines).summary(self.clock.now());
         for SuppressedLines { cause, lines } in left_out {
             tracing::info!(cause, lines, "decisions: lines left out");
@@ -76,7 +76,7 @@
     }
 
     /// Decisions whose JSON contains `subject`, oldest first.
-    pub fn about(&self, subject: &str) -> Vec<JournalEntry> {
+    pub fn entries_about(&self, subject: &str) -> Vec<DecisionLogEntry> {
         let entries = lock(&self.entries);
         entries
             .iter()
--- a/crates/rampthread-node/src/lib.rs
+++ b/crates/rampthread-node/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod calls;
 pub mod clock;
 pub mod control;
-pub mod journal;
+pub mod decision_log;
 pub mod logging;
 pub mod metrics;
 pub mod node;
--- a/crates/rampthread-node/tests/log_volume.rs
+++ b/crates/rampthread-node/tests/log_volume.rs
@@ -3,7 +3,7 @@
 use rampthread_core::fleet::{Decision, Status};
 use rampthread_core::ids::NodeId;
 use rampthread_node::clock::Clock;
-use rampthread_node::journal::Journal;
+use rampthread_node::decision_log::DecisionLog;
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 use tracing_subscriber::fmt::MakeWriter;
@@ -40,18 +40,18 @@
         .with_writer(captured.clone())
         .with_ansi(false)
         .finish();
-    let journal = Journal::new(Clock::start());
+    let decision_log = DecisionLog::new(Clock::start());
     tracing::subscriber::with_default(subscriber, || {
         for status in [Status::Alive, Status::Suspect] {
             for number in 0..1_000 {
-                journal.note(Decision::MemberChanged {
+                decision_log.record(Decision::MemberChanged {
                     id: NodeId::new(&format!("node-{number}")).unwrap(),
                     status,
                     incarnation: 1,
                 });
             }
         }
-        journal.tell_left_out();
+        decision_log.report_suppressed();
     });
     let bytes = captured.0.lock().unwrap().clone();
     let text = String::from_utf8(bytes).unwrap();
