--- a/crates/rampthread-node/src/call_log.rs
+++ b/crates/rampthread-node/src/call_log.rs
@@ -35,7 +35,7 @@
 
 /// Priority of a call relative to other calls to the same backend.
 #[derive(Debug, Clone, Copy)]
-pub struct CallStanding<'a> {
+pub struct CallPriorityFields<'a> {
     /// Tenant of the call, if it was identified by a key.
     pub tenant: Option<&'a str>,
     /// Priority of the tenant, or else of the route; 0 is the highest.
@@ -47,7 +47,7 @@
 }
 
 /// Result of a call at its entry, the node that received it from the caller.
-pub struct EndedCall<'a> {
+pub struct CompletedCall<'a> {
     /// Request id that the caller sent.
     pub request_id: &'a str,
     /// Route of the call, once matched.
@@ -55,7 +55,7 @@
     /// Service of the call, once selected.
     pub service: Option<&'a str>,
     /// Priority of the call, once determined.
-    pub standing: Option<CallStanding<'a>>,
+    pub priority: Option<CallPriorityFields<'a>>,
     /// Version of the configuration under which the call started.
     pub version: u64,
     /// Number of attempts made.
@@ -75,7 +75,7 @@
 }
 
 /// A failed attempt of a call at its entry.
-pub struct FailedTryLine<'a> {
+pub struct FailedAttempt<'a> {
     /// Request id that the caller sent.
     pub request_id: &'a str,
     /// Number of the attempt, from 1.
@@ -100,7 +100,7 @@
 
 /// A hop (request to a gate) without a response, for which the entry sent a fence to the
 /// gate.
-pub struct FencedHopLine<'a> {
+pub struct FencedHop<'a> {
     /// Request id that the caller sent.
     pub request_id: &'a str,
     /// Node to which the hop was sent.
@@ -116,7 +116,7 @@
 }
 
 /// A hop that a gate has rejected.
-pub struct RefusedHop<'a> {
+pub struct RejectedHop<'a> {
     /// Request id that the caller sent.
     pub request_id: &'a str,
     /// Calls that the backend was processing.
@@ -177,7 +177,7 @@
         allowed
     }
 
-    fn count(&self, call: &EndedCall<'_>, outcome: &'static str, cause: &'static str) {
+    fn count(&self, call: &CompletedCall<'_>, outcome: &'static str, cause: &'static str) {
         let label = CallLabel {
             service: call.service.unwrap_or(UNKNOWN_SERVICE_LABEL).to_string(),
             outcome,
@@ -188,7 +188,7 @@
     }
 
     /// Records a call that got a response from a backend.
-    pub fn answered(&self, call: &EndedCall<'_>, status: u16) {
+    pub fn answered(&self, call: &CompletedCall<'_>, status: u16) {
         self.count(call, "completed", "none");
         let late = call.target.is_some_and(|target| call.took > target);
         let failed = status >= MIN_SERVER_ERROR_STATUS;
@@ -196,16 +196,16 @@
             || (failed && self.may_write(BACKEND_ERROR_CAUSE))
             || (late && self.may_write(LATE_RESPONSE_CAUSE));
         if wanted {
-            let standing = call.standing;
+            let priority = call.priority;
             tracing::info!(
                 request_id = call.request_id,
                 route = call.route,
                 service = call.service,
                 version = call.version,
-                tenant = standing.and_then(|standing| standing.tenant),
-                rank = standing.map(|standing| standing.rank),
-                precedence = standing.map(|standing| standing.precedence.as_str()),
-                age_ms = standing.map(|standing| standing.age.as_millis() as u64),
+                tenant = priority.and_then(|priority| priority.tenant),
+                rank = priority.map(|priority| priority.rank),
+                precedence = priority.map(|priority| priority.precedence.as_str()),
+                age_ms = priority.map(|priority| priority.age.as_millis() as u64),
                 tries = call.tries,
                 zone = call.zone,
                 sent_away = call.sent_away,
@@ -236,21 +236,21 @@
     }
 
     /// Records a call that this node answered with an error.
-    pub fn refused(&self, call: &EndedCall<'_>, call_error: &CallError) {
+    pub fn refused(&self, call: &CompletedCall<'_>, call_error: &CallError) {
         self.count(call, call_error.outcome.as_str(), call_error.cause.as_str());
         if !self.may_write(call_error.cause.as_str()) {
             return;
         }
-        let standing = call.standing;
+        let priority = call.priority;
         tracing::info!(
             request_id = call.request_id,
             route = call.route,
             service = call.service,
             version = call.version,
-            tenant = standing.and_then(|standing| standing.tenant),
-            rank = standing.map(|standing| standing.rank),
-            precedence = standing.map(|standing| standing.precedence.as_str()),
-            age_ms = standing.map(|standing| standing.age.as_millis() as u64),
+            tenant = priority.and_then(|priority| priority.tenant),
+            rank = priority.map(|priority| priority.rank),
+            precedence = priority.map(|priority| priority.precedence.as_str()),
+            age_ms = priority.map(|priority| priority.age.as_millis() as u64),
             tries = call.tries,
             zone = call.zone,
             sent_away = call.sent_away,
@@ -267,7 +267,7 @@
     }
 
     /// Logs a failed attempt; the call may be retried.
-    pub fn try_failed(&self, line: &FailedTryLine<'_>) {
+    pub fn attempt_failed(&self, line: &FailedAttempt<'_>) {
         if !self.may_write(line.call_error.cause.as_str()) {
             return;
         }
@@ -290,7 +290,7 @@
     }
 
     /// Records the fence of a hop that got no response.
-    pub fn hop_fenced(&self, line: &FencedHopLine<'_>) {
+    pub fn hop_fenced(&self, line: &FencedHop<'_>) {
         let finding = line.finding.as_str();
         let label = FenceLabel { answer: finding };
         self.metrics.fences.get_or_create(&label).inc();
@@ -341,7 +341,7 @@
     }
 
     /// Records a hop that this node's gate rejected.
-    pub fn hop_refused(&self, hop: &RefusedHop<'_>) {
+    pub fn hop_rejected(&self, hop: &RejectedHop<'_>) {
         self.metrics.gate_refusals.inc();
         let cause = hop.call_error.cause.as_str();
         let label = CauseLabel { cause };
--- a/crates/rampthread-node/src/calls/entry/attempt.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt.rs
@@ -3,7 +3,7 @@
 
 use super::versions::VersionResult;
 use super::{Call, Entry, NO_BACKEND_RETRY_AFTER, SelectedBackend, outcome_of};
-use crate::call_log::FencedHopLine;
+use crate::call_log::FencedHop;
 use crate::calls::gate::{Hop, LARGE_BODY_BYTES};
 use crate::calls::guarded_body::GuardedBody;
 use crate::calls::header_filter;
@@ -177,7 +177,7 @@
         let reply = self.options.peers.fence(address, node, id, wait).await;
         let age = self.now().since(started_at);
         let finding = FenceOutcome::new(AbandonedHop { node, age }, reply.as_ref());
-        self.control().call_log.hop_fenced(&FencedHopLine {
+        self.control().call_log.hop_fenced(&FencedHop {
             request_id: &call.id,
             node: node.as_str(),
             address,
--- a/crates/rampthread-node/src/calls/entry/attempt_loop.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt_loop.rs
@@ -3,7 +3,7 @@
 
 use super::progress::Progress;
 use super::{Call, Entry, SelectedBackend, no_backend_error};
-use crate::call_log::FailedTryLine;
+use crate::call_log::FailedAttempt;
 use crate::calls::gate::ATTEMPT_SEPARATOR;
 use crate::calls::response::CallError;
 use crate::metrics::RetryLabel;
@@ -317,7 +317,7 @@
     /// Writes the log line of a failed attempt.
     fn log(&self, attempt: &Attempt, call_error: &CallError) {
         let (entry, selected) = (self.entry, &attempt.selected);
-        entry.control().call_log.try_failed(&FailedTryLine {
+        entry.control().call_log.attempt_failed(&FailedAttempt {
             request_id: &self.call.id,
             number: attempt.number,
             node: selected.node.as_str(),
--- a/crates/rampthread-node/src/calls/entry/progress.rs
+++ b/crates/rampthread-node/src/calls/entry/progress.rs
@@ -1,7 +1,7 @@
 //! What the final log line of a call reports, collected while the call runs.
 
 use super::Call;
-use crate::call_log::{CallStanding, EndedCall};
+use crate::call_log::{CallPriorityFields, CompletedCall};
 use rampthread_core::call::identity::RequestIdentity;
 use rampthread_core::call::precedence::Precedence;
 use rampthread_core::config::Route;
@@ -29,8 +29,8 @@
     }
 
     /// The attributes as the call log takes them.
-    fn line(&self) -> CallStanding<'_> {
-        CallStanding {
+    fn line(&self) -> CallPriorityFields<'_> {
+        CallPriorityFields {
             tenant: self.tenant.as_ref().map(ResourceName::as_str),
             rank: self.rank,
             precedence: self.precedence,
@@ -67,13 +67,13 @@
     }
 
     /// Data of the final log line.
-    pub(super) fn ended<'a>(&'a self, request_id: &'a str, elapsed: Duration) -> EndedCall<'a> {
+    pub(super) fn ended<'a>(&'a self, request_id: &'a str, elapsed: Duration) -> CompletedCall<'a> {
         let route = self.route.as_ref();
-        EndedCall {
+        CompletedCall {
             request_id,
             route: route.map(|route| route.name.as_str()),
             service: self.service.as_ref().map(ResourceName::as_str),
-            standing: self.priority.as_ref().map(CallPriority::line),
+            priority: self.priority.as_ref().map(CallPriority::line),
             version: self.version,
             tries: self.attempts,
             zone: self.zone.as_ref().map(Zone::as_str),
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -16,7 +16,7 @@
 
 use super::request_content::CallContent;
 use super::response::{CallError, set_response_header};
-use crate::call_log::RefusedHop;
+use crate::call_log::RejectedHop;
 use crate::control::{Control, LocalBackend};
 use crate::settings::ReloadableSettings;
 use bytes::Bytes;
@@ -282,7 +282,7 @@
         let (running, queued) = self.counts();
         let lost = call_error.cause.is_lost_answer();
         let identity = lost.then(|| content.identity(&self.control.identity_key));
-        self.control.call_log.hop_refused(&RefusedHop {
+        self.control.call_log.hop_rejected(&RejectedHop {
             request_id: hop.request_id(),
             running,
             queued,
