--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -164,7 +164,7 @@
         let failed = matches!(answer, VersionResult::Failure);
         let is_target = *version == rule.target;
         let metrics = &self.control().metrics;
-        metrics.count_judged_call(is_target, failed);
+        metrics.count_evaluated_call(is_target, failed);
         let answer = match answer {
             VersionResult::Failure => ResponseOutcome::Failure,
             VersionResult::Success(_) if self.is_warming_up(selected) => {
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -2,7 +2,7 @@
 //! that leaves the node's zone is spilled.
 
 use super::{Call, Entry, SelectedBackend};
-use crate::metrics::SentAwayLabel;
+use crate::metrics::SpillLabel;
 use rampthread_core::call::demand::DemandMeter;
 use rampthread_core::call::demand_trend::ZoneTrends;
 use rampthread_core::call::load_average::ReportingHold;
@@ -83,11 +83,15 @@
         demand.record_response(&call.service, &call.route.name, service_time, bytes);
         drop(state);
         if selected.zone != self.options.zone {
-            let label = SentAwayLabel {
+            let label = SpillLabel {
                 service: call.service.to_string(),
                 zone: selected.zone.to_string(),
             };
-            self.control().metrics.sent_away.get_or_create(&label).inc();
+            self.control()
+                .metrics
+                .spilled_calls
+                .get_or_create(&label)
+                .inc();
         }
     }
 
--- a/crates/rampthread-node/src/control/actions.rs
+++ b/crates/rampthread-node/src/control/actions.rs
@@ -72,7 +72,7 @@
             self.metrics.documents_refused.inc();
         }
         if let Decision::Rollout { phase, .. } = &decision {
-            self.metrics.count_roll_out(*phase);
+            self.metrics.count_rollout_decision(*phase);
         }
         self.decision_log.record(decision);
     }
--- a/crates/rampthread-node/src/logging.rs
+++ b/crates/rampthread-node/src/logging.rs
@@ -28,7 +28,7 @@
 
 impl LogFormat {
     /// Text if standard output is a terminal, else JSON.
-    pub fn by_terminal() -> Self {
+    pub fn for_stdout() -> Self {
         if std::io::stdout().is_terminal() {
             LogFormat::Text
         } else {
@@ -96,7 +96,10 @@
 
 impl Logs {
     /// Logs and counts dropped lines; the future never completes.
-    pub fn watch_drops(&self, metrics: Arc<Metrics>) -> impl Future<Output = ()> + Send + 'static {
+    pub fn report_dropped_lines(
+        &self,
+        metrics: Arc<Metrics>,
+    ) -> impl Future<Output = ()> + Send + 'static {
         let dropped = self.dropped.clone();
         async move {
             let mut known = 0;
--- a/crates/rampthread-node/src/metrics.rs
+++ b/crates/rampthread-node/src/metrics.rs
@@ -65,7 +65,7 @@
 
 /// Labels of calls answered in another zone; one series per service and zone.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct SentAwayLabel {
+pub struct SpillLabel {
     /// Service of the call.
     pub service: String,
     /// Zone in which the call was answered.
@@ -88,7 +88,7 @@
 
 /// Labels of calls to a service in rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct JudgedCallLabel {
+pub struct EvaluatedCallLabel {
     /// `target` for the version being evaluated, `other` for the other versions.
     pub version: &'static str,
     /// `good` or `failed`.
@@ -104,7 +104,7 @@
     /// Duration of calls for which this node was the entry, in seconds.
     pub call_seconds: Histogram,
     /// Calls of this node that were answered in another zone, by service and zone.
-    pub sent_away: Family<SentAwayLabel, Counter>,
+    pub spilled_calls: Family<SpillLabel, Counter>,
     /// Retries made by this node as entry.
     pub retries: Counter,
     /// Retries made by this node as entry, by class.
@@ -136,7 +136,7 @@
     /// Rollout decisions that this node made or received, by phase.
     pub roll_out_decisions: Family<RolloutLabel, Counter>,
     /// Calls of this node's callers to a service whose new version was being evaluated.
-    pub judged_calls: Family<JudgedCallLabel, Counter>,
+    pub evaluated_calls: Family<EvaluatedCallLabel, Counter>,
     /// 1 while this node decides about rollouts.
     pub roll_out_decider: Gauge,
     /// Calls aborted when the grace period of a drain ended.
@@ -201,7 +201,7 @@
                 BUCKET_FACTOR,
                 BUCKETS,
             )),
-            sent_away: Family::default(),
+            spilled_calls: Family::default(),
             retries: Counter::default(),
             retries_by_claim: Family::default(),
             hedges: Counter::default(),
@@ -217,7 +217,7 @@
             unusable_entries: Counter::default(),
             doubtful_reports: Counter::default(),
             roll_out_decisions: Family::default(),
-            judged_calls: Family::default(),
+            evaluated_calls: Family::default(),
             roll_out_decider: Gauge::default(),
             drain_cuts: Counter::default(),
             control_messages_sent: Counter::default(),
@@ -258,7 +258,7 @@
     }
 
     /// Counts a rollout decision by phase.
-    pub fn count_roll_out(&self, phase: Phase) {
+    pub fn count_rollout_decision(&self, phase: Phase) {
         let label = RolloutLabel {
             phase: phase.as_str(),
         };
@@ -267,12 +267,12 @@
 
     /// Counts a response while a version is evaluated; `of_target` tells whether that
     /// version sent it.
-    pub fn count_judged_call(&self, of_target: bool, failed: bool) {
-        let label = JudgedCallLabel {
+    pub fn count_evaluated_call(&self, of_target: bool, failed: bool) {
+        let label = EvaluatedCallLabel {
             version: if of_target { "target" } else { "other" },
             answer: if failed { "failed" } else { "good" },
         };
-        self.judged_calls.get_or_create(&label).inc();
+        self.evaluated_calls.get_or_create(&label).inc();
     }
 
     fn register(&mut self) {
@@ -295,7 +295,7 @@
         registry.register(
             "calls_sent_away",
             "Calls that entered here and were answered in another zone",
-            self.sent_away.clone(),
+            self.spilled_calls.clone(),
         );
         registry.register("retries", "Second tries made here", self.retries.clone());
         registry.register(
@@ -366,7 +366,7 @@
         registry.register(
             "judged_calls",
             "Calls that entered here while a version was under judgement, by version and answer",
-            self.judged_calls.clone(),
+            self.evaluated_calls.clone(),
         );
         registry.register(
             "roll_out_decider",
--- a/crates/rampthread/src/run_node.rs
+++ b/crates/rampthread/src/run_node.rs
@@ -47,7 +47,7 @@
             return Exit::BadInput;
         }
     };
-    async_std::task::spawn(logs.watch_drops(node.control.metrics.clone()));
+    async_std::task::spawn(logs.report_dropped_lines(node.control.metrics.clone()));
     tracing::info!(node = %id, version = env!("CARGO_PKG_VERSION"), "node started");
     run_until_stopped(&node, matches, &mut signals).await;
     let cut = node.drain().await;
@@ -115,7 +115,7 @@
     let format = match matches.get_one::<String>("log-format").map(String::as_str) {
         Some("json") => LogFormat::Json,
         Some("text") => LogFormat::Text,
-        _ => LogFormat::by_terminal(),
+        _ => LogFormat::for_stdout(),
     };
     start_logging(format, filter)
 }
