--- a/crates/rampthread-core/src/call/acceptance.rs
+++ b/crates/rampthread-core/src/call/acceptance.rs
@@ -1,38 +1,41 @@
-//! Estimates how likely a gate accepts a call, before an entry asks it. The entry is the
-//! node that received the call; a gate is a node that forwards calls to its local backend.
+//! Estimates how likely a gate node accepts a call, before an entry node asks it. The entry
+//! node is the node that received the call; a gate node is a node that forwards calls to
+//! its local backend.
 //!
-//! An entry knows the load of a gate only from the gate's last response, so a gate that
-//! others have filled meanwhile looks free for long. Recent replies of the other gates of
-//! the service are better evidence: where most reject calls, the next gate most likely does
-//! too, and each query costs time and bytes, above all between zones. So each attempt is a
-//! sample of its zone, and a gate is asked only while the probability that it accepts is
-//! worth the query.
+//! An entry node knows the load of a gate node only from the gate node's last response, so
+//! a gate node that others have filled meanwhile looks free for long. Recent replies of the
+//! other gate nodes of the service are better evidence: where most reject calls, the next
+//! gate node most likely does too, and each query costs time and bytes, above all between
+//! zones. So each attempt is a sample of its zone, and a gate node is asked only while the
+//! probability that it accepts is worth the query.
 
 use crate::ids::Zone;
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Weight of the newest attempt in the entry's zone: about the last seven attempts count.
+/// Weight of the newest attempt in the entry node's zone: about the last seven attempts
+/// count.
 const SAME_ZONE_WEIGHT: f64 = 0.15;
-/// Weight of the newest attempt in another zone, where attempts are few and a rejection is
-/// expensive.
+/// Weight of the newest attempt in a zone other than the entry node's. Attempts there are
+/// few, and a rejection is expensive.
 const OTHER_ZONE_WEIGHT: f64 = 0.3;
 /// Time constant with which rejections are forgotten: calls run for some tenths of a second
 /// and then free their slots.
 const DECAY: Duration = Duration::from_secs(2);
-/// Probability of acceptance below which no further gate of the entry's zone is asked.
+/// Probability of acceptance below which no further gate node of the entry node's zone is
+/// asked.
 const MIN_SAME_ZONE_PROBABILITY: f64 = 0.3;
-/// Probability of acceptance below which no gate of another zone is asked: traffic between
-/// zones is expensive, and wasted if the gate rejects the call.
+/// Probability of acceptance below which no gate node of another zone is asked: traffic
+/// between zones is expensive, and wasted if the gate node rejects the call.
 const MIN_OTHER_ZONE_PROBABILITY: f64 = 0.8;
-/// Probability of acceptance from which another gate is expected to run a call at once.
-/// Below it the call waits in the queue of the present gate: queues serve by urgency, while
-/// calls that ask full gates in turn get a free slot by chance.
+/// Probability of acceptance from which another gate node is expected to run a call at
+/// once. Below it the call waits in the queue of the present gate node: queues serve by
+/// urgency, while calls that ask full gate nodes in turn get a free slot by chance.
 const LIKELY_PROBABILITY: f64 = 0.7;
-/// Bytes of a query whether a gate has a free slot, including the reply.
+/// Bytes of a query whether a gate node has a free slot, including the reply.
 const QUERY_BYTES: f64 = 500.0;
 
-/// Share of recent attempts in one zone that gates rejected for lack of free slots.
+/// Share of recent attempts in one zone that gate nodes rejected for lack of free slots.
 #[derive(Debug, Clone)]
 struct ZoneRejectionRate {
     zone: Zone,
@@ -42,17 +45,17 @@
 }
 
 impl ZoneRejectionRate {
-    /// The share, discounted by the time since the last attempt.
+    /// Rejected share of attempts. It decays since the last attempt.
     fn share(&self, now: Moment) -> f64 {
         let age = now.since(self.at).as_secs_f64() / DECAY.as_secs_f64();
         self.share * (-age).exp()
     }
 }
 
-/// Estimates, for one service and by zone, the probability that a gate accepts a call.
+/// Estimates, for one service and by zone, the probability that a gate node accepts a call.
 #[derive(Debug, Clone)]
 pub struct AcceptanceEstimator {
-    /// Zone of the entry.
+    /// Zone of the entry node, which received the calls.
     own_zone: Zone,
     /// One element per zone in which a call was attempted; few, so that a linear search is
     /// cheap.
@@ -60,7 +63,8 @@
 }
 
 impl AcceptanceEstimator {
-    /// Creates an estimator without samples for an entry in `own_zone`.
+    /// Creates an estimator for an entry node in `own_zone`; it expects acceptance until a
+    /// gate node has rejected a call.
     pub fn new(own_zone: Zone) -> Self {
         Self {
             own_zone,
@@ -68,8 +72,8 @@
         }
     }
 
-    /// Records whether a gate of `zone` rejected a call for lack of free slots, or accepted
-    /// it.
+    /// Records whether a gate node of `zone` rejected a call for lack of free slots, or
+    /// accepted it.
     pub fn record(&mut self, zone: &Zone, rejected: bool, now: Moment) {
         let weight = match *zone == self.own_zone {
             true => SAME_ZONE_WEIGHT,
@@ -94,7 +98,8 @@
         }
     }
 
-    /// Probability that a gate of `zone` accepts a call, from 0 to 1; 1 without samples.
+    /// Probability that a gate node of `zone` accepts a call, from 0 to 1; 1 without
+    /// samples.
     pub fn probability(&self, zone: &Zone, now: Moment) -> f64 {
         let known = self
             .rejection_rates
@@ -103,7 +108,8 @@
         1.0 - known.map_or(0.0, |known| known.share(now))
     }
 
-    /// True while it is worth asking a gate of `zone` that may have a free slot.
+    /// True while the probability of acceptance is worth the query to a gate node of
+    /// `zone`.
     pub fn should_ask(&self, zone: &Zone, now: Moment) -> bool {
         let least = match *zone == self.own_zone {
             true => MIN_SAME_ZONE_PROBABILITY,
@@ -112,20 +118,20 @@
         self.probability(zone, now) >= least
     }
 
-    /// True while it is worth asking a gate of `zone` on behalf of a nested call, one that
-    /// a backend makes while it serves another. In the same zone it always is, since the
-    /// parent's work is lost if no gate accepts the nested call.
+    /// True while it is worth asking a gate node of `zone` on behalf of a nested call, one
+    /// that a backend makes while it serves another. In the same zone it always is, since
+    /// the parent's work is lost if no gate node accepts the nested call.
     pub fn should_ask_nested(&self, zone: &Zone, now: Moment) -> bool {
         *zone == self.own_zone || self.should_ask(zone, now)
     }
 
-    /// True if a gate of `zone` that seems free most likely runs a call at once.
+    /// True if a gate node of `zone` that seems free most likely runs a call at once.
     pub fn is_acceptance_likely(&self, zone: &Zone, now: Moment) -> bool {
         self.probability(zone, now) >= LIKELY_PROBABILITY
     }
 
-    /// True if the entry should ask a gate of `zone` before it sends a body of this size:
-    /// the bytes wasted by a rejection, on average, exceed those of the query.
+    /// True if the entry node should ask a gate node of `zone` before it sends a body of
+    /// this size: the bytes wasted by a rejection, on average, exceed those of the query.
     pub fn should_ask_before_body(&self, zone: &Zone, bytes: usize, now: Moment) -> bool {
         bytes as f64 * (1.0 - self.probability(zone, now)) > QUERY_BYTES
     }
--- a/crates/rampthread-core/src/call/admission.rs
+++ b/crates/rampthread-core/src/call/admission.rs
@@ -1,5 +1,5 @@
-//! Admission control of a gate, the node that forwards calls to its local backend: which
-//! calls run, wait in the queue or are rejected.
+//! Admission control of a gate node, the node that forwards calls to its local backend:
+//! which calls run, wait in the queue or are rejected.
 //!
 //! Invariant: running calls never exceed the backend's slots. A call waits only while its
 //! deadline can be met, and is rejected at once otherwise. Waiting calls are served by the
@@ -20,21 +20,21 @@
 /// slots are still taken is rejected again.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Limits of the calls at one backend.
+/// Limits for the calls that one backend's gate node accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Maximum number of calls that run at a time.
+    /// Maximum number of calls that run at the backend at a time.
     pub slots: u32,
-    /// Maximum number of calls that wait.
+    /// Maximum number of calls that wait in the queue.
     pub queue: u32,
 }
 
-/// What a gate decides about an arriving call.
+/// What the backend's gate node decides about a call that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The call runs now.
+    /// The call gets a slot of the backend and runs now.
     Run,
-    /// The call waits in the queue; a later `release` returns it.
+    /// The call waits in the queue until [`AdmissionController::release`] returns it.
     Wait,
     /// The call is rejected: it was not run and never will be.
     Refused {
@@ -43,7 +43,7 @@
     },
 }
 
-/// Calls that leave the queue when a running call has ended.
+/// Result of releasing the slot of a call that has ended: calls that leave the queue.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Released {
     /// The waiting call that runs next, if any.
@@ -59,9 +59,9 @@
     running: u32,
     /// Waiting calls by rank; the lowest rank is served first.
     ranks: BTreeMap<Rank, RankQueue>,
-    /// Mean service time of recent calls.
+    /// Moving average of the service times of calls that ended.
     mean: Duration,
-    /// All new calls are rejected.
+    /// True while the backend shuts down, so that all new calls are rejected.
     draining: bool,
 }
 
@@ -82,22 +82,23 @@
         self.limits = limits;
     }
 
-    /// Starts or stops rejecting all new calls, for a backend that shuts down.
+    /// Starts or stops rejecting all new calls, which the gate node does while its backend
+    /// shuts down.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Number of calls that run.
+    /// How many slots are in use.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Number of calls that wait.
+    /// How many calls are in the queue.
     pub fn queued(&self) -> u32 {
         self.ranks.values().map(RankQueue::len).sum()
     }
 
-    /// Number of calls that run or wait.
+    /// How many calls run or wait; reported to other nodes as the load of the backend.
     pub fn load(&self) -> u32 {
         self.running + self.queued()
     }
@@ -162,7 +163,7 @@
         ahead < limit && own_ahead < share && own < share * 2
     }
 
-    /// Totals over the waiting calls that go before `arrival`.
+    /// Totals over the waiting calls that would be served before `arrival`.
     fn ahead_of(&self, arrival: &Arrival) -> Backlog {
         let mut ahead = Backlog::default();
         for (_, queue) in self.ranks.range(..arrival.rank) {
@@ -190,11 +191,12 @@
             self.mean = Duration::from_secs_f64(newest + older);
         }
         self.running = self.running.saturating_sub(1);
-        self.next(now)
+        self.release_next(now)
     }
 
-    /// Takes the next waiting call that can still be answered; drops expired ones.
-    fn next(&mut self, now: Moment) -> Released {
+    /// Takes the next call from the queue if a slot is free. Calls whose deadline has
+    /// passed are dropped.
+    fn release_next(&mut self, now: Moment) -> Released {
         let mut released = Released::default();
         while self.running < self.limits.slots {
             let Some(arrival) = self.take_next() else {
--- a/crates/rampthread-core/src/call/arrival.rs
+++ b/crates/rampthread-core/src/call/arrival.rs
@@ -1,30 +1,31 @@
-//! A call that asks a gate, the node that forwards calls to its local backend, for a slot
-//! there.
+//! A call that asks a gate node, the node that forwards calls to its local backend, for a
+//! slot there.
 
 use super::precedence::Precedence;
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Number of a call, unique within one gate.
+/// Identifies a call within the node that forwards calls to one backend.
 pub type CallNumber = u64;
 
 /// Rank of a call in queues, set by its tenant or its route; calls of rank 0 are served
 /// first.
 pub type Rank = u32;
 
-/// A call that asks a gate for a slot of the local backend.
+/// A call that asks a gate node for a slot of the local backend.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Number by which the gate knows the call.
+    /// Identifies the call when it leaves the queue.
     pub call: CallNumber,
     /// Name under which the call takes part in fair queueing: its tenant, else the service
     /// that makes it.
     pub caller: String,
     /// Time after which the call's response is useless.
     pub deadline: Moment,
-    /// Rank of the call's tenant, else of its route.
+    /// Rank that the call's tenant, else its route, is configured with. Lower ranks go
+    /// first.
     pub rank: Rank,
-    /// Precedence of the call within its rank.
+    /// Decides the order of calls of the same rank.
     pub precedence: Precedence,
     /// Maximum time that the call may wait in the queue. Zero: the call runs now or is
     /// rejected, since another backend may have a free slot.
--- a/crates/rampthread-core/src/call/attempt_age.rs
+++ b/crates/rampthread-core/src/call/attempt_age.rs
@@ -23,35 +23,39 @@
 /// Minimum weight of a route's calls before a timeout of first attempts is learnt.
 const MIN_WEIGHT: f64 = 10.0;
 
-/// A timeout that recent calls of one route had.
+/// A timeout that several recent calls of one route had.
 #[derive(Debug, Clone, Copy)]
 struct SeenTimeout {
     time: Duration,
-    /// Number of recent calls with about this timeout, discounted with each call.
+    /// How many recent calls had about this timeout; each counts less with each newer call.
     weight: f64,
 }
 
 impl SeenTimeout {
-    /// True if the two timeouts count as equal.
-    fn is_like(&self, time: Duration) -> bool {
+    /// True if `time` and this timeout differ by no more than [`SAME_TIMEOUT_RATIO`].
+    fn matches_timeout(&self, time: Duration) -> bool {
         let longer = self.time.max(time);
         longer - self.time.min(time) <= longer.mul_f64(SAME_TIMEOUT_RATIO)
     }
 }
 
-/// Timeouts of recent calls of one route.
+/// The timeouts that recent calls of one route had, with their frequency.
 #[derive(Debug, Default)]
 struct RouteTimeouts {
     timeouts: Vec<SeenTimeout>,
 }
 
 impl RouteTimeouts {
-    /// Records the timeout of a call.
+    /// Counts a call with this timeout.
     fn record(&mut self, time: Duration) {
         for known in &mut self.timeouts {
             known.weight *= WEIGHT_DECAY;
         }
-        match self.timeouts.iter_mut().find(|known| known.is_like(time)) {
+        match self
+            .timeouts
+            .iter_mut()
+            .find(|known| known.matches_timeout(time))
+        {
             Some(known) => {
                 known.weight += 1.0;
                 known.time = known.time.max(time);
--- a/crates/rampthread-core/src/call/attempts.rs
+++ b/crates/rampthread-core/src/call/attempts.rs
@@ -1,9 +1,11 @@
-//! Decides whether a call is retried: whether that is safe and within the retry budget.
+//! Decides whether a call is retried: whether a retry is safe and within the retry budget.
 //!
-//! Only the entry, the node that received the call, retries. A call that may not run twice
-//! is retried only after `not-run`, any other also after `unknown`. Attempts that reach a
-//! backend beyond the first are a bounded share of a service's calls, over all nodes; an
-//! attempt that a gate rejected reached no backend and does not count.
+//! Only the entry node, the node that received the call, retries. A call that may not run
+//! twice is retried only if no attempt can have run at a backend ([`Outcome::NotRun`]). Any
+//! other call is also retried if an attempt may have run ([`Outcome::Unknown`]). Attempts
+//! that reach a backend beyond the first are a bounded share of a service's calls, over all
+//! nodes. An attempt that a backend's gate node rejected did not reach the backend and does
+//! not count.
 
 use super::headers::{Outcome, Reach};
 pub use super::retry_budget::{RetryBudget, RetryClass, RetryLimit};
@@ -16,7 +18,7 @@
 /// Minimum time before the deadline that a retry needs.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(1);
 
-/// What to do after an attempt ended without a response.
+/// What an entry node does with a call after an attempt ended without a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
     /// Send the call to another backend.
@@ -27,10 +29,10 @@
     GiveUp(Outcome),
 }
 
-/// State of one call's attempts so far.
+/// Attempts of one call so far, and what is allowed for further ones.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempts {
-    /// True if backends may run the call twice.
+    /// True if the call may run more than once at backends, as its route says.
     pub repeatable: bool,
     /// Time after which the call's response is useless.
     pub deadline: Moment,
@@ -38,20 +40,21 @@
     pub class: RetryClass,
     /// Maximum number of backends that may get the call.
     max_arrivals: u32,
-    /// Number of ended attempts that reached a backend, or may have.
+    /// How many ended attempts reached a backend, or may have.
     arrivals: u32,
-    /// Number of ended attempts.
+    /// How many attempts have ended.
     attempts: u32,
     /// When a retry was taken from the budget that has not reached a backend yet.
     unsent_retry_at: Option<Moment>,
-    /// Number of attempts in progress.
+    /// How many attempts wait for a response.
     in_progress: u32,
-    /// True if an attempt may have run at a backend.
+    /// True if some attempt may have run at a backend without a response.
     may_have_run: bool,
 }
 
 impl Attempts {
-    /// State of a call without attempts, which at most `max_arrivals` backends may get.
+    /// Starts the record of a call that has not been attempted yet. Attempts may reach at
+    /// most `max_arrivals` backends.
     pub fn new(repeatable: bool, deadline: Moment, max_arrivals: u32) -> Self {
         Self {
             repeatable,
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Records the start of an attempt.
+    /// Counts an attempt as in progress; to be called when the attempt starts.
     pub fn begin(&mut self) {
         self.in_progress += 1;
     }
@@ -112,7 +115,8 @@
         NextStep::GiveUp(self.outcome())
     }
 
-    /// Takes a retry from the budget; false if the budget does not allow it.
+    /// Takes a retry from the budget, and remembers it until an attempt reaches a backend.
+    /// False if the budget does not allow it.
     fn take_retry(&mut self, now: Moment, budget: &mut RetryBudget) -> bool {
         let taken = budget.take(self.class, now);
         if taken {
@@ -148,7 +152,7 @@
             && after_this < self.max_arrivals
     }
 
-    /// Number of backends that got the call, or may have.
+    /// How many backends got the call, or may have.
     pub fn arrivals(&self) -> u32 {
         self.arrivals
     }
--- a/crates/rampthread-core/src/call/backend_load.rs
+++ b/crates/rampthread-core/src/call/backend_load.rs
@@ -7,14 +7,16 @@
 /// Maximum service time that a report may contain, in percent of the usual one.
 const MAX_PERCENT: u16 = 10_000;
 
-/// Numbers of calls and slots at a backend, as the backend reports them.
+/// Running calls, waiting calls and slots of a backend, as the backend reports them with
+/// its responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendLoad {
-    /// Number of calls that the backend runs.
+    /// Calls that hold a slot of the backend.
     pub running: u32,
-    /// Number of calls that wait at the backend.
+    /// Calls that wait for a slot at the backend itself, behind the queue of its node.
     pub waiting: u32,
-    /// Maximum number of calls that the backend runs at a time.
+    /// Maximum number of calls that the backend runs at a time; it may change between
+    /// responses.
     pub slots: u32,
     /// Current service time in percent of the usual one; `None` if the backend does not
     /// report it.
--- a/crates/rampthread-core/src/call/backend_speed.rs
+++ b/crates/rampthread-core/src/call/backend_speed.rs
@@ -1,13 +1,13 @@
-//! Speed of a backend, as measured by its gate, the node that forwards calls to it. A node
-//! that seldom sends calls to the backend cannot measure the speed itself.
+//! Speed of a backend, as measured by its gate node, the node that forwards calls to it. A
+//! node that seldom sends calls to the backend cannot measure the speed itself.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Value in percent that stands for the usual speed or the usual service time.
+/// The usual value of a speed or service time that is given in percent.
 pub const USUAL_PERCENT: u16 = 100;
 
-/// Measured speed of one backend.
+/// Speed and current slowdown of one backend, as measured by its gate node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendSpeed {
     /// Long-term speed in percent of the usual speed of the service's backends: at 200 the
@@ -17,7 +17,8 @@
     /// takes twice as long. It changes several times a second if other processes share the
     /// machine.
     pub service_time_percent: u16,
-    /// Time for which the backend remains slow after its start.
+    /// Time for which the backend is expected to be slow because it has just started; zero
+    /// afterwards.
     pub warm_up_left: Duration,
 }
 
--- a/crates/rampthread-core/src/call/balance.rs
+++ b/crates/rampthread-core/src/call/balance.rs
@@ -1,10 +1,11 @@
 //! Chooses the backend of a call: the one of least expected cost. The cost is made of the
 //! backend's load per slot, its slowness, and whether it stands in another zone than the
-//! entry, the node that received the call. A backend that has just become ready gets a
+//! entry node, the node that received the call. A backend that has just become ready gets a
 //! growing share of the calls (slow start). Backends that keep failing are ejected, but
 //! never more than half of a service.
 //!
-//! An *endpoint* is a backend together with its gate, the node that forwards calls to it.
+//! An *endpoint* is a backend together with its gate node, the node that forwards calls to
+//! it.
 
 use super::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use crate::ids::{NodeId, ResourceName, Zone};
@@ -14,26 +15,28 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Load per slot of the best backend in the entry's zone from which other zones are
-/// considered too. Above 1, since reports of load are out of date, and asking a gate of the
-/// same zone that seems full costs little.
+/// Load, in calls per slot, up to which a backend in the entry node's zone is chosen
+/// without considering other zones. Above 1, since reports of load are out of date, and
+/// asking a node of the same zone that seems full costs little.
 const MAX_SAME_ZONE_LOAD: f64 = 1.2;
-/// Load per slot from which a call is expected to wait in the gate's queue.
+/// Load, in calls per slot, above which a call is expected to wait in the queue of the
+/// backend's gate node.
 const QUEUEING_LOAD: f64 = 0.95;
-/// Slowness of the best backend in the entry's zone from which other zones are considered
-/// too.
+/// Slowness, the ratio of a backend's service time to the usual one, up to which a backend
+/// in the entry node's zone is chosen without considering other zones.
 const MAX_SAME_ZONE_SLOWNESS: f64 = 2.0;
-/// Cost of each unit of load above [`QUEUEING_LOAD`].
+/// Cost of each call per slot above [`QUEUEING_LOAD`].
 const QUEUEING_COST: f64 = 5.0;
 /// Cost of sending a call to another zone, where traffic is expensive.
 const OTHER_ZONE_COST: f64 = 0.3;
 /// Number of backends compared for one call. Of a larger service, this many are sampled at
-/// random, so that entries with the same outdated reports do not all choose the same
+/// random, so that entry nodes with the same outdated reports do not all choose the same
 /// backend.
 const SAMPLE_COUNT: usize = 4;
-/// Each cost is raised by a random ratio up to this, for the same reason as sampling.
+/// Upper limit of the random ratio by which each cost is raised, so that nodes with the
+/// same outdated reports do not all choose the same backend.
 const COST_JITTER_RATIO: f64 = 0.15;
-/// Share of its slots that a backend is taken to have when it has just become ready.
+/// Share of its slots that a backend counts with when it has just become ready.
 const MIN_SLOW_START_SHARE: f64 = 0.1;
 /// Consecutive failed calls after which an endpoint is ejected.
 const EJECT_AFTER_FAILURES: u32 = 5;
@@ -46,34 +49,35 @@
 const MAX_EJECTIONS: u32 = 10;
 /// Number of times that the ejection of an unreachable node doubles.
 const MAX_UNREACHABLE_DOUBLINGS: u32 = 2;
-/// Age from which a reported load is ignored.
+/// Age from which the load that a backend's node reported is ignored.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
 /// Weight of the newest response in a route's mean response time.
 const ROUTE_MEAN_WEIGHT: f64 = 0.05;
-/// Weight of the newest response in a backend's mean slowness.
+/// Weight of the newest response in a backend's mean slowness, the ratio of its response
+/// time to the mean of the route.
 const SLOWNESS_WEIGHT: f64 = 0.2;
-/// Maximum slowness that a single response may contribute to the mean.
+/// Limit of the slowness that a single response counts with.
 const MAX_SLOWNESS: f64 = 20.0;
-/// Age up to which the speed that a gate reported with a response is preferred to that of
-/// the member record, which may lag by some seconds.
+/// Age up to which the speed that a gate node reported with a response is preferred to that
+/// of the member record, which may lag by some seconds.
 const MAX_REPORTED_SPEED_AGE: Duration = Duration::from_secs(5);
 /// Time constant with which a backend's reported current service time is discounted, since
 /// it changes several times a second.
 const MOMENTARY_SPEED_DECAY: Duration = Duration::from_millis(400);
-/// Time constant with which the slowness measured by this node is discounted.
+/// Time constant with which measurements of a backend's slowness by this node lose weight.
 const SLOWNESS_DECAY: Duration = Duration::from_secs(5);
 
-/// Mean response times of the route after which a hedged attempt, a second one beside a
-/// slow one, may start.
+/// Delay of a hedged attempt, a second one beside a slow one, in mean response times of the
+/// route.
 const HEDGE_DELAY_MEANS: f64 = 3.0;
-/// Minimum time before a hedged attempt may start.
+/// Minimum delay of a hedged attempt, for routes with a short mean response time.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(150);
 
-/// Load that a gate reports while it accepts no calls. Entries choose other backends until
-/// the membership shows the reason.
+/// Load that a backend's gate node reports while it accepts no calls. Entry nodes choose
+/// other backends until the membership shows the reason.
 pub const UNAVAILABLE_LOAD: u32 = u32::MAX;
 
-/// Rule by which endpoints are chosen.
+/// How the backend of a call is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BalanceMode {
     /// Choose the endpoint of least expected cost.
@@ -88,7 +92,7 @@
 pub struct Endpoint {
     /// Node that forwards calls to the backend.
     pub node: NodeId,
-    /// Zone of the node and the backend.
+    /// Zone of the node; backends in other zones cost more.
     pub zone: Zone,
     /// Maximum number of calls that the backend runs at a time.
     pub slots: u32,
@@ -100,22 +104,22 @@
     pub speed_percent: u16,
 }
 
-/// What this node knows of one endpoint.
+/// Load, failures and speed of one endpoint, as far as this node knows them.
 #[derive(Debug, Default)]
 struct EndpointStats {
     in_flight: u32,
-    /// Load that the gate reported last, and how many of this node's calls were in flight
-    /// to it when the report was made.
+    /// Load that the gate node reported last, and how many of this node's calls were in
+    /// flight to it when the report was made.
     reported: u32,
     in_flight_at_report: u32,
     reported_at: Moment,
     /// When the endpoint became ready.
     first_seen: Moment,
-    /// Consecutive calls without response.
+    /// Calls in a row that got no response.
     failures: u32,
     /// Ejections since the endpoint became ready, up to the maximum.
     ejections: u32,
-    /// Consecutive times that the node was found unreachable.
+    /// Attempts in a row that could not reach the node.
     unreachable: u32,
     ejected_until: Moment,
     /// Mean ratio of the backend's response times to the mean response time of their
@@ -125,15 +129,15 @@
     slowness_at: Moment,
     /// Time of the backend's last response to this node.
     answered_at: Moment,
-    /// Speed that the gate reported last.
+    /// Speed that the gate node reported last.
     reported_speed: Option<BackendSpeed>,
     speed_reported_at: Moment,
 }
 
 impl EndpointStats {
-    /// Slowness of the backend: what this node measured, discounted with time in favour of
-    /// what the gate reported or the member record says. So a recovered backend gets calls
-    /// again.
+    /// Estimate of the backend's slowness, the ratio of its service time to the usual one.
+    /// Measurements of this node lose weight with time in favour of the speed that is
+    /// reported for the backend, so that a recovered backend gets calls again.
     fn slowness(&self, speed_percent: u16, now: Moment) -> f64 {
         let age = now.since(self.slowness_at).as_secs_f64() / SLOWNESS_DECAY.as_secs_f64();
         let reported = self.reported_slowness(speed_percent, now);
@@ -143,8 +147,8 @@
         }
     }
 
-    /// Ratio of the backend's service time to the usual one, according to its gate's report
-    /// or, if that is too old, to the member record.
+    /// The backend's slowness according to its gate node's report or, if that is too old,
+    /// to the member record.
     fn reported_slowness(&self, speed_percent: u16, now: Moment) -> f64 {
         let Some(reported_speed) = self.reported_speed else {
             return speed_slowness(speed_percent);
@@ -159,8 +163,8 @@
         standing * (1.0 + (present - 1.0) * (-age).exp())
     }
 
-    /// Estimate of the calls at the backend: the reported load and the calls that this node
-    /// has sent since.
+    /// Estimate of the calls at the backend: those in its last load report, and those that
+    /// this node has sent since.
     fn busy(&self, now: Moment) -> u32 {
         if now.since(self.reported_at) >= MAX_REPORT_AGE {
             return self.in_flight;
@@ -172,15 +176,16 @@
     }
 }
 
-/// Ratio of the service time at a backend with this speed to the usual one.
+/// Slowness of a backend with this speed: at 50 percent its service times are twice the
+/// usual.
 fn speed_slowness(speed_percent: u16) -> f64 {
     f64::from(USUAL_PERCENT) / f64::from(speed_percent.max(1))
 }
 
 /// Samples the endpoints to compare. Where speeds differ, the sampling weight is the square
-/// of the speed: fast backends fill first, and all entries together do not overload one of
-/// them.
-fn sample<'a>(endpoints: &[&'a Endpoint], rng: &mut impl Rng) -> Vec<&'a Endpoint> {
+/// of the speed: fast backends fill first, and all entry nodes together do not overload one
+/// of them.
+fn sample_endpoints<'a>(endpoints: &[&'a Endpoint], rng: &mut impl Rng) -> Vec<&'a Endpoint> {
     let first = endpoints.first().map(|endpoint| endpoint.speed_percent);
     let even = endpoints
         .iter()
@@ -210,8 +215,8 @@
 }
 
 impl Balancer {
-    /// Creates a balancer. Endpoints that are first seen right after `now` get no slow
-    /// start, since it is this process that is new.
+    /// Creates a balancer without measurements. Endpoints that are first seen right after
+    /// `now` get no slow start, since it is this process that is new.
     pub fn new(mode: BalanceMode, now: Moment) -> Self {
         Self {
             mode,
@@ -319,14 +324,14 @@
         all
     }
 
-    /// End of the ejection of `node`; in the past if there is none.
+    /// End of the endpoint's ejection; in the past if it is not ejected.
     fn ejected_until(&self, node: &NodeId) -> Moment {
         self.endpoints
             .get(node)
             .map_or(Moment::default(), |stats| stats.ejected_until)
     }
 
-    /// True while the endpoint of `node` is ejected.
+    /// True while calls must avoid the endpoint because of failures.
     pub fn is_ejected(&self, node: &NodeId, now: Moment) -> bool {
         self.ejected_until(node) > now
     }
@@ -339,21 +344,21 @@
         now: Moment,
         rng: &mut impl Rng,
     ) -> Option<&'a Endpoint> {
-        let sampled = sample(endpoints, rng);
+        let sampled = sample_endpoints(endpoints, rng);
         let mut best: Option<(f64, &'a Endpoint)> = None;
         for endpoint in sampled {
             let jitter = rng.random_range(1.0..1.0 + COST_JITTER_RATIO);
-            let cost = self.cost(endpoint, own_zone, now) * jitter;
-            if best.is_none_or(|(least, _)| cost < least) {
-                best = Some((cost, endpoint));
+            let expected_cost = self.expected_cost(endpoint, own_zone, now) * jitter;
+            if best.is_none_or(|(least, _)| expected_cost < least) {
+                best = Some((expected_cost, endpoint));
             }
         }
         best.map(|(_, endpoint)| endpoint)
     }
 
-    /// Expected response time of the endpoint, in units of the service time at a healthy,
-    /// idle backend of this zone.
-    fn cost(&self, endpoint: &Endpoint, own_zone: &Zone, now: Moment) -> f64 {
+    /// Expected response time at the endpoint. The unit is the service time of a healthy,
+    /// idle backend in this zone.
+    fn expected_cost(&self, endpoint: &Endpoint, own_zone: &Zone, now: Moment) -> f64 {
         let load = self.load(endpoint, now);
         let overload = (load - QUEUEING_LOAD).max(0.0) * QUEUEING_COST;
         let distance = if endpoint.zone == *own_zone {
@@ -365,7 +370,8 @@
         slowness * (1.0 + overload) + load + distance
     }
 
-    /// Expected ratio of the endpoint's service time to the usual one.
+    /// Expected slowness of the endpoint's backend, the ratio of its service time to the
+    /// usual one.
     fn slowness(&self, endpoint: &Endpoint, now: Moment) -> f64 {
         let speed = endpoint.speed_percent;
         match self.endpoints.get(&endpoint.node) {
@@ -374,8 +380,8 @@
         }
     }
 
-    /// Calls at the endpoint, including the one to be placed, per slot that it effectively
-    /// has.
+    /// Calls per slot at the endpoint, including the call to be placed. Fewer slots count
+    /// during slow start.
     fn load(&self, endpoint: &Endpoint, now: Moment) -> f64 {
         let slots = f64::from(endpoint.slots.max(1));
         let Some(stats) = self.endpoints.get(&endpoint.node) else {
@@ -385,7 +391,7 @@
         busy / (slots * self.effective_slot_share(stats, endpoint.slow_start, now))
     }
 
-    /// Share of its slots that an endpoint effectively has during slow start, up to 1.
+    /// Share of its slots that an endpoint counts with during slow start; 1 afterwards.
     fn effective_slot_share(
         &self,
         stats: &EndpointStats,
@@ -399,24 +405,25 @@
         (age / slow_start.as_secs_f64()).clamp(MIN_SLOW_START_SHARE, 1.0)
     }
 
-    /// True when `endpoint` is expected to have a free slot for one more call.
+    /// True when the backend is expected to start one more call at once.
     pub fn has_free_slot(&self, endpoint: &Endpoint, now: Moment) -> bool {
         self.load(endpoint, now) <= 1.0 && !self.is_ejected(&endpoint.node, now)
     }
 
-    /// Records that this node sent a call to `node`.
+    /// Counts a call as in flight that this node sends to `node`.
     pub fn record_sent(&mut self, node: &NodeId) {
         self.endpoints.entry(node.clone()).or_default().in_flight += 1;
     }
 
-    /// Records that a call of this node to `node` ended.
+    /// Ends the count of a call as in flight that this node sent to `node`, whatever its
+    /// outcome.
     pub fn record_end(&mut self, node: &NodeId) {
         if let Some(stats) = self.endpoints.get_mut(node) {
             stats.in_flight = stats.in_flight.saturating_sub(1);
         }
     }
 
-    /// Records the load that the gate `node` reported with a response.
+    /// Stores the load that `node` reported with a response, and clears its failures.
     pub fn record_load(&mut self, node: &NodeId, load: u32, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.reported = load;
@@ -427,14 +434,15 @@
         stats.unreachable = 0;
     }
 
-    /// Records the speed that the gate `node` reported with a response.
+    /// Stores the speed that `node` reported with a response.
     pub fn record_speed(&mut self, node: &NodeId, reported_speed: BackendSpeed, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.reported_speed = Some(reported_speed);
         stats.speed_reported_at = now;
     }
 
-    /// Records that `node` responded to a call of `route` after `time`.
+    /// Updates the mean response time of `route` and the slowness of the backend at `node`,
+    /// which has responded after the time `time`.
     pub fn record_response(
         &mut self,
         node: &NodeId,
@@ -502,12 +510,13 @@
         stats.ejected_until = stats.ejected_until.max(until);
     }
 
-    /// Estimate of the calls at the backend of `node`; 0 if nothing is known of it.
+    /// Estimate of the calls at the backend of `node`, from its last load report and from
+    /// this node's own calls.
     pub fn seen_load(&self, node: &NodeId, now: Moment) -> u32 {
         self.endpoints.get(node).map_or(0, |stats| stats.busy(now))
     }
 
-    /// Number of calls of this node in flight to `node`.
+    /// How many calls of this node wait for a response of `node`.
     pub fn in_flight(&self, node: &NodeId) -> u32 {
         self.endpoints.get(node).map_or(0, |stats| stats.in_flight)
     }
--- a/crates/rampthread-core/src/call/body_transfers.rs
+++ b/crates/rampthread-core/src/call/body_transfers.rs
@@ -1,11 +1,11 @@
-//! Flow control for large request bodies on their way to one gate, the node that forwards
-//! calls to its local backend.
+//! Flow control for large request bodies on their way to one gate node, the node that
+//! forwards calls to its local backend.
 //!
 //! A body that is sent before its call is admitted takes link capacity from everything
-//! else, and is wasted if the gate rejects the call. So the sending node offers the body
-//! first, and sends it when the gate grants the transfer. A few bodies are transferred at a
-//! time, so that each arrives soon and small messages find the link nearly idle; the other
-//! offers wait, or are rejected at once if their turn would come too late.
+//! else, and is wasted if the gate node rejects the call. So the sending node offers the
+//! body first, and sends it when the gate node grants the transfer. A few bodies are
+//! transferred at a time, so that each arrives soon and small messages find the link nearly
+//! idle; the other offers wait, or are rejected at once if their turn would come too late.
 
 use super::admission::CallNumber;
 use crate::time::Moment;
@@ -31,10 +31,10 @@
 /// Minimum time after which a rejected sender is told to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A request body that a node asks to send to the gate.
+/// Announcement of a large request body that a node wants to send to the backend's node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyOffer {
-    /// Call that the body belongs to.
+    /// Call whose request has the body.
     pub call: CallNumber,
     /// Length of the body in bytes.
     pub bytes: u64,
@@ -42,7 +42,7 @@
     pub max_wait: Duration,
 }
 
-/// What the gate decides about an offered body.
+/// What the backend's node decides about an offered request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferDecision {
     /// The body may be sent now.
@@ -56,21 +56,21 @@
     },
 }
 
-/// A transfer that was granted and has not ended.
+/// A transfer that was granted and is not known to have ended.
 #[derive(Debug, Clone, Copy)]
 struct Transfer {
     call: CallNumber,
     bytes: u64,
-    /// Time at which the transfer is given up.
+    /// When the transfer is given up if its body has not arrived.
     expires_at: Moment,
 }
 
-/// Schedules the transfers of large request bodies to one gate.
+/// Schedules the transfers of large request bodies to one gate node.
 #[derive(Debug)]
 pub struct BodyTransfers {
     in_progress: Vec<Transfer>,
     waiting: VecDeque<BodyOffer>,
-    /// Measured rate of all transfers to this gate together, in bytes per second.
+    /// Measured rate of all transfers to this gate node together, in bytes per second.
     rate: f64,
     /// Start of the time over which the rate is measured next.
     measured_since: Moment,
@@ -88,7 +88,7 @@
 }
 
 impl BodyTransfers {
-    /// Number of bodies in transfer or waiting.
+    /// How many bodies are in transfer or wait for permission.
     pub fn load(&self) -> u32 {
         (self.in_progress.len() + self.waiting.len()) as u32
     }
@@ -105,7 +105,7 @@
         self.expected(in_progress / OUTSTANDING_DIVISOR + waiting)
     }
 
-    /// Grants the transfer of a body, queues the offer or rejects it.
+    /// Grants the transfer of a request body, queues the offer or rejects it.
     pub fn offer(&mut self, offer: BodyOffer, now: Moment) -> OfferDecision {
         self.remove_expired(now);
         if self.in_progress.len() < MAX_CONCURRENT && self.waiting.is_empty() {
@@ -122,7 +122,7 @@
         OfferDecision::Queued
     }
 
-    /// Starts a transfer.
+    /// Counts the offered body as in transfer.
     fn grant(&mut self, offer: BodyOffer, now: Moment) {
         if self.in_progress.is_empty() {
             self.measured_since = now;
@@ -135,7 +135,7 @@
         });
     }
 
-    /// Gives up transfers that did not end in time.
+    /// Drops granted transfers whose body did not arrive in time.
     fn remove_expired(&mut self, now: Moment) {
         self.in_progress
             .retain(|transfer| transfer.expires_at > now);
@@ -151,14 +151,14 @@
         if let Some(index) = index {
             let ended = self.in_progress.swap_remove(index);
             if arrived {
-                self.measure(ended.bytes, now);
+                self.update_rate(ended.bytes, now);
             }
         }
         self.grant_next(now)
     }
 
     /// Updates the transfer rate after a body of this many bytes has arrived.
-    fn measure(&mut self, bytes: u64, now: Moment) {
+    fn update_rate(&mut self, bytes: u64, now: Moment) {
         let seconds = now.since(self.measured_since).as_secs_f64();
         self.measured_since = now;
         if seconds > 0.0 {
@@ -167,7 +167,8 @@
         }
     }
 
-    /// Grants waiting offers while there are free transfers; returns their calls.
+    /// Grants waiting offers while transfers are allowed to start. Returns the calls whose
+    /// bodies may be sent now.
     fn grant_next(&mut self, now: Moment) -> Vec<CallNumber> {
         self.remove_expired(now);
         let mut granted = Vec::new();
--- a/crates/rampthread-core/src/call/cause.rs
+++ b/crates/rampthread-core/src/call/cause.rs
@@ -17,12 +17,12 @@
             /// Every cause, in order of declaration.
             pub const ALL: &'static [Cause] = &[$(Cause::$name,)*];
 
-            /// Value that is logged, counted in metrics and sent in headers.
+            /// Text of the cause in logs, metrics and headers between nodes.
             pub fn as_str(self) -> &'static str {
                 match self { $(Cause::$name => $value,)* }
             }
 
-            /// Status of the error response that the caller gets.
+            /// HTTP status with which the entry node responds to the caller.
             pub fn status(self) -> StatusCode {
                 match self { $(Cause::$name => StatusCode::$status,)* }
             }
@@ -43,22 +43,22 @@
     OverQuota = "over-quota", TOO_MANY_REQUESTS;
     /// The request cannot be parsed.
     BadRequest = "bad-request", BAD_REQUEST;
-    /// The head of the request is larger than allowed.
+    /// The request line and headers exceed the configured size.
     HeadTooLarge = "head-too-large", REQUEST_HEADER_FIELDS_TOO_LARGE;
-    /// The head of the request did not arrive in time.
+    /// The request line and headers did not arrive within the configured time.
     HeadTimeout = "head-timeout", REQUEST_TIMEOUT;
-    /// The body of the request is larger than allowed.
+    /// The request body exceeds the configured size.
     BodyTooLarge = "body-too-large", PAYLOAD_TOO_LARGE;
-    /// The body of the request did not arrive in time.
+    /// The request body did not arrive within the configured time.
     BodyTimeout = "body-timeout", REQUEST_TIMEOUT;
     /// The idempotency key of the request was used before, or may be in use.
     KeyInUse = "key-in-use", CONFLICT;
-    /// No majority of the holders, the nodes that store claims of the request's idempotency
-    /// key, replied.
+    /// No majority of the claim holders, the nodes that store claims of the request's
+    /// idempotency key, replied.
     NoClaimMajority = "key-unclaimed", SERVICE_UNAVAILABLE;
     /// No backend of the service is known to accept calls.
     NoBackend = "no-back-end", SERVICE_UNAVAILABLE;
-    /// The backend has no free slot and the queue of its gate is full.
+    /// The backend has no free slot and the queue of its gate node is full.
     QueueFull = "full", SERVICE_UNAVAILABLE;
     /// Too many large bodies are in transfer to the backend.
     LinkFull = "link-full", SERVICE_UNAVAILABLE;
@@ -66,17 +66,21 @@
     QueueDeadline = "queue-deadline", SERVICE_UNAVAILABLE;
     /// The backend is shutting down.
     Draining = "draining", SERVICE_UNAVAILABLE;
-    /// The gate's local backend is not the one that the call was sent to, or there is none.
+    /// The gate node's local backend is not the one that the call was sent to, or there is
+    /// none.
     WrongBackend = "another-back-end", SERVICE_UNAVAILABLE;
-    /// The configuration of the gate's node does not have yet what the call needs.
+    /// The node that got the call has an older configuration, which lacks the service or
+    /// backend that the call is for.
     ConfigurationBehind = "configuration-behind", SERVICE_UNAVAILABLE;
     /// The backend reported that it did not run the call.
     Shed = "shed", SERVICE_UNAVAILABLE;
-    /// No connection could be made to the backend or to its gate.
+    /// No connection could be made to the backend or to its gate node.
     Unreachable = "unreachable", SERVICE_UNAVAILABLE;
-    /// Requests with the same content are in quarantine, since backends crashed under them.
+    /// The request does not run because backends crashed while running requests with the
+    /// same content.
     Quarantined = "quarantined", SERVICE_UNAVAILABLE;
-    /// The entry fenced the attempt before it started.
+    /// The entry node abandoned the attempt and forbade the backend's node to start it,
+    /// before it had started.
     Fenced = "fenced", SERVICE_UNAVAILABLE;
     /// The connection to the backend was lost after the call was sent.
     ConnectionLost = "connection-lost", BAD_GATEWAY;
@@ -87,8 +91,8 @@
     MismatchedResponse = "not-its-answer", BAD_GATEWAY;
     /// The response of the backend was truncated.
     TruncatedResponse = "broken-off", BAD_GATEWAY;
-    /// The attempt exceeded the hedge delay, and another backend was free: a hedged attempt
-    /// began beside it.
+    /// The attempt took longer than the hedge delay. A hedged attempt was started at
+    /// another backend beside it.
     Overdue = "overdue", GATEWAY_TIMEOUT;
     /// No response came before the call's deadline.
     Deadline = "deadline", GATEWAY_TIMEOUT;
@@ -98,7 +102,7 @@
 
 impl Cause {
     /// True when no slot of the backend was free in time. A backend that sheds is not out
-    /// of capacity in this sense: its gate had a slot for the call.
+    /// of capacity in this sense: its gate node had a slot for the call.
     pub fn is_out_of_capacity(self) -> bool {
         matches!(self, Cause::QueueFull | Cause::QueueDeadline)
     }
@@ -111,7 +115,7 @@
         )
     }
 
-    /// Parses the value of a cause; `None` if it is unknown.
+    /// The cause with this text; `None` for an unknown text, as from a newer version.
     pub fn parse(value: &str) -> Option<Cause> {
         Self::ALL
             .iter()
--- a/crates/rampthread-core/src/call/claims.rs
+++ b/crates/rampthread-core/src/call/claims.rs
@@ -1,11 +1,12 @@
 //! Claims of idempotency keys: a caller's repeated request runs at most once.
 //!
-//! A request with an `Idempotency-Key` runs only after a majority of the key's holders, the
-//! nodes that store claims of this key, have granted it a claim. The holders are the first
-//! nodes in the rendezvous order of the key, among the nodes that the configuration names.
-//! A claim expires [`CLAIM_TTL`] after its last change. A holder that started less than
-//! [`CLAIM_TTL`] ago may have lost claims and grants none: after the loss of a majority of
-//! holders, requests are rejected for that long instead of running twice.
+//! A request with an `Idempotency-Key` runs only after a majority of the key's claim
+//! holders, the nodes that store claims of this key, have granted it a claim. The claim
+//! holders are the first nodes in the rendezvous order of the key, among the nodes that the
+//! configuration names. A claim expires [`CLAIM_TTL`] after its last change. A claim holder
+//! that started less than [`CLAIM_TTL`] ago may have lost claims and grants none: after the
+//! loss of a majority of claim holders, requests are rejected for that long instead of
+//! running twice.
 
 use super::fence::CallId;
 use crate::ids::NodeId;
@@ -14,46 +15,51 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Time from the last change of a claim until the holder drops the claim.
+/// Lifetime of an idempotency claim, the right of one call to run the request with an
+/// idempotency key. It counts from the last change of the claim.
 pub const CLAIM_TTL: Duration = Duration::from_secs(60);
-/// Number of nodes that store the claims of one idempotency key.
+/// How many nodes, the claim holders of a key, store the claims of each idempotency key.
 pub const CLAIM_HOLDERS: usize = 5;
-/// Maximum number of claims that a node stores; at the maximum it grants no new ones.
+/// Maximum number of idempotency claims that a node stores; at the maximum it grants no new
+/// ones.
 const MAX_CLAIMS: usize = 1 << 18;
 
-/// State of a request whose idempotency key is claimed.
+/// Progress of a request whose idempotency key a call has claimed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimState {
-    /// The request is running, or no node reported its end.
+    /// The request is running, or no node reported how it ended.
     Open,
     /// The request has run, and its caller got the response.
     Done,
 }
 
-/// A holder's reply to a node that claims an idempotency key.
+/// Reply of a claim holder, a node that stores idempotency claims, to the node that wants
+/// to run the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimReply {
-    /// The idempotency key is claimed for this call.
+    /// The claim holder stores the claim: the call may run the request, as far as this
+    /// holder knows.
     Granted,
-    /// The idempotency key is claimed for another call, whose request has this state.
+    /// Another call claimed the idempotency key before; the state is that of its request.
     Taken(ClaimState),
-    /// The holder may have lost claims in a restart, or its table is full.
+    /// The claim holder may have lost claims in a restart, or its table is full.
     CannotTell {
-        /// Time after which the holder may be able to grant claims.
+        /// Time after which the claim holder may be able to grant claims.
         retry_after: Duration,
     },
 }
 
-/// Claim of one idempotency key.
+/// The right of one call to run the request with an idempotency key, as a claim holder
+/// stores it.
 #[derive(Debug)]
 struct IdempotencyClaim {
     call: CallId,
     state: ClaimState,
-    /// When the claim was granted or its state changed last.
+    /// Start of the claim's lifetime.
     changed: Moment,
 }
 
-/// The claims of idempotency keys that a node stores as one of their holders.
+/// The idempotency claims that a node stores as one of the claim holders of their keys.
 #[derive(Debug)]
 pub struct ClaimTable {
     /// Start of the process; claims granted before it are lost.
@@ -76,9 +82,9 @@
         }
     }
 
-    /// Claims the idempotency key `key` for `call`, which wants to run its request.
+    /// Asks for the right of `call` to run the request with the idempotency key `key`.
     pub fn claim(&mut self, key: &str, call: &CallId, now: Moment) -> ClaimReply {
-        self.expire(now);
+        self.drop_expired(now);
         if let Some(claim) = self.claims.get(key) {
             if claim.call == *call {
                 return ClaimReply::Granted;
@@ -91,17 +97,18 @@
                 retry_after: self.ttl.saturating_sub(age).max(Duration::from_secs(1)),
             };
         }
-        self.store(key, call, ClaimState::Open, now);
+        self.store_claim(key, call, ClaimState::Open, now);
         ClaimReply::Granted
     }
 
-    /// Records that the request with this key has run and its caller got the response.
+    /// Records that the request of `call` has run, so that repeats with the same
+    /// idempotency key are answered as already done.
     pub fn done(&mut self, key: &str, call: &CallId, now: Moment) {
-        self.store(key, call, ClaimState::Done, now);
+        self.store_claim(key, call, ClaimState::Done, now);
     }
 
     /// Drops the claim of `call`, whose request was not run, so that another call may claim
-    /// the key.
+    /// the idempotency key.
     pub fn release(&mut self, key: &str, call: &CallId) {
         if self
             .claims
@@ -112,8 +119,8 @@
         }
     }
 
-    /// Stores the claim of `call` in place of any other.
-    fn store(&mut self, key: &str, call: &CallId, state: ClaimState, now: Moment) {
+    /// Replaces the claim of the idempotency key.
+    fn store_claim(&mut self, key: &str, call: &CallId, state: ClaimState, now: Moment) {
         let claim = IdempotencyClaim {
             call: call.clone(),
             state,
@@ -123,8 +130,8 @@
         self.order.push_back((now, key.to_string()));
     }
 
-    /// Drops claims whose last change is older than the TTL.
-    fn expire(&mut self, now: Moment) {
+    /// Drops claims at the end of their lifetime.
+    fn drop_expired(&mut self, now: Moment) {
         while let Some((since, _)) = self.order.front()
             && now.since(*since) > self.ttl
         {
@@ -140,33 +147,35 @@
     }
 }
 
-/// The holders of the idempotency key `key`, among the nodes of the configuration.
+/// Chooses the claim holders of an idempotency key: the first [`CLAIM_HOLDERS`] of `nodes`
+/// in the key's rendezvous order.
 pub fn holders(key: &str, nodes: impl IntoIterator<Item = NodeId>) -> Vec<NodeId> {
     let mut order = rendezvous::order(key, nodes);
     order.truncate(CLAIM_HOLDERS);
     order
 }
 
-/// Collects the replies of the holders of one idempotency key.
+/// Vote of the claim holders of one idempotency key on whether a call may run its request.
 #[derive(Debug)]
 pub struct ClaimVote {
     holders: usize,
     granted: usize,
-    /// State of the request that holds the key, if a holder reported another call.
+    /// State of the request that holds the key, if a claim holder reported another call.
     taken: Option<ClaimState>,
     retry_after: Duration,
 }
 
-/// What the holders' replies decide about a call with an idempotency key.
+/// Result of the claim holders' vote on whether a call may run the request with its
+/// idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// A majority of the holders granted the claim: the request may run.
+    /// A majority of the claim holders granted the claim: the request may run.
     Run,
     /// A request with this idempotency key has already run.
     AlreadyDone,
     /// Another call with this idempotency key may be running or may have run.
     InProgress,
-    /// No majority of the holders granted the claim: the request was not run.
+    /// No majority of the claim holders granted the claim: the request was not run.
     NoMajority {
         /// Time after which the caller should retry.
         retry_after: Duration,
@@ -174,7 +183,7 @@
 }
 
 impl ClaimVote {
-    /// Starts a vote in which `holders` nodes may reply.
+    /// Starts a vote among this many claim holders.
     pub fn new(holders: usize) -> Self {
         Self {
             holders,
@@ -184,7 +193,8 @@
         }
     }
 
-    /// Adds the reply of one holder.
+    /// Counts the reply of one claim holder; holders that do not reply count as not
+    /// granting.
     pub fn add(&mut self, answer: ClaimReply) {
         match answer {
             ClaimReply::Granted => self.granted += 1,
@@ -198,7 +208,7 @@
         }
     }
 
-    /// The decision, to be taken once every holder has replied or timed out.
+    /// Result of the vote. It is final once every claim holder has replied or timed out.
     pub fn decision(&self) -> ClaimDecision {
         match self.taken {
             Some(ClaimState::Done) => ClaimDecision::AlreadyDone,
--- a/crates/rampthread-core/src/call/crash_detector.rs
+++ b/crates/rampthread-core/src/call/crash_detector.rs
@@ -38,8 +38,8 @@
 /// backend still runs.
 const HEARTBEAT_LATENESS: Duration = Duration::from_secs(3);
 
-/// A request whose response was lost, once or several times, at one incarnation of the
-/// backend.
+/// A call to one backend incarnation whose response was lost. Repeats of the same request
+/// are one element.
 #[derive(Debug, Clone)]
 struct LostCall {
     identity: RequestIdentity,
@@ -51,7 +51,7 @@
     last: Moment,
     /// True if the request was on trial, i.e. ran alone after its quarantine.
     on_trial: bool,
-    /// True if the loss was reported as a crash.
+    /// True if a crash was reported because of this lost response.
     reported: bool,
     /// When a call that began after the loss was answered, by the same incarnation or the
     /// next one.
@@ -59,7 +59,7 @@
 }
 
 impl LostCall {
-    /// True while a crash may still explain the loss.
+    /// True while a crash of the backend may still explain the lost response.
     fn may_be_a_crash(&self, now: Moment, answered_retention: Duration) -> bool {
         let answered_long_ago = self
             .answered
@@ -83,7 +83,8 @@
 }
 
 /// Lost responses of one backend, and which of them were reported as crashes. Used by a
-/// gate for its local backend, and by an entry for each backend that it sends calls to.
+/// gate node for its local backend, and by an entry node for each backend that it sends
+/// calls to.
 #[derive(Debug)]
 pub struct CrashDetector {
     losses: Vec<LostCall>,
@@ -166,7 +167,8 @@
         withdrawn
     }
 
-    /// Records at each loss that a call that began later was answered.
+    /// Marks the earlier lost responses of `instance`, since a call that began later was
+    /// answered. After some time a marked one no longer counts as a sign of a crash.
     fn mark_answered(&mut self, instance: &InstanceId, begun: Moment) {
         let losses = self.losses.iter_mut();
         for loss in losses.filter(|loss| loss.instance == *instance && loss.last < begun) {
@@ -228,7 +230,7 @@
         self.losses.retain(|loss| loss.instance != *instance);
     }
 
-    /// True if `instance` has lost responses lately and has not answered a call since.
+    /// True if responses of `instance` were lost lately and no later call was answered.
     pub fn may_have_ended(&self, instance: &InstanceId, now: Moment) -> bool {
         let retention = self.answered_retention;
         let unanswered =
@@ -249,7 +251,7 @@
         self.losses.is_empty()
     }
 
-    /// The requests of all losses that `wanted` selects.
+    /// The requests of the lost responses that `wanted` selects.
     fn suspects(&self, wanted: impl Fn(&LostCall) -> bool) -> Vec<CrashSuspect> {
         let losses = self.losses.iter().filter(|loss| wanted(loss));
         losses
--- a/crates/rampthread-core/src/call/demand.rs
+++ b/crates/rampthread-core/src/call/demand.rs
@@ -14,7 +14,7 @@
 /// Time after a route's last call until its measurements are dropped.
 const ROUTE_TTL: Duration = Duration::from_secs(60);
 
-/// Rate, service time and size of the calls of one route.
+/// Measured calls of one route: rate, service time and size.
 #[derive(Debug, Clone)]
 struct RouteDemand {
     /// Calls per second at the time `at`.
@@ -28,7 +28,7 @@
     bytes: f64,
 }
 
-/// Demand of all routes of one service.
+/// Measured calls to one service.
 #[derive(Debug, Clone, Default)]
 struct ServiceDemand {
     routes: HashMap<ResourceName, RouteDemand>,
@@ -38,7 +38,7 @@
 }
 
 impl ServiceDemand {
-    /// Mean seconds for which a call of the route holds a slot.
+    /// Mean service time of the route; that of the service while the route has none.
     fn service_time(&self, route: &RouteDemand) -> f64 {
         match route.service_time > 0.0 {
             true => route.service_time,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Slots that the calls of one route need at their current rate.
+    /// Slots that the route's calls need: their rate times their service time.
     fn slots(&self, route: &RouteDemand, now: Moment) -> f64 {
         route.rate(now) * self.service_time(route)
     }
@@ -58,26 +58,26 @@
 }
 
 impl RouteDemand {
-    /// Calls per second, discounted by the time since the last call.
+    /// Calls per second now. The rate decays since the last call.
     fn rate(&self, now: Moment) -> f64 {
         let age = now.since(self.at).as_secs_f64() / DEMAND_WINDOW.as_secs_f64();
         self.rate * (-age).exp()
     }
 }
 
-/// Returns the mean `known`, moved towards `newest`.
-fn mean(known: f64, newest: f64) -> f64 {
+/// Exponential moving average: `known` moved towards `newest` by [`MEAN_WEIGHT`].
+fn moving_average(known: f64, newest: f64) -> f64 {
     known + (newest - known) * MEAN_WEIGHT
 }
 
-/// Measures the calls of one node's callers, by service and route.
+/// Measures how many slots the callers of one node need, by service and route.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
     services: HashMap<ResourceName, ServiceDemand>,
 }
 
 impl DemandMeter {
-    /// Records a call of `route` to `service`, whose request has this many bytes.
+    /// Counts a call that a caller asks for; its request has this many bytes.
     pub fn record_request(
         &mut self,
         service: &ResourceName,
@@ -96,8 +96,8 @@
         demand.at = now;
     }
 
-    /// Records that a call held a slot for `service_time`, and had this many bytes in
-    /// request and response.
+    /// Updates the means of a route after a call that held a slot for `service_time` and
+    /// had this many bytes in request and response.
     pub fn record_response(
         &mut self,
         service: &ResourceName,
@@ -110,7 +110,7 @@
         };
         let service_time = service_time.as_secs_f64();
         service.service_time = match service.service_time > 0.0 {
-            true => mean(service.service_time, service_time),
+            true => moving_average(service.service_time, service_time),
             false => service_time,
         };
         let Some(demand) = service.routes.get_mut(route) else {
@@ -120,8 +120,8 @@
             demand.service_time = service_time;
             demand.bytes = bytes as f64;
         }
-        demand.service_time = mean(demand.service_time, service_time);
-        demand.bytes = mean(demand.bytes, bytes as f64);
+        demand.service_time = moving_average(demand.service_time, service_time);
+        demand.bytes = moving_average(demand.bytes, bytes as f64);
     }
 
     /// Mean service time of each route of `service`; routes without a response are missing.
@@ -134,12 +134,12 @@
             .collect()
     }
 
-    /// Services that were called lately.
+    /// Services that callers of this node have called within about the last minute.
     pub fn services(&self) -> impl Iterator<Item = &ResourceName> {
         self.services.keys()
     }
 
-    /// Slots that calls to `service` need at their current rate.
+    /// Slots that calls to `service` need: rate times service time, summed over routes.
     pub fn slots(&self, service: &ResourceName, now: Moment) -> f64 {
         let Some(service) = self.services.get(service) else {
             return 0.0;
@@ -182,7 +182,7 @@
         probabilities
     }
 
-    /// Drops routes without calls for some time.
+    /// Drops routes whose last call is longer ago than their measurements are kept.
     pub fn forget_idle(&mut self, now: Moment) {
         let called = |route: &RouteDemand| now.since(route.at) < ROUTE_TTL;
         for service in self.services.values_mut() {
--- a/crates/rampthread-core/src/call/demand_trend.rs
+++ b/crates/rampthread-core/src/call/demand_trend.rs
@@ -30,7 +30,7 @@
 /// Alpha-beta filter over the demand for one service in one zone.
 #[derive(Debug, Clone, Copy)]
 pub struct DemandTrend {
-    /// Time that the newest report describes.
+    /// Time that the newest report describes, which is before its arrival.
     at: Moment,
     /// Filtered demand at the time `at`.
     level: f64,
@@ -67,7 +67,7 @@
         self.at = at;
     }
 
-    /// Forecasts demand at `now`, which is at least 0.
+    /// Demand extrapolated to `now`, but not below 0.
     pub fn forecast(&self, now: Moment) -> f64 {
         let ahead = now.since(self.at).min(MAX_FORECAST);
         let largest = self.level * MAX_CHANGE_RATIO;
@@ -76,7 +76,8 @@
     }
 }
 
-/// Demand filters of one entry (a node that receives calls), by service and zone.
+/// Tracks the demand of each service in each zone, for the spill plans of one entry node, a
+/// node that receives calls.
 #[derive(Debug, Default)]
 pub struct ZoneTrends {
     trends: HashMap<ResourceName, HashMap<Zone, DemandTrend>>,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Drops the filters of services that are not in `called`.
+    /// Stops tracking services other than those in `called`.
     pub fn retain_services(&mut self, called: &[ResourceName]) {
         self.trends.retain(|service, _| called.contains(service));
     }
--- a/crates/rampthread-core/src/call/dialect.rs
+++ b/crates/rampthread-core/src/call/dialect.rs
@@ -6,11 +6,11 @@
 use super::headers;
 use http::{HeaderName, StatusCode};
 
-/// Header names and conventions of one platform.
+/// Names of the headers that one platform uses, and its other conventions for calls.
 #[derive(Debug, Clone)]
 pub struct CallDialect {
     /// Header with the caller's own id of the request, passed on to the backend and back.
-    /// `None`: the entry, the node that received the call, assigns an id.
+    /// `None`: the entry node, the node that received the call, assigns an id.
     pub request_id: Option<HeaderName>,
     /// Header with the milliseconds until the call's deadline.
     pub deadline_ms: HeaderName,
--- a/crates/rampthread-core/src/call/fair_queue.rs
+++ b/crates/rampthread-core/src/call/fair_queue.rs
@@ -12,12 +12,13 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Maximum number of owners with a finish tag; a gate's queue holds far fewer calls.
+/// Maximum number of owners whose finish tag is kept; a gate node's queue holds far fewer
+/// calls.
 const MAX_OWNERS: usize = 1_024;
 /// Service time that a call is assumed to need if none is expected.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(1);
 
-/// Virtual clock of one queue, and the finish tags of its owners.
+/// State of start-time fair queueing for one queue: virtual clock and finish tags.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     /// Start tag of the call served last.
@@ -33,7 +34,8 @@
         finish.max(self.clock)
     }
 
-    /// Records that a call of `owner` with this expected service time is served.
+    /// Advances the virtual clock to the start tag of a call of `owner` that is served now,
+    /// and sets the owner's finish tag after its expected service time.
     pub fn served(&mut self, owner: &str, service_time: Option<Duration>) {
         let start = self.start_tag(owner);
         self.clock = start;
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Number of owners with a finish tag.
+    /// How many owners have a finish tag; bounded however many owners there are.
     pub fn owner_count(&self) -> usize {
         self.finish_tags.len()
     }
--- a/crates/rampthread-core/src/call/fence.rs
+++ b/crates/rampthread-core/src/call/fence.rs
@@ -1,10 +1,10 @@
-//! Fences: an entry, the node that received a call, forbids a gate, the node that forwards
-//! calls to its local backend, to start a call that the entry has abandoned.
+//! Fences: an entry node, the node that received a call, forbids a gate node, the node that
+//! forwards calls to its local backend, to start a call that the entry node has abandoned.
 //!
-//! Starts and fences are recorded in one table of the gate: whichever comes first for a
-//! call is final within the retention of the table. A fence that finds the call not started
-//! makes a retry elsewhere safe, if the table reaches back to the time when the call was
-//! sent, which [`FenceOutcome`](super::fence_outcome::FenceOutcome) decides.
+//! Starts and fences are recorded in one table of the gate node: whichever comes first for
+//! a call is final within the retention of the table. A fence that finds the call not
+//! started makes a retry elsewhere safe, if the table reaches back to the time when the
+//! call was sent, which [`FenceOutcome`](super::fence_outcome::FenceOutcome) decides.
 
 use crate::time::Moment;
 use std::collections::{HashMap, VecDeque};
@@ -18,7 +18,7 @@
 /// run.
 pub const MAX_FENCE_ENTRIES: usize = 1 << 20;
 /// Longest gap between two uses of the table that counts as time in which the process ran.
-/// A gate uses the table ten times per second; after a longer gap the process was
+/// A gate node uses the table ten times per second; after a longer gap the process was
 /// suspended, and hops that arrived meanwhile are not read yet, so that their fences must
 /// be kept.
 pub const MAX_COUNTED_GAP: Duration = Duration::from_secs(1);
@@ -26,21 +26,22 @@
 /// Id of a call, unique across the fleet.
 pub type CallId = String;
 
-/// What the table records of a call.
+/// What the table of a gate node records of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallState {
     Started,
     Fenced,
 }
 
-/// Whether a fenced call has started at the gate, as far as the gate's table reaches back.
+/// Whether a fenced call has started at the gate node, as far as the gate node's table
+/// reaches back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceStatus {
-    /// The call has not started within the gate's retention, and never will.
+    /// The call has not started within the gate node's retention, and never will.
     NeverStarts,
     /// The call had started before the fence, and may have run.
     Started,
-    /// The gate cannot record the fence, since its table is full, or its reply was not
+    /// The gate node cannot record the fence, since its table is full, or its reply was not
     /// understood.
     Unknown,
 }
@@ -48,7 +49,7 @@
 impl FenceStatus {
     const ALL: [Self; 3] = [Self::NeverStarts, Self::Started, Self::Unknown];
 
-    /// Value that is sent between nodes and logged.
+    /// Text of the status in replies between nodes and in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             FenceStatus::NeverStarts => "never-starts",
@@ -66,19 +67,19 @@
     }
 }
 
-/// A gate's answer to an entry that fences a call.
+/// Reply of a gate node to an entry node that forbids it to start a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FenceAnswer {
-    /// Whether the call has started.
+    /// Whether the gate node had started the call.
     pub fenced: FenceStatus,
-    /// How far back the gate's table of starts reaches.
+    /// How far back the gate node's table of starts reaches.
     pub retention: Duration,
 }
 
-/// Why a gate must not start a call.
+/// Why a gate node must not send a call to its backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
-    /// The call was fenced before.
+    /// The entry node has forbidden the call to start.
     #[error("the call was fenced before it started")]
     Fenced,
     /// A call with this id has started before: the request is a duplicate.
@@ -89,19 +90,19 @@
     Full,
 }
 
-/// Table of a gate: which calls have started here, and which were fenced, so that they must
-/// not start.
+/// Table of a gate node: which calls have started here, and which were fenced, so that they
+/// must not start.
 #[derive(Debug)]
 pub struct FenceTable {
-    /// Creation of the table; starts before it are not known here.
+    /// Start of the process; the table does not know what earlier processes started.
     created: Moment,
-    /// Time of the last call to any method of this table; later calls show that the process
-    /// runs.
+    /// When the table was last used. Uses in short intervals show that the process was not
+    /// suspended.
     last_used: Moment,
-    /// Time for which the process has run since `created`, without gaps beyond
-    /// [`MAX_COUNTED_GAP`].
+    /// Time for which the process has run. A gap between two uses of the table counts with
+    /// at most [`MAX_COUNTED_GAP`], since the process may have been suspended.
     running_time: Duration,
-    /// Started and fenced calls.
+    /// Calls that have started here, and calls that must not start.
     states: HashMap<CallId, CallState>,
     /// Calls in the order in which they were recorded, with the value of `running_time` at
     /// that time.
@@ -136,7 +137,7 @@
         Ok(())
     }
 
-    /// Records a fence for a call that its entry has abandoned: if the call has not
+    /// Records a fence for a call that its entry node has abandoned: if the call has not
     /// started, it never will. Returns whether it had started.
     pub fn fence(&mut self, call: &CallId, now: Moment) -> FenceAnswer {
         self.expire(now);
@@ -178,12 +179,12 @@
         self.states.len() >= MAX_FENCE_ENTRIES
     }
 
-    /// Number of calls in the table.
+    /// How many calls the table remembers as started or fenced.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// True when the table contains no calls.
+    /// True if the table remembers no call.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -1,61 +1,66 @@
 //! HTTP headers in which nodes pass information along with a call, and back with its
-//! response. The *entry* is the node that receives a call from its caller; the *gate* is
-//! the node that forwards the call to its local backend.
+//! response. The *entry node* is the node that receives a call from its caller; the *gate
+//! node* is the node that forwards the call to its local backend.
 
 use http::StatusCode;
 use std::fmt;
 use std::time::Duration;
 
-/// Id that the entry gives to a call, unique across the fleet.
+/// Id that the entry node gives to a call, unique across the fleet.
 pub const CALL_ID: &str = "rampthread-call-id";
-/// Milliseconds until the call's deadline.
+/// Milliseconds left until the call's deadline; each node writes what is left when it
+/// sends.
 pub const DEADLINE_MS: &str = "rampthread-deadline-ms";
-/// Number of services that the call has passed through.
+/// Counts the services that the call has passed through; compared with [`MAX_HOPS`].
 pub const HOPS: &str = "rampthread-hops";
 /// What became of the request: an [`Outcome`].
 pub const OUTCOME: &str = "rampthread-outcome";
-/// Name of the service that makes the call. Calling services share a gate's queue fairly.
+/// Name of the service that makes the call. Calling services share a gate node's queue
+/// fairly.
 pub const CALLER: &str = "rampthread-caller";
-/// Name of the route that the entry chose.
+/// Name of the route by which the entry node, which received the call, chose the service.
 pub const ROUTE: &str = "rampthread-route";
 /// On a request: the backend that the call is for. On a response: the backend that sent it.
 pub const BACKEND: &str = "rampthread-backend";
-/// Version of the configuration that the entry routed the call by.
+/// Version of the configuration that the entry node routed the call by.
 pub const VERSION: &str = "rampthread-version";
-/// Token by which a node proves that it is a member of the fleet.
+/// Token by which a node proves to another that it is a member of the fleet.
 pub const HOP_TOKEN: &str = "rampthread-hop-token";
-/// Number of calls that run and wait at the backend, on responses of a gate.
+/// Number of calls that run and wait at the backend, on responses of a gate node.
 pub const LOAD: &str = "rampthread-load";
 /// Whether a request that was not run had reached the backend: a [`Reach`].
 pub const REACH: &str = "rampthread-reach";
-/// Why a gate did not run a request: a [`Cause`](super::cause::Cause).
+/// Why a gate node did not run a request: a [`Cause`](super::cause::Cause).
 pub const CAUSE: &str = "rampthread-cause";
-/// Why a gate did not run a request, as free text for logs.
+/// Why a gate node did not run a request, as free text for logs.
 pub const REASON: &str = "rampthread-reason";
 /// Name of the backend incarnation that ended while it ran the request.
 pub const CRASHED: &str = "rampthread-crashed";
-/// Milliseconds after which to retry, on responses of a gate.
+/// Milliseconds after which the caller should retry, set by the backend's node on an error
+/// response.
 pub const RETRY_AFTER_MS: &str = "rampthread-retry-after-ms";
-/// Key of the tenant that the call belongs to; absent on calls without a tenant.
+/// Identifies the tenant that the call belongs to; absent on calls without a tenant.
 pub const TENANT: &str = "rampthread-tenant";
-/// Speed of the backend, on responses of a gate: a
+/// Speed of the backend, on responses of a gate node: a
 /// [`BackendSpeed`](super::backend_speed::BackendSpeed).
 pub const PACE: &str = "rampthread-pace";
-/// Milliseconds that the call waited for a slot of the backend, on responses of a gate;
-/// absent if the call did not wait.
+/// Milliseconds that the call waited for a slot of the backend, on responses of a gate
+/// node; absent if the call did not wait.
 pub const WAITED_MS: &str = "rampthread-waited-ms";
 /// Rank of the call in queues, set by its tenant or else its route; rank 0 is served first.
 pub const RANK: &str = "rampthread-rank";
 /// [`Precedence`](super::precedence::Precedence) of the call within its rank; absent on a
 /// first attempt.
 pub const PRECEDENCE: &str = "rampthread-precedence";
-/// On a reply of a gate: the entry may now send the large request body that it announced.
+/// On a reply of a gate node: the entry node may now send the large request body that it
+/// announced.
 pub const GRANTED: &str = "rampthread-granted";
-/// Length in bytes of a large request body that the entry wants to send.
+/// Length in bytes of a large request body that the entry node wants to send.
 pub const BODY_BYTES: &str = "rampthread-body-bytes";
-/// When the entry sent the hop: a [`SentAt`](super::path_delay::SentAt).
+/// When the entry node sent the request to the backend's node: a
+/// [`SentAt`](super::path_delay::SentAt).
 pub const SENT_AT: &str = "rampthread-sent";
-/// How long the call may wait in the gate's queue: a [`QueueingLimit`].
+/// How long the call may wait in the gate node's queue: a [`QueueingLimit`].
 pub const WAITING: &str = "rampthread-waiting";
 /// Key by which a caller marks a request that it may send again (IETF draft
 /// `idempotency-key-header`).
@@ -78,7 +83,7 @@
 }
 
 impl Outcome {
-    /// Value of the [`OUTCOME`] header.
+    /// Text of the outcome for the [`OUTCOME`] header, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Completed => "completed",
@@ -113,12 +118,12 @@
     /// The attempt reached the backend, or may have. A further attempt is then a retry that
     /// counts against the retry budget.
     Backend,
-    /// The gate rejected the attempt, or the entry could not connect to the gate.
+    /// The backend's gate node rejected the attempt, or could not be reached.
     Gate,
 }
 
 impl Reach {
-    /// Value of the [`REACH`] header.
+    /// Text for the [`REACH`] header.
     pub fn as_str(self) -> &'static str {
         match self {
             Reach::Backend => "back-end",
@@ -142,22 +147,23 @@
     }
 }
 
-/// How long a call may wait in the queue of a gate.
+/// How long a call may wait in the queue of the backend's gate node, the node that forwards
+/// calls to the backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueingLimit {
-    /// The gate runs the call at once or rejects it, since another backend seems to have a
-    /// free slot.
+    /// The call runs at once or is rejected, since another backend seems to have a free
+    /// slot.
     Never,
-    /// The call may wait while its response can meet the route's target latency, of which
-    /// this much time is left.
+    /// The call may wait while its response can meet the target latency of its route. The
+    /// duration is what is left of the target latency.
     ForTarget(Duration),
     /// The call may wait while its response can meet the call's deadline.
     UntilDeadline,
 }
 
-/// Header value of [`QueueingLimit::Never`].
+/// Text of [`QueueingLimit::Never`] in the [`WAITING`] header.
 const NEVER: &str = "never";
-/// Header value of [`QueueingLimit::UntilDeadline`].
+/// Text of [`QueueingLimit::UntilDeadline`] in the [`WAITING`] header.
 const UNTIL_DEADLINE: &str = "until-deadline";
 
 impl QueueingLimit {
@@ -184,7 +190,7 @@
     }
 }
 
-/// Why a node rejects a call for its headers.
+/// Why a node rejects a call whose rampthread headers are invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
     /// The value of [`DEADLINE_MS`] is not a number of milliseconds.
@@ -202,7 +208,7 @@
     /// The call has passed through more than [`MAX_HOPS`] services.
     #[error("{HOPS}: {found} is above {MAX_HOPS}; is there a loop?")]
     TooDeep {
-        /// Number of services that the call has passed through.
+        /// Services that the call has passed through before this node.
         found: u32,
     },
 }
--- a/crates/rampthread-core/src/call/identity.rs
+++ b/crates/rampthread-core/src/call/identity.rs
@@ -21,13 +21,14 @@
 #[serde(try_from = "String", into = "String")]
 pub struct RequestIdentity([u8; IDENTITY_BYTES]);
 
-/// Error: the text or bytes do not have the form of a request identity.
+/// The text or bytes cannot be a request identity: they have another length, or the text is
+/// not hexadecimal.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("invalid request identity: expected {IDENTITY_BYTES} bytes")]
 pub struct InvalidIdentity;
 
 impl RequestIdentity {
-    /// Reads an identity from the bytes that another node sent.
+    /// Reads an identity in the binary form that nodes send to each other.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, InvalidIdentity> {
         bytes.try_into().map(Self).map_err(|_| InvalidIdentity)
     }
@@ -45,7 +46,7 @@
         Ok(Self(bytes))
     }
 
-    /// Returns the identity as the bytes that are sent to other nodes.
+    /// The binary form that nodes send to each other.
     pub fn as_bytes(&self) -> &[u8; IDENTITY_BYTES] {
         &self.0
     }
@@ -81,13 +82,13 @@
 /// The parts of a request that its identity covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestContent<'a> {
-    /// HTTP method of the request.
+    /// For example `GET`; compared case-sensitively.
     pub method: &'a str,
     /// Value of the request's `Host` header, as sent; empty if absent.
     pub authority: &'a str,
     /// Path and query of the request, as sent.
     pub target: &'a str,
-    /// Complete request body.
+    /// Complete body; requests with different bodies have different identities.
     pub body: &'a [u8],
 }
 
@@ -102,7 +103,8 @@
         Self(blake3::derive_key(CONTEXT, secret))
     }
 
-    /// Computes the identity of a request.
+    /// Hashes the content with the key. The same content gives the same identity at every
+    /// node of the fleet.
     pub fn identify(&self, content: &RequestContent<'_>) -> RequestIdentity {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         let parts = [
@@ -123,7 +125,7 @@
 }
 
 impl Default for IdentityKey {
-    /// Key for a fleet that has no secret and trusts its network.
+    /// The key of a fleet that has no secret since it trusts its network.
     fn default() -> Self {
         Self::from_secret(&[])
     }
--- a/crates/rampthread-core/src/call/incarnation_names.rs
+++ b/crates/rampthread-core/src/call/incarnation_names.rs
@@ -7,12 +7,13 @@
 /// Separates the id of the backend from the number of the incarnation.
 const SEPARATOR: &str = ".start-";
 
-/// Counts the incarnations of the backend whose end was observed last.
+/// Names the incarnations of one backend id. It keeps only the id for which the end of an
+/// incarnation was observed last.
 #[derive(Debug, Default)]
 pub struct IncarnationNames {
-    /// Id of the backend.
+    /// Backend id that `ended` counts for.
     name: Option<InstanceId>,
-    /// Number of its incarnations that have ended.
+    /// How many incarnations under that id have ended.
     ended: u64,
 }
 
--- a/crates/rampthread-core/src/call/load_average.rs
+++ b/crates/rampthread-core/src/call/load_average.rs
@@ -1,4 +1,4 @@
-//! Averages the load of a backend and decides whether its gate, the node that forwards
+//! Averages the load of a backend and decides whether its gate node, the node that forwards
 //! calls to it, reports that load.
 
 use super::zone_spill::{QUIET_UTILIZATION, REPORTING_TAIL};
@@ -15,32 +15,33 @@
 }
 
 impl ReportingHold {
-    /// Records that there is a reason to report at `now`.
+    /// Reports are to go on for [`REPORTING_TAIL`] from `now`.
     pub fn extend(&mut self, now: Moment) {
         self.last_reason = Some(now);
     }
 
-    /// True while load reports are to be sent.
+    /// False once the last reason for reports is longer ago than [`REPORTING_TAIL`].
     pub fn is_reporting(&self, now: Moment) -> bool {
         self.last_reason
             .is_some_and(|at| now.since(at) < REPORTING_TAIL)
     }
 }
 
-/// Moving average of the calls at one backend.
+/// Moving average of the running and waiting calls at one backend.
 #[derive(Debug, Clone, Default)]
 pub struct LoadAverage {
-    /// Mean number of slots in use.
+    /// Mean number of running calls, each of which uses a slot.
     pub busy: f64,
-    /// Mean number of calls in the queue.
+    /// Mean number of calls in the queue of the backend's gate node.
     pub waiting: f64,
-    /// Time of the last record.
+    /// Time of the last measurement that is part of the average.
     recorded_at: Option<Moment>,
     hold: ReportingHold,
 }
 
 impl LoadAverage {
-    /// Records how many calls run and wait at a backend with this many slots.
+    /// Adds a measurement of running and waiting calls, and keeps reports going if these
+    /// use more than [`QUIET_UTILIZATION`] of the backend's slots.
     pub fn record(&mut self, running: u32, waiting: u32, slots: f64, now: Moment) {
         let age = self
             .recorded_at
@@ -54,13 +55,13 @@
         }
     }
 
-    /// Records that the zone of the backend is loaded: each of its members then reports its
-    /// own load.
+    /// Keeps reports going because the whole zone of the backend is loaded, even if this
+    /// backend is not.
     pub fn zone_is_loaded(&mut self, now: Moment) {
         self.hold.extend(now);
     }
 
-    /// True while the load of the backend is to be reported.
+    /// True while the load of the backend must be sent to its zone.
     pub fn is_reporting(&self, now: Moment) -> bool {
         self.hold.is_reporting(now)
     }
--- a/crates/rampthread-core/src/call/log_rate_limit.rs
+++ b/crates/rampthread-core/src/call/log_rate_limit.rs
@@ -31,20 +31,20 @@
 struct TokenBucket {
     tokens: f64,
     refilled_at: Moment,
-    /// Lines suppressed since the last summary.
+    /// Lines of the cause that were not logged since the last summary.
     suppressed: u64,
 }
 
-/// Number of log lines of one cause that were suppressed since the last summary.
+/// One line of the summary: how many log lines were suppressed for a cause.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuppressedLines {
-    /// Cause of the failures that the lines would have reported.
+    /// Text of the cause that the suppressed lines are about.
     pub cause: &'static str,
-    /// Number of suppressed lines.
+    /// How many lines were not logged since the last summary.
     pub lines: u64,
 }
 
-/// Limits log lines by cause.
+/// Decides which log lines are written, with a token bucket for each cause.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
     buckets: BTreeMap<&'static str, TokenBucket>,
--- a/crates/rampthread-core/src/call/nested_call_detector.rs
+++ b/crates/rampthread-core/src/call/nested_call_detector.rs
@@ -1,8 +1,9 @@
 //! Detects routes with nested calls: calls that a backend makes while it serves another
-//! call. The detector runs in a gate, the node that forwards calls to its local backend.
+//! call. The detector runs in a gate node, the node that forwards calls to its local
+//! backend.
 //!
 //! Callers from outside send to any node, so their calls arrive from nodes of all services.
-//! A route that only one service calls, at a gate that others call too, carries nested
+//! A route that only one service calls, at a gate node that others call too, carries nested
 //! calls of that service: each parent call holds a slot there, and its work is lost if the
 //! nested call fails.
 
@@ -17,15 +18,15 @@
 /// Share of a route's calls that one service must make for them to count as nested.
 const MIN_SHARE: f64 = 0.99;
 
-/// Services that call one route, with the weight of their recent calls.
+/// The services that call one route, with the number of their recent calls.
 #[derive(Debug, Default)]
 struct Callers {
-    /// Number of recent calls of each service, discounted with each call.
+    /// Recent calls by service; each counts less with each newer call.
     weights: HashMap<String, f64>,
 }
 
 impl Callers {
-    /// Records a call of the service `caller`.
+    /// Counts a call from a node of the service `caller`.
     fn record(&mut self, caller: &str) {
         for weight in self.weights.values_mut() {
             *weight *= WEIGHT_DECAY;
@@ -46,7 +47,7 @@
     }
 }
 
-/// Detects nested calls at one gate, from which service calls which route.
+/// Detects nested calls at one gate node, from which service calls which route.
 #[derive(Debug, Default)]
 pub struct NestedCallDetector {
     routes: HashMap<ResourceName, Callers>,
@@ -75,7 +76,7 @@
                 .any(|callers| one_caller(callers) == Some(false))
     }
 
-    /// Drops all records. To be called when another backend replaces the local one.
+    /// Forgets all calls. To be called when another backend replaces the local one.
     pub fn clear(&mut self) {
         self.routes.clear();
     }
--- a/crates/rampthread-core/src/call/nested_routes.rs
+++ b/crates/rampthread-core/src/call/nested_routes.rs
@@ -1,9 +1,9 @@
 //! Routes that carry nested calls (calls that a backend makes while it serves another), as
-//! an entry knows them. The entry is the node that receives a call.
+//! an entry node knows them. The entry node is the node that receives a call.
 //!
-//! An entry sees the calls of one node only, where calls of clients and of the local
-//! backend look alike. Gates, the nodes that forward calls to backends, see the calls of
-//! many nodes and can tell them apart (see
+//! An entry node sees the calls of one node only, where calls of clients and of the local
+//! backend look alike. Gate nodes, the nodes that forward calls to backends, see the calls
+//! of many nodes and can tell them apart (see
 //! [`nested_call_detector`](super::nested_call_detector)); they report nested calls with
 //! their responses.
 
@@ -12,20 +12,21 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for which a gate's report counts. A gate that has seen few calls reports nothing,
-/// so a missing report denies nothing; a route that callers from outside begin to use
-/// counts as nested for at most this long.
+/// Time for which a gate node's report counts. A gate node that has seen few calls reports
+/// nothing, so a missing report denies nothing; a route that callers from outside begin to
+/// use counts as nested for at most this long.
 const REPORT_TTL: Duration = Duration::from_secs(30);
 
-/// Routes that gates have reported to carry nested calls from this node.
+/// The routes whose calls from this node are nested, i.e. made by the local backend while
+/// it serves another call, as other nodes have reported them.
 #[derive(Debug, Default)]
 pub struct NestedRoutes {
-    /// Time of the last report for each route.
+    /// When a gate node last reported that calls of the route are nested.
     last_reports: HashMap<ResourceName, Moment>,
 }
 
 impl NestedRoutes {
-    /// Records the report of a gate that calls of `route` from this node are nested.
+    /// Stores the report of a gate node that calls of `route` from this node are nested.
     pub fn record_report(&mut self, route: &ResourceName, now: Moment) {
         match self.last_reports.get_mut(route) {
             Some(at) => *at = now,
--- a/crates/rampthread-core/src/call/path_delay.rs
+++ b/crates/rampthread-core/src/call/path_delay.rs
@@ -22,7 +22,7 @@
     /// Number that tells runs of the sending process apart; its clock starts anew with each
     /// run.
     pub process_epoch: u32,
-    /// Time between the start of the sending process and the sending of the hop.
+    /// Age of the sending process when it sent the hop.
     pub since_start: Duration,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Fastest path seen from one machine.
+/// The least time that a hop from one machine took, up to an unknown difference of clocks.
 #[derive(Debug, Clone, Copy)]
 struct IdlePath {
     process_epoch: u32,
@@ -56,7 +56,7 @@
     least_difference: i64,
 }
 
-/// Measures the delays of hops that one node receives, by sending machine.
+/// Delays of the hops that one node receives. Each sending machine has its own idle path.
 #[derive(Debug, Default)]
 pub struct PathDelays {
     senders: HashMap<IpAddr, IdlePath>,
--- a/crates/rampthread-core/src/call/peer_crash_detector.rs
+++ b/crates/rampthread-core/src/call/peer_crash_detector.rs
@@ -1,9 +1,10 @@
-//! Detects crashes of backends at an entry, the node that sent the calls.
+//! Detects crashes of backends at an entry node, the node that sent the calls.
 //!
-//! The gate of a backend, which forwards calls to it, detects crashes first. But the gate
-//! may end together with the backend, or before the next incarnation of the backend
-//! reports; the entry still knows which responses it never got. Gate and entry report a
-//! crash with the same request identity and incarnation, so that it counts once.
+//! The gate node of a backend, which forwards calls to it, detects crashes first. But the
+//! gate node may end together with the backend, or before the next incarnation of the
+//! backend reports; the entry node still knows which responses it never got. Gate and entry
+//! node report a crash with the same request identity and incarnation, so that it counts
+//! once.
 
 use super::crash_detector::{CrashDetector, CrashSuspect};
 use crate::ids::{InstanceId, NodeId};
@@ -11,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The backend that is present at a node now.
+/// The backend that a node has now, according to the member table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CurrentBackend {
     /// Incarnation of the backend.
@@ -20,8 +21,9 @@
     pub leaving: bool,
 }
 
-/// Lost responses of the backends of all nodes. Each is kept for 10 s; at 67 calls per
-/// second, the load that an entry is designed for, there are a few hundred at worst.
+/// Lost responses of the backends of all other nodes, as an entry node sees them. Each is
+/// kept for 10 s; at 67 calls per second, the load that an entry node is designed for,
+/// there are a few hundred at worst.
 #[derive(Debug, Default)]
 pub struct PeerCrashDetector {
     detectors: BTreeMap<NodeId, CrashDetector>,
--- a/crates/rampthread-core/src/call/precedence.rs
+++ b/crates/rampthread-core/src/call/precedence.rs
@@ -17,7 +17,7 @@
 }
 
 impl Precedence {
-    /// Value of the precedence header between nodes.
+    /// Text for the precedence header between nodes.
     pub fn as_str(self) -> &'static str {
         match self {
             Precedence::Nested => "dependency",
@@ -27,7 +27,7 @@
     }
 
     /// Parses the precedence header; any value but `retry` means a first attempt. Nested
-    /// calls are detected by the gate itself and never accepted from another node.
+    /// calls are detected by the gate node itself and never accepted from another node.
     pub fn parse(word: Option<&str>) -> Precedence {
         match word {
             Some("retry") => Precedence::Retry,
--- a/crates/rampthread-core/src/call/rank_queue.rs
+++ b/crates/rampthread-core/src/call/rank_queue.rs
@@ -19,17 +19,17 @@
 /// One in this many calls taken from the queue is a longer one, if one waits.
 const TURNS_PER_LONGER_CALL: u32 = 4;
 
-/// Number and total service time of some waiting calls.
+/// Size of a set of waiting calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Backlog {
-    /// Number of calls.
+    /// How many calls are in the set.
     pub calls: u32,
-    /// Sum of the calls' expected service times.
+    /// Sum of the expected service times of the calls in the set.
     pub service_time: Duration,
 }
 
 impl Backlog {
-    /// Adds a call; one of unknown service time counts as `mean`.
+    /// Adds a call to the set; one of unknown service time counts as `mean`.
     fn add(&mut self, arrival: &Arrival, mean: Duration) {
         self.calls += 1;
         self.service_time += arrival.expected_service_time.unwrap_or(mean);
@@ -56,20 +56,20 @@
     (arrival.precedence, length, arrival.deadline)
 }
 
-/// Waiting calls of one rank, by caller.
+/// Queue of the waiting calls of one rank, ordered by precedence, fairness and length.
 #[derive(Debug, Default)]
 pub struct RankQueue {
     /// Calls of each caller, in the order in which they are served.
     waiting: HashMap<String, VecDeque<Arrival>>,
     fair_queue: FairQueue,
-    /// Number of waiting calls of all callers.
+    /// Waiting calls of all callers together.
     length: u32,
     /// Calls taken since a longer call went before shorter ones.
     turns_taken: u32,
 }
 
 impl RankQueue {
-    /// Number of waiting calls.
+    /// How many calls wait.
     pub fn len(&self) -> u32 {
         self.length
     }
@@ -79,12 +79,12 @@
         self.length == 0
     }
 
-    /// Number of callers with waiting calls.
+    /// How many callers have calls in the queue.
     pub fn callers(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Inserts a call into its caller's queue, by sort key.
+    /// Puts a call into the queue of its caller, in the order in which they are served.
     pub fn push(&mut self, arrival: Arrival) {
         if self.is_empty() {
             self.fair_queue.reset();
@@ -95,7 +95,7 @@
         self.length += 1;
     }
 
-    /// Removes and returns the call that is served next.
+    /// Takes the call that is served next from the queue; `None` if the queue is empty.
     pub fn pop(&mut self) -> Option<Arrival> {
         self.turns_taken += 1;
         if self.turns_taken >= TURNS_PER_LONGER_CALL {
@@ -143,7 +143,8 @@
             .min()
     }
 
-    /// Removes `call` from the queue; `None` if it is not in it.
+    /// Takes `call` out of the queue without serving it; `None` if the queue does not
+    /// contain it.
     pub fn remove(&mut self, call: CallNumber) -> Option<Arrival> {
         let (caller, index) = self.waiting.iter().find_map(|(caller, queue)| {
             let index = queue.iter().position(|arrival| arrival.call == call)?;
@@ -158,33 +159,33 @@
         removed
     }
 
-    /// Totals over all waiting calls; a call of unknown service time counts as `mean`.
+    /// Size of the whole queue; a call of unknown service time counts as `mean`.
     pub fn backlog(&self, mean: Duration) -> Backlog {
         backlog_of(self.waiting.values().flatten(), mean)
     }
 
-    /// Totals over the waiting calls that go before `arrival`; a call of unknown service
+    /// Size of the part of the queue that goes before `arrival`; a call of unknown service
     /// time counts as `mean`.
     pub fn ahead_of(&self, arrival: &Arrival, mean: Duration) -> Backlog {
         let ahead = |waiting: &&Arrival| sort_key(waiting) <= sort_key(arrival);
         backlog_of(self.waiting.values().flatten().filter(ahead), mean)
     }
 
-    /// Totals over the waiting calls of the same caller that go before `arrival`; a call of
-    /// unknown service time counts as zero.
+    /// Size of the part of the queue that is of the same caller and goes before `arrival`;
+    /// a call of unknown service time counts as zero.
     pub fn own_ahead_of(&self, arrival: &Arrival) -> Backlog {
         let own = self.waiting.get(&arrival.caller);
         let ahead = |waiting: &&Arrival| sort_key(waiting) <= sort_key(arrival);
         backlog_of(own.into_iter().flatten().filter(ahead), Duration::ZERO)
     }
 
-    /// Number of waiting calls of `caller`.
+    /// How many calls of `caller` wait.
     pub fn of_caller(&self, caller: &str) -> u32 {
         self.waiting.get(caller).map_or(0, VecDeque::len) as u32
     }
 }
 
-/// Totals over `arrivals`; a call of unknown service time counts as `mean`.
+/// Sums up a set of calls; a call of unknown service time counts as `mean`.
 fn backlog_of<'a>(arrivals: impl Iterator<Item = &'a Arrival>, mean: Duration) -> Backlog {
     let mut backlog = Backlog::default();
     for arrival in arrivals {
--- a/crates/rampthread-core/src/call/recent_responses.rs
+++ b/crates/rampthread-core/src/call/recent_responses.rs
@@ -14,17 +14,17 @@
 /// designed for 67 calls per second.
 const MAX_RESPONSES: usize = 4_096;
 
-/// Times of recent responses to requests of one node's callers.
+/// Remembers which requests backends have answered lately, for the callers of one node.
 #[derive(Debug, Default)]
 pub struct RecentResponses {
-    /// Time of the last response to each request.
+    /// When each request was last answered.
     last: HashMap<RequestIdentity, Moment>,
     /// All responses, oldest first; a request that was answered again has several.
     order: VecDeque<(Moment, RequestIdentity)>,
 }
 
 impl RecentResponses {
-    /// Records that a backend has answered the request with a complete response.
+    /// Remembers that a backend has answered the request with a complete response.
     pub fn note(&mut self, identity: RequestIdentity, now: Moment) {
         self.last.insert(identity, now);
         self.order.push_back((now, identity));
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Time of the last response to the request; `None` if none is remembered.
+    /// When the request was last answered; `None` if that is not remembered.
     pub fn last(&self, identity: &RequestIdentity) -> Option<Moment> {
         self.last.get(identity).copied()
     }
 
-    /// Number of requests with a remembered response.
+    /// How many answered requests are remembered.
     pub fn len(&self) -> usize {
         self.last.len()
     }
 
-    /// True if no response is remembered.
+    /// True if no answered request is remembered.
     pub fn is_empty(&self) -> bool {
         self.last.is_empty()
     }
--- a/crates/rampthread-core/src/call/response_check.rs
+++ b/crates/rampthread-core/src/call/response_check.rs
@@ -10,7 +10,7 @@
 use http::header::CONTENT_ENCODING;
 use http::{HeaderMap, HeaderName, StatusCode};
 
-/// Result of checking a response against the call.
+/// Whether a backend's response belongs to the call, and what it says of the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseCheck {
     /// The response belongs to the call.
@@ -25,21 +25,21 @@
     MismatchedResponse(&'static str),
 }
 
-/// Ids that a response to a call may name.
+/// Ids by which a response can name the call that it belongs to.
 #[derive(Debug, Clone, Copy)]
 pub struct CallIds<'a> {
-    /// Id of the request, chosen by the caller or the entry.
+    /// Id of the request, chosen by the caller or the entry node.
     pub request_id: &'a str,
     /// Id of the present attempt to deliver the call.
     pub call_id: &'a str,
 }
 
-/// Status and headers of a backend's response.
+/// The parts of a backend's response by which it is checked.
 #[derive(Debug, Clone, Copy)]
 pub struct ResponseHead<'a> {
-    /// HTTP status of the response.
+    /// Compared with the statuses by which backends report that they did not run a call.
     pub status: StatusCode,
-    /// Headers of the response, by which it is checked.
+    /// Searched for the ids and reports of the backend.
     pub headers: &'a HeaderMap,
 }
 
--- a/crates/rampthread-core/src/call/retry_after.rs
+++ b/crates/rampthread-core/src/call/retry_after.rs
@@ -1,7 +1,7 @@
 //! Decides when the caller of a shed call should retry.
 //!
-//! A gate that is full knows when a slot will be free. A backend that sheds a call beside
-//! free slots is different: there is no queue to wait for, and the next call may be
+//! A gate node that is full knows when a slot will be free. A backend that sheds a call
+//! beside free slots is different: there is no queue to wait for, and the next call may be
 //! accepted. Its caller should retry while a response can still be in time, and callers
 //! should not all retry at once.
 
--- a/crates/rampthread-core/src/call/retry_budget.rs
+++ b/crates/rampthread-core/src/call/retry_budget.rs
@@ -22,19 +22,20 @@
 /// retry spares their callers a round trip.
 const MIN_CALLER_SHARE: f64 = 0.25;
 
-/// Limit of the retries that one node may send to a service's backends.
+/// How many retries one node may send to the backends of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimit {
-    /// Number of retries per call, from 0 to 1.
+    /// Allowed retries per call, from 0 to 1.
     pub ratio: f64,
-    /// Number of retries per window beyond those that `ratio` allows.
+    /// Allowed retries per window beyond `ratio`, so that a service with few calls can
+    /// retry too.
     pub slack: f64,
-    /// Length of the sliding window.
+    /// Time over which calls and retries are counted.
     pub window: Duration,
 }
 
 impl RetryLimit {
-    /// Creates a limit of this many retries per hundred calls.
+    /// Limit of `percent` retries per hundred calls, with the default slack and window.
     pub fn percent(percent: u8) -> Self {
         Self {
             ratio: f64::from(percent) / 100.0,
@@ -44,7 +45,7 @@
     }
 }
 
-/// Class of a call that asks for a retry.
+/// Which calls compete for a service's retries: nested ones go first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RetryClass {
     /// A call that a backend makes while it serves another: if it fails, the work done for
@@ -56,7 +57,7 @@
 }
 
 impl RetryClass {
-    /// Value of the class in metrics.
+    /// Text of the class in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RetryClass::Nested => "nested",
@@ -65,17 +66,17 @@
     }
 }
 
-/// Counts over one part of the sliding window.
+/// Calls and retries in one part of the sliding window.
 #[derive(Debug, Clone, Copy)]
 struct WindowPart {
-    /// Time since the epoch of the clock, in lengths of a part.
+    /// Index of the part since time zero; consecutive parts have consecutive numbers.
     number: u64,
     calls: u32,
-    /// Number of retries of calls of both classes.
+    /// Retries that were allowed, of both classes.
     retries: u32,
-    /// Number of retries of calls of [`RetryClass::Caller`].
+    /// Retries that were allowed to calls of [`RetryClass::Caller`].
     caller_retries: u32,
-    /// Number of retries that nested calls asked for, including those denied.
+    /// Retries that nested calls asked for, whether allowed or not.
     nested_requests: u32,
 }
 
@@ -84,13 +85,13 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     limit: RetryLimit,
-    /// Every retry is allowed.
+    /// True if every retry is allowed.
     unlimited: bool,
     parts: VecDeque<WindowPart>,
 }
 
 impl RetryBudget {
-    /// Creates a budget with this limit.
+    /// Creates a budget that allows retries up to `limit`.
     pub fn new(limit: RetryLimit) -> Self {
         Self {
             limit,
@@ -112,12 +113,13 @@
         self.limit = limit;
     }
 
-    /// Records a call to the service, which adds to the budget.
+    /// Counts a call to the service, which allows more retries.
     pub fn call_made(&mut self, now: Moment) {
         self.part(now).calls += 1;
     }
 
-    /// Takes one retry for a call of this class. False if the budget does not allow it.
+    /// Takes one retry for a call of this class out of the budget. False if the budget is
+    /// used up.
     pub fn take(&mut self, class: RetryClass, now: Moment) -> bool {
         let allowed = self.allows(class, now);
         let unlimited = self.unlimited;
@@ -141,7 +143,7 @@
         part.caller_retries = part.caller_retries.saturating_sub(caller_retry);
     }
 
-    /// True if the budget has a retry left for this class.
+    /// True if calls of this class may take one more retry.
     fn allows(&mut self, class: RetryClass, now: Moment) -> bool {
         if self.unlimited {
             return true;
@@ -160,7 +162,7 @@
         class == RetryClass::Nested || fits(caller_retries, caller_limit)
     }
 
-    /// Number of the window part that a time falls into.
+    /// Index of the window part that contains the time `at`.
     fn part_number(&self, at: Moment) -> u64 {
         let length = (self.limit.window.as_micros() as u64 / WINDOW_PARTS).max(1);
         at.0 / length
--- a/crates/rampthread-core/src/call/route_table.rs
+++ b/crates/rampthread-core/src/call/route_table.rs
@@ -12,16 +12,16 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The parts of a call that are compared with routes.
+/// The parts of a call by which its route is found.
 #[derive(Debug, Clone, Copy)]
 pub struct CallHead<'a> {
     /// Host that the request names, without the port.
     pub host: Option<&'a str>,
-    /// Path of the request, without the query.
+    /// Path without the query, compared with the exact path or prefix of routes.
     pub path: &'a str,
-    /// Method that the route may restrict.
+    /// Compared with the methods of routes that restrict them.
     pub method: &'a http::Method,
-    /// Headers that the route may require.
+    /// Compared with the headers that routes require.
     pub headers: &'a http::HeaderMap,
 }
 
@@ -41,7 +41,7 @@
     /// Sorts the routes of `state` by precedence and indexes them by host.
     pub fn new(state: &ConfigState) -> Self {
         let mut routes: Vec<&Route> = state.routes().collect();
-        routes.sort_by_key(|route| rank(route));
+        routes.sort_by_key(|route| specificity(route));
         let mut table = RouteTable::default();
         for route in routes {
             let list = match &route.host {
@@ -58,12 +58,14 @@
         let host = head.host.map(str::to_ascii_lowercase);
         let host_routes = host.and_then(|host| self.by_host.get(&host));
         let candidates = host_routes.into_iter().flatten().chain(&self.any_host);
-        candidates.into_iter().find(|route| matches(route, head))
+        candidates
+            .into_iter()
+            .find(|route| route_matches(route, head))
     }
 }
 
-/// Sort key of a route: the most specific route has the least key.
-fn rank(route: &Route) -> Reverse<(bool, bool, usize, bool, usize, ResourceName)> {
+/// Sort key by which the most specific route comes first.
+fn specificity(route: &Route) -> Reverse<(bool, bool, usize, bool, usize, ResourceName)> {
     Reverse((
         route.host.is_some(),
         matches!(route.path, PathMatch::Exact(_)),
@@ -74,14 +76,14 @@
     ))
 }
 
-fn matches(route: &Route, head: &CallHead<'_>) -> bool {
+fn route_matches(route: &Route, head: &CallHead<'_>) -> bool {
     path_matches(&route.path, head.path)
         && method_matches(route, head.method)
         && headers_match(route, head.headers)
 }
 
-/// Matches a path. A prefix ends at a segment boundary: `/a` matches `/a` and `/a/b`, not
-/// `/ab`.
+/// True if `path` matches. A prefix must end at a segment boundary: `/a` matches `/a` and
+/// `/a/b`, not `/ab`.
 fn path_matches(wanted: &PathMatch, path: &str) -> bool {
     match wanted {
         PathMatch::Exact(exact) => path == exact,
@@ -94,12 +96,12 @@
     }
 }
 
-/// A route without methods matches all of them.
+/// True if the route allows the method; a route without methods allows all.
 fn method_matches(route: &Route, method: &http::Method) -> bool {
     route.methods.is_empty() || route.methods.iter().any(|wanted| wanted == method.as_str())
 }
 
-/// True if the request has each header that the route requires, with the same value.
+/// True if each header that the route requires is present with the required value.
 fn headers_match(route: &Route, headers: &http::HeaderMap) -> bool {
     route.headers.iter().all(|wanted| {
         headers
@@ -129,7 +131,8 @@
     None
 }
 
-/// Returns whether a backend may run a call of this route twice.
+/// Returns whether calls of this route and method may run more than once, so that they can
+/// be retried after an unknown outcome.
 pub fn is_repeatable(route: &Route, method: &http::Method) -> bool {
     match route.repeatability {
         Repeatability::Always => true,
--- a/crates/rampthread-core/src/call/service_times.rs
+++ b/crates/rampthread-core/src/call/service_times.rs
@@ -1,5 +1,6 @@
-//! Mean service times at one backend, by route, and how long a call may wait for a slot:
-//! the time that the target latency of its route leaves beside its service time.
+//! Mean service times at one backend, by route, and the maximum queueing times that follow
+//! from them. A call may wait as long as its route's target latency allows after its own
+//! service time is subtracted.
 
 use super::precedence::Precedence;
 use crate::ids::ResourceName;
@@ -17,17 +18,17 @@
 /// their slots meanwhile: where services call each other in a ring, longer waits cost more
 /// responses than the parents' work is worth.
 const NESTED_WAIT_RATIO: f64 = 0.15;
-/// Ratio of the target latency that any call may wait.
+/// Minimum of a call's maximum queueing time, as a ratio of the target latency.
 const MIN_WAIT_RATIO: f64 = 0.15;
 
-/// Mean time that one backend needs for a call, by route.
+/// Moving averages of the service time at one backend, by route.
 #[derive(Debug, Default)]
 pub struct ServiceTimes {
     means: HashMap<ResourceName, Duration>,
 }
 
 impl ServiceTimes {
-    /// Records that the backend served a call of `route` in this time.
+    /// Updates the mean of `route` after a call that took this long.
     pub fn record(&mut self, route: &ResourceName, time: Duration) {
         match self.means.get_mut(route) {
             Some(mean) => {
--- a/crates/rampthread-core/src/call/speed_meter.rs
+++ b/crates/rampthread-core/src/call/speed_meter.rs
@@ -1,5 +1,5 @@
-//! Measures the speed of the local backend of a gate, the node that forwards calls to it,
-//! from all responses of the backend and from its own reports.
+//! Measures the speed of the local backend of a gate node, the node that forwards calls to
+//! it, from all responses of the backend and from its own reports.
 //!
 //! The long-term speed is the time that the served calls usually take, divided by the time
 //! that they took: a ratio of sums, so that mixed routes and a few long calls have little
@@ -31,14 +31,14 @@
 /// time.
 #[derive(Debug, Clone)]
 pub struct SpeedMeter {
-    /// Number of recent calls, discounted with each call.
+    /// Recent calls, each with a weight that shrinks with each newer one.
     calls: f64,
     /// Seconds that the recent calls usually take, and seconds that they took (`taken`).
     usual: f64,
     taken: f64,
     /// Reported long-term speed, as an exponent of [`STEP`].
     reported_steps: i32,
-    /// Time of the last change of the reported speed.
+    /// When the reported speed changed last; `None` if it never did.
     changed: Option<Moment>,
     /// Time until which the backend is expected to be slow after its start.
     warm_up_until: Moment,
@@ -92,7 +92,8 @@
         self.update_reported(now);
     }
 
-    /// Changes the reported speed if the measured one differs clearly from it.
+    /// Reports the measured speed if it differs enough from the reported one, but not too
+    /// often.
     fn update_reported(&mut self, now: Moment) {
         let recent = |at: Moment| now.since(at) < MIN_CHANGE_INTERVAL;
         if !self.is_known() || self.changed.is_some_and(recent) {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Current service time in percent of the usual one; the usual one without a recent
-    /// report.
+    /// Service time that the backend reported last, in percent of the usual one; 100 if the
+    /// report is missing or too old.
     fn service_time_percent(&self, now: Moment) -> u16 {
         let fresh = |(_, at): &(u16, Moment)| now.since(*at) < MAX_REPORT_AGE;
         let current = self.current.filter(fresh);
@@ -119,12 +120,13 @@
         speed.round() as u16
     }
 
-    /// True once enough calls were measured to report a speed.
+    /// False until enough calls were measured; the reported speed is the usual one until
+    /// then.
     pub fn is_known(&self) -> bool {
         self.calls >= MIN_CALLS
     }
 
-    /// Speed of the backend to be reported at `now`.
+    /// What the backend's node reports to others at `now`.
     pub fn speed(&self, now: Moment) -> BackendSpeed {
         BackendSpeed {
             speed_percent: self.speed_percent(),
--- a/crates/rampthread-core/src/call/tenant_table.rs
+++ b/crates/rampthread-core/src/call/tenant_table.rs
@@ -19,7 +19,7 @@
     by_key: HashMap<KeyDigest, Arc<Tenant>>,
     /// Tenants with a rate limit, by the hash that nodes send to each other.
     limited: HashMap<TenantHash, Arc<Tenant>>,
-    /// The configuration has tenants.
+    /// False in a configuration without tenants, where calls need no API key.
     in_use: bool,
 }
 
@@ -29,7 +29,7 @@
     /// The request has no API key, or none that can be parsed.
     #[error("the request has no key of a tenant")]
     NoKey,
-    /// No tenant has the API key of the request.
+    /// Cause of the error response that the caller gets.
     #[error("the request's key belongs to no tenant")]
     UnknownKey,
 }
@@ -45,7 +45,7 @@
 }
 
 impl TenantTable {
-    /// Indexes the tenants of `state`.
+    /// Indexes the tenants of a configuration by API key.
     pub fn new(state: &ConfigState) -> Self {
         let mut table = TenantTable::default();
         for tenant in state.tenants() {
@@ -67,17 +67,17 @@
         self.in_use
     }
 
-    /// Rate limit of a tenant; `None` if the tenant has none or is unknown.
+    /// Rate limit of the tenant with this hash; `None` if it has no limit or is unknown.
     pub fn limit(&self, tag: TenantHash) -> Option<RateLimit> {
         self.limited.get(&tag)?.limit()
     }
 
-    /// Iterates over the tenants that have a rate limit.
+    /// Tenants with a rate limit, each with the hash by which load reports name it.
     pub fn limited(&self) -> impl Iterator<Item = (TenantHash, &Arc<Tenant>)> {
         self.limited.iter().map(|(tag, tenant)| (*tag, tenant))
     }
 
-    /// True when any tenant has a rate limit.
+    /// False if no tenant has a rate limit, so that demand of tenants need not be reported.
     pub fn has_limits(&self) -> bool {
         !self.limited.is_empty()
     }
@@ -108,7 +108,8 @@
     }
 }
 
-/// True if `key` can be sent as an API key in an `Authorization` header.
+/// True if `key` fits in an `Authorization` header: visible ASCII without spaces at its
+/// ends, and not too long.
 pub fn is_valid_key(key: &str) -> bool {
     let visible = |byte: u8| byte == b' ' || byte.is_ascii_graphic();
     let whole = !key.is_empty() && key.trim() == key;
--- a/crates/rampthread-core/src/call/zone_spill.rs
+++ b/crates/rampthread-core/src/call/zone_spill.rs
@@ -3,10 +3,10 @@
 //!
 //! Demand swings in each zone independently, and backends are not distributed as callers
 //! are. A zone at 1.3 of its capacity and one at 0.7 can together serve all calls, if the
-//! excess leaves before queues form. All entries, the nodes that receive calls, compute the
-//! same plan from the same sums: each spills the same fraction of its own calls, and to
+//! excess leaves before queues form. All entry nodes, the nodes that receive calls, compute
+//! the same plan from the same sums: each spills the same fraction of its own calls, and to
 //! each zone with spare slots in proportion to these, so that no slot is given away twice
-//! though all entries decide at the same time. Demand counts the callers of a zone,
+//! though all entry nodes decide at the same time. Demand counts the callers of a zone,
 //! wherever their calls are served: spilled calls do not change the figures that the plan
 //! is made from, so that zones do not send calls back and forth.
 
@@ -35,10 +35,10 @@
 /// ended.
 const MIN_REPORTED_RATIO: f64 = 0.5;
 
-/// Capacity of one zone for one service, and the demand of the zone's callers.
+/// Slots that one zone has for one service, and slots that the zone's callers need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneDemand {
-    /// Name of the zone.
+    /// Name of the zone that capacity and demand belong to.
     pub zone: Zone,
     /// Slots of the service's backends in the zone.
     pub capacity: f64,
@@ -65,15 +65,15 @@
 }
 
 impl SpillPlan {
-    /// True if `zone` has spare slots.
+    /// True if `zone` has capacity to spare; false also for zones whose demand is unknown.
     pub fn has_spare_slots(&self, zone: &Zone) -> bool {
         self.spare_slots
             .iter()
             .any(|(with_room, _)| with_room == zone)
     }
 
-    /// Picks the zone for a spilled call at random, in proportion to spare slots. `None` if
-    /// no zone has any.
+    /// Picks the zone that a spilled call goes to, at random in proportion to spare slots.
+    /// `None` if no zone has any.
     pub fn pick_zone(&self, rng: &mut impl Rng) -> Option<&Zone> {
         let all: f64 = self.spare_slots.iter().map(|(_, spare)| spare).sum();
         let mut remaining = rng.random_range(0.0..all.max(f64::MIN_POSITIVE));
@@ -124,8 +124,8 @@
         })
 }
 
-/// Capacity and demand of one zone, with assumed demand if the zone is quiet; `None` if its
-/// demand cannot be told.
+/// Capacity and demand of one zone. A quiet zone counts with assumed demand; `None` if the
+/// zone was loaded when it fell silent.
 fn zone_demand(
     service: &ResourceName,
     zone: &Zone,
@@ -162,17 +162,17 @@
     (!was_at_work || report.age >= MAX_LOADED_SILENCE).then_some(resting)
 }
 
-/// The load of `service` in a zone's report.
+/// Finds the load of `service` in the report of a zone; `None` if the report lacks it.
 fn load_of<'a>(service: &ResourceName, report: &'a ZoneLoad) -> Option<&'a ServiceLoad> {
     report.services.iter().find(|load| load.service == *service)
 }
 
-/// Converts a load from the unit of load reports to slots.
+/// Load reports are in thousandths of a slot.
 fn from_milli_slots(load: MilliSlots) -> f64 {
     f64::from(load) / MILLI_SLOTS_PER_SLOT
 }
 
-/// Converts slots to the unit of load reports.
+/// Converts slots to thousandths of a slot, the unit of load reports.
 pub fn to_milli_slots(slots: f64) -> MilliSlots {
     (slots * MILLI_SLOTS_PER_SLOT).round() as MilliSlots
 }
