--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -132,7 +132,7 @@
     VersionAdopted {
         /// Version that became active.
         version: Version,
-        /// Source from which this node got the version.
+        /// Where this node got the version: the log, the store or a peer.
         learnt_from: VersionSource,
         /// Milliseconds since the store last answered this node for the document. Absent if it
         /// never did, or if the configuration is a change log.
@@ -147,20 +147,20 @@
         /// Problems that led to the rejection.
         reason: String,
     },
-    /// A version waits for its witnesses, other nodes that record it before this node activates
-    /// it.
+    /// A version waits for witness nodes. These are peers that record the version before this
+    /// node activates it.
     AdoptionWaits {
         /// Version that waits.
         version: Version,
-        /// Witnesses that have not acknowledged the version yet.
+        /// Witness nodes that have not acknowledged the version yet.
         missing: Vec<NodeId>,
     },
-    /// The version floor after the restart is known.
+    /// The restart floor is known. It is the lowest version that this restarted node may
+    /// activate.
     FloorConfirmed {
-        /// Lowest version that this node may activate, so that it does not go back behind a
-        /// version of its previous run.
+        /// The restart floor: this node's previous run did not activate a higher version.
         floor: Version,
-        /// Source that confirmed the floor.
+        /// Who confirmed the restart floor.
         source: FloorSource,
     },
     /// The head of the log in the store is below the active version of this node. This node
@@ -235,7 +235,8 @@
         instances: Vec<InstanceId>,
         /// Milliseconds since the crash of each incarnation.
         ages_ms: Vec<u64>,
-        /// Milliseconds until one backend may run the request again as a trial.
+        /// Milliseconds until the quarantine trial, in which one backend runs the request
+        /// again.
         left_ms: u64,
     },
     /// The crashes recorded for a request no longer count, so the request is not quarantined.
@@ -274,25 +275,25 @@
     },
 }
 
-/// Source that confirmed the lowest version that a restarted node may activate.
+/// Who confirmed the restart floor, the lowest version that a restarted node may activate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FloorSource {
     /// A read of the store that began after the restart.
     Store,
-    /// A majority of the node's witnesses.
+    /// A majority of the node's witness nodes, which record the versions that the node
+    /// activates.
     Witnesses,
 }
 
-/// Work that the agent hands to its driver, which owns the network, the store client and the
-/// clock.
+/// Request of the agent to its driver, which owns the network, the store client and the clock.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a message to a peer.
     Send {
         /// Id of the receiving node.
         to: NodeId,
-        /// Address of the receiving node.
+        /// UDP address of the receiving node.
         address: SocketAddr,
         /// True if the receiving node is in another zone.
         crosses_zones: bool,
@@ -318,8 +319,8 @@
     /// The limits that rollouts set for routing have changed; the driver reads them from the
     /// agent.
     RolloutsChanged,
-    /// Ask the store for its era, since a peer reported this one. The store raises its era each
-    /// time it is restored from an older copy.
+    /// Ask the store for its store era, since a peer reported this one. The store raises the
+    /// era by one each time it is restored from an older copy.
     VerifyStoreEra(u64),
     /// Read the document from the store now, since a peer holds a newer one than this node.
     ReadDocument,
@@ -347,7 +348,7 @@
     LogDecision(Decision),
 }
 
-/// Collects the messages and actions of one agent step.
+/// Messages and actions produced by one step of the agent.
 #[derive(Debug, Default)]
 pub struct Outbox {
     /// Messages with their receivers. The agent adds addresses at the end of the step.
--- a/crates/rampthread-core/src/fleet/backend_tracker.rs
+++ b/crates/rampthread-core/src/fleet/backend_tracker.rs
@@ -13,15 +13,16 @@
 use crate::time::Moment;
 use std::collections::VecDeque;
 use std::time::Duration;
+
 /// Maximum number of earlier incarnations kept, to detect their late reports.
 const MAX_RETIRED: usize = 64;
 /// Minimum time for which an apparently earlier incarnation must report, and the current one be
 /// silent, before it replaces the current one. Delayed reports arrive up to seconds late, but
 /// close to each other.
 pub const MIN_SUPERSEDE_TIME: Duration = Duration::from_secs(5);
-/// The same in heartbeat intervals, since a backend is always silent between two heartbeats.
-/// With an interval of 5 s, [`MIN_SUPERSEDE_TIME`] alone would let a late report replace a live
-/// backend.
+/// Minimum supersede time in heartbeat intervals, since a backend is always silent between two
+/// heartbeats. With an interval of 5 s, [`MIN_SUPERSEDE_TIME`] alone would let a late report
+/// replace a live backend.
 const MIN_SUPERSEDE_HEARTBEATS: u32 = 3;
 
 /// Report of a backend to the node on its machine.
@@ -57,7 +58,7 @@
 
 /// Backend incarnation that may replace the current one if it keeps reporting.
 #[derive(Debug, Clone)]
-struct Candidate {
+struct SupersedeCandidate {
     incarnation: InstanceId,
     since: Moment,
     sequence: u64,
@@ -65,7 +66,7 @@
 
 /// Backend incarnation that departed or was replaced.
 #[derive(Debug)]
-struct Retired {
+struct PreviousIncarnation {
     /// Name of the incarnation. A plain id, if the departure did not include the start time,
     /// matches all incarnations with this id.
     instance: InstanceId,
@@ -80,18 +81,18 @@
     /// Minimum silence of the current incarnation before another one may replace it.
     supersede_time: Duration,
     current: Option<EndpointRecord>,
-    /// Time of the last report of the current incarnation.
+    /// Arrival of the last report of the current incarnation.
     last_report_at: Moment,
     /// True if the current record was restored and the backend has not reported to this process
     /// yet.
     unconfirmed: bool,
-    candidate: Option<Candidate>,
-    retired: VecDeque<Retired>,
+    candidate: Option<SupersedeCandidate>,
+    retired: VecDeque<PreviousIncarnation>,
 }
 
-/// Relation of a heartbeat to the current incarnation.
+/// How the incarnation in a heartbeat relates to the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Relation {
+enum IncarnationRelation {
     Same,
     Newer,
     PossiblyStale,
@@ -124,25 +125,29 @@
         }
     }
 
-    /// Restores the record known to an earlier run of this node. Returns it unless a record is
-    /// known already. Any heartbeat of the same incarnation is newer.
+    /// Restores the record of the backend that an earlier run of this node has written to the
+    /// store. Returns the record, or `None` if the backend's state is already known. Any
+    /// heartbeat of the same incarnation is newer.
     pub fn restore(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         match self.current {
-            None => self.restore_record(record),
+            None => self.set_restored_record(record),
             Some(_) => None,
         }
     }
 
-    /// Restores a record received from a peer. It replaces a record from the store, which lags
-    /// by some seconds, if it contains a departure or a later incarnation.
+    /// Restores the record of the backend that a peer received from an earlier run of this
+    /// node. It replaces a record restored from the store, which lags by some seconds, if it
+    /// contains a departure or a later incarnation.
     pub fn restore_from_peer(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         match self.supersedes_restored(&record) {
-            true => self.restore_record(record),
+            true => self.set_restored_record(record),
             false => None,
         }
     }
 
-    fn restore_record(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
+    /// Makes a record from an earlier run of this node the current one, unless its incarnation
+    /// is known to have ended. Heartbeats of any sequence number are newer.
+    fn set_restored_record(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         if self.is_retired(&record.instance) {
             return None;
         }
@@ -154,20 +159,22 @@
         Some(record)
     }
 
+    /// Returns true if the current record was restored from the store and `record` contains a
+    /// departure or a later incarnation.
     fn supersedes_restored(&self, record: &EndpointRecord) -> bool {
         let Some(current) = &self.current else {
             return true;
         };
-        let newer = match relation(current, record) {
-            Relation::Same => record.draining && !current.draining,
-            Relation::Newer => !current.draining,
-            Relation::PossiblyStale => false,
+        let newer = match compare_incarnations(current, record) {
+            IncarnationRelation::Same => record.draining && !current.draining,
+            IncarnationRelation::Newer => !current.draining,
+            IncarnationRelation::PossiblyStale => false,
         };
         self.unconfirmed && newer
     }
 
     /// Drops a restored record that no heartbeat has confirmed, since the backend may have
-    /// departed at the end of the previous run. Returns true if there was one.
+    /// departed at the end of the node's previous run. Returns true if there was such a record.
     pub fn drop_unconfirmed(&mut self) -> bool {
         let dropped = self.unconfirmed && self.current.is_some();
         if dropped {
@@ -177,8 +184,9 @@
         dropped
     }
 
-    /// Handles a response of another incarnation at the backend's address. `instance` counts as
-    /// gone until its next report. Returns true if it was the current one.
+    /// Handles a response of the backend's address that names another incarnation than the
+    /// expected `instance`. The expected one counts as gone until its next report. Returns true
+    /// if it was the current one.
     pub fn on_instance_mismatch(&mut self, instance: &InstanceId) -> bool {
         let is_current = self
             .current
@@ -190,35 +198,40 @@
         is_current
     }
 
-    /// Clears the current record. An acknowledged departure is remembered, so that a delayed
-    /// heartbeat does not revoke it. Otherwise the next heartbeat restores the backend.
+    /// Clears the record of the current incarnation. An acknowledged departure is remembered,
+    /// so that a delayed heartbeat does not revoke it. Otherwise the next heartbeat brings the
+    /// incarnation back.
     fn drop_current(&mut self) {
         let current = self.current.take();
         if let Some(departed) = current.filter(|current| current.draining) {
-            self.retire(departed.instance, true);
+            self.retire_incarnation(departed.instance, true);
         }
     }
 
-    /// Returns the current incarnation and the time of its last report to this process.
+    /// Returns the current incarnation and the arrival of its last report. `None` if it has not
+    /// reported to this process.
     pub fn last_report(&self) -> Option<(&InstanceId, Moment)> {
         let current = self.current.as_ref().filter(|_| !self.unconfirmed)?;
         Some((&current.instance, self.last_report_at))
     }
 
+    /// Applies a heartbeat of any incarnation.
     fn apply_heartbeat(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         let relation = match &self.current {
-            Some(current) => relation(current, &record),
-            None => Relation::Newer,
+            Some(current) => compare_incarnations(current, &record),
+            None => IncarnationRelation::Newer,
         };
         match relation {
-            Relation::Same => self.update(record, now),
-            Relation::Newer if self.has_departed(&record.instance) => {
+            IncarnationRelation::Same => self.apply_current_heartbeat(record, now),
+            IncarnationRelation::Newer if self.has_departed(&record.instance) => {
                 self.apply_heartbeat_after_departure(record, now)
             }
-            Relation::Newer if !self.is_retired(&record.instance) => {
+            IncarnationRelation::Newer if !self.is_retired(&record.instance) => {
                 self.supersede_current(record, now)
             }
-            Relation::Newer | Relation::PossiblyStale => self.track_candidate(record, now),
+            IncarnationRelation::Newer | IncarnationRelation::PossiblyStale => {
+                self.track_supersede_candidate(record, now)
+            }
         }
     }
 
@@ -233,14 +246,14 @@
             present.map(|present| BackendIncarnation::from_name(&present.instance).started_at());
         let born = BackendIncarnation::from_name(&record.instance).started_at();
         if present.is_some_and(|present| present.is_none() || born <= present) {
-            return self.track_candidate(record, now);
+            return self.track_supersede_candidate(record, now);
         }
         record.draining = true;
         self.supersede_current(record, now)
     }
 
     /// Applies a heartbeat of the current incarnation.
-    fn update(&mut self, mut record: EndpointRecord, now: Moment) -> ReportStatus {
+    fn apply_current_heartbeat(&mut self, mut record: EndpointRecord, now: Moment) -> ReportStatus {
         let Some(current) = &self.current else {
             return self.supersede_current(record, now);
         };
@@ -263,7 +276,8 @@
         self.candidate = None;
         // A departing backend does not return.
         record.draining |= current.draining;
-        let changed = differs(&record, current) || record.instance != current.instance;
+        let changed =
+            announced_state_differs(&record, current) || record.instance != current.instance;
         self.current = Some(record.clone());
         match changed {
             true => ReportStatus::Changed(record),
@@ -286,17 +300,18 @@
                 draining: current.draining,
                 ..record.clone()
             };
-            !differs(&record, current) || (copy && !differs(&departed_since, current))
+            !announced_state_differs(&record, current)
+                || (copy && !announced_state_differs(&departed_since, current))
         });
         match applied {
             true => ReportStatus::Unchanged,
-            false => self.track_candidate(record, now),
+            false => self.track_supersede_candidate(record, now),
         }
     }
 
-    /// Makes `record` the current incarnation.
+    /// Makes the incarnation in `record` the current one.
     fn supersede_current(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
-        self.retire_current();
+        self.retire_current_incarnation();
         let id = BackendIncarnation::from_name(&record.instance).id().clone();
         self.retired
             .retain(|known| known.instance != record.instance && known.instance != id);
@@ -307,17 +322,19 @@
         ReportStatus::Changed(record)
     }
 
-    fn track_candidate(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
+    /// Remembers a possibly stale heartbeat. Accepts its incarnation as the current one once it
+    /// has reported for the supersede time while the current one was silent.
+    fn track_supersede_candidate(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         let known = self.candidate.take();
         let known = known.filter(|candidate| candidate.incarnation == record.instance);
         let candidate = match known {
-            Some(known) if record.sequence > known.sequence => Candidate {
+            Some(known) if record.sequence > known.sequence => SupersedeCandidate {
                 sequence: record.sequence,
                 ..known
             },
             Some(known) if record.sequence == known.sequence => known,
             // A lower sequence number means another start under the same name.
-            _ => Candidate {
+            _ => SupersedeCandidate {
                 incarnation: record.instance.clone(),
                 since: now,
                 sequence: record.sequence,
@@ -331,14 +348,16 @@
         ReportStatus::PossiblyStale
     }
 
+    /// Applies the departure of any incarnation.
     fn apply_departure(&mut self, departed: &BackendIncarnation, now: Moment) -> ReportStatus {
-        let is_candidate = |candidate: &Candidate| candidate.incarnation == departed.name();
+        let is_candidate =
+            |candidate: &SupersedeCandidate| candidate.incarnation == departed.name();
         if self.candidate.as_ref().is_some_and(is_candidate) {
             // The candidate may be the current incarnation, which is still announced.
             return ReportStatus::PossiblyStale;
         }
         let Some(current) = self.current.as_mut() else {
-            self.retire(departed.name(), true);
+            self.retire_incarnation(departed.name(), true);
             return ReportStatus::Unchanged;
         };
         let present = BackendIncarnation::from_name(&current.instance);
@@ -348,7 +367,7 @@
                 .is_some_and(|at| started_earlier(at, &present))
         {
             // Heartbeats of this incarnation may still arrive.
-            self.retire(departed.name(), true);
+            self.retire_incarnation(departed.name(), true);
             return ReportStatus::Unchanged;
         }
         if departed.started_at().is_some() && departed.started_at() != present.started_at() {
@@ -380,31 +399,35 @@
         self.supersede_current(gone, now)
     }
 
-    /// Returns true if the incarnation has departed or was replaced. A recorded departure
+    /// Returns true if the incarnation has departed or was replaced. A departure recorded
     /// without a start time matches every incarnation with its id.
     fn is_retired(&self, instance: &InstanceId) -> bool {
         let incarnation = BackendIncarnation::from_name(instance);
-        let matches_instance =
-            |known: &Retired| known.instance == *instance || known.instance == *incarnation.id();
+        let matches_instance = |known: &PreviousIncarnation| {
+            known.instance == *instance || known.instance == *incarnation.id()
+        };
         self.retired.iter().any(matches_instance)
     }
 
-    /// Returns true if exactly this incarnation has departed.
+    /// Returns true if the departure of exactly this incarnation was recorded.
     fn has_departed(&self, instance: &InstanceId) -> bool {
-        let departed_as_this = |known: &Retired| known.instance == *instance && known.departed;
+        let departed_as_this =
+            |known: &PreviousIncarnation| known.instance == *instance && known.departed;
         let has_start_time = BackendIncarnation::from_name(instance)
             .started_at()
             .is_some();
         has_start_time && self.retired.iter().any(departed_as_this)
     }
 
-    fn retire_current(&mut self) {
+    /// Moves the current incarnation to the previous ones.
+    fn retire_current_incarnation(&mut self) {
         if let Some(current) = self.current.take() {
-            self.retire(current.instance, current.draining);
+            self.retire_incarnation(current.instance, current.draining);
         }
     }
 
-    fn retire(&mut self, instance: InstanceId, departed: bool) {
+    /// Remembers an incarnation that has ended, at most [`MAX_RETIRED`] of them.
+    fn retire_incarnation(&mut self, instance: InstanceId, departed: bool) {
         let known = self
             .retired
             .iter_mut()
@@ -413,7 +436,8 @@
             known.departed |= departed;
             return;
         }
-        self.retired.push_back(Retired { instance, departed });
+        self.retired
+            .push_back(PreviousIncarnation { instance, departed });
         if self.retired.len() > MAX_RETIRED {
             self.retired.pop_front();
         }
@@ -424,9 +448,9 @@
     present.started_at().is_some_and(|present| born < present)
 }
 
-/// Returns true if other nodes must learn of the difference. The warm-up time is left out,
-/// since it runs down by itself.
-fn differs(record: &EndpointRecord, current: &EndpointRecord) -> bool {
+/// Returns true if the two records differ in what other nodes must learn. The warm-up time is
+/// left out, since it runs down by itself.
+fn announced_state_differs(record: &EndpointRecord, current: &EndpointRecord) -> bool {
     record.draining != current.draining
         || record.slots != current.slots
         || record.service != current.service
@@ -434,26 +458,27 @@
         || record.version != current.version
 }
 
-fn relation(current: &EndpointRecord, record: &EndpointRecord) -> Relation {
+/// Compares the incarnation in a heartbeat with the current one by name and start time.
+fn compare_incarnations(current: &EndpointRecord, record: &EndpointRecord) -> IncarnationRelation {
     if current.instance == record.instance {
-        return Relation::Same;
+        return IncarnationRelation::Same;
     }
     let present = BackendIncarnation::from_name(&current.instance);
     let reported = BackendIncarnation::from_name(&record.instance);
     match (present.started_at(), reported.started_at()) {
-        (Some(present), Some(reported)) if reported >= present => Relation::Newer,
+        (Some(present), Some(reported)) if reported >= present => IncarnationRelation::Newer,
         // The current incarnation reports its start time, so any report without a later one may
         // be stale: a backend that reports its start time does so always.
-        (Some(_), _) => Relation::PossiblyStale,
+        (Some(_), _) => IncarnationRelation::PossiblyStale,
         // The current record comes from a node that ignores start times: it is the same
         // incarnation, unless it accepts work again after its departure.
         (None, Some(_)) if present.id() == reported.id() => {
             match record.sequence > current.sequence && (record.draining || !current.draining) {
-                true => Relation::Same,
-                false => Relation::PossiblyStale,
+                true => IncarnationRelation::Same,
+                false => IncarnationRelation::PossiblyStale,
             }
         }
         // Without start times, the order of arrival decides.
-        (None, _) => Relation::Newer,
+        (None, _) => IncarnationRelation::Newer,
     }
 }
--- a/crates/rampthread-core/src/fleet/crash_table.rs
+++ b/crates/rampthread-core/src/fleet/crash_table.rs
@@ -2,8 +2,9 @@
 //!
 //! The table is a grow-only set of reports. Each report names a request and the incarnation of
 //! a backend that crashed while running it. Tables are merged by union, so that a crash counts
-//! once, however often and in whatever order it is reported. Cleared reports stay in the set as
-//! tombstones that override late copies. Reports expire by their age, which is sent along.
+//! once, however often and in whatever order it is reported. A cleared report does not count as
+//! a crash any more. It stays in the table as a tombstone that overrides late copies. Reports
+//! expire by their age, which is sent along.
 
 use crate::call::identity::RequestIdentity;
 use crate::call::quarantine::{
@@ -22,11 +23,11 @@
 /// to the longest quarantine.
 const MAX_CRASHES: usize = 9;
 
-/// Age from which peers reconcile any report. Younger ones may still be on their way to all
+/// Age from which peers reconcile any report. Younger reports may still be on their way to all
 /// peers.
 const SETTLED_AGE: Duration = Duration::from_secs(1);
-/// Age up to which peers reconcile any report. A node that missed it learns it within a few
-/// probes, and peers need not expire it at the same moment.
+/// Age up to which peers reconcile any report. A node that missed a report learns it within a
+/// few probes, and peers need not expire it at the same moment.
 const COMPARED_AGE: Duration = Duration::from_secs(10);
 
 /// Report of a backend that crashed while it ran a request.
@@ -38,10 +39,10 @@
     pub instance: InstanceId,
     /// Time since the crash.
     pub age: Duration,
-    /// True if the request was on trial at this backend.
+    /// True if the request was in a quarantine trial at this backend.
     pub on_trial: bool,
-    /// True if the report does not count: the request was answered since, an operator lifted
-    /// its quarantine, or the backend turned out to be alive.
+    /// True if the report no longer counts as a crash: the request was answered since, an
+    /// operator lifted its quarantine, or the backend turned out to be alive.
     pub cleared: bool,
 }
 
@@ -66,19 +67,20 @@
     Outdated,
 }
 
+/// Crash of one backend incarnation as stored in the table.
 #[derive(Debug, Clone, Copy)]
-struct Crash {
+struct StoredCrash {
     at: Moment,
     on_trial: bool,
     cleared: bool,
 }
 
-type Crashes = BTreeMap<InstanceId, Crash>;
+type CrashesByInstance = BTreeMap<InstanceId, StoredCrash>;
 
 /// Crash reports known to this node, by request and crashed incarnation.
 #[derive(Debug, Clone, Default)]
 pub struct CrashTable {
-    suspects: BTreeMap<RequestIdentity, Crashes>,
+    suspects: BTreeMap<RequestIdentity, CrashesByInstance>,
     revision: u64,
 }
 
@@ -109,12 +111,13 @@
         let outcome = merge_crash(crashes, report, at);
         if outcome == MergeOutcome::New {
             self.revision += 1;
-            self.evict_excess();
+            self.evict_excess_request();
         }
         outcome
     }
 
-    /// Clears the reports of a request for crashes up to `until`. Returns the changed reports.
+    /// Clears the reports of a request for crashes up to the time `until`. Returns the reports
+    /// that were changed.
     pub fn clear(
         &mut self,
         identity: &RequestIdentity,
@@ -125,7 +128,7 @@
             return Vec::new();
         };
         let mut changed = Vec::new();
-        let counts = |crash: &Crash| !crash.cleared && crash.at <= until;
+        let counts = |crash: &StoredCrash| !crash.cleared && crash.at <= until;
         for (instance, crash) in crashes.iter_mut().filter(|(_, crash)| counts(crash)) {
             crash.cleared = true;
             changed.push(to_report(*identity, instance, *crash, now));
@@ -134,14 +137,15 @@
         changed
     }
 
-    /// Returns whether the request is suspected, quarantined or on trial.
+    /// Returns whether the request is unsuspected, suspected, quarantined or due for a
+    /// quarantine trial.
     pub fn standing(&self, identity: &RequestIdentity, now: Moment) -> QuarantineState {
         let Some(crashes) = self.suspects.get(identity) else {
             return QuarantineState::Unsuspected;
         };
         let counted = crashes.values().filter(|crash| !crash.cleared);
         let last = counted.map(|crash| crash.at).max().unwrap_or_default();
-        QuarantineState::after(evidence(crashes), now.since(last))
+        QuarantineState::after(count_crashes(crashes), now.since(last))
     }
 
     /// Returns the reports of a request that were not cleared, newest last.
@@ -155,7 +159,7 @@
         reports
     }
 
-    /// Returns the cleared reports of a request.
+    /// Returns the reports of a request that were cleared.
     pub fn cleared_reports(&self, identity: &RequestIdentity, now: Moment) -> Vec<CrashReport> {
         let crashes = self.suspects.get(identity).into_iter().flatten();
         crashes
@@ -184,54 +188,57 @@
         })
     }
 
-    /// Returns the requests under which several backends have crashed.
+    /// Returns the requests with uncleared reports of several crashed backends, which are to be
+    /// quarantined.
     pub fn poison_requests(&self) -> impl Iterator<Item = &RequestIdentity> {
         self.suspects
             .iter()
-            .filter(|(_, crashes)| evidence(crashes).crashes >= QUARANTINE_CRASHES)
+            .filter(|(_, crashes)| count_crashes(crashes).crashes >= QUARANTINE_CRASHES)
             .map(|(identity, _)| identity)
     }
 
-    /// Returns all reports on [`CrashTable::poison_requests`] that count. Peers reconcile them.
+    /// Returns the uncleared reports of [`CrashTable::poison_requests`], which peers reconcile.
     pub fn poison_reports(&self, now: Moment) -> Vec<CrashReport> {
         self.poison_requests()
             .flat_map(|identity| self.uncleared_reports(identity, now))
             .collect()
     }
 
-    /// Returns the reports of the last seconds, including cleared ones and those of requests
-    /// with a single crash. If peers agree on them, a response clears the same reports
+    /// Returns the reports of the last seconds, including cleared reports and those of requests
+    /// with a single crash. If peers agree on these reports, a response clears the same ones
     /// everywhere.
     pub fn recent(&self, now: Moment) -> Vec<CrashReport> {
-        self.all()
-            .filter(|(_, _, crash)| is_compared(crash, now))
+        self.all_crashes()
+            .filter(|(_, _, crash)| is_reconciled_by_peers(crash, now))
             .map(|(identity, instance, crash)| to_report(*identity, instance, *crash, now))
             .collect()
     }
 
-    /// Returns a digest of [`CrashTable::recent`] without ages and cleared marks; 0 if there
-    /// are none.
+    /// Returns a digest of [`CrashTable::recent`], without the ages and cleared marks of the
+    /// reports; 0 if there are none.
     pub fn recent_digest(&self, now: Moment) -> u64 {
-        self.all()
-            .filter(|(_, _, crash)| is_compared(crash, now))
-            .map(|(identity, instance, _)| digest_of(&(identity, instance)))
+        self.all_crashes()
+            .filter(|(_, _, crash)| is_reconciled_by_peers(crash, now))
+            .map(|(identity, instance, _)| hash_of(&(identity, instance)))
             .fold(0, |digest, report| digest ^ report)
     }
 
-    fn all(&self) -> impl Iterator<Item = (&RequestIdentity, &InstanceId, &Crash)> {
+    /// Returns all crashes in the table, including cleared ones.
+    fn all_crashes(&self) -> impl Iterator<Item = (&RequestIdentity, &InstanceId, &StoredCrash)> {
         self.suspects.iter().flat_map(|(identity, crashes)| {
             let reports = crashes.iter();
             reports.map(move |(instance, crash)| (identity, instance, crash))
         })
     }
 
-    /// Returns a digest of [`CrashTable::poison_reports`] without ages; 0 if there are none.
+    /// Returns a digest of [`CrashTable::poison_reports`], without the ages of the reports; 0
+    /// if there are none.
     pub fn digest(&self) -> u64 {
         let mut digest = 0;
         for identity in self.poison_requests() {
             for (instance, crash) in &self.suspects[identity] {
                 if !crash.cleared {
-                    digest ^= digest_of(&(identity, instance, crash.on_trial));
+                    digest ^= hash_of(&(identity, instance, crash.on_trial));
                 }
             }
         }
@@ -243,13 +250,15 @@
         let before = self.suspects.len();
         self.suspects.retain(|_, crashes| {
             let newest = crashes.values().map(|crash| crash.at).max();
-            let kept = evidence(crashes).retention();
+            let kept = count_crashes(crashes).retention();
             newest.is_some_and(|newest| now.since(newest) < kept)
         });
         self.revision += u64::from(self.suspects.len() != before);
     }
 
-    fn evict_excess(&mut self) {
+    /// Removes the request with the fewest crashes, the oldest of them, if the table exceeds
+    /// [`MAX_SUSPECTS`].
+    fn evict_excess_request(&mut self) {
         if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
@@ -258,7 +267,7 @@
             .iter()
             .min_by_key(|(_, crashes)| {
                 let newest = crashes.values().map(|crash| crash.at).max();
-                (evidence(crashes).crashes, newest)
+                (count_crashes(crashes).crashes, newest)
             })
             .map(|(identity, _)| *identity);
         if let Some(least) = least {
@@ -267,19 +276,22 @@
     }
 }
 
-fn is_compared(crash: &Crash, now: Moment) -> bool {
+/// Returns true if the crash has an age at which peers compare and exchange its report.
+fn is_reconciled_by_peers(crash: &StoredCrash, now: Moment) -> bool {
     (SETTLED_AGE..COMPARED_AGE).contains(&now.since(crash.at))
 }
 
-fn digest_of(report: &impl Hash) -> u64 {
+fn hash_of(report: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     report.hash(&mut hasher);
     hasher.finish()
 }
 
-fn merge_crash(crashes: &mut Crashes, report: &CrashReport, at: Moment) -> MergeOutcome {
+/// Merges a report into the crashes of its request.
+fn merge_crash(crashes: &mut CrashesByInstance, report: &CrashReport, at: Moment) -> MergeOutcome {
     if let Some(known) = crashes.get_mut(&report.instance) {
-        // Each hop adds to the age of a copy, so the earliest time is the most accurate.
+        // Each hop adds to the age of a copy of the report, so the earliest time is the most
+        // accurate.
         known.at = known.at.min(at);
         let newly_cleared = report.cleared && !known.cleared;
         known.cleared |= report.cleared;
@@ -302,7 +314,7 @@
         let oldest = oldest.clone();
         crashes.remove(&oldest);
     }
-    let crash = Crash {
+    let crash = StoredCrash {
         at,
         on_trial: report.on_trial,
         cleared: report.cleared,
@@ -311,7 +323,8 @@
     MergeOutcome::New
 }
 
-fn evidence(crashes: &Crashes) -> CrashCounts {
+/// Counts the uncleared crashes of a request, in total and in quarantine trials.
+fn count_crashes(crashes: &CrashesByInstance) -> CrashCounts {
     let counted = || crashes.values().filter(|crash| !crash.cleared);
     CrashCounts {
         crashes: counted().count(),
@@ -322,7 +335,7 @@
 fn to_report(
     identity: RequestIdentity,
     instance: &InstanceId,
-    crash: Crash,
+    crash: StoredCrash,
     now: Moment,
 ) -> CrashReport {
     CrashReport {
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -34,12 +34,13 @@
 /// eight in 7 of 100,000.
 const MIN_ROUNDS_FEW_PEERS: u32 = 8;
 
+/// Pull that this node has sent to a peer and that has no reply yet.
 #[derive(Debug)]
-struct OpenPull {
+struct PendingPull {
     sent: Moment,
 }
 
-/// A version that this node announces to peers.
+/// A version that this node announces to peers in rounds of notices.
 #[derive(Debug, Clone, Copy)]
 struct Announcement {
     version: Version,
@@ -54,13 +55,13 @@
 pub struct VersionDistribution {
     announcement: Option<Announcement>,
     next_round: Moment,
-    pull: Option<OpenPull>,
+    pull: Option<PendingPull>,
     /// Number of consecutive pulls that timed out.
     timeouts: u32,
     /// Minimum timeout of a pull, depending on the bandwidth of this node's link.
     min_pull_timeout: Duration,
     pull_not_before: Moment,
-    /// True if pulls request the full state, whatever version this node holds.
+    /// True if pulls request the full configuration, whatever version this node holds.
     pull_all: bool,
     /// Peer known to hold a newer version than this node.
     source: Option<NodeId>,
@@ -124,8 +125,8 @@
     }
 
     /// Sends the pull to a second peer after a timeout: at a message loss of 30 %, one exchange
-    /// fails in half of the cases, two in a quarter. Not if the full state is requested, since
-    /// it would be transferred twice.
+    /// fails in half of the cases, two in a quarter. Not if the full configuration is
+    /// requested, since it would be transferred twice.
     fn pull_from_second(
         &self,
         first: &NodeId,
@@ -144,6 +145,7 @@
         }
     }
 
+    /// Sends the next round of notices of the announced version if it is due.
     fn send_notices(
         &mut self,
         now: Moment,
@@ -180,6 +182,7 @@
         }
     }
 
+    /// Sends a pull to a random log reader, in [`DistributionMode::PollReader`].
     fn poll_reader(
         &self,
         membership: &Membership,
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Records a peer that holds a newer version than this node.
+    /// Records the peer from which this node pulls next, since it holds a newer version.
     pub fn note_source(&mut self, peer: &NodeId) {
         self.source = Some(peer.clone());
     }
@@ -215,7 +218,7 @@
         if self.pull.is_some() || now < self.pull_not_before {
             return;
         }
-        self.pull = Some(OpenPull { sent: now });
+        self.pull = Some(PendingPull { sent: now });
         let held = if self.pull_all {
             Version::ZERO
         } else {
@@ -230,7 +233,8 @@
         self.min_pull_timeout = timeout;
     }
 
-    /// Sets whether pulls request the full state.
+    /// Makes pulls request the full configuration instead of the entries after this node's
+    /// version.
     pub fn set_pull_all(&mut self, pull_all: bool) {
         self.pull_all = pull_all;
     }
@@ -318,6 +322,8 @@
     }
 }
 
+/// Returns the retained log entries after `held`, or the full configuration if they are no
+/// longer retained.
 fn pull_reply(replica: &LogReplica, held: Version) -> Message {
     match replica.entries_after(held, MAX_PULL_REPLY_BYTES) {
         Some(entries) => Message::PullEntries {
@@ -330,11 +336,13 @@
     }
 }
 
+/// Returns the log entry of a version if it is small enough for a notice.
 fn inline_entry(replica: &LogReplica, version: Version, limit: usize) -> Option<SharedBytes> {
     let entry = replica.entry(version)?;
     (entry.len() <= limit).then(|| entry.clone())
 }
 
+/// Selects the peers for the next round of notices.
 fn notice_targets(
     announcement: Announcement,
     membership: &Membership,
--- a/crates/rampthread-core/src/fleet/document_history.rs
+++ b/crates/rampthread-core/src/fleet/document_history.rs
@@ -72,6 +72,7 @@
     }
 }
 
+/// Returns the reply to a peer whose version is not older than the newest one known here.
 fn nothing_new(held: Version) -> Message {
     Message::PullEntries {
         first: held.next(),
--- a/crates/rampthread-core/src/fleet/holders.rs
+++ b/crates/rampthread-core/src/fleet/holders.rs
@@ -1,5 +1,5 @@
-//! Which node holds which version of the configuration. Nodes report their active version to
-//! the readers, the nodes that hold a reader lease.
+//! Which node has which version of the configuration active. Nodes report their active version
+//! to the log readers, which are the nodes that hold a lease to read the log in the store.
 
 use super::action::Outbox;
 use super::membership::Membership;
@@ -9,10 +9,11 @@
 use crate::time::Moment;
 use std::collections::BTreeMap;
 
-/// Maximum number of lagging nodes listed in a reply.
+/// Maximum number of lagging nodes listed in a [`PropagationStatus`].
 const MAX_LAGGING: usize = 8;
 
-/// Active versions of the other nodes, kept by a reader to count how far a version has spread.
+/// Active versions reported by other nodes, kept by a log reader to count how many nodes hold a
+/// version.
 #[derive(Debug, Default)]
 pub struct VersionHolders {
     held: BTreeMap<NodeId, Version>,
@@ -53,8 +54,8 @@
         status
     }
 
-    /// Counts the nodes other than this reader that hold `version`, in total and in other
-    /// zones.
+    /// Counts the nodes other than this log reader that have `version` or a newer one active,
+    /// in total and in other zones.
     pub fn others(&self, version: Version, membership: &Membership) -> OtherHolders {
         let me = membership.me();
         let mut others = OtherHolders::default();
@@ -70,19 +71,20 @@
     }
 }
 
-/// Number of nodes other than the reader that hold a given version.
+/// How many nodes other than the counting log reader have a given version active.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct OtherHolders {
-    /// Number of holders in all zones.
+    /// Number of such nodes in all zones.
     pub count: usize,
-    /// Number of holders in zones other than the reader's.
+    /// Number of such nodes outside the log reader's zone.
     pub in_other_zones: usize,
     /// True if any reachable peer is in another zone.
     pub other_zones_exist: bool,
 }
 
 impl OtherHolders {
-    /// Returns true if the version survives the loss of the reader and of its zone.
+    /// Returns true if the version survives the loss of the log reader and of its zone, given
+    /// that `wanted` nodes are enough.
     pub fn suffice(&self, wanted: usize) -> bool {
         if self.other_zones_exist {
             self.in_other_zones >= wanted
@@ -92,7 +94,7 @@
     }
 }
 
-/// Reports of this node's active version to the readers, repeated until each reader
+/// Reports of this node's active version to the log readers, repeated until each of them
 /// acknowledges.
 #[derive(Debug, Default)]
 pub struct HeldVersionReports {
@@ -101,7 +103,7 @@
 }
 
 impl HeldVersionReports {
-    /// Sends a report to each reader that has not acknowledged `held`.
+    /// Reports the active version `held` to each log reader that has not acknowledged it.
     pub fn report(&mut self, held: Version, membership: &Membership, outbox: &mut Outbox) {
         let me = &membership.me().id;
         for reader in membership.readers().filter(|reader| reader.id != *me) {
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Repeats unacknowledged reports and drops members that are no longer readers.
+    /// Repeats unacknowledged reports. Forgets the acknowledgements of members that are no
+    /// longer log readers.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -132,7 +135,7 @@
         self.report(held, membership, outbox);
     }
 
-    /// Records that the reader `from` knows that this node holds `version`.
+    /// Records that the log reader `from` knows that this node has `version` active.
     pub fn on_ack(&mut self, from: &NodeId, version: Version) {
         self.noted.insert(from.clone(), version);
     }
--- a/crates/rampthread-core/src/fleet/load_exchange.rs
+++ b/crates/rampthread-core/src/fleet/load_exchange.rs
@@ -38,7 +38,7 @@
     MIN_INTERVAL.max(INTERVAL_PER_MEMBER * members)
 }
 
-/// A value and the time at which it was current, by this node's clock.
+/// A report or load, and the time at which it was current by this node's clock.
 #[derive(Debug, Clone)]
 struct Timestamped<T> {
     value: T,
@@ -52,7 +52,7 @@
     own: Option<Timestamped<LoadReport>>,
     /// Latest reports received from members of this zone.
     reports: BTreeMap<NodeId, Timestamped<LoadReport>>,
-    /// Latest known load of each zone.
+    /// Latest known load of each zone, this node's own included.
     zones: BTreeMap<Zone, Timestamped<ZoneLoad>>,
     /// Time at which this node sends its next message.
     due: Moment,
@@ -60,9 +60,11 @@
     /// The first one is the aggregator.
     members_by_zone: BTreeMap<Zone, Vec<NodeId>>,
     ranked_at: Option<u64>,
-    /// Number of silent aggregators of this zone that this node skips.
+    /// Number of silent members that this node skips when it selects the aggregator of its
+    /// zone.
     skipped: usize,
-    /// Since when the current aggregator has been silent. `None` if nothing was reported to it.
+    /// Since when the aggregator of this zone has been silent. `None` if this node has not
+    /// reported to it yet.
     silent_since: Option<Moment>,
 }
 
@@ -94,9 +96,9 @@
         if now < self.due {
             return;
         }
-        self.rank(membership);
+        self.update_member_order(membership);
         let zone = membership.me().zone.clone();
-        let interval = self.interval(&zone);
+        let interval = self.message_interval(&zone);
         self.due = now + interval;
         self.expire_reports(now, interval * TIMEOUT_INTERVALS);
         if self.own.is_none() && self.reports.is_empty() {
@@ -107,7 +109,7 @@
         let me = &membership.me().id;
         match self.aggregator(&zone).cloned() {
             Some(aggregator) if aggregator != *me => self.report_to(&aggregator, now, outbox),
-            _ => self.publish(&zone, me, now, outbox),
+            _ => self.publish_zone_loads(&zone, me, now, outbox),
         }
     }
 
@@ -118,7 +120,7 @@
         self.silent_since.get_or_insert(now);
         let report = match &self.own {
             Some(own) if self.reports.is_empty() => own.value.clone(),
-            _ => self.sum(),
+            _ => self.sum_reports(),
         };
         outbox.send(aggregator, Message::LoadReport(report));
     }
@@ -181,8 +183,9 @@
         }
     }
 
-    /// Recomputes the rendezvous order of each zone if the member table has changed.
-    fn rank(&mut self, membership: &Membership) {
+    /// Recomputes the rendezvous order of the members in each zone if the member table has
+    /// changed.
+    fn update_member_order(&mut self, membership: &Membership) {
         if self.ranked_at == Some(membership.revision()) {
             return;
         }
@@ -221,11 +224,12 @@
         order.get(self.skipped)
     }
 
-    fn interval(&self, zone: &Zone) -> Duration {
+    fn message_interval(&self, zone: &Zone) -> Duration {
         let members = self.members_by_zone.get(zone).map_or(1, Vec::len) as u32;
         load_interval(members)
     }
 
+    /// Removes reports that are older than `ttl`.
     fn expire_reports(&mut self, now: Moment, ttl: Duration) {
         self.reports.retain(|_, report| now.since(report.at) < ttl);
         if self
@@ -237,6 +241,7 @@
         }
     }
 
+    /// Skips the aggregator of this zone if it has been silent for `timeout`.
     fn skip_silent(&mut self, now: Moment, zone: &Zone, timeout: Duration) {
         let silent = self
             .silent_since
@@ -247,8 +252,9 @@
         }
     }
 
-    fn publish(&mut self, zone: &Zone, me: &NodeId, now: Moment, outbox: &mut Outbox) {
-        let sum = self.sum();
+    /// Sends the load of this zone to other zones, and the loads of all zones to this one.
+    fn publish_zone_loads(&mut self, zone: &Zone, me: &NodeId, now: Moment, outbox: &mut Outbox) {
+        let sum = self.sum_reports();
         let load = ZoneLoad {
             zone: zone.clone(),
             age: Duration::ZERO,
@@ -277,7 +283,7 @@
     }
 
     /// Sums up this node's own report and the reports received from members.
-    fn sum(&self) -> LoadReport {
+    fn sum_reports(&self) -> LoadReport {
         let mut services: BTreeMap<&ResourceName, ServiceLoad> = BTreeMap::new();
         let mut tenants: BTreeMap<TenantHash, TenantLoad> = BTreeMap::new();
         let mut period = Duration::ZERO;
@@ -307,7 +313,7 @@
     }
 }
 
-/// Keeps the tenants with the highest request rates, at most [`MAX_TENANTS`].
+/// Keeps the [`MAX_TENANTS`] tenants with the highest request rates.
 fn highest_rates(mut loads: Vec<TenantLoad>) -> Vec<TenantLoad> {
     loads.sort_by_key(|load| std::cmp::Reverse(load.requested_millirps));
     loads.truncate(MAX_TENANTS);
--- a/crates/rampthread-core/src/fleet/member.rs
+++ b/crates/rampthread-core/src/fleet/member.rs
@@ -26,8 +26,8 @@
 /// Roles and conditions that a node announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Hash, Serialize, Deserialize)]
 pub struct Conditions {
-    /// The node reads the store: it holds a reader lease or, if the configuration is a
-    /// document, the store answered its last call.
+    /// The store answers the node: it holds a lease to read the log there or, if the
+    /// configuration is a document, its last call succeeded.
     pub reader: bool,
     /// The node accepts no new work for its backend.
     pub draining: bool,
--- a/crates/rampthread-core/src/fleet/membership/member_entry.rs
+++ b/crates/rampthread-core/src/fleet/membership/member_entry.rs
@@ -1,10 +1,11 @@
-//! One row of the member table.
+//! Entry of the member table.
 
 use crate::fleet::member::{Conditions, EndpointRecord, Machine, MemberRecord, Status};
 use crate::time::Moment;
 
+/// What this node knows of another member.
 #[derive(Debug, Clone)]
-pub(super) struct Member {
+pub(super) struct MemberEntry {
     pub(super) record: MemberRecord,
     /// Time of the last status change.
     pub(super) since: Moment,
@@ -17,8 +18,8 @@
     pub(super) previous_backend: Option<EndpointRecord>,
 }
 
-impl Member {
-    /// Creates the entry of a machine from which nothing was received yet.
+impl MemberEntry {
+    /// Creates the entry of a machine from which this node has not received any message.
     pub(super) fn listed(machine: &Machine, now: Moment) -> Self {
         Self {
             record: MemberRecord {
--- a/crates/rampthread-core/src/fleet/membership/mod.rs
+++ b/crates/rampthread-core/src/fleet/membership/mod.rs
@@ -15,7 +15,7 @@
 mod updates;
 mod zones;
 
-use member_entry::Member;
+use member_entry::MemberEntry;
 use relays::PendingForward;
 
 use super::action::{Decision, Outbox};
@@ -29,7 +29,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Maximum of the local health score.
+/// Maximum of the local health score, which rises when this node seems slow itself.
 const MAX_LOCAL_HEALTH: u32 = 8;
 /// Maximum number of pending indirect probes on behalf of peers.
 const MAX_PENDING_RELAYS: usize = 64;
@@ -47,8 +47,9 @@
 /// since the process ends: two of three messages may be lost.
 const DEPARTURE_NOTICES_PER_ZONE: usize = 3;
 
+/// Probe of another member that awaits its ack.
 #[derive(Debug)]
-struct Probe {
+struct PendingProbe {
     target: NodeId,
     sequence: u64,
     sent: Moment,
@@ -56,15 +57,16 @@
     retries: u32,
 }
 
+/// Probe on behalf of a peer that awaits its ack.
 #[derive(Debug)]
-struct Relay {
+struct RelayedProbe {
     requester: NodeId,
     requester_sequence: u64,
     sequence: u64,
     expires: Moment,
 }
 
-/// The member table and the failure detector.
+/// Member table of this node, and the SWIM failure detector that maintains it.
 #[derive(Debug)]
 pub struct Membership {
     me: MemberRecord,
@@ -72,13 +74,13 @@
     first_incarnation: Incarnation,
     /// Record of an earlier run of this node, received from a peer.
     previous_run: Option<MemberRecord>,
-    members: BTreeMap<NodeId, Member>,
+    members: BTreeMap<NodeId, MemberEntry>,
     /// Updates to gossip within the zone, with the remaining transmissions.
     updates: BTreeMap<NodeId, u32>,
     /// Updates to send directly to the whole zone, since this node is among the first in the
     /// zone to know them.
     urgent: BTreeSet<NodeId>,
-    /// Departures to forward at once.
+    /// Backend departures that this node has to forward to other members at once.
     pending_forwards: Vec<PendingForward>,
     /// Maximum number of members to which updates are sent directly.
     direct_update_fanout: usize,
@@ -90,8 +92,8 @@
     /// Other zones known to this node.
     known_zones: BTreeSet<Zone>,
     probe_order: Vec<NodeId>,
-    probe: Option<Probe>,
-    relays: Vec<Relay>,
+    probe: Option<PendingProbe>,
+    relays: Vec<RelayedProbe>,
     sequence: u64,
     local_health: u32,
     next_probe: Moment,
@@ -102,8 +104,8 @@
     /// Incremented with every change of the table.
     revision: u64,
     differing_peer: Option<NodeId>,
-    /// Consecutive table comparisons that did not bring the tables together while there were no
-    /// updates to send.
+    /// Consecutive comparisons of member tables after which the tables still differed, while
+    /// there were no updates to send.
     ineffective_comparisons: usize,
     /// Number of consecutive messages whose sender had an identical table.
     matching_digests: u32,
@@ -112,11 +114,11 @@
     retransmit_multiplier: f64,
 }
 
-/// Origin of a change to the table.
+/// Where a member update comes from, which decides to whom this node sends it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Origin {
-    /// This node is the first to see the change, as far as it knows, and sends it to other
-    /// zones.
+enum UpdateOrigin {
+    /// This node is the first to see the change, as far as it knows. It sends the update to
+    /// other zones too.
     Local,
     /// A member of another zone sent the change. Other members of this zone may not know it
     /// yet.
@@ -126,7 +128,7 @@
 }
 
 impl Membership {
-    /// Creates a table with only this node.
+    /// Creates a member table that contains only this node.
     pub fn new(me: MemberRecord, retransmit_multiplier: f64, now: Moment) -> Self {
         let mut membership = Self {
             first_incarnation: me.incarnation,
@@ -173,13 +175,13 @@
         self.members.get(id).map(|member| &member.record)
     }
 
-    /// Returns a counter that is incremented with every change of the table, so that derived
-    /// data can be cached.
+    /// Returns a counter that rises with every change of the member table, so that data derived
+    /// from the table can be cached.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns all records, that of this node first.
+    /// Returns the records of all members, that of this node first.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         std::iter::once(&self.me).chain(self.members.values().map(|member| &member.record))
     }
@@ -192,13 +194,13 @@
             .filter(|record| record.reachable())
     }
 
-    /// Returns the reachable members with the reader condition. This node is included.
+    /// Returns the reachable members to which the store answers, this node included.
     pub fn readers(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records()
             .filter(|record| record.reachable() && record.conditions.reader)
     }
 
-    /// Announces changed conditions of this node or its backend.
+    /// Announces changed conditions of this node or a changed state of its backend.
     pub fn announce(&mut self, conditions: Conditions, endpoint: Option<&EndpointRecord>) {
         if self.me.conditions == conditions && self.me.endpoint.as_ref() == endpoint {
             return;
@@ -208,7 +210,7 @@
         self.raise_incarnation(self.me.incarnation);
     }
 
-    /// Announces the departure of this node.
+    /// Announces to other members that this node leaves the cluster.
     pub fn leave(&mut self, rng: &mut impl Rng, outbox: &mut Outbox) {
         self.me.status = Status::Left;
         self.raise_incarnation(self.me.incarnation);
@@ -223,19 +225,22 @@
         }
     }
 
+    /// Announces this node with an incarnation above the given one.
     fn raise_incarnation(&mut self, above: Incarnation) {
         self.me.incarnation = self.me.incarnation.max(above) + 1;
         self.matching_digests = 0;
         let id = self.me.id.clone();
-        self.queue_update(id, Origin::Local);
+        self.queue_update(id, UpdateOrigin::Local);
         self.refresh_digest();
     }
 
-    /// Scales a timeout by the local health score.
+    /// Extends a timeout if this node seems slow itself, so that it does not suspect others for
+    /// its own delays.
     fn scaled_timeout(&self, base: Duration) -> Duration {
         base * (1 + self.local_health)
     }
 
+    /// Records a sign that this node is slow itself.
     fn increase_local_health(&mut self) {
         self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
     }
@@ -282,11 +287,19 @@
         self.relays.retain(|relay| relay.expires > now);
     }
 
-    fn merge_body(&mut self, from: &NodeId, body: &ProbeBody, now: Moment, outbox: &mut Outbox) {
+    /// Merges the member updates in a probe or ack, and compares the digests of the member
+    /// tables.
+    fn merge_probe_body(
+        &mut self,
+        from: &NodeId,
+        body: &ProbeBody,
+        now: Moment,
+        outbox: &mut Outbox,
+    ) {
         let origin = self.origin_of(from);
         let departures = self.new_departures(from, body);
         for record in &body.updates {
-            self.merge(record.clone(), origin, now, outbox);
+            self.merge_record(record.clone(), origin, now, outbox);
         }
         self.queue_forward(from, departures, self.direct_update_fanout);
         self.differing_peer = None;
@@ -297,22 +310,30 @@
         }
         self.matching_digests += 1;
         if self.matching_digests >= MATCHING_DIGESTS_LIMIT {
-            // All recent senders have an identical table. Table comparisons repair what is
-            // missed by that.
+            // The recent senders have an identical member table, so the updates have spread.
+            // Comparisons of tables deliver them where that is not so.
             self.updates.clear();
         }
     }
 
-    fn origin_of(&self, sender: &NodeId) -> Origin {
+    /// Returns the origin of updates that the member `sender` has sent.
+    fn origin_of(&self, sender: &NodeId) -> UpdateOrigin {
         let zone = self.record(sender).map(|record| &record.zone);
         if zone == Some(&self.me.zone) {
-            Origin::SameZone
+            UpdateOrigin::SameZone
         } else {
-            Origin::OtherZone
+            UpdateOrigin::OtherZone
         }
     }
 
-    fn merge(&mut self, record: MemberRecord, origin: Origin, now: Moment, outbox: &mut Outbox) {
+    /// Merges the record of a member into the table if it outranks the known one.
+    fn merge_record(
+        &mut self,
+        record: MemberRecord,
+        origin: UpdateOrigin,
+        now: Moment,
+        outbox: &mut Outbox,
+    ) {
         if record.id == self.me.id {
             self.refute(&record);
             return;
@@ -335,7 +356,7 @@
             });
         }
         let same_run = known.is_some_and(|member| member.sent_own_record && !status_changed);
-        let member = Member {
+        let member = MemberEntry {
             since: known
                 .filter(|_| !status_changed)
                 .map_or(now, |member| member.since),
@@ -345,7 +366,7 @@
             record,
         };
         let id = member.record.id.clone();
-        // Peers with an identical table may lack this update.
+        // Peers whose table was identical so far may lack this update.
         self.matching_digests = 0;
         self.digest ^= record_digest(&member.record);
         self.revision += 1;
@@ -359,8 +380,9 @@
         self.queue_update(id, origin);
     }
 
-    /// Handles a record of this node that says it is suspect or dead, or that is of an earlier
-    /// run.
+    /// Handles a record of this node that a peer holds. If the record says that this node is
+    /// suspect or dead, this node announces itself with a higher incarnation. A record of an
+    /// earlier run is kept for its backend.
     fn refute(&mut self, record: &MemberRecord) {
         if record.incarnation < self.first_incarnation {
             self.keep_previous_run(record);
@@ -376,7 +398,8 @@
         self.raise_incarnation(record.incarnation);
     }
 
-    /// Keeps the record with the highest incarnation that contains a backend.
+    /// Keeps a record of an earlier run of this node that contains a backend. The highest
+    /// incarnation wins.
     fn keep_previous_run(&mut self, record: &MemberRecord) {
         let newer = |kept: &MemberRecord| kept.incarnation < record.incarnation;
         if record.endpoint.is_some() && self.previous_run.as_ref().is_none_or(newer) {
@@ -399,6 +422,7 @@
     }
 }
 
+/// Returns a digest of the fields that decide whether a record outranks another.
 fn record_digest(record: &MemberRecord) -> u64 {
     let mut hasher = DefaultHasher::new();
     record.id.hash(&mut hasher);
--- a/crates/rampthread-core/src/fleet/membership/probes.rs
+++ b/crates/rampthread-core/src/fleet/membership/probes.rs
@@ -1,6 +1,8 @@
 //! Direct and indirect probes, and probes of dead members (SWIM, section 4).
 
-use super::{MAX_PENDING_RELAYS, Membership, Origin, Probe, READER_RECORDS_COUNT, Relay};
+use super::{
+    MAX_PENDING_RELAYS, Membership, PendingProbe, READER_RECORDS_COUNT, RelayedProbe, UpdateOrigin,
+};
 use crate::fleet::action::Outbox;
 use crate::fleet::member::{MemberRecord, Status};
 use crate::fleet::message::{Message, ProbeBody};
@@ -20,6 +22,7 @@
 const SUSPECT_ZONE_PROBE_RATIO: f64 = 0.5;
 
 impl Membership {
+    /// Repeats the pending probe or, at its end, marks the member as suspect.
     pub(super) fn check_probe(
         &mut self,
         now: Moment,
@@ -43,7 +46,7 @@
             let target = probe.target.clone();
             self.probe = None;
             self.increase_local_health();
-            self.suspect(&target, now, outbox);
+            self.mark_suspect(&target, now, outbox);
         }
     }
 
@@ -76,17 +79,19 @@
             .choose_multiple(rng, count)
     }
 
-    fn suspect(&mut self, target: &NodeId, now: Moment, outbox: &mut Outbox) {
+    /// Changes the status of an alive member to suspect.
+    fn mark_suspect(&mut self, target: &NodeId, now: Moment, outbox: &mut Outbox) {
         let Some(member) = self.members.get(target) else {
             return;
         };
         if member.record.status == Status::Alive {
             let mut record = member.record.clone();
             record.status = Status::Suspect;
-            self.merge(record, Origin::Local, now, outbox);
+            self.merge_record(record, UpdateOrigin::Local, now, outbox);
         }
     }
 
+    /// Declares members dead that stayed suspect until the timeout.
     pub(super) fn expire_suspects(
         &mut self,
         now: Moment,
@@ -105,11 +110,13 @@
             })
             .collect();
         for record in expired {
-            // All nodes that know of the suspicion reach the same result.
-            self.merge(record, Origin::SameZone, now, outbox);
+            // All nodes that know of the suspicion declare the member dead by themselves, so
+            // the update is treated as one that the zone knows.
+            self.merge_record(record, UpdateOrigin::SameZone, now, outbox);
         }
     }
 
+    /// Sends the next probe unless one is pending.
     pub(super) fn start_probe(
         &mut self,
         now: Moment,
@@ -125,7 +132,7 @@
             return;
         };
         self.sequence += 1;
-        self.probe = Some(Probe {
+        self.probe = Some(PendingProbe {
             target: target.clone(),
             sequence: self.sequence,
             sent: now,
@@ -204,7 +211,7 @@
             .collect()
     }
 
-    /// Handles a probe.
+    /// Handles a probe of this node by the member `from`, and sends the ack.
     #[allow(clippy::too_many_arguments)]
     pub fn on_ping(
         &mut self,
@@ -215,7 +222,7 @@
         settings: &FleetSettings,
         outbox: &mut Outbox,
     ) {
-        self.merge_body(from, &body, now, outbox);
+        self.merge_probe_body(from, &body, now, outbox);
         if !self.members.contains_key(from) {
             return;
         }
@@ -269,9 +276,9 @@
         }
     }
 
-    /// Handles an ack of an own or a relayed probe.
+    /// Handles the ack of a probe that this node has sent on its own or on behalf of a peer.
     pub fn on_ack(&mut self, from: &NodeId, body: ProbeBody, now: Moment, outbox: &mut Outbox) {
-        self.merge_body(from, &body, now, outbox);
+        self.merge_probe_body(from, &body, now, outbox);
         let awaited = self
             .probe
             .as_ref()
@@ -297,7 +304,7 @@
         }
     }
 
-    /// Probes `target` on behalf of `requester`.
+    /// Probes the member `target` on behalf of the peer `requester`, which got no ack.
     #[allow(clippy::too_many_arguments)]
     pub fn on_ping_request(
         &mut self,
@@ -313,7 +320,7 @@
             return;
         }
         self.sequence += 1;
-        self.relays.push(Relay {
+        self.relays.push(RelayedProbe {
             requester: requester.clone(),
             requester_sequence,
             sequence: self.sequence,
--- a/crates/rampthread-core/src/fleet/membership/reconcile.rs
+++ b/crates/rampthread-core/src/fleet/membership/reconcile.rs
@@ -1,7 +1,7 @@
 //! Reconciles two member tables. A node sends the digests of its records; the peer replies with
 //! the records that differ and requests those that it lacks.
 
-use super::{Membership, Origin, record_digest};
+use super::{Membership, UpdateOrigin, record_digest};
 use crate::fleet::action::Outbox;
 use crate::fleet::member::MemberRecord;
 use crate::fleet::message::Message;
@@ -30,7 +30,7 @@
         if !at_rest {
             self.ineffective_comparisons = 0;
         }
-        if at_rest || self.origin_of(&peer) == Origin::SameZone {
+        if at_rest || self.origin_of(&peer) == UpdateOrigin::SameZone {
             self.compare_tables(&peer, outbox);
         }
         for other in self.random_same_zone_peers(self.ineffective_comparisons, rng) {
@@ -41,12 +41,13 @@
         self.ineffective_comparisons = (self.ineffective_comparisons + 1).min(MAX_ADDITIONAL_PEERS);
     }
 
+    /// Sends the digests of this node's member table to a peer.
     fn compare_tables(&self, peer: &NodeId, outbox: &mut Outbox) {
         let digests = self.records().map(record_digest).collect();
         outbox.send(peer, Message::TableSummary { digests });
     }
 
-    /// Replies to a peer that started a comparison.
+    /// Replies to a peer that has sent the digests of its member table.
     pub fn on_table_summary(&self, from: &NodeId, digests: &[u64], outbox: &mut Outbox) {
         let theirs: BTreeSet<u64> = digests.iter().copied().collect();
         let mine: BTreeSet<u64> = self.records().map(record_digest).collect();
@@ -81,7 +82,7 @@
         let origin = self.origin_of(from);
         self.differing_peer = None;
         for record in members {
-            self.merge(record, origin, now, outbox);
+            self.merge_record(record, origin, now, outbox);
         }
         if !requested.is_empty() {
             let answer = Message::TableRecords {
--- a/crates/rampthread-core/src/fleet/membership/relays.rs
+++ b/crates/rampthread-core/src/fleet/membership/relays.rs
@@ -12,7 +12,7 @@
 use crate::ids::{NodeId, Version};
 use crate::rendezvous;
 
-/// Departures to forward, and the receivers.
+/// Backend departures that this node has to forward, and the receivers.
 #[derive(Debug)]
 pub(super) struct PendingForward {
     departures: Vec<NodeId>,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Sends the queued departures.
+    /// Sends the backend departures queued for forwarding.
     pub fn forward_departures(&mut self, held: Version, outbox: &mut Outbox) {
         for forward in std::mem::take(&mut self.pending_forwards) {
             let departures = forward.departures.iter();
--- a/crates/rampthread-core/src/fleet/membership/updates.rs
+++ b/crates/rampthread-core/src/fleet/membership/updates.rs
@@ -1,6 +1,6 @@
-//! Selection and transmission of member updates.
+//! Member updates: which ones are sent, to whom and how often.
 
-use super::{DUPLICATE_UPDATE_COST, Membership, Origin};
+use super::{DUPLICATE_UPDATE_COST, Membership, UpdateOrigin};
 use crate::fleet::action::Outbox;
 use crate::fleet::member::{MemberRecord, Status};
 use crate::fleet::message::{Message, ProbeBody};
@@ -38,8 +38,8 @@
         self.send_to_other_zones(held, settings, rng, outbox);
     }
 
-    /// Sends urgent updates directly to the zone. If there are none, gossips the others to a
-    /// few members.
+    /// Sends urgent updates directly to the members of this zone. If there are none, sends the
+    /// others to a few random members.
     fn send_to_zone(
         &mut self,
         held: Version,
@@ -74,6 +74,7 @@
         }
     }
 
+    /// Takes up to `count` updates that all of the zone must get.
     fn take_urgent(&mut self, count: usize) -> Vec<MemberRecord> {
         let taken: Vec<NodeId> = self.urgent.iter().take(count).cloned().collect();
         for id in &taken {
@@ -86,12 +87,13 @@
             .collect()
     }
 
-    /// Returns true if urgent updates are pending and the last round is long enough ago.
+    /// Returns true if this node has updates that all of its zone must get, and the last gossip
+    /// round is long enough ago.
     pub fn has_urgent_updates(&self, now: Moment) -> bool {
         !self.urgent.is_empty() && now >= self.next_gossip
     }
 
-    /// Sends the same updates to all `targets`.
+    /// Sends the same member updates to all `targets`.
     pub(super) fn send_updates(
         &mut self,
         targets: &[NodeId],
@@ -118,6 +120,7 @@
         }
     }
 
+    /// Sends changes first seen by this node to a few members of each other zone.
     fn send_to_other_zones(
         &mut self,
         held: Version,
@@ -151,20 +154,21 @@
             .collect()
     }
 
-    /// Queues an update for the receivers that depend on its origin.
-    pub(super) fn queue_update(&mut self, id: NodeId, origin: Origin) {
+    /// Queues the changed record of the member `id` for the receivers that depend on its
+    /// origin.
+    pub(super) fn queue_update(&mut self, id: NodeId, origin: UpdateOrigin) {
         match origin {
-            Origin::Local => {
+            UpdateOrigin::Local => {
                 self.other_zone_updates
                     .insert(id.clone(), OTHER_ZONE_ROUNDS);
                 self.urgent.insert(id.clone());
             }
-            Origin::OtherZone => {
+            UpdateOrigin::OtherZone => {
                 self.other_zone_updates.remove(&id);
                 self.urgent.insert(id.clone());
             }
             // The update that this node was sending is outdated.
-            Origin::SameZone => {
+            UpdateOrigin::SameZone => {
                 self.other_zone_updates.remove(&id);
                 self.urgent.remove(&id);
             }
@@ -183,6 +187,7 @@
         }
     }
 
+    /// Builds the body of a probe or ack for the member `target`, with pending updates.
     pub(super) fn body_for(
         &mut self,
         target: &NodeId,
@@ -226,7 +231,8 @@
             .collect()
     }
 
-    /// A peer sent an update that this node is sending as well, so it has already spread.
+    /// Reduces the remaining transmissions of an update that a peer has sent back, since it has
+    /// already spread.
     pub(super) fn reduce_transmissions(&mut self, id: &NodeId) {
         count_down(&mut self.updates, id, DUPLICATE_UPDATE_COST);
     }
@@ -248,6 +254,7 @@
     queue.into_iter().map(|(_, id)| id.clone()).collect()
 }
 
+/// Reduces the remaining transmissions of an update, and removes it at zero.
 fn count_down(updates: &mut BTreeMap<NodeId, u32>, id: &NodeId, by: u32) {
     if let Some(left) = updates.get_mut(id) {
         *left = left.saturating_sub(by);
--- a/crates/rampthread-core/src/fleet/membership/zones.rs
+++ b/crates/rampthread-core/src/fleet/membership/zones.rs
@@ -1,14 +1,14 @@
-//! Selection of peers by zone.
+//! Selection of peers in this node's zone and in other zones.
 
 use super::Membership;
-use super::member_entry::Member;
+use super::member_entry::MemberEntry;
 use crate::fleet::member::Status;
 use crate::ids::{NodeId, Zone};
 use rand::Rng;
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
 
-/// Share of queries sent to another zone, in case all of the own zone is outdated.
+/// Share of queries sent to another zone, in case all members of the own zone are outdated.
 const OTHER_ZONE_QUERY_RATIO: f64 = 0.25;
 
 impl Membership {
@@ -82,9 +82,9 @@
         peers.map(|peer| peer.id.clone()).choose(rng)
     }
 
-    /// Recounts the known members of this zone.
+    /// Counts the known members of this node's zone again.
     pub(super) fn recount_zone(&mut self) {
-        let in_zone = |member: &&Member| member.record.zone == self.me.zone;
+        let in_zone = |member: &&MemberEntry| member.record.zone == self.me.zone;
         self.zone_size = 1 + self.members.values().filter(in_zone).count();
     }
 }
--- a/crates/rampthread-core/src/fleet/message.rs
+++ b/crates/rampthread-core/src/fleet/message.rs
@@ -1,4 +1,7 @@
 //! Messages between agents. `rampthread-wire` encodes them as Cap'n Proto.
+//!
+//! A log reader is a node that holds a lease to read the log in the store. A witness node is a
+//! peer that records which versions a node activates.
 
 use super::crash_table::CrashReport;
 use super::load::{LoadReport, ZoneLoad};
@@ -30,31 +33,32 @@
 /// Content of probes and their acks.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ProbeBody {
-    /// Number of the probe, repeated in its ack. 0 if the message is not part of a probe.
+    /// Probe number chosen by the prober and repeated in the ack. 0 if the message is not part
+    /// of a probe.
     pub sequence: u64,
     /// Version that is active on the sender.
     pub held: Version,
     /// Digest of the sender's member table. Peers with another digest compare their tables.
     pub digest: u64,
-    /// Records of members that changed recently.
+    /// Recently changed member records that the receiver may not know yet.
     pub updates: Vec<MemberRecord>,
     /// Digest of the sender's crash reports that peers reconcile; 0 if there are none.
     pub crash_digest: u64,
 }
 
-/// Identifies a witness set by a digest of its members.
+/// Identifies a set of witness nodes by a digest of their ids.
 pub type WitnessSetId = u64;
 
-/// What a witness has recorded for a node.
+/// The version that a witness node has recorded for another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WitnessRecord {
     /// Highest version that the node may have activated.
     pub version: Version,
-    /// Witness set of the node as named by the configuration of this version.
+    /// Digest of the node's witness nodes, which the configuration of this version names.
     pub set: WitnessSetId,
 }
 
-/// Outcome of a proposal.
+/// Outcome of an operator's proposal to change the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalReply {
     /// The log contains the proposed operation.
@@ -71,9 +75,10 @@
         /// Delay after which the operator may submit the proposal again.
         retry_after: Duration,
     },
-    /// The proposal may have been written. The operator has to look up the operation later.
+    /// The proposal may have been written, but the log does not show it yet. The operator has
+    /// to look up the operation later.
     Unknown,
-    /// The proposal was addressed to an earlier or later run of the reader's process.
+    /// The proposal was addressed to another run of the log reader's process.
     EpochMismatch,
 }
 
@@ -86,10 +91,10 @@
     pub held: Version,
 }
 
-/// How many nodes hold the newest version, as counted by a reader.
+/// How many nodes hold the newest version, as counted by a log reader.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PropagationStatus {
-    /// Newest version known to the reader.
+    /// Newest version known to the log reader.
     pub version: Version,
     /// Number of reachable nodes that hold the newest version.
     pub held_by: u32,
@@ -118,16 +123,16 @@
         /// One digest for each record of the sender.
         digests: Vec<u64>,
     },
-    /// Records in which two member tables differ.
+    /// Member records that the two nodes' tables do not have in common.
     TableRecords {
         /// Records of the sender that the receiver may lack.
         members: Vec<MemberRecord>,
         /// Digests that the receiver announced and that the sender has no record for.
         wanted: Vec<u64>,
     },
-    /// Announces that a version exists. A small log entry is included.
+    /// Announces a new version of the configuration. A small log entry is included.
     Notice {
-        /// Version that exists.
+        /// The new version.
         version: Version,
         /// Encoded log entry of the version. Absent if the entry is too large for a notice.
         entry: Option<SharedBytes>,
@@ -158,65 +163,69 @@
         /// Another node that the receiver may pull from at once.
         instead: Option<NodeId>,
     },
-    /// Tells a reader that this version is active on the sender.
+    /// Tells a log reader that this version is active on the sender.
     Held {
         /// Version that is active on the sender.
         version: Version,
     },
-    /// Reply to [`Message::Held`].
+    /// Acknowledges [`Message::Held`], so that the sender stops repeating it.
     HeldAck {
-        /// Version that the reader has recorded for the receiver.
+        /// Version that the log reader has recorded for the receiver.
         version: Version,
     },
-    /// Asks a reader for the head of the log, read after this query. If the configuration is a
-    /// document, a node that gets no answers from the store sends this to ask for the document
-    /// it holds now.
+    /// Asks a log reader for the newest version in the log, read after this query. If the
+    /// configuration is a document, the query asks the receiver to read the document from the
+    /// store, since the store does not answer the sender.
     HeadQuery {
         /// Random number that the reply repeats.
         nonce: u64,
     },
-    /// Reply to [`Message::HeadQuery`] with the newest version in the log.
+    /// Newest version in the log, in reply to [`Message::HeadQuery`].
     HeadReply {
         /// Nonce of the query.
         nonce: u64,
         /// Newest version in the log.
         head: Version,
     },
-    /// Asks a witness to record a version before the sender activates it.
+    /// Asks a witness node to record a version before the sender activates it.
     Record {
         /// Version and witness set to record for the sender.
         record: WitnessRecord,
-        /// Process epoch of the witness that the record is meant for. Other runs must not store it: a
-        /// delayed copy could take the place of newer records that were lost in a restart.
+        /// Process epoch of the witness node that has to record the version. Another run must
+        /// ignore the message: a delayed copy could take the place of newer records that were
+        /// lost in a restart.
         witness_epoch: ProcessEpoch,
     },
-    /// Reply to [`Message::Record`] with the version on record.
+    /// Acknowledges [`Message::Record`].
     RecordAck {
-        /// Recorded version; 0 if the request was meant for another run of the witness.
+        /// Version that the witness node has on record; 0 if the message was meant for another
+        /// run of the witness node.
         version: Version,
-        /// Process epoch of the requesting node.
+        /// Process epoch of the node for which the version is recorded.
         asker_epoch: ProcessEpoch,
     },
-    /// Asks a witness for the version that it recorded before the sender's restart.
+    /// Sent by a restarted node to a witness node: asks which version the sender's previous run
+    /// has recorded there.
     FloorQuery {
         /// Random number that the reply repeats.
         nonce: u64,
     },
-    /// Reply to [`Message::FloorQuery`] with the record of the restarted node.
+    /// Reply of a witness node to [`Message::FloorQuery`].
     FloorReply {
         /// Nonce of the query.
         nonce: u64,
-        /// Record for the restarted node. Absent if the witness has none, e.g. after its own
-        /// restart.
+        /// Version recorded for the restarted node. Absent if the witness node has none, e.g.
+        /// after its own restart.
         record: Option<WitnessRecord>,
-        /// Highest version that the witness knows to exist.
+        /// Newest version that the witness node has received or heard of from peers.
         newest_known: Version,
     },
-    /// Forwards an operator's change to a reader, which appends it to the log.
+    /// Forwards an operator's change to a log reader, which appends it to the log.
     Propose {
         /// Number of the proposal, unique at the forwarding node.
         submission: u64,
-        /// Process epoch of the reader that the submission is meant for. Other runs must not process it.
+        /// Process epoch of the log reader that has to append the change. Another run must
+        /// ignore the message.
         reader_epoch: ProcessEpoch,
         /// The change as encoded by `LogEntry::encode`.
         entry: SharedBytes,
@@ -230,7 +239,7 @@
         /// Outcome of the proposal.
         answer: ProposalReply,
     },
-    /// Asks a reader how many nodes hold the newest version.
+    /// Asks a log reader how many nodes hold the newest version.
     PropagationQuery {
         /// Random number that the reply repeats.
         nonce: u64,
@@ -260,12 +269,13 @@
     /// Rollout states known to the sender. The receiver replies with later states that it
     /// knows, or with all of them if the list is empty.
     Rollouts(Vec<RolloutState>),
-    /// Call outcomes by software version, sent to the node that decides a rollout.
+    /// Responses that callers got from a service's versions, counted by version. Sent to the
+    /// node that decides the service's rollout.
     VersionEvidence(Vec<VersionEvidence>),
-    /// Reports the era of the store. The store raises its era each time it is restored from an
-    /// older copy.
+    /// Reports the store era. The store raises it by one each time it is restored from an older
+    /// copy.
     StoreEra {
-        /// Newest era that the sender has seen.
+        /// Newest store era that the sender has seen.
         era: u64,
     },
     /// The platform is about to remove the machine: accept no new work for the backend.
--- a/crates/rampthread-core/src/fleet/mod.rs
+++ b/crates/rampthread-core/src/fleet/mod.rs
@@ -4,15 +4,15 @@
 //! |---|---|
 //! | `membership` | failure detection and member table (SWIM) |
 //! | `replica` | log entries known to this node |
-//! | `distribution` | notices to peers and pulls of missing entries |
-//! | `witness` | activation of a version, and the version floor after a restart |
-//! | `reader` | leases of the nodes that read the store |
-//! | `writer` | appending proposals to the log |
-//! | `holders` | which node holds which version |
-//! | `proposals` | forwarding an operator's change to a reader |
+//! | `distribution` | notices to peers and pulls of missing log entries |
+//! | `witness` | activation of versions, and the restart floor (lowest version after a restart) |
+//! | `reader` | leases of the few nodes that read the log in the store |
+//! | `writer` | appending operators' changes to the log |
+//! | `holders` | which node has which version active |
+//! | `proposals` | forwarding an operator's change to a log reader |
 //! | `backend_tracker` | current incarnation of the local backend |
 //! | `crash_table` | backend crashes by request |
-//! | `store_watch` | which nodes watch the store for a new document |
+//! | `store_watch` | which nodes watch the document in the store |
 //! | `load_exchange` | aggregation and exchange of zone loads |
 //! | `zone_directory` | which node writes the zone's snapshot to the store, and when |
 //! | `agent` | ties the other modules together |
@@ -38,6 +38,7 @@
 mod witness;
 mod writer;
 mod zone_directory;
+
 pub use action::{
     Action, Decision, FloorSource, LeaseId, Outbox, RequestId, StoreAnswer, StoreFailure,
     StoreRequest, Ticket,
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -1,7 +1,8 @@
-//! Forwarding of operators' changes, submitted at any node, to a reader.
+//! Forwarding of operators' changes, submitted at any node, to a log reader, a node that may
+//! append to the log in the store.
 //!
-//! A proposal ends as `NotRun` only if it was sent to exactly one run of one reader and that
-//! run rejects it. In any other case an unanswered proposal ends as `Unknown`.
+//! A proposal ends as `NotRun` only if it was sent to exactly one run of one log reader and
+//! that run rejects it. In any other case an unanswered proposal ends as `Unknown`.
 
 use super::action::{Action, Outbox, Ticket};
 use super::membership::Membership;
@@ -16,31 +17,32 @@
 
 /// Time after which an unanswered proposal is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
-/// Time for which a proposal waits for a reader to be known.
+/// Time for which a proposal waits until this node knows a log reader.
 const READER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay before another attempt that the operator is told if no reader is known.
+/// Delay before another attempt that the operator is told if no log reader is known.
 const NO_READER_RETRY_DELAY: Duration = Duration::from_secs(2);
 
+/// Proposal submitted at this node that has no outcome yet.
 #[derive(Debug)]
-struct OpenProposal {
+struct PendingProposal {
     ticket: Ticket,
     submission: u64,
     entry: SharedBytes,
     submitted_at: Moment,
     target: Option<(NodeId, ProcessEpoch)>,
     sent: Moment,
-    /// True if the proposal was sent to more than one reader or to several runs of one.
+    /// True if the proposal was sent to more than one log reader or to several runs of one.
     sent_to_several: bool,
 }
 
 /// Proposals submitted by operators at this node that have no outcome yet.
 #[derive(Debug)]
 pub struct ProposalForwarder {
-    open: Vec<OpenProposal>,
+    open: Vec<PendingProposal>,
     next_submission: u64,
 }
 
-/// A proposal that this node handles itself because it is a reader.
+/// Proposal that this node handles itself because it is a log reader.
 #[derive(Debug)]
 pub struct LocalProposal {
     /// Number of the proposal at this node.
@@ -62,7 +64,7 @@
     /// Adds a proposal, which is sent to a reader with the next tick.
     pub fn submit(&mut self, ticket: Ticket, entry: SharedBytes, now: Moment) {
         self.next_submission += 1;
-        self.open.push(OpenProposal {
+        self.open.push(PendingProposal {
             ticket,
             submission: self.next_submission,
             entry,
@@ -73,7 +75,8 @@
         });
     }
 
-    /// Sends new and unanswered proposals to a reader. Returns those for this node itself.
+    /// Sends new and unanswered proposals to a log reader. Returns those that this node handles
+    /// itself.
     #[allow(clippy::too_many_arguments)]
     pub fn tick(
         &mut self,
@@ -119,12 +122,13 @@
             }
         }
         for (ticket, answer) in ended {
-            self.end(ticket, answer, outbox);
+            self.end_proposal(ticket, answer, outbox);
         }
         own
     }
 
-    /// Handles the reply of a reader and ends the proposal if its outcome is certain.
+    /// Handles the reply of a log reader. Ends the proposal if the reply makes its outcome
+    /// certain.
     pub fn on_answer(
         &mut self,
         from: &NodeId,
@@ -149,10 +153,10 @@
             }
         };
         let ticket = open.ticket;
-        self.end(ticket, answer, outbox);
+        self.end_proposal(ticket, answer, outbox);
     }
 
-    fn end(&mut self, ticket: Ticket, answer: ProposalReply, outbox: &mut Outbox) {
+    fn end_proposal(&mut self, ticket: Ticket, answer: ProposalReply, outbox: &mut Outbox) {
         self.open.retain(|open| open.ticket != ticket);
         outbox
             .actions
@@ -160,11 +164,12 @@
     }
 }
 
-impl OpenProposal {
+impl PendingProposal {
+    /// Records that the proposal is sent to a run of a log reader.
     fn set_target(&mut self, reader: NodeId, process_epoch: ProcessEpoch, now: Moment) {
         let next = (reader, process_epoch);
-        // Epoch 0 means that the reader's process epoch is not known. Such a proposal has no
-        // effect.
+        // Epoch 0 means that the log reader's process epoch is not known. A proposal sent with
+        // it has no effect.
         let changed = self.target.as_ref().is_some_and(|(_, process_epoch)| {
             *process_epoch != 0 && self.target.as_ref() != Some(&next)
         });
@@ -173,6 +178,7 @@
         self.sent = now;
     }
 
+    /// Returns true if the proposal was only sent to this run of this log reader.
     fn is_only_target(&self, from: &NodeId, process_epoch: ProcessEpoch) -> bool {
         let target = self.target.as_ref();
         !self.sent_to_several
@@ -180,7 +186,12 @@
     }
 }
 
-fn timed_out(open: &OpenProposal, now: Moment, settings: &FleetSettings) -> Option<ProposalReply> {
+/// Returns the outcome of a proposal that has waited too long, if it has.
+fn timed_out(
+    open: &PendingProposal,
+    now: Moment,
+    settings: &FleetSettings,
+) -> Option<ProposalReply> {
     let waited = now.since(open.submitted_at);
     let never_sent = open.target.is_none();
     if never_sent && waited >= READER_TIMEOUT {
@@ -191,10 +202,10 @@
     (waited >= settings.proposal_timeout).then_some(ProposalReply::Unknown)
 }
 
-/// Returns the previously chosen reader if it still is one, otherwise any, preferably of the
-/// same zone.
+/// Returns the log reader that the proposal was sent to if it still is one, otherwise any,
+/// preferably of the same zone.
 fn choose_reader(
-    open: &OpenProposal,
+    open: &PendingProposal,
     membership: &Membership,
     rng: &mut impl Rng,
 ) -> Option<NodeId> {
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -1,9 +1,9 @@
-//! Leases of the few members that read the store.
+//! Leases of the few members that read the log in the store, the log readers.
 //!
 //! Safety does not depend on a lease; it only bounds the number of nodes that call the store. A
-//! reader whose lease expired by its own clock gives it up before anything else. Store answers
-//! that belong to an ended lease are dropped by their request id, except for log entries, which
-//! are valid whoever read them.
+//! log reader whose lease expired by its own clock gives it up before anything else. Store
+//! answers that belong to an ended lease are dropped by their request id, except for log
+//! entries, which are valid whoever read them.
 
 use super::action::{
     Action, Decision, LeaseId, Outbox, RequestId, StoreAnswer, StoreFailure, StoreRequest,
@@ -16,13 +16,14 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Renewals per time to live of a lease.
+/// Renewals per time to live of a lease on a reader slot.
 const RENEWALS_PER_TTL: u32 = 3;
-/// Rendezvous key of the reader candidates.
+/// Rendezvous key of the members that may acquire a lease on a reader slot.
 const CANDIDATE_KEY: &str = "store-reader";
-/// Number of doublings after which the backoff stays constant.
+/// Number of doublings after which the backoff of store requests stays constant.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
+/// What a pending request to the store is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestPurpose {
     Acquire { reader_slot: usize },
@@ -32,6 +33,7 @@
     Snapshot,
 }
 
+/// Request to the store without an answer so far.
 #[derive(Debug)]
 struct PendingRequest {
     id: RequestId,
@@ -39,11 +41,13 @@
     sent: Moment,
 }
 
+/// Lease on a reader slot that this node holds.
 #[derive(Debug, Clone, Copy)]
-struct Lease {
+struct ReaderLease {
     id: LeaseId,
     reader_slot: usize,
-    /// Counted from when the request was sent, so never later than the expiry in the store.
+    /// End of the lease, counted from when the request was sent and so never later than in the
+    /// store.
     expires: Moment,
     renew_at: Moment,
 }
@@ -59,7 +63,7 @@
     running: Vec<(NodeId, u64)>,
 }
 
-/// Data from the store that the reader passes to the agent.
+/// Data from the store that a log reader passes to the agent.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReaderEvent {
     /// New entries of the log.
@@ -80,10 +84,10 @@
     },
 }
 
-/// State of this node as a reader of the log, or as a candidate for a reader lease.
+/// State of this node as a log reader, or as a candidate for a lease on a reader slot.
 #[derive(Debug)]
 pub struct StoreReader {
-    lease: Option<Lease>,
+    lease: Option<ReaderLease>,
     pending: Vec<PendingRequest>,
     not_before: Moment,
     failures: u32,
@@ -111,7 +115,7 @@
         }
     }
 
-    /// Returns true if the lease is valid by this node's own clock.
+    /// Returns true if the lease on a reader slot is valid by this node's own clock.
     pub fn holds_lease(&self, now: Moment) -> bool {
         self.lease.is_some_and(|lease| now < lease.expires)
     }
@@ -121,7 +125,7 @@
         self.store_down
     }
 
-    /// Returns the delay before the store may be called again.
+    /// Returns the delay after which this node may call the store again.
     pub fn retry_after(&self, now: Moment) -> Duration {
         self.not_before.since(now).max(Duration::from_millis(100))
     }
@@ -141,7 +145,7 @@
         self.head_queries.waiting.push((from, nonce));
     }
 
-    /// Acquires or renews the lease as needed and sends the store requests that are due.
+    /// Acquires or renews the lease on a reader slot and sends the store requests that are due.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -162,7 +166,8 @@
         }
     }
 
-    /// Gives up the lease locally, for instance after the process was suspended.
+    /// Forgets the lease on a reader slot without telling the store, for instance after the
+    /// process was suspended.
     pub fn abandon_lease(&mut self, reason: &str, outbox: &mut Outbox) {
         let Some(lease) = self.lease.take() else {
             return;
@@ -175,7 +180,8 @@
         });
     }
 
-    /// Releases the lease in the store, so that another node can acquire it at once.
+    /// Releases the lease on a reader slot in the store, so that another node can acquire it at
+    /// once.
     pub fn release(&mut self, outbox: &mut Outbox) {
         if let Some(lease) = self.lease {
             self.abandon_lease("released at a planned stop", outbox);
@@ -197,7 +203,7 @@
         }
     }
 
-    /// Treats requests without a timely answer as failed.
+    /// Treats store requests without a timely answer as failed.
     fn expire_requests(
         &mut self,
         now: Moment,
@@ -221,7 +227,7 @@
         }
     }
 
-    /// Moves the queries of a failed read to the next one.
+    /// Moves the head queries of a failed read to the next one.
     fn requeue_head_queries(&mut self) {
         if !self.is_pending(RequestPurpose::Head) {
             let mut requesters = std::mem::take(&mut self.head_queries.running);
@@ -229,13 +235,14 @@
         }
     }
 
+    /// Returns true if a store request for this purpose has no answer yet.
     fn is_pending(&self, purpose: RequestPurpose) -> bool {
         self.pending
             .iter()
             .any(|pending| pending.purpose == purpose)
     }
 
-    fn request(
+    fn send_store_request(
         &mut self,
         purpose: RequestPurpose,
         request: StoreRequest,
@@ -254,9 +261,11 @@
         });
     }
 
+    /// Sends the store requests that a log reader has to make: renewal, snapshot, watch and
+    /// head of the log.
     fn use_lease(
         &mut self,
-        lease: Lease,
+        lease: ReaderLease,
         now: Moment,
         known_version: Version,
         settings: &FleetSettings,
@@ -264,10 +273,10 @@
     ) {
         if now >= lease.renew_at && !self.is_pending(RequestPurpose::Renew) {
             let request = StoreRequest::RenewLease { lease: lease.id };
-            self.request(RequestPurpose::Renew, request, now, outbox);
+            self.send_store_request(RequestPurpose::Renew, request, now, outbox);
         }
         if self.needs_snapshot && !self.is_pending(RequestPurpose::Snapshot) {
-            self.request(
+            self.send_store_request(
                 RequestPurpose::Snapshot,
                 StoreRequest::ReadSnapshot,
                 now,
@@ -279,17 +288,18 @@
                 after: known_version,
                 wait: settings.watch_wait,
             };
-            self.request(RequestPurpose::Watch, request, now, outbox);
+            self.send_store_request(RequestPurpose::Watch, request, now, outbox);
         }
         if !self.head_queries.waiting.is_empty() && !self.is_pending(RequestPurpose::Head) {
             self.head_queries.running = std::mem::take(&mut self.head_queries.waiting);
             let request = StoreRequest::ReadLog {
                 after: known_version,
             };
-            self.request(RequestPurpose::Head, request, now, outbox);
+            self.send_store_request(RequestPurpose::Head, request, now, outbox);
         }
     }
 
+    /// Requests a lease on a reader slot if this node is a candidate and a slot may be free.
     fn try_acquire(
         &mut self,
         now: Moment,
@@ -322,7 +332,7 @@
             reader_slot,
             ttl: settings.lease_ttl,
         };
-        self.request(
+        self.send_store_request(
             RequestPurpose::Acquire { reader_slot },
             request,
             now,
@@ -346,7 +356,7 @@
         match result {
             Ok(answer) => {
                 self.store_answered(outbox);
-                self.on_answer(pending, answer, now, settings, rng, outbox)
+                self.on_store_answer(pending, answer, now, settings, rng, outbox)
             }
             Err(failure) => {
                 self.requeue_head_queries();
@@ -367,7 +377,7 @@
         }
     }
 
-    fn on_answer(
+    fn on_store_answer(
         &mut self,
         pending: PendingRequest,
         answer: StoreAnswer,
@@ -378,7 +388,7 @@
     ) -> Option<ReaderEvent> {
         match (pending.purpose, answer) {
             (RequestPurpose::Acquire { reader_slot }, StoreAnswer::LeaseGranted { lease }) => {
-                self.lease = Some(Lease {
+                self.lease = Some(ReaderLease {
                     id: lease,
                     reader_slot,
                     expires: pending.sent + settings.lease_ttl,
@@ -484,8 +494,8 @@
     }
 }
 
-/// Returns this node's rank among the reader candidates, which are spread over the zones, or
-/// `None` if it is not one of the first `count`.
+/// Returns this node's rank among the candidates for reader slots, which are spread over the
+/// zones, or `None` if it is not one of the first `count`.
 fn candidate_rank(membership: &Membership, count: usize) -> Option<usize> {
     let me = &membership.me().id;
     let candidates = membership
--- a/crates/rampthread-core/src/fleet/replica.rs
+++ b/crates/rampthread-core/src/fleet/replica.rs
@@ -76,6 +76,7 @@
         states
     }
 
+    /// Retains an applied entry for peers. Removes the oldest ones beyond the limit.
     fn retain_entry(&mut self, version: Version, entry: SharedBytes) {
         self.retained.insert(version, entry);
         while self.retained.len() > self.max_retained {
@@ -105,8 +106,8 @@
         Ok(self.replace(Arc::new(state)))
     }
 
-    /// Returns the entries after `held`, up to `limit_bytes` but at least one. Returns `None`
-    /// if they are no longer kept.
+    /// Returns the encoded entries after version `held`, up to `limit_bytes` but at least one.
+    /// Returns `None` if they are no longer retained.
     pub fn entries_after(&self, held: Version, limit_bytes: usize) -> Option<Vec<SharedBytes>> {
         if held >= self.version() {
             return Some(Vec::new());
--- a/crates/rampthread-core/src/fleet/settings.rs
+++ b/crates/rampthread-core/src/fleet/settings.rs
@@ -38,11 +38,11 @@
     pub pull_timeout: Duration,
     /// Maximum number of log entries kept in memory for lagging peers.
     pub max_retained_entries: usize,
-    /// Number of nodes that hold a reader lease at a time.
+    /// Number of nodes that read the log in the store, each with a lease on a reader slot.
     pub reader_count: usize,
-    /// Number of members that may try to acquire a reader lease.
+    /// Number of members that may try to acquire a lease on a reader slot.
     pub reader_candidates: usize,
-    /// Time to live of a reader lease.
+    /// Time to live of a lease on a reader slot.
     pub lease_ttl: Duration,
     /// Maximum wait of a single watch on the store.
     pub watch_wait: Duration,
@@ -50,11 +50,13 @@
     pub initial_store_backoff: Duration,
     /// Upper bound of the backoff after failed store requests.
     pub max_store_backoff: Duration,
-    /// Number of versions between snapshots of the log.
+    /// Number of versions after which a log reader writes the next snapshot of the
+    /// configuration.
     pub versions_per_snapshot: u64,
-    /// Number of witnesses per node.
+    /// Number of witness nodes per node. A witness node records the versions that another node
+    /// activates.
     pub witness_count: usize,
-    /// Interval between repeats of an unanswered query.
+    /// Interval at which a node repeats a query to a peer until it gets a reply.
     pub query_retry_interval: Duration,
     /// Time after which the outcome of a proposal is reported as unknown.
     pub proposal_timeout: Duration,
@@ -77,7 +79,7 @@
     pub unconfirmed_backend_ttl: Duration,
     /// Interval between heartbeats of a backend.
     pub heartbeat_interval: Duration,
-    /// Number of nodes that watch the store for a new document.
+    /// Number of nodes that watch the document in the store for a newer version.
     pub document_watchers: usize,
     /// Number of peers in the zone that receive member updates per gossip round.
     pub gossip_fanout: usize,
--- a/crates/rampthread-core/src/fleet/store_watch.rs
+++ b/crates/rampthread-core/src/fleet/store_watch.rs
@@ -1,11 +1,12 @@
-//! Selection of the nodes that watch the store for a new document, and what happens if a
-//! watcher gets no answers.
+//! Selection of the document watchers, and what happens if one of them gets no answers.
 //!
-//! A watcher without answers must not be mistaken for one without new versions. Therefore each
+//! A document watcher is a node that watches the document in the store for a newer version. One
+//! that gets no answers must not be mistaken for one without newer versions. Therefore each
 //! watch is short compared with the time within which a version must become active, and a
-//! watcher whose call fails announces that to all peers at once. It is replaced, and since its
-//! successors may not get answers either, it also asks a few other nodes to query the store
-//! once (a *hedge*). Nodes that get an answer keep watching for a while.
+//! watcher whose store call fails announces that to all peers at once. It is replaced, and
+//! since its successors may not get answers either, it also asks a few other nodes to call the
+//! store once in its place. These calls are *hedged store calls*. Nodes that get an answer keep
+//! watching for a while.
 
 use super::action::{Decision, Outbox};
 use super::member::{MemberRecord, Status};
@@ -18,17 +19,17 @@
 use rand::seq::IteratorRandom;
 use std::time::Duration;
 
-/// Rendezvous key for the selection of watchers.
+/// Rendezvous key for the selection of document watchers.
 const WATCHERS_KEY: &str = "document watchers";
-/// Minimum number of watchers, even if the store is slow for them. Limited because a burst of
-/// versions saturates their links; enough to survive the failure of one or two.
+/// Minimum number of document watchers, even if the store is slow for them. Limited because a
+/// burst of versions saturates their links; enough to survive the failure of one or two.
 const MIN_WATCHERS: usize = 4;
-/// Maximum wait of a watch per watcher. What matters is when the first watch of any watcher
-/// ends after the store stopped answering: with eight watchers within 0.7 s in 998 of 1,000
-/// cases. Together they make 6.4 store calls a second.
+/// Maximum wait of a watch per document watcher. What matters is when the first watch of any
+/// watcher ends after the store stopped answering: with eight watchers within 0.7 s in 998 of
+/// 1,000 cases. Together they make 6.4 store calls a second.
 const MAX_WAIT_PER_WATCHER: Duration = Duration::from_millis(250);
-/// Lower bound for the maximum wait when there are few watchers. It leaves half of the 2 s
-/// within which a version must be active.
+/// Lower bound for the maximum wait of a watch when there are few document watchers. It leaves
+/// half of the 2 s within which a version must be active.
 const MIN_MAX_WAIT: Duration = Duration::from_secs(1);
 /// Minimum wait of a watch as a share of the maximum. Each wait is random, since a new version
 /// ends all watches at once and they must not stay synchronized.
@@ -38,57 +39,57 @@
 const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum timeout of a store call, on top of the requested wait.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// Ratio of the timeout to the latency of the last answer.
+/// Ratio of the timeout of a store call to the latency of the last one.
 const TIMEOUT_LATENCY_RATIO: u32 = 2;
-/// Factor by which the timeout shrinks after an answer that was faster.
+/// Factor by which the timeout of store calls shrinks after an answer that was faster.
 const TIMEOUT_DECAY: f64 = 0.8;
-/// Time after a failed call for which a node does not count as reached by the store, even if
-/// calls succeed, so that the set of watchers does not flap.
+/// Time after a failed store call for which a node does not count as reachable by the store,
+/// even if calls succeed, so that the set of document watchers does not flap.
 const FAILURE_HOLD: Duration = Duration::from_secs(5);
-/// Number of nodes that a watcher asks to query the store after a failure. If 85 % of the nodes
-/// get no answers, some of them succeed in 93 of 100 cases; eight watchers fail within moments
-/// of each other.
+/// Number of nodes that a document watcher asks for a hedged store call after a failure. If 85
+/// % of the nodes get no answers, some of them succeed in 93 of 100 cases; eight watchers fail
+/// within moments of each other.
 const HEDGES_PER_FAILURE: usize = 16;
-/// Minimum interval between hedges of one node, since many watchers fail one after the other in
-/// an outage. A request during the interval is delayed, not dropped, because other nodes may
-/// have lost the store by then.
+/// Minimum interval between hedged store calls of one node, since many document watchers fail
+/// one after the other in an outage. A request during the interval is delayed, not dropped,
+/// because other nodes may have lost the store by then.
 const MIN_HEDGE_INTERVAL: Duration = Duration::from_millis(800);
-/// Interval over which the hedges for one failure are spread, to avoid a burst of calls to the
-/// store.
+/// Interval over which the hedged store calls for one failure are spread, to avoid a burst of
+/// calls to the store.
 const HEDGE_JITTER: Duration = Duration::from_millis(200);
-/// Time for which a successful hedge watches in addition to the selected nodes. Longer than it
-/// takes to replace all watchers that lost the store.
+/// Time for which a node keeps watching the document after a successful hedged store call.
+/// Longer than it takes to replace all document watchers that lost the store.
 const HEDGE_WATCH_DURATION: Duration = Duration::from_secs(5);
 
-/// Retry interval per node without answers from the store: together these nodes make four calls
-/// a second, whatever their number.
+/// Interval per node between attempts of nodes without answers to call the store again:
+/// together these nodes make four calls a second, whatever their number.
 const RETRY_INTERVAL_PER_NODE: Duration = Duration::from_millis(250);
 /// The same while fewer than [`MIN_WATCHERS`] nodes get answers, because no other node would
 /// learn of a new version. If 15 % of the nodes are served again, one of 20 calls a second
 /// succeeds within 1.5 s in 99 of 100 cases.
 const RETRY_INTERVAL_PER_NODE_FEW_WATCHERS: Duration = Duration::from_millis(50);
-/// Minimum retry interval of one node.
+/// A node without answers waits at least this long before it calls the store again.
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Which nodes watch the store for a new document, and how the store answers this node.
+/// The document watchers according to this node's member table, and how the store answers this
+/// node.
 #[derive(Debug)]
 pub struct StoreWatch {
-    /// Selected at `revision` of the member table.
+    /// Document watchers selected at `revision` of the member table.
     watchers: Vec<NodeId>,
     revision: u64,
-    /// True if this node is one of the selected watchers.
+    /// True if this node is one of the selected document watchers.
     selected: bool,
     /// True if the store answered this node's last call.
     reachable: bool,
     answered_at: Option<Moment>,
     failed_at: Option<Moment>,
     call_timeout: Duration,
-    /// Time of the scheduled hedge, a call to the store in place of a watcher that got no
-    /// answer.
+    /// Time of the next hedged store call, requested by a document watcher that got no answer.
     hedge_at: Option<Moment>,
-    /// Time of the last hedge.
+    /// Time of this node's last hedged store call.
     hedged_at: Option<Moment>,
-    /// Time until which this node keeps watching after a hedge.
+    /// Time until which this node keeps watching the document after a hedged store call.
     hedge_until: Option<Moment>,
     /// Time of this node's next call to the store after a failed one.
     retry_at: Option<Moment>,
@@ -99,7 +100,7 @@
         Self {
             watchers: Vec::new(),
             revision: 0,
-            // A node without known peers is the only one that can watch.
+            // A node without known peers is the only one that can watch the document.
             selected: true,
             reachable: false,
             answered_at: None,
@@ -114,22 +115,24 @@
 }
 
 impl StoreWatch {
-    /// Returns the selected watchers according to this node's member table.
+    /// Returns the document watchers according to this node's member table.
     pub fn selected_watchers(&self) -> &[NodeId] {
         &self.watchers
     }
 
-    /// Returns true if this node watches, as a selected watcher or after a hedge.
+    /// Returns true if this node watches the document in the store: it is a selected document
+    /// watcher, or has recently made a hedged store call.
     pub fn is_watching(&self) -> bool {
         self.selected || self.hedge_until.is_some()
     }
 
-    /// Returns true if the selection is based on the current member table.
+    /// Returns true if the document watchers were selected from the current member table.
     pub fn is_current(&self, membership: &Membership) -> bool {
         self.revision == membership.revision()
     }
 
-    /// Returns true if the last call succeeded and the last failure is [`FAILURE_HOLD`] ago.
+    /// Returns true if this node's last store call succeeded and no call has failed within
+    /// [`FAILURE_HOLD`].
     pub fn is_reachable(&self, now: Moment) -> bool {
         let recently_failed = self
             .failed_at
@@ -142,7 +145,7 @@
         self.answered_at.map(|answered| now.since(answered))
     }
 
-    /// Returns a random wait for the next watch.
+    /// Returns a random time that the store may wait for a newer document in the next watch.
     pub fn next_wait(&self, rng: &mut impl Rng) -> Duration {
         let watchers = self.watchers.len().max(1) as u32;
         let longest = (MAX_WAIT_PER_WATCHER * watchers).max(MIN_MAX_WAIT);
@@ -154,23 +157,23 @@
         self.call_timeout
     }
 
-    /// Updates the timeout with the latency of a call, less the requested wait. Nodes with a
-    /// slow connection to the store wait longer.
+    /// Updates the timeout of store calls with the latency of a call, less the requested wait.
+    /// Nodes with a slow connection to the store thus wait longer.
     pub fn record_latency(&mut self, time: Duration) {
         let decayed = self.call_timeout.mul_f64(TIMEOUT_DECAY);
         let wanted = decayed.max(time * TIMEOUT_LATENCY_RATIO);
         self.call_timeout = wanted.clamp(MIN_CALL_TIMEOUT, MAX_CALL_TIMEOUT);
     }
 
-    /// Records a successful store call.
+    /// Records that the store has answered this node's call.
     pub fn on_answer(&mut self, now: Moment) {
         self.reachable = true;
         self.answered_at = Some(now);
         self.retry_at = None;
     }
 
-    /// Records a failed store call. Returns the nodes to ask for a hedge, if this node was a
-    /// watcher and the previous call succeeded.
+    /// Records that a store call of this node failed. If this node was watching the document
+    /// and the previous call succeeded, returns the nodes to ask for a hedged store call.
     pub fn on_failure(
         &mut self,
         now: Moment,
@@ -178,7 +181,7 @@
         rng: &mut impl Rng,
     ) -> Vec<NodeId> {
         let was_reachable = std::mem::replace(&mut self.reachable, false);
-        // No other node relied on a hedge that never got an answer.
+        // No other node relied on a hedged store call that never got an answer.
         let last_hedge_answered = self.answered_at >= self.hedged_at;
         let was_watching =
             was_reachable && (self.selected || (self.hedge_until.is_some() && last_hedge_answered));
@@ -193,11 +196,11 @@
         }
     }
 
-    /// Selects nodes for hedges, those with answers from the store first.
+    /// Selects nodes for hedged store calls, first those that get answers from the store.
     fn select_hedges(&self, membership: &Membership, rng: &mut impl Rng) -> Vec<NodeId> {
         let me = &membership.me().id;
         let candidates = |answered: bool| {
-            alive(membership)
+            alive_members(membership)
                 .filter(move |record| record.conditions.reader == answered)
                 .map(|record| &record.id)
                 .filter(|id| *id != me && !self.watchers.contains(id))
@@ -208,8 +211,9 @@
         selected.into_iter().cloned().collect()
     }
 
-    /// Schedules a hedge for a watcher that failed, unless this node watches and got an answer
-    /// within [`MIN_HEDGE_INTERVAL`].
+    /// Schedules a hedged store call, requested by a document watcher whose call has failed.
+    /// Does nothing if this node watches the document itself and got an answer within
+    /// [`MIN_HEDGE_INTERVAL`].
     pub fn request_hedge(&mut self, now: Moment, rng: &mut impl Rng) {
         let recently_answered = self
             .answer_age(now)
@@ -223,8 +227,9 @@
         self.hedge_at = Some(begin.max(now) + HEDGE_JITTER.mul_f64(rng.random()));
     }
 
-    /// Selects the watchers again if the member table has changed. Returns true if this node
-    /// must call the store now: it has just become a watcher, or a hedge or retry is due.
+    /// Selects the document watchers again if the member table has changed. Returns true if
+    /// this node must call the store now: it has just started to watch, or a hedged store call
+    /// or retry is due.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -249,6 +254,7 @@
         call_due || (self.is_watching() && !was_watching)
     }
 
+    /// Selects the document watchers and logs whether this node is one of them.
     fn update_selection(
         &mut self,
         membership: &Membership,
@@ -275,8 +281,8 @@
 
 /// Returns the mean time until a node without answers calls the store again.
 fn mean_retry_interval(membership: &Membership) -> Duration {
-    let readers = alive(membership).filter(|record| record.conditions.reader);
-    let unreachable = alive(membership).filter(|record| !record.conditions.reader);
+    let readers = alive_members(membership).filter(|record| record.conditions.reader);
+    let unreachable = alive_members(membership).filter(|record| !record.conditions.reader);
     let unreachable = unreachable.count() as u32;
     if readers.count() < MIN_WATCHERS {
         return (RETRY_INTERVAL_PER_NODE_FEW_WATCHERS * unreachable).max(MIN_RETRY_INTERVAL);
@@ -284,16 +290,17 @@
     (RETRY_INTERVAL_PER_NODE * unreachable).max(FAILURE_HOLD)
 }
 
-fn alive(membership: &Membership) -> impl Iterator<Item = &MemberRecord> {
+fn alive_members(membership: &Membership) -> impl Iterator<Item = &MemberRecord> {
     membership
         .records()
         .filter(|record| record.status == Status::Alive)
 }
 
-/// Selects watchers spread over the zones, those with answers from the store first.
+/// Selects document watchers spread over the zones, first nodes that get answers from the
+/// store.
 fn select_watchers(membership: &Membership, settings: &FleetSettings) -> Vec<NodeId> {
     let candidates = |answered: bool| {
-        alive(membership)
+        alive_members(membership)
             .filter(move |record| record.conditions.reader == answered)
             .map(|record| (record.id.clone(), record.zone.clone()))
     };
--- a/crates/rampthread-core/src/fleet/version_source.rs
+++ b/crates/rampthread-core/src/fleet/version_source.rs
@@ -1,6 +1,6 @@
-//! Source from which a node got a version.
+//! Where a node got a version of the configuration.
 
-/// Source of a version, which decides which peers the node notifies.
+/// Where a node got a version of the configuration, which decides which peers it notifies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionSource {
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -1,15 +1,17 @@
-//! Activation of versions, and the version floor after a restart.
+//! Activation of versions, and the restart floor.
 //!
-//! A node loses its memory when its process ends, but must never serve a version below one that
-//! it served before. Therefore a majority of the node's *witnesses* records a version before
-//! the node activates it. Witnesses are the first nodes of the region in rendezvous order of
-//! the node's id, among the nodes that the configuration itself names. Every process thus
-//! computes the same set from the same version.
+//! A node loses its memory when its process ends, but must never activate a version below one
+//! that its previous run has activated. That bound is the *restart floor*. Therefore a majority
+//! of the node's *witness nodes* records a version before the node activates it. Witness nodes
+//! are the first nodes of the region in rendezvous order of the node's id, among the nodes that
+//! the configuration itself names. Every process thus computes the same set from the same
+//! version.
 //!
-//! A version whose witness set differs from the active one needs a majority of both sets. Each
-//! record names the set that it was made for. After a restart, a majority of the set of version
-//! *x* confirms the floor only with records for that same set and not above *x*. A record above
-//! *x* means that *x* is outdated: the node catches up and queries again.
+//! A version whose set of witness nodes differs from that of the active version needs a
+//! majority of both sets. Each record names the set that it was made for. After a restart, a
+//! majority of the set of version *x* confirms the restart floor only with records for that
+//! same set and not above *x*. A record above *x* means that *x* is outdated: the node catches
+//! up and queries again.
 
 use super::action::{Decision, Outbox};
 use super::message::{Message, ProcessEpoch, WitnessRecord, WitnessSetId};
@@ -21,22 +23,23 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Minimum size of a witness set. With fewer candidates no witnesses are used, and a restarted
+/// Minimum size of a set of witness nodes. With fewer candidates none are used, and a restarted
 /// node has to wait for the store.
 const MIN_WITNESSES: usize = 3;
-/// Maximum number of staged states that await their witnesses. The oldest is dropped beyond
-/// that.
-const MAX_PENDING: usize = 64;
+/// Maximum number of staged configurations that wait for witness nodes. The oldest is dropped
+/// beyond that.
+const MAX_PENDING_VERSIONS: usize = 64;
 
-/// The nodes that record the versions of one node, as named by a given configuration.
+/// Witness nodes of one node, as named by one version of the configuration. A witness node
+/// records the versions that the other node activates.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WitnessSet {
     members: BTreeSet<NodeId>,
 }
 
 impl WitnessSet {
-    /// Returns the witnesses of `id` under `state`, or an empty set if there are too few
-    /// candidates.
+    /// Selects `count` witness nodes for the node `id` among the nodes of its region that
+    /// `state` names. Returns an empty set if there are too few.
     pub fn of(id: &NodeId, region: &Region, state: &ConfigState, count: usize) -> Self {
         let candidates = state
             .backends()
@@ -51,7 +54,7 @@
         }
     }
 
-    /// Returns a digest of the members, which identifies the set in records.
+    /// Returns a digest of the witness nodes' ids, which names the set in records.
     pub fn id(&self) -> WitnessSetId {
         let mut hasher = blake3::Hasher::new();
         for member in &self.members {
@@ -67,42 +70,47 @@
         self.members.len() / 2 + 1
     }
 
-    /// Returns true if a majority of the set satisfies `test`, or if the set is empty.
+    /// Returns true if a majority of the witness nodes satisfies `test`, or if the set is
+    /// empty.
     fn agrees(&self, test: impl Fn(&NodeId) -> bool) -> bool {
         self.members.is_empty()
             || self.members.iter().filter(|member| test(member)).count() >= self.majority()
     }
 }
 
+/// Staged configuration whose version its witness nodes have not recorded yet.
 #[derive(Debug)]
-struct Pending {
+struct PendingVersion {
     state: Arc<ConfigState>,
     set: WitnessSet,
 }
 
-/// Result of asking the witnesses for the lowest version that a restarted node may activate.
+/// What the witness nodes say about the restart floor, the lowest version that a restarted node
+/// may activate.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FloorStatus {
-    /// Too few replies of witnesses were usable so far.
+    /// Too few replies of witness nodes were usable so far.
     Undecided,
-    /// The node has held this version before its restart. It must catch up and query again.
+    /// The previous run has activated this version. The node must catch up with it and query
+    /// again.
     CatchUp(Version),
-    /// A majority confirmed that the node may activate the version it asked about. Contains the
-    /// floor.
+    /// A majority of the witness nodes confirmed that the node may activate the version it
+    /// asked about. Contains the restart floor.
     Confirmed(Version),
 }
 
-/// Moves configurations from staged to active once the witnesses have recorded their versions.
+/// Moves configurations from staged to active once the witness nodes have recorded their
+/// versions.
 #[derive(Debug)]
 pub struct VersionActivation {
     me: NodeId,
     region: Region,
     active: Arc<ConfigState>,
     active_set: WitnessSet,
-    pending: VecDeque<Pending>,
-    /// Highest version acknowledged by each witness.
+    pending: VecDeque<PendingVersion>,
+    /// Highest version acknowledged by each witness node.
     acknowledged: BTreeMap<NodeId, Version>,
-    /// Latest known process epoch of each witness.
+    /// Latest known process epoch of each witness node.
     epochs: BTreeMap<NodeId, ProcessEpoch>,
     next_repeat: Moment,
     logged: Version,
@@ -134,7 +142,7 @@
         self.active.version()
     }
 
-    /// Stages a newer state and asks the witnesses to record it.
+    /// Stages a newer configuration and asks the witness nodes to record its version.
     pub fn stage(
         &mut self,
         state: Arc<ConfigState>,
@@ -143,16 +151,16 @@
         outbox: &mut Outbox,
     ) {
         let set = WitnessSet::of(&self.me, &self.region, &state, settings.witness_count);
-        if self.pending.len() >= MAX_PENDING {
+        if self.pending.len() >= MAX_PENDING_VERSIONS {
             self.pending.pop_front();
         }
-        self.pending.push_back(Pending { state, set });
+        self.pending.push_back(PendingVersion { state, set });
         self.next_repeat = now + settings.query_retry_interval;
         self.send_records(outbox);
     }
 
-    /// Sends the newest pending version to the witnesses of the active set and all pending
-    /// sets.
+    /// Asks the witness nodes of the active and of all staged versions to record the newest
+    /// staged version.
     fn send_records(&self, outbox: &mut Outbox) {
         let Some(newest) = self.pending.back() else {
             return;
@@ -168,8 +176,8 @@
         }
     }
 
-    /// Handles the acknowledgement of `version` by a witness. Version 0 only tells the
-    /// witness's current process epoch.
+    /// Handles the acknowledgement of `version` by the witness node `from`. Version 0 only
+    /// reports the witness node's current process epoch.
     pub fn on_ack(
         &mut self,
         from: &NodeId,
@@ -189,6 +197,7 @@
         *acknowledged_version = version.max(*acknowledged_version);
     }
 
+    /// Asks one witness node to record the newest staged version.
     fn send_record(&self, witness: &NodeId, outbox: &mut Outbox) {
         let Some(newest) = self.pending.back() else {
             return;
@@ -207,16 +216,17 @@
         );
     }
 
-    /// Sets the witness set that confirmed the floor after a restart. Its majority must also
+    /// Sets the witness nodes that confirmed the restart floor. Their majority must also
     /// acknowledge the next version before that is activated.
     pub fn start_from(&mut self, set: WitnessSet) {
         self.active_set = set;
     }
 
-    /// Activates the newest pending state that may become active now and returns it.
+    /// Activates the newest staged configuration whose version the witness nodes have recorded,
+    /// and returns it.
     ///
-    /// All sets from the active one up to the new one must agree, since a restarted process may
-    /// start from any version in between.
+    /// The witness nodes of the active version, of the new one and of all in between must
+    /// agree, since a restarted process may start from any of these versions.
     pub fn advance(&mut self) -> Option<Arc<ConfigState>> {
         let mut ready = None;
         for (index, pending) in self.pending.iter().enumerate() {
@@ -240,7 +250,7 @@
         Some(self.active.clone())
     }
 
-    /// Clears every witness set, so that versions activate without witnesses. Right only where
+    /// Removes all witness nodes, so that versions are activated without them. Correct only if
     /// the store itself decides on versions, and in tests.
     #[doc(hidden)]
     pub fn advance_without_witnesses(&mut self) {
@@ -250,7 +260,7 @@
         }
     }
 
-    /// Repeats unacknowledged records to the witnesses.
+    /// Repeats the requests that witness nodes have not acknowledged.
     pub fn tick(&mut self, now: Moment, settings: &FleetSettings, outbox: &mut Outbox) {
         if self.pending.is_empty() || now < self.next_repeat {
             return;
@@ -260,6 +270,7 @@
         self.send_records(outbox);
     }
 
+    /// Logs once per version which witness nodes have not acknowledged it.
     fn log_pending(&mut self, outbox: &mut Outbox) {
         let Some(newest) = self.pending.back() else {
             return;
@@ -280,7 +291,7 @@
     }
 }
 
-/// Versions that this node has recorded for other nodes as their witness.
+/// Versions that this node has recorded for other nodes, as their witness node.
 #[derive(Debug, Default)]
 pub struct WitnessRecords {
     records: BTreeMap<NodeId, WitnessRecord>,
@@ -302,24 +313,25 @@
         self.records.get(id).copied()
     }
 
-    /// Returns the number of nodes with a record at this witness.
+    /// Returns the number of nodes for which this witness node has a record.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 }
 
-/// Query of a restarted node to its witnesses, with the replies received so far.
+/// Query of a restarted node to its witness nodes, which asks for the version that they
+/// recorded for its previous run. Collects the replies.
 #[derive(Debug, Default)]
 pub struct FloorQuery {
     nonce: u64,
     set: WitnessSet,
     answers: BTreeMap<NodeId, WitnessRecord>,
-    /// Highest version known to any witness that replied.
+    /// Highest version known to any witness node that replied.
     newest_known: Version,
 }
 
 impl FloorQuery {
-    /// Queries the witnesses that `state` names for `me`.
+    /// Sends the query to the witness nodes that `state` names for the node `me`.
     pub fn send(
         &mut self,
         me: &NodeId,
@@ -340,7 +352,8 @@
         }
     }
 
-    /// Handles the reply of a witness. A witness without a record for this node does not count.
+    /// Handles the reply of a witness node. The reply does not count if the witness node has no
+    /// record for this node.
     pub fn on_answer(
         &mut self,
         from: &NodeId,
@@ -358,12 +371,12 @@
         };
     }
 
-    /// Returns the witness set of the query.
+    /// Returns the witness nodes that were queried.
     pub fn set(&self) -> &WitnessSet {
         &self.set
     }
 
-    /// Returns what the replies say about activating a configuration at `version`.
+    /// Returns what the replies so far say about activating a configuration at `version`.
     pub fn status(&self, version: Version) -> FloorStatus {
         let recorded = self.answers.values().map(|record| record.version).max();
         let Some(recorded) = recorded else {
--- a/crates/rampthread-core/src/fleet/writer.rs
+++ b/crates/rampthread-core/src/fleet/writer.rs
@@ -1,4 +1,4 @@
-//! Appends proposals to the log.
+//! Appends operators' proposals to the log in the store.
 //!
 //! The log alone decides. The writer does not validate a change: it writes the entry to the
 //! next empty slot, and `ConfigState::apply` determines the outcome identically on every node.
@@ -37,8 +37,9 @@
     pub submission: u64,
 }
 
+/// Proposal without a decision in the log so far.
 #[derive(Debug)]
-struct Proposal {
+struct QueuedProposal {
     operation_id: OperationId,
     entry: SharedBytes,
     requesters: Vec<Requester>,
@@ -47,6 +48,7 @@
     maybe_written: bool,
 }
 
+/// Write to the log without an answer of the store so far.
 #[derive(Debug)]
 struct PendingWrite {
     request: RequestId,
@@ -56,7 +58,7 @@
     sent: Moment,
 }
 
-/// A dropped proposal for which no write was attempted.
+/// Proposal that was dropped before any write of it was attempted.
 #[derive(Debug)]
 pub struct UnattemptedProposal {
     /// Id of the proposed operation.
@@ -65,7 +67,7 @@
     pub requesters: Vec<Requester>,
 }
 
-/// A proposal whose outcome is in the log.
+/// Proposal whose outcome is in the log.
 #[derive(Debug)]
 pub struct DecidedProposal {
     /// Id of the proposed operation.
@@ -76,10 +78,10 @@
     pub decided_at: Version,
 }
 
-/// Proposals that this node, as a reader, has to append to the log.
+/// Proposals that this node, as a log reader, has to append to the log.
 #[derive(Debug, Default)]
 pub struct LogWriter {
-    queue: VecDeque<Proposal>,
+    queue: VecDeque<QueuedProposal>,
     pending: Option<PendingWrite>,
     not_before: Moment,
 }
@@ -112,7 +114,7 @@
         if self.queue.len() >= MAX_QUEUED {
             return false;
         }
-        self.queue.push_back(Proposal {
+        self.queue.push_back(QueuedProposal {
             operation_id: operation_id.clone(),
             entry,
             requesters: vec![requester],
@@ -122,8 +124,8 @@
         true
     }
 
-    /// Removes and returns the proposals for which no write was attempted. They can be reported
-    /// as not run.
+    /// Removes and returns the proposals for which no write was attempted. Their requesters are
+    /// told that the proposal was not run.
     pub fn take_unattempted(&mut self) -> Vec<UnattemptedProposal> {
         let pending = self
             .pending
@@ -191,6 +193,7 @@
         });
     }
 
+    /// Marks the proposal of an operation as one that may have been written.
     fn mark_maybe_written(&mut self, operation_id: &OperationId) {
         for proposal in &mut self.queue {
             if proposal.operation_id == *operation_id {
--- a/crates/rampthread-core/src/fleet/zone_directory.rs
+++ b/crates/rampthread-core/src/fleet/zone_directory.rs
@@ -29,8 +29,8 @@
 /// in groups and each write costs a store call. A new node does not depend on an up-to-date
 /// snapshot, since the members in it tell it the rest.
 const SETTLE_DELAY: Duration = Duration::from_secs(2);
-/// Additional delay for each further member in the rendezvous order. It leaves the previous
-/// member enough time to repeat a lost write.
+/// Additional delay for each further member in the rendezvous order before it writes the
+/// snapshot. It leaves the previous member enough time to repeat a lost write.
 const TAKEOVER_DELAY_PER_RANK: Duration = Duration::from_secs(5);
 /// Number of members in rendezvous order that may write the snapshot. One remains if the writer
 /// and two others fail at once.
@@ -41,8 +41,8 @@
 /// Interval between renewals of the snapshot's lease. A third of the lease, so that a failed
 /// renewal can be repeated in time.
 const RENEW_INTERVAL: Duration = Duration::from_secs(200);
-/// While the store is empty, one in this many nodes writes early. With 1,000 nodes that makes
-/// about 60 calls, most of which are rejected.
+/// While the store is empty, one in this many nodes writes its zone's snapshot early. With
+/// 1,000 nodes that makes about 60 calls, most of which are rejected.
 const EARLY_WRITE_ONE_IN: u32 = 16;
 /// Delay of an early first write in milliseconds, after the first read.
 const EARLY_WRITE_DELAY_MS: std::ops::Range<u64> = 200..1_000;
@@ -50,7 +50,7 @@
 /// consistent reads can lag by two seconds.
 const SECOND_READ_DELAY_MS: std::ops::Range<u64> = 3_000..3_800;
 /// Delay per rank for reads after the store was restored, so that members earlier in the
-/// rendezvous order read and write first.
+/// rendezvous order read and write the snapshot first.
 const RESTORED_DELAY_PER_RANK: Duration = Duration::from_secs(3);
 /// Maximum number of departure records deleted by one write. The platform limits a transaction
 /// to 32 changes, and the snapshot takes two of them.
@@ -70,7 +70,7 @@
 /// Key of a backend departure that a node has recorded in the store.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DepartureId {
-    /// Node that acknowledged the departure.
+    /// Node whose backend departed.
     pub node: NodeId,
     /// Incarnation of the backend that departed.
     pub instance: InstanceId,
@@ -79,10 +79,10 @@
 /// A conditional write of a zone snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneWrite {
-    /// New content, with the revision and the lease that it replaces.
+    /// New content of the snapshot, with the revision and the lease that it replaces.
     pub snapshot: ZoneSnapshot,
-    /// True if the snapshot needs a lease. The first snapshot of a zone is written without one:
-    /// most first writes are rejected, and a lease costs another call.
+    /// True if the snapshot has to be attached to a lease. The first snapshot of a zone is
+    /// written without one: most first writes are rejected, and a lease costs another call.
     pub with_lease: bool,
     /// Recorded departures that are redundant once the snapshot is written, and are deleted
     /// with it.
@@ -103,12 +103,12 @@
     Renew(LeaseId),
 }
 
-/// Schedule of the first write of a node that found no snapshot and knows no other member of
-/// its zone.
+/// When a node writes the first snapshot of its zone, since it found none and knows no other
+/// member.
 #[derive(Debug, Clone, Copy)]
 struct FirstWrite {
     at: Moment,
-    /// True if the node has to read again before the write.
+    /// True if the node has to read the store again before it writes.
     reads_again: bool,
 }
 
@@ -117,8 +117,8 @@
 pub struct ZoneDirectory {
     zone: Zone,
     stored: ZoneSnapshot,
-    /// Time of the last read. `None` before the first read, and after a write with unknown
-    /// outcome.
+    /// Time of the last read of the store. `None` before the first read, and after a write with
+    /// unknown outcome.
     last_read: Option<Moment>,
     first_write: Option<FirstWrite>,
     /// Since when the members of the zone differ from the stored snapshot.
@@ -128,13 +128,15 @@
     /// `ranked_at` of the member table.
     rank: usize,
     ranked_at: Option<u64>,
-    /// Revisions of the member table and of the snapshot at which both had the same content.
+    /// Revisions of the member table and of the stored snapshot at which both had the same
+    /// content.
     in_sync_at: Option<(u64, u64)>,
     /// Recorded backend departures from the last read.
     departures: BTreeSet<DepartureId>,
     /// Time at which the store was restored from an older copy, until the next read.
     restored: Option<Moment>,
-    /// Members from before the restore, which the restored copy may lack.
+    /// Members that the stored snapshot had before the restore. The restored copy may lack
+    /// them.
     members_before_restore: BTreeMap<NodeId, Machine>,
 }
 
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Returns the store operation that is due, if any.
+    /// Returns the call to the store that this node has to make now, if any.
     pub fn next_step(&mut self, now: Moment, membership: &Membership) -> Option<ZoneStep> {
         if let Some(restored) = self.restored {
             return self.step_after_restore(restored, now, membership);
@@ -190,23 +192,23 @@
             return Some(ZoneStep::Read { consistent: true });
         }
         if self.stored.revision == 0 && membership.same_zone_peers().next().is_none() {
-            return self.first_step(now, membership);
+            return self.first_write_step(now, membership);
         }
-        self.rank(membership);
+        self.update_rank(membership);
         if self.rank >= WRITER_CANDIDATE_COUNT {
             self.differs_since = None;
             return None;
         }
         let compared = (membership.revision(), self.stored.revision);
         if self.in_sync_at == Some(compared) {
-            return self.renewal(now);
+            return self.renewal_step(now);
         }
         let members = self.desired_members(now, membership);
         if members == self.stored.members && self.stored.lease != 0 {
             self.members_before_restore.clear();
             self.in_sync_at = Some(compared);
             self.differs_since = None;
-            return self.renewal(now);
+            return self.renewal_step(now);
         }
         let since = *self.differs_since.get_or_insert(now);
         let due = since + SETTLE_DELAY + TAKEOVER_DELAY_PER_RANK * self.rank as u32;
@@ -216,7 +218,7 @@
         if self.rank > 0 && self.last_read.is_some_and(|last_read| last_read < due) {
             return Some(ZoneStep::Read { consistent: false });
         }
-        Some(self.write(members))
+        Some(self.write_step(members))
     }
 
     /// Handles a successful write of the snapshot.
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Returns true until a snapshot of the zone is known to exist.
+    /// Returns true if the store has no snapshot of this zone as far as this node knows.
     pub fn is_first(&self) -> bool {
         self.stored.revision == 0
     }
@@ -273,10 +275,10 @@
         self.restored = Some(now);
     }
 
-    /// Handles a notice from a peer that the store was restored: the writer of the zone reads
-    /// again.
+    /// Handles a notice from a peer that the store was restored. The member that writes the
+    /// snapshot reads the store again.
     pub fn on_restore_notice(&mut self, membership: &Membership) {
-        self.rank(membership);
+        self.update_rank(membership);
         if self.rank == 0 {
             self.last_read = None;
         }
@@ -291,7 +293,7 @@
         now: Moment,
         membership: &Membership,
     ) -> Option<ZoneStep> {
-        self.rank(membership);
+        self.update_rank(membership);
         if self.rank >= WRITER_CANDIDATE_COUNT
             || now < restored + RESTORED_DELAY_PER_RANK * self.rank as u32
         {
@@ -307,7 +309,8 @@
         self.last_read = None;
     }
 
-    fn first_step(&mut self, now: Moment, membership: &Membership) -> Option<ZoneStep> {
+    /// Returns the step of a node that found no snapshot of its zone and knows no other member.
+    fn first_write_step(&mut self, now: Moment, membership: &Membership) -> Option<ZoneStep> {
         let first = self.first_write.as_mut()?;
         if now < first.at {
             return None;
@@ -316,15 +319,19 @@
             return Some(ZoneStep::Read { consistent: false });
         }
         let members = self.desired_members(now, membership);
-        Some(self.write(members))
+        Some(self.write_step(members))
     }
 
-    fn renewal(&mut self, now: Moment) -> Option<ZoneStep> {
+    /// Returns the renewal of the lease if this node writes the snapshot and the renewal is
+    /// due.
+    fn renewal_step(&mut self, now: Moment) -> Option<ZoneStep> {
         let due = self.rank == 0 && self.stored.lease != 0 && now >= self.next_renewal;
         due.then_some(ZoneStep::Renew(self.stored.lease))
     }
 
-    fn write(&self, members: BTreeMap<NodeId, Machine>) -> ZoneStep {
+    /// Returns the write of a snapshot with these members, and the departure records that it
+    /// makes redundant.
+    fn write_step(&self, members: BTreeMap<NodeId, Machine>) -> ZoneStep {
         let recorded = self.departures.iter().filter(|departure| {
             let machine = members.get(&departure.node);
             machine.is_some_and(|machine| implies_departure(machine, departure))
@@ -346,9 +353,9 @@
         })
     }
 
-    /// Returns the departure that may be on record for `machine` and that the snapshot makes
-    /// redundant: it says itself that the backend departs, or that another incarnation has
-    /// followed.
+    /// Returns the departure that may be recorded for `machine` and that the snapshot makes
+    /// redundant: the snapshot itself says that the backend departs, or that another
+    /// incarnation has followed.
     fn redundant_departure(&self, machine: &Machine) -> Option<DepartureId> {
         let endpoint = machine.endpoint.as_ref()?;
         let stored = self.stored.members.get(&machine.id);
@@ -365,9 +372,9 @@
         })
     }
 
-    /// Computes the rank of this node among the writers of its zone. Members known only from
-    /// the snapshot count as well, since they may have written it just now.
-    fn rank(&mut self, membership: &Membership) {
+    /// Computes this node's rank among the members that may write the snapshot. Members known
+    /// only from the snapshot are included, since they may have written it just now.
+    fn update_rank(&mut self, membership: &Membership) {
         if self.ranked_at == Some(membership.revision()) {
             return;
         }
@@ -377,7 +384,7 @@
         self.rank = rank.min(WRITER_CANDIDATE_COUNT);
     }
 
-    /// Returns the members that the snapshot should have: the stored and the known ones,
+    /// Returns the members that the snapshot should have: the stored and the known members,
     /// without those that have been unreachable for [`UNREACHABLE_RETENTION`].
     fn desired_members(&self, now: Moment, membership: &Membership) -> BTreeMap<NodeId, Machine> {
         let mut members = self.stored.members.clone();
@@ -392,14 +399,14 @@
                 continue;
             }
             let endpoint = known_endpoint(record, members.get(&record.id));
-            members.insert(record.id.clone(), machine(record, endpoint));
+            members.insert(record.id.clone(), to_machine(record, endpoint));
         }
         members
     }
 }
 
-/// Returns the backend of a member. A node that has just restarted announces none yet and will
-/// read it from the snapshot, so the stored one is kept.
+/// Returns the backend to store for a member. A member that has just restarted announces no
+/// backend yet and will read it from the snapshot, so the stored backend is kept.
 fn known_endpoint(record: &MemberRecord, stored: Option<&Machine>) -> Option<EndpointRecord> {
     let announced = record.endpoint.clone();
     let stored = stored.and_then(|machine| machine.endpoint.clone());
@@ -412,7 +419,8 @@
     announced.or(stored).map(without_age)
 }
 
-fn machine(record: &MemberRecord, endpoint: Option<EndpointRecord>) -> Machine {
+/// Converts the record of a member to its entry in the snapshot.
+fn to_machine(record: &MemberRecord, endpoint: Option<EndpointRecord>) -> Machine {
     Machine {
         id: record.id.clone(),
         address: record.address,
@@ -435,7 +443,8 @@
     }
 }
 
-/// Returns true if both names contain a start time and that of `instance` is earlier.
+/// Returns true if both incarnation names contain a start time and that of `instance` is
+/// earlier.
 fn started_before(instance: &InstanceId, other: &InstanceId) -> bool {
     let born = |instance| BackendIncarnation::from_name(instance).started_at();
     match (born(instance), born(other)) {
@@ -444,6 +453,7 @@
     }
 }
 
+/// Draws at random whether and when this node writes the first snapshot of its zone early.
 fn draw_first_write(now: Moment, rng: &mut impl Rng) -> FirstWrite {
     let early = rng.random_ratio(1, EARLY_WRITE_ONE_IN);
     let delay = match early {
