--- a/crates/rampthread-core/src/call/quota/bucket.rs
+++ b/crates/rampthread-core/src/call/quota/bucket.rs
@@ -1,20 +1,20 @@
-//! Token bucket for rates so low that it often holds less than one token.
+//! Token bucket for limits so low that the bucket often holds less than one token.
 
 use crate::config::RateLimit;
 use crate::time::Moment;
 
-/// Refills at the limit's rate up to its burst. With less than one token left, a request is
-/// admitted with a probability equal to the level and the missing remainder is borrowed.
-/// Nodes with a small fraction of a limit thus admit that fraction on average, alone and in
-/// sum.
+/// Token bucket of one tenant at one node. Refills at the limit's rate up to its burst.
+/// With less than one token left, a request is admitted with a probability equal to the
+/// level, and the bucket goes into deficit. Nodes with a small fraction of a limit thus
+/// admit that fraction on average.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Bucket {
+pub(super) struct TokenBucket {
     limit: RateLimit,
     level: f64,
     updated_at: Moment,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Creates a bucket with `level` tokens, capped at the limit's burst.
     pub(super) fn new(limit: RateLimit, level: f64, now: Moment) -> Self {
         Self {
@@ -33,14 +33,15 @@
         self.level = self.level.clamp(-max_deficit, limit.burst);
     }
 
+    /// Adds the tokens of the time since the last change.
     fn refill(&mut self, now: Moment) {
         let passed = now.since(self.updated_at).as_secs_f64();
         self.level = (self.level + self.limit.rate * passed).min(self.limit.burst);
         self.updated_at = now;
     }
 
-    /// Returns whether a request may take a token; `draw` is uniformly random in
-    /// `0.0..1.0`.
+    /// Returns whether a request may take a token. `draw` is uniformly random in `0.0..1.0`
+    /// and decides when less than one token is left.
     pub(super) fn has_token(&mut self, now: Moment, draw: f64) -> bool {
         self.refill(now);
         draw < self.level
--- a/crates/rampthread-core/src/call/quota/decaying_rate.rs
+++ b/crates/rampthread-core/src/call/quota/decaying_rate.rs
@@ -1,4 +1,4 @@
-//! Exponentially decaying event rates.
+//! Rates of events in which past events lose weight exponentially.
 
 use crate::time::Moment;
 use std::time::Duration;
@@ -32,7 +32,7 @@
         self.updated_at = now;
     }
 
-    /// Events per second as of `now`.
+    /// Weighted events per second as of `now`.
     pub(super) fn at(&self, now: Moment) -> f64 {
         self.rate * (-now.since(self.updated_at).as_secs_f64() / self.time_constant).exp()
     }
--- a/crates/rampthread-core/src/call/quota/fleet_load.rs
+++ b/crates/rampthread-core/src/call/quota/fleet_load.rs
@@ -1,4 +1,5 @@
-//! Load reports of the fleet as the quota needs them, and which zones they cover.
+//! Load reports of the fleet as tenants' limits need them, and which zones the reports
+//! cover.
 
 use super::limit_fraction;
 use crate::fleet::{MAX_TENANTS, TenantHash, TenantLoad, ZoneLoad, load_interval};
@@ -15,28 +16,28 @@
 /// of both zones take longer, since reports pass through the aggregators of both (the nodes
 /// that sum up a zone's load).
 const ZONE_REPORT_TTL: Duration = Duration::from_secs(2);
-/// Report intervals after which a report is overdue.
+/// Number of report intervals without a report that are tolerated.
 const TOLERATED_INTERVALS: u32 = 2;
-/// Maximum time between the end of a report interval and the next evaluation.
+/// Maximum time between the arrival of a report and the next update of the limits.
 const EVALUATION_DELAY: Duration = Duration::from_millis(200);
-/// Time for which a node that has just started waits for the first report.
+/// Time for which a node that has just started waits for the first load report.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Age of the last report after which a zone is considered removed.
+/// Age of a zone's last report after which the zone counts as removed from the fleet.
 const ZONE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Number of nodes per zone, from the membership: reachable ones, and those that failed or
+/// Number of nodes per zone, from the membership: reachable nodes, and nodes that failed or
 /// are partitioned without having left.
 pub type ZoneMemberCounts = BTreeMap<Zone, u32>;
 
-/// The current load reports and membership, as input of
+/// The fleet's current load reports and membership, as input of
 /// [`TenantQuotas::update`](super::TenantQuotas::update).
 #[derive(Debug, Clone, Copy)]
 pub struct FleetLoadSnapshot<'a> {
-    /// The latest report of each zone, with its present age.
+    /// The latest load report of each zone, with its present age.
     pub zones: &'a [ZoneLoad],
-    /// The zone of this node.
+    /// The zone that this node belongs to; its reports arrive fastest.
     pub own_zone: &'a Zone,
-    /// The node counts of all zones.
+    /// Node counts of all zones, to tell how many nodes the reports lack.
     pub members: &'a ZoneMemberCounts,
 }
 
@@ -54,6 +55,7 @@
 }
 
 impl FleetLoadSnapshot<'_> {
+    /// Number of nodes in `zone`; 0 if the membership knows none.
     fn members_of(&self, zone: &Zone) -> u32 {
         self.members.get(zone).copied().unwrap_or(0)
     }
@@ -68,19 +70,19 @@
         OWN_ZONE_TIMEOUT.max(self.interval(self.own_zone) * TOLERATED_INTERVALS + EVALUATION_DELAY)
     }
 
-    /// Age from which on a report of `zone` no longer counts.
+    /// Age from which on a report of `zone` no longer counts in sums.
     fn report_ttl(&self, zone: &Zone) -> Duration {
         let both = self.interval(zone) + self.interval(self.own_zone);
         ZONE_REPORT_TTL.max(both * TOLERATED_INTERVALS + EVALUATION_DELAY)
     }
 
-    /// Returns whether the report of `zone` is recent enough to count.
+    /// Returns whether the report of `zone` is recent enough to count in sums.
     pub(super) fn is_fresh(&self, zone: &ZoneLoad) -> bool {
         zone.age < self.report_ttl(&zone.zone)
     }
 }
 
-/// Load reports indexed by tenant.
+/// The zones' load reports, indexed by tenant.
 pub(super) struct LoadByTenant<'a> {
     pub(super) snapshot: &'a FleetLoadSnapshot<'a>,
     loads: HashMap<TenantHash, Vec<(&'a ZoneLoad, &'a TenantLoad)>>,
@@ -110,19 +112,19 @@
         }
     }
 
-    /// Returns whether no report was truncated, so that a tenant without an entry has
+    /// Returns whether no load report was truncated, so that a tenant without an entry has
     /// little traffic.
     pub(super) fn is_complete(&self) -> bool {
         let zones = &self.snapshot.zones;
         zones.iter().all(|zone| zone.tenants.len() < MAX_TENANTS)
     }
 
-    /// Tenants with an entry in any report.
+    /// Tenants with an entry in any zone's load report.
     pub(super) fn tenants(&self) -> impl Iterator<Item = TenantHash> {
         self.loads.keys().copied()
     }
 
-    /// Sums a tenant's load over all recent reports.
+    /// Sums a tenant's load over all zones with a recent report.
     pub(super) fn sum(&self, tag: TenantHash) -> TenantLoadSum {
         let mut sum = TenantLoadSum {
             report_age: self.mean_age,
@@ -151,38 +153,42 @@
     }
 }
 
+/// Converts thousandths of a request per second to requests per second.
 fn from_millirps(millirps: u32) -> f64 {
     f64::from(millirps) / 1_000.0
 }
 
-/// Which zones have recent reports, and the fraction of the fleet that these cover.
+/// Which zones have recent load reports, and the fraction of the fleet's nodes that these
+/// reports include.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct ReportCoverage {
-    /// Whether this node's own zone has a recent report.
+    /// Whether this node's own zone has a recent load report.
     pub(super) own_zone_reporting: bool,
-    /// Whether the own zone's first report is still awaited.
+    /// Whether the own zone's first load report is still awaited.
     pub(super) awaiting_first_report: bool,
-    /// Unreachable zones, sorted.
+    /// Zones whose latest load report is too old, sorted.
     pub(super) unreachable_zones: Vec<Zone>,
-    /// Zones with members but without any report, and when each counts as unreachable.
+    /// Zones with members but without any load report yet, and when each counts as
+    /// unreachable.
     missing_zones: BTreeMap<Zone, Moment>,
-    /// When this node began to receive reports.
+    /// When this node began to receive load reports.
     started: Moment,
-    /// Members of the reachable zones, as a fraction of all members.
+    /// Members of the reachable zones, as a fraction of the members of all zones.
     pub(super) reachable_ratio: f64,
     /// Nodes included in the reports of the reachable zones, as a fraction of these zones'
     /// members.
     pub(super) reported_ratio: f64,
     /// Nodes included in the own zone's report, as a fraction of that zone's members.
     pub(super) own_zone_reported_ratio: f64,
-    /// Members of all zones; at least 1.
+    /// Members of all zones together; at least 1.
     pub(super) member_count: u32,
     /// When a zone last became unreachable or reachable again.
     pub(super) changed_at: Moment,
 }
 
 impl ReportCoverage {
-    /// State of a node that has just started. It assumes that reports will arrive in time.
+    /// Report coverage of a node that has just started, which assumes that reports will
+    /// arrive in time.
     pub(super) fn initial(now: Moment) -> Self {
         Self {
             own_zone_reporting: true,
@@ -198,14 +204,14 @@
         }
     }
 
-    /// Returns whether the reports cover all zones and nearly all of their nodes.
+    /// Returns whether the load reports cover all zones and nearly all of their nodes.
     pub(super) fn is_complete(&self) -> bool {
         let own_zone = self.own_zone_reporting && !self.awaiting_first_report;
         let others = self.unreachable_zones.is_empty() && self.missing_zones.is_empty();
         own_zone && others && limit_fraction::reported_ratio(self) >= 1.0
     }
 
-    /// Computes the coverage from the latest reports.
+    /// Computes the report coverage from the latest load reports.
     pub(super) fn updated(&self, snapshot: &FleetLoadSnapshot<'_>, now: Moment) -> Self {
         let retained = || {
             snapshot
@@ -257,7 +263,8 @@
         }
     }
 
-    /// Zones with members but without any report, and when each counts as unreachable.
+    /// Finds zones with members but without any load report, and when each counts as
+    /// unreachable.
     fn find_missing_zones(
         &self,
         snapshot: &FleetLoadSnapshot<'_>,
@@ -280,6 +287,7 @@
     }
 }
 
+/// Ratio of `part` to `whole`, at most 1; 1 if `whole` is 0.
 fn ratio(part: u32, whole: u32) -> f64 {
     if whole == 0 {
         return 1.0;
--- a/crates/rampthread-core/src/call/quota/limit_fraction.rs
+++ b/crates/rampthread-core/src/call/quota/limit_fraction.rs
@@ -8,17 +8,18 @@
 
 use super::fleet_load::ReportCoverage;
 
-/// Weight of the node count when a limit is divided; the rest goes by past demand. Allows
-/// for requests that move to another partition meanwhile.
+/// Weight of the node count when a limit is divided between partitions; the rest goes by
+/// past demand. Allows for requests that move to another partition during the partition.
 const NODE_COUNT_WEIGHT: f64 = 0.25;
-/// Fraction of the nodes that may be missing in the reports without any effect.
+/// Fraction of the nodes that may be missing in the load reports without any effect on the
+/// limit.
 const TOLERATED_MISSING_RATIO: f64 = 0.05;
 /// Fraction of its zone that must be covered by reports for a node to use more than its own
 /// fraction.
 const MIN_REPORTED_RATIO: f64 = 0.4;
 
-/// Fraction of a tenant's limit for the reachable zones: `reachable_demand` is their usual demand,
-/// `total_demand` that of all zones.
+/// Fraction of a tenant's limit for the reachable zones: `reachable_demand` is the tenant's
+/// usual demand in these zones, `total_demand` that in all zones.
 pub(super) fn of_zones(reachable_demand: f64, total_demand: f64, coverage: &ReportCoverage) -> f64 {
     if coverage.unreachable_zones.is_empty() {
         return 1.0;
@@ -26,14 +27,14 @@
     blend(reachable_demand, total_demand, coverage.reachable_ratio)
 }
 
-/// Returns whether a node has to fall back to its own fraction because reports cover too
-/// little of its zone.
+/// Returns whether a node has to use only its own fraction of limits because the load
+/// reports cover too little of its zone.
 pub(super) fn is_isolated(coverage: &ReportCoverage) -> bool {
     !coverage.own_zone_reporting || coverage.own_zone_reported_ratio < MIN_REPORTED_RATIO
 }
 
-/// Factor for the nodes that the reports include. Nodes missing in the reports may be
-/// partitioned and admit requests as well.
+/// Factor for the limit fraction by the nodes that the load reports include. Nodes missing
+/// in the reports may be partitioned and admit requests as well.
 pub(super) fn reported_ratio(coverage: &ReportCoverage) -> f64 {
     if coverage.reported_ratio + TOLERATED_MISSING_RATIO >= 1.0 {
         return 1.0;
@@ -41,7 +42,8 @@
     coverage.reported_ratio
 }
 
-/// Fraction for one node that received `own_demand` of `total_demand` requests.
+/// Fraction of a tenant's limit for one node that received `own_demand` of `total_demand`
+/// requests.
 pub(super) fn of_node(own_demand: f64, total_demand: f64, coverage: &ReportCoverage) -> f64 {
     blend(
         own_demand,
@@ -50,6 +52,7 @@
     )
 }
 
+/// Blends the fractions by past demand and by node count.
 fn blend(demand: f64, total_demand: f64, by_node_count: f64) -> f64 {
     if total_demand <= 0.0 {
         return by_node_count;
--- a/crates/rampthread-core/src/call/quota/mod.rs
+++ b/crates/rampthread-core/src/call/quota/mod.rs
@@ -37,29 +37,30 @@
 /// state may start with a full burst.
 const IDLE_RETENTION: Duration = Duration::from_secs(60);
 
-/// Tolerance with which the fleet enforces limits, from the operator's settings.
+/// Operator's settings for how exactly the fleet enforces tenants' limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaPolicy {
-    /// Length of the sliding window in which requests are counted.
+    /// Length of the sliding window in which a tenant's admitted requests are counted.
     pub window: Duration,
-    /// Ratio of a window's requests by which it may exceed the limit.
+    /// Ratio by which a window's requests may exceed the tenant's limit, e.g. 0.1.
     pub overage_ratio: f64,
-    /// Requests by which a window may exceed its limit in addition to the ratio.
+    /// Requests by which a window may exceed the tenant's limit in addition to the ratio.
     pub slack_requests: f64,
 }
 
 impl QuotaPolicy {
-    /// Maximum number of requests that may run in one window.
+    /// Requests of a tenant with `limit` that may run in one window at most, with the
+    /// tolerated excess.
     pub fn max_requests_in_window(&self, limit: RateLimit) -> f64 {
         let requests = limit.rate * self.window.as_secs_f64() + limit.burst;
         requests * (1.0 + self.overage_ratio) + self.slack_requests
     }
 }
 
-/// State of one tenant's limit at this node, for operators.
+/// State of one tenant's limit at this node, for the operators' API.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaView {
-    /// The configured limit.
+    /// The tenant's limit in the active configuration version.
     pub limit: RateLimit,
     /// Requests per second of the tenant that this node received.
     pub local_demand_rps: f64,
@@ -68,28 +69,29 @@
     pub fleet_demand_rps: f64,
     /// Requests per second of the tenant that all nodes admitted, from their reports.
     pub admitted_rps: f64,
-    /// Probability with which this node admits a request, 0 to 1.
+    /// Probability with which this node admits a request of the tenant, 0 to 1.
     pub admission_probability: f64,
     /// Requests of the tenant rejected by this node since it began to track the tenant.
     pub refused: u64,
-    /// Source of the data that the admission probability is computed from.
+    /// Reports or fallback from which the admission probability was computed.
     pub basis: QuotaBasis,
 }
 
-/// State of the limits of all active tenants at one node.
+/// Limits of all tenants at one node: decides on the tenants' requests and reports this
+/// node's load.
 #[derive(Debug)]
 pub struct TenantQuotas {
     policy: QuotaPolicy,
     tenants: HashMap<TenantHash, TenantQuota>,
     coverage: ReportCoverage,
     started: Moment,
-    /// Since when reports cover all nodes. A tenant that they don't name had little traffic
-    /// admitted meanwhile. `None` while reports are incomplete.
+    /// Since when the load reports cover all nodes; `None` while they don't. A tenant
+    /// without an entry in these reports had little traffic admitted since then.
     all_reporting_since: Option<Moment>,
 }
 
 impl TenantQuotas {
-    /// Creates the limiter of a node that has just started, without any tenant.
+    /// Creates the limits of a node that has just started and has no state for any tenant.
     pub fn new(policy: QuotaPolicy, now: Moment) -> Self {
         Self {
             policy,
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Decides on a request of `tenant`. Tenants without a limit are always admitted and
-    /// not counted.
+    /// Decides whether to admit one request of `tenant`. Requests of tenants without a
+    /// limit are always admitted and not counted.
     pub fn try_admit(
         &mut self,
         tenant: &Tenant,
@@ -117,16 +119,17 @@
         quota.try_admit(now, rng)
     }
 
-    /// Refunds the token of an admitted request that is known not to have run.
+    /// Refunds the token of an admitted request of `tenant` that is known not to have run
+    /// at a backend.
     pub fn refund(&mut self, tenant: TenantHash, now: Moment) {
         if let Some(quota) = self.tenants.get_mut(&tenant) {
             quota.refund(now);
         }
     }
 
-    /// Applies the latest load reports; to be called at least every few hundred
-    /// milliseconds. `table` holds the current limits: state of tenants without a limit in
-    /// it is removed.
+    /// Applies the latest load reports of the fleet; to be called at least every few
+    /// hundred milliseconds. `table` holds the limits of the active configuration version:
+    /// state of tenants without a limit in `table` is dropped.
     pub fn update(&mut self, snapshot: &FleetLoadSnapshot<'_>, table: &TenantTable, now: Moment) {
         self.coverage = self.coverage.updated(snapshot, now);
         let loads = LoadByTenant::new(snapshot);
@@ -157,23 +160,25 @@
         self.tenants.iter_mut().filter_map(report).collect()
     }
 
-    /// Returns the state of a tenant, or `None` if this node has none for it.
+    /// Returns the state of a tenant's limit, or `None` if no recent request of the tenant
+    /// is known here.
     pub fn view(&self, tenant: TenantHash, now: Moment) -> Option<QuotaView> {
         Some(self.tenants.get(&tenant)?.view(now))
     }
 
-    /// Number of tenants with state at this node.
+    /// Number of tenants that this node keeps state for; at most the tenants with a limit.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Returns whether no tenant has state at this node.
+    /// Returns whether this node keeps state for no tenant, so that there is nothing to
+    /// update.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// Returns the state of a tenant. New state assumes that little was admitted for the
-    /// time `low_traffic_for`.
+    /// Returns the state of a tenant and creates it if missing. New state assumes that
+    /// little was admitted of the tenant for the time `low_traffic_for`.
     fn quota(
         &mut self,
         tag: TenantHash,
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -1,7 +1,7 @@
 //! State of one tenant's limit at one node: measured rates, token balance and admission
 //! probability.
 
-use super::bucket::Bucket;
+use super::bucket::TokenBucket;
 use super::decaying_rate::{DecayingRate, weight_after};
 use super::fleet_load::{LoadByTenant, ReportCoverage, TenantLoadSum};
 use super::zone_balance::{USUAL_DEMAND_TIME_CONSTANT, ZoneBalance};
@@ -17,66 +17,71 @@
 /// Time constant of the rates that a node reports; short compared with the delay of
 /// reports.
 const RATE_TIME_CONSTANT: Duration = Duration::from_millis(250);
-/// Mean delay from a node's count to its zone's sum.
+/// Mean delay from the count at a node to the sum in its zone's load report.
 const MEAN_REPORT_DELAY: Duration = Duration::from_millis(300);
-/// Seconds over which a positive token balance is spent.
+/// Seconds over which a positive token balance is spent on requests.
 const SPEND_TIME_SECS: f64 = 1.0;
-/// Seconds over which a token deficit is worked off; short, so that the recovery falls into
-/// the same window.
+/// Seconds over which a token deficit is worked off. Short, so that the recovery falls into
+/// the same sliding window as the excess.
 const DEFICIT_RECOVERY_SECS: f64 = 0.4;
-/// Ratio of a burst that is used; the rest is reserved for counts that reach the sums late.
+/// Ratio of the limit's burst that is used; the rest is reserved for requests that reach
+/// the load reports late.
 const USED_BURST_RATIO: f64 = 0.85;
-/// Ratio of the configured slack that is added to the burst, for random variation of low
+/// Ratio of the policy's slack that is added to the burst, for random variation of low
 /// rates.
 const USED_SLACK_RATIO: f64 = 0.2;
-/// Ratio of a node's fraction of the limit below which it doesn't report the tenant.
+/// Ratio of a node's even fraction of the limit below which the node leaves the tenant out
+/// of its load report.
 const REPORT_THRESHOLD_RATIO: f64 = 0.1;
-/// Ratio of all requests from which on a node decides by its own bucket alone, without an
-/// estimate of the other nodes.
+/// Ratio of the fleet's requests for the tenant from which on a node decides by its own
+/// token bucket alone, without an estimate of the other nodes.
 const SOLE_RECEIVER_RATIO: f64 = 0.9;
-/// Time constant of the executed ratio, and the minimum that is assumed for it.
+/// Time constant and minimum of the executed ratio, the ratio of admitted requests that
+/// run.
 const EXECUTED_RATIO_TIME_CONSTANT: Duration = Duration::from_secs(2);
 const MIN_EXECUTED_RATIO: f64 = 0.25;
-/// Time after which a tenant that this node reports, but its zone's report lacks, counts as
-/// truncated from that report.
+/// Time after which a tenant that this node reports, but its zone's load report lacks,
+/// counts as truncated from that report.
 const TRUNCATION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Standard deviations subtracted from a measured rate, so that a random cluster of a few
 /// requests isn't taken for a traffic spike.
 const CONFIDENCE_DEVIATIONS: f64 = 1.0;
-/// Minimum admission probability that a count is divided by; a smaller divisor would
-/// inflate a few requests to many.
+/// Minimum admission probability that a rate is divided by; a smaller divisor would inflate
+/// a few requests to many.
 const MIN_ADMISSION_PROBABILITY: f64 = 0.05;
-/// Minimum and maximum of the advertised retry delay, in seconds.
+/// Minimum and maximum of the retry delay that rejected callers are told, in seconds.
 const RETRY_DELAY_RANGE_SECS: (f64, f64) = (0.1, 5.0);
 
-/// Source of the data behind a quota decision.
+/// What the decision on a request was based on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QuotaBasis {
-    /// Load reports of the fleet.
+    /// The decision was based on load reports of the fleet.
     FleetDemand {
         /// Mean age of the load reports.
         report_age: Duration,
-        /// Fraction of the limit that the reachable zones share, 0 to 1.
+        /// Fraction of the limit that the nodes covered by the reports share, 0 to 1.
         limit_fraction: f64,
     },
-    /// This node's own fraction of the limit, used while reports don't cover the tenant.
+    /// The decision was based on this node's requests alone, since the load reports don't
+    /// cover the tenant.
     LocalOnly {
-        /// Fraction of the limit for this node, 0 to 1.
+        /// Fraction of the limit that this node uses, 0 to 1.
         limit_fraction: f64,
     },
 }
 
-/// A request exceeds its tenant's limit.
+/// A request was rejected because it exceeds its tenant's limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaExceeded {
-    /// Estimated time until a token is available, randomized so that clients don't retry at
-    /// the same time.
+    /// Estimated time until the limit has a token available, randomized so that callers
+    /// don't retry at the same time.
     pub retry_after: Duration,
-    /// The configured limit.
+    /// The tenant's limit in the active configuration version.
     pub limit: RateLimit,
-    /// Requests per second received by the fleet, as far as this node knows.
+    /// Requests per second of the tenant that the fleet receives, as far as this node
+    /// knows.
     pub fleet_demand_rps: f64,
-    /// Source of the data behind the decision.
+    /// What the rejection was based on.
     pub basis: QuotaBasis,
 }
 
@@ -96,14 +101,15 @@
     admitted: DecayingRate,
     /// Rate of requests received by this node, with a longer time constant.
     usual_demand: DecayingRate,
-    /// The zones that have reported the tenant.
+    /// Demand and token balance of each zone that has reported the tenant.
     zones: Vec<ZoneBalance>,
     last_request_at: Moment,
-    /// Requested rates that this node has reported, with the time of each report.
+    /// Rates of the tenant's requests that this node has reported, with the time of each
+    /// report.
     reported: VecDeque<(Moment, f64)>,
-    /// Since when this node has reported the tenant without interruption.
+    /// Since when this node has included the tenant in all of its load reports.
     reporting_since: Option<Moment>,
-    /// The tenant's load, summed over the recent reports.
+    /// The tenant's load, summed over the zones' recent reports.
     fleet_load: TenantLoadSum,
     /// Token balance of the partition (all nodes that this node's reports cover) as of
     /// `balance_at`; negative for a deficit.
@@ -115,30 +121,31 @@
     /// refunded.
     executed_ratio: f64,
     updated_at: Moment,
-    /// Admission probabilities since `balance_at`.
+    /// Admission probabilities that this node has used since `balance_at`.
     probabilities: VecDeque<ProbabilitySince>,
-    /// Fraction of the limit for the reachable zones, the start of the coverage that it was
-    /// computed for, and the same fraction less the nodes that the reports lack.
+    /// Fraction of the limit for the reachable zones; the change of the coverage that it
+    /// was computed for; and the fraction after deducting nodes that the load reports lack.
     zones_fraction: f64,
     fraction_computed_for: Moment,
     fraction: f64,
-    /// Fraction of the limit for this node alone.
+    /// Fraction of the limit for this node alone, used without reports.
     own_fraction: f64,
     /// Whether this node uses only its own fraction because the reports don't cover the
     /// tenant.
     isolated: bool,
     /// Token bucket that caps what this node admits while the reports cover the tenant.
-    shared_bucket: Bucket,
+    shared_bucket: TokenBucket,
     /// Token bucket with this node's own fraction, used while the reports don't cover the
     /// tenant. Always maintained, so that it includes what was admitted of a spike before
     /// reports stopped.
-    own_bucket: Bucket,
+    own_bucket: TokenBucket,
     refused: u64,
 }
 
 impl TenantQuota {
-    /// Creates the state of a tenant that was not tracked here and had little traffic
-    /// admitted for the time `low_traffic_for`. It starts with a full burst after a whole window.
+    /// Creates the state of a tenant that was not tracked here and of which little was
+    /// admitted for the time `low_traffic_for`. The state starts with a full burst after a
+    /// whole window.
     pub(super) fn new(
         policy: QuotaPolicy,
         limit: RateLimit,
@@ -168,8 +175,8 @@
             fraction: 1.0,
             own_fraction: limit_fraction::of_node(0.0, 0.0, coverage),
             isolated: limit_fraction::is_isolated(coverage),
-            shared_bucket: Bucket::new(limit, 0.0, now),
-            own_bucket: Bucket::new(limit, 0.0, now),
+            shared_bucket: TokenBucket::new(limit, 0.0, now),
+            own_bucket: TokenBucket::new(limit, 0.0, now),
             refused: 0,
         };
         quota.fraction = quota.zones_fraction * limit_fraction::reported_ratio(coverage);
@@ -182,11 +189,11 @@
         };
         quota.balance = gained(partition_limit);
         quota.admissible_rps = partition_limit.rate + quota.balance / SPEND_TIME_SECS;
-        // A single node always admits the first request.
+        // A node without peers always admits the first request of a tenant.
         let first = if coverage.member_count == 1 { 1.0 } else { 0.0 };
         let balance = quota.balance.max(first);
-        quota.shared_bucket = Bucket::new(partition_limit, balance, now);
-        quota.own_bucket = Bucket::new(own, gained(own), now);
+        quota.shared_bucket = TokenBucket::new(partition_limit, balance, now);
+        quota.own_bucket = TokenBucket::new(own, gained(own), now);
         quota
     }
 
@@ -234,28 +241,29 @@
         })
     }
 
+    /// Refunds the token of an admitted request that did not run.
     pub(super) fn refund(&mut self, now: Moment) {
         self.admitted.count(-1.0, now);
         self.shared_bucket.refund();
         self.own_bucket.refund();
     }
 
-    /// Requests per second that all nodes of the partition receive: the reported sum plus
-    /// this node's own increase since its last report.
+    /// Estimates the requests per second that all nodes of the partition receive: the
+    /// reported sum plus this node's own increase since its last report.
     fn estimated_demand_rps(&self, now: Moment) -> f64 {
         let own = self.demand.at(now);
         let since_report = own - self.own_reported_rps(now);
         (self.fleet_load.demand_rps + since_report.max(0.0)).max(own)
     }
 
-    /// The rate that this node contributed to the present sum of reports.
+    /// Rate that this node's own reports contributed to the present sum of reports.
     fn own_reported_rps(&self, now: Moment) -> f64 {
         let until = now - self.fleet_load.report_age;
         let report = self.reported.iter().rev().find(|(at, _)| *at <= until);
         report.map_or(0.0, |(_, demand)| *demand)
     }
 
-    /// Probability with which a request is admitted now.
+    /// Computes the probability with which a request of the tenant is admitted now.
     fn admission_probability(&self, now: Moment) -> f64 {
         if self.isolated {
             return 1.0;
@@ -271,8 +279,8 @@
         (self.admissible_rps / demand).max(0.0)
     }
 
-    /// Time until the token deficit is worked off, plus the time in which the limit admits
-    /// a random part of one second's requests.
+    /// Estimates when a retry may be admitted: the time until the token deficit is worked
+    /// off, plus a random part of the time that the limit needs for one second's requests.
     fn retry_after(&self, now: Moment, rng: &mut impl Rng) -> Duration {
         let fraction = if self.isolated {
             self.own_fraction
@@ -286,6 +294,7 @@
         Duration::from_secs_f64(wait.clamp(RETRY_DELAY_RANGE_SECS.0, RETRY_DELAY_RANGE_SECS.1))
     }
 
+    /// What a decision on a request is based on now.
     fn basis(&self) -> QuotaBasis {
         match self.isolated {
             true => QuotaBasis::LocalOnly {
@@ -298,7 +307,7 @@
         }
     }
 
-    /// Applies the latest load reports.
+    /// Applies the latest load reports of the fleet to the tenant's state.
     pub(super) fn update(
         &mut self,
         tag: TenantHash,
@@ -330,6 +339,7 @@
         });
     }
 
+    /// Applies recent reports to the zones' balances and drops removed zones.
     fn update_zone_balances(&mut self, tag: TenantHash, loads: &LoadByTenant<'_>, now: Moment) {
         let is_reported = |tracked: &ZoneBalance| {
             let mut zones = loads.snapshot.zones.iter();
@@ -364,12 +374,13 @@
         }
     }
 
+    /// Returns whether all of `zones` have reported this tenant.
     fn has_reports_of(&self, zones: &[Zone]) -> bool {
         let known = |zone: &Zone| self.zones.iter().any(|tracked| tracked.zone == *zone);
         zones.iter().all(known)
     }
 
-    /// Summed usual demand of the zones that `counts` selects.
+    /// Sums the usual demand of the zones that `counts` selects.
     fn usual_demand_of(&self, counts: impl Fn(&ZoneBalance) -> bool) -> f64 {
         let zones = self.zones.iter().filter(|tracked| counts(tracked));
         zones.map(|tracked| tracked.usual_demand).sum()
@@ -391,7 +402,8 @@
                 self.usual_demand_of(is_reachable),
                 self.usual_demand_of(|_| true),
             );
-            // The usual demand of a zone that never reported this tenant here is unknown.
+            // The usual demand of a zone that never reported this tenant to this node is
+            // unknown.
             self.zones_fraction = match self.has_reports_of(&coverage.unreachable_zones) {
                 true => limit_fraction::of_zones(reachable, all, coverage),
                 false => limit_fraction::of_zones(0.0, 0.0, coverage),
@@ -415,7 +427,7 @@
         }
     }
 
-    /// Advances the token balance to the time that the reports describe.
+    /// Advances the token balance to the time that the load reports describe.
     fn advance_balance(&mut self, partition_limit: RateLimit, now: Moment) {
         let described_at = now - (self.fleet_load.report_age + MEAN_REPORT_DELAY);
         if described_at <= self.balance_at {
@@ -423,7 +435,8 @@
         }
         let passed = described_at.since(self.balance_at).as_secs_f64();
         let gained = (partition_limit.rate - self.fleet_load.admitted_rps) * passed;
-        // The deficit is capped at one window's requests: older ones no longer count.
+        // The deficit is capped at one window's requests, since older requests no longer
+        // count.
         let max_deficit =
             partition_limit.rate * self.policy.window.as_secs_f64() + partition_limit.burst;
         self.balance = (self.balance + gained).clamp(-max_deficit, partition_limit.burst);
@@ -437,6 +450,7 @@
         }
     }
 
+    /// Updates the executed ratio from the reported and the expected admissions.
     fn update_executed_ratio(&mut self, now: Moment) {
         let passed = now.since(self.updated_at);
         self.updated_at = now;
@@ -449,7 +463,8 @@
             (executed - self.executed_ratio) * weight_after(passed, EXECUTED_RATIO_TIME_CONSTANT);
     }
 
-    /// Admission probability at the time that the reports describe.
+    /// Admission probability that this node used at the time that the load reports
+    /// describe.
     fn reported_probability(&self) -> f64 {
         let probability = self
             .probabilities
@@ -458,8 +473,9 @@
         probability.max(MIN_ADMISSION_PROBABILITY)
     }
 
-    /// Extrapolates the token balance to now. What all nodes admitted since the reports
-    /// follows from this node's admission probabilities, since all nodes use the same ones.
+    /// Extrapolates the token balance from the load reports to now. The admission
+    /// probabilities of all nodes are the same, so that this node's own ones show what the
+    /// others admitted since.
     fn estimated_balance(&self, partition_limit: RateLimit, now: Moment) -> f64 {
         let offered = (self.fleet_load.admitted_rps / self.reported_probability())
             .min(self.fleet_load.demand_rps);
@@ -482,8 +498,8 @@
         balance
     }
 
-    /// Returns this node's load of the tenant for its zone's report, or `None` if it is too
-    /// small to matter.
+    /// Returns this node's load of the tenant for the zone's report, or `None` if the load
+    /// is too small to matter.
     pub(super) fn load_report(
         &mut self,
         tag: TenantHash,
@@ -512,12 +528,13 @@
         })
     }
 
-    /// Returns whether the current fraction is smaller than that of new state. Dropping the
-    /// state would then claim a fraction of the limit that other partitions already use.
+    /// Returns whether the limit fraction is smaller than in new state. Dropping this state
+    /// would then claim a fraction of the limit that other partitions already use.
     pub(super) fn has_reduced_fraction(&self, coverage: &ReportCoverage) -> bool {
         self.zones_fraction < limit_fraction::of_zones(0.0, 0.0, coverage)
     }
 
+    /// Time without any request of the tenant in the fleet.
     pub(super) fn idle_for(&self, now: Moment) -> Duration {
         match self.fleet_load.demand_rps > 0.0 {
             true => Duration::ZERO,
@@ -538,12 +555,13 @@
     }
 }
 
-/// Lower confidence bound of a rate measured as `rate`.
+/// Lower confidence bound of a rate that was measured as `rate`.
 fn lower_bound_rps(rate: f64) -> f64 {
     let deviation = (rate / (2.0 * RATE_TIME_CONSTANT.as_secs_f64())).sqrt();
     (rate - CONFIDENCE_DEVIATIONS * deviation).max(0.0)
 }
 
+/// Converts requests per second to thousandths of a request per second.
 fn to_millirps(rate: f64) -> u32 {
     (rate.max(0.0) * 1_000.0).round() as u32
 }
--- a/crates/rampthread-core/src/call/quota/zone_balance.rs
+++ b/crates/rampthread-core/src/call/quota/zone_balance.rs
@@ -1,4 +1,4 @@
-//! One zone's usual demand and token balance for one tenant.
+//! Demand and token balance of one zone for one tenant.
 
 use super::decaying_rate::weight_after;
 use crate::config::RateLimit;
@@ -6,7 +6,7 @@
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Time constant of the usual demand.
+/// Time constant of a tenant's usual demand, long compared with traffic spikes.
 pub(super) const USUAL_DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(10);
 
 /// Demand and token balance of one zone's fraction of the limit. Maintained at all times:
@@ -17,7 +17,7 @@
     pub(super) zone: Zone,
     /// Requests per second received by the zone, with a long time constant.
     pub(super) usual_demand: f64,
-    /// Token balance of the zone's fraction; negative for a deficit.
+    /// Token balance of the zone's fraction of the limit; negative for a deficit.
     pub(super) balance: f64,
     updated_at: Moment,
 }
--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -1,11 +1,12 @@
 //! The node that decides about rollouts: the decider holds a lease, evaluates versions, and
 //! persists how rollouts ended.
 //!
-//! Several nodes know an order, but only one at a time is the decider. It holds a lease in
-//! the platform's store. Its writes succeed only while the lease record is unchanged (the
-//! record's revision is a fencing token) and while the stored state is the one it has read.
-//! Other nodes learn of an end only after it is persisted. Until then they learn only what
-//! is safe if the write fails: that a version gets no calls.
+//! Several nodes know a rollout order, but only one of them at a time is the decider. The
+//! decider holds a lease in the platform's store. Its writes succeed only while the lease
+//! record is unchanged (the record's revision is a fencing token) and while the stored
+//! rollout state is the one that the decider has read. Other nodes learn of the end of a
+//! rollout only after the end is persisted. Until then they learn only what is safe if the
+//! write fails: that a version gets no calls.
 //!
 //! At most one store request is in flight. A request without a response may have been
 //! executed, so the records are read again before the next write.
@@ -22,15 +23,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// TTL of the lease. No other node takes over from a failed decider for that long; traffic
-/// shares without confirmation expire sooner.
+/// TTL of the decider's lease. No other node takes over from a failed decider for that
+/// long; traffic shares of a rollout expire sooner without confirmation.
 pub const LEASE_TTL: Duration = Duration::from_secs(3);
-/// Time from the start of a successful renewal to the next one. Failed renewals are retried
-/// after [`REQUEST_RETRY_DELAY`], so that several attempts fit into the lease.
+/// Time from the start of a successful lease renewal to the next renewal. Failed renewals
+/// are retried after [`REQUEST_RETRY_DELAY`], so that several attempts fit into the TTL.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(800);
-/// Time between two evaluations by the decider.
+/// Time between two evaluations of the open rollouts by the decider.
 pub const EVALUATION_INTERVAL: Duration = Duration::from_millis(400);
-/// The same near the end of a rollout, where actions have to meet a deadline.
+/// Time between two evaluations near the deadline of a rollout, where actions have to be on
+/// time.
 const URGENT_EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without updates from the decider after which the first node in the takeover order
 /// tries to become the decider.
@@ -44,10 +46,10 @@
 const RECORD_CHECKERS: u32 = 4;
 /// Delay before the decider retries a failed store request.
 const REQUEST_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Time constant of the call rate, in seconds.
+/// Time constant of a service's rate of responses, in seconds.
 const RATE_TIME_CONSTANT_SECS: f64 = 1.0;
 
-/// A rollout state as read from the store.
+/// A rollout state as read from its record in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRollout {
     /// The rollout state in the record.
@@ -59,25 +61,25 @@
     pub written_ms: u64,
 }
 
-/// A request to the store.
+/// A request of a node to the store, to become or act as the decider.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DeciderRequest {
-    /// Read the lease and all rollout states.
+    /// Read the lease record and all rollout states.
     Read,
-    /// Acquire the lease if nobody holds it.
+    /// Acquire the decider's lease if nobody holds it.
     Claim {
         /// Term that the new decider claims, higher than all earlier ones.
         term: u64,
-        /// TTL of the lease.
+        /// TTL of the lease to acquire.
         life: Duration,
     },
-    /// Renew the lease.
+    /// Renew the decider's lease.
     Renew {
         /// Id of the lease to renew, from `Claimed`.
         lease: LeaseId,
     },
-    /// Persist a state, if this node still holds the lease and nobody else has changed the
-    /// state.
+    /// Persist a rollout state, if this node still holds the lease and the record in the
+    /// store is unchanged.
     Write {
         /// The rollout state to persist.
         state: RolloutState,
@@ -86,7 +88,7 @@
         /// Store revision that the lease record must still have.
         fence: u64,
     },
-    /// Release the lease.
+    /// Release the decider's lease early, so that another node needn't wait for its TTL.
     Release {
         /// Id of the lease to release, from `Claimed`.
         lease: LeaseId,
@@ -100,7 +102,7 @@
     Records {
         /// Store revision of the lease record; `None` if nobody holds the lease.
         fence: Option<u64>,
-        /// The highest term in any record.
+        /// The highest decider term in any record.
         term: u64,
         /// All persisted rollout states.
         states: Vec<StoredRollout>,
@@ -119,9 +121,10 @@
         /// Store revision of the written record.
         revision: u64,
     },
-    /// Another node holds the lease, the lease has expired, or the state was changed.
+    /// The request had no effect: another node holds the lease, the lease has expired, or
+    /// the record of the rollout has changed.
     Conflict,
-    /// The request failed, or its result is unknown.
+    /// The request failed, or whether it had an effect is unknown.
     Failed,
 }
 
@@ -134,17 +137,18 @@
     pub reason: String,
 }
 
-/// What the caller of the decider has to send and log after a step.
+/// What the caller of [`Decider`] has to send and log after a step.
 #[derive(Debug, Default, PartialEq)]
 pub struct DeciderOutput {
-    /// Request to send to the store.
+    /// Request to send to the store, if any.
     pub request: Option<DeciderRequest>,
-    /// New states to send to the other nodes.
+    /// New rollout states to send to the other nodes.
     pub updates: Vec<RolloutState>,
-    /// Decisions to log.
+    /// Changes in rollouts to log for operators.
     pub decisions: Vec<RolloutDecision>,
 }
 
+/// The decider's lease, as held by this node.
 #[derive(Debug)]
 struct Lease {
     id: LeaseId,
@@ -156,13 +160,14 @@
     renew_at: Moment,
 }
 
+/// What this node does about the decider's lease.
 #[derive(Debug)]
 enum Role {
-    /// Another node is the decider, or there is no open rollout.
+    /// Another node is the decider, or no rollout is open.
     Idle,
-    /// The records were read and nobody holds the lease, so this node may claim it.
+    /// The records were read and showed no lease, so this node may claim the lease.
     Candidate { term: u64 },
-    /// This node holds the lease.
+    /// This node holds the lease and is the decider.
     Decider(Lease),
 }
 
@@ -171,20 +176,22 @@
 struct Evaluation {
     order: OrderId,
     evaluator: VersionEvaluator,
-    /// The latest counts from each process epoch of each node. Counters start at zero in
-    /// each epoch.
+    /// The latest counts of responses from each process epoch of each node. Counters start
+    /// at zero in each epoch.
     counts_by_node: BTreeMap<(NodeId, ProcessEpoch), BTreeMap<EvidenceKey, ResponseCounts>>,
-    /// Counts since the last evaluation.
+    /// Response counts received since the last evaluation.
     round: Vec<VersionEvidence>,
     rate: f64,
     /// Since when this decider collects evidence about the rollout.
     since: Moment,
-    /// When the shift of traffic was first seen, and the target's responses by then.
+    /// When the shift of traffic was first seen, and the target version's responses by
+    /// then.
     shifting_since: Option<(Moment, u64)>,
     /// Whether the rollout has succeeded and that is still to be persisted.
     has_succeeded: bool,
 }
 
+/// Labels of a counter in response evidence: version, backend group and route.
 type EvidenceKey = (SoftwareVersion, u8, ResourceName);
 
 /// What the decider needs to know besides states and evidence; provided by the caller on
@@ -203,8 +210,8 @@
     pub evidence_collection_time: Duration,
 }
 
-/// Decides on rollouts while this node holds the lease, and tries to get it when nobody
-/// does.
+/// A node's role in deciding about rollouts: it decides while it holds the lease, and tries
+/// to get the lease when there is no decider.
 #[derive(Debug)]
 pub struct Decider {
     me: NodeId,
@@ -218,17 +225,18 @@
     /// The persisted rollout states by service; known while this node is the decider.
     persisted: BTreeMap<ResourceName, StoredRollout>,
     evaluations: BTreeMap<ResourceName, Evaluation>,
-    /// The records in the store may differ from `persisted`.
+    /// Whether the rollout records in the store may differ from `persisted`.
     records_uncertain: bool,
     /// From when on the store's records have to be compared with the known states. Cleared
     /// once the records were read or written and match.
     recheck_from: Option<Moment>,
-    /// The highest term that this node has claimed. A restored store may have lost it.
+    /// The highest decider term that this node has claimed. A restored store may have lost
+    /// the term.
     highest_claimed_term: u64,
-    /// The store was restored from an older backup, and this node doesn't know that another
-    /// one has compared the records since.
+    /// Whether the store was restored from an older backup, and no node is known to have
+    /// compared the rollout records since.
     restored: bool,
-    /// The request in flight was sent before the store was restored.
+    /// Whether the store request in flight was sent before the store was restored.
     in_flight_is_void: bool,
 }
 
@@ -253,12 +261,12 @@
         }
     }
 
-    /// Returns whether this node holds the lease at `now`.
+    /// Returns whether this node holds the lease at `now` and thus is the decider.
     pub fn holds_lease(&self, now: Moment) -> bool {
         matches!(&self.role, Role::Decider(lease) if now < lease.holds_until)
     }
 
-    /// Applies the evidence that a node reports.
+    /// Applies the response counts that a node reports for open rollouts.
     pub fn on_evidence(
         &mut self,
         from: &NodeId,
@@ -319,6 +327,7 @@
         output
     }
 
+    /// Gives up the role of the decider and forgets the records.
     fn step_down(&mut self, now: Moment) {
         self.role = Role::Idle;
         self.next_attempt_at = now + TAKEOVER_RETRY_DELAY;
@@ -327,6 +336,7 @@
         self.records_uncertain = false;
     }
 
+    /// The next store request that the node's role requires.
     fn next_request(
         &mut self,
         table: &RolloutTable,
@@ -358,7 +368,8 @@
         }
     }
 
-    /// Returns whether there seems to be no decider and it is this node's turn to try.
+    /// Returns whether there seems to be no decider and it is this node's turn to become
+    /// it.
     fn should_try_takeover(
         &mut self,
         table: &RolloutTable,
@@ -391,16 +402,16 @@
         silence >= timeout + takeover_delay
     }
 
-    /// Schedules a comparison of the records with the known states, because the store may
-    /// have lost some.
+    /// Schedules a comparison of the store's rollout records with the known states, because
+    /// the store may have lost records.
     pub fn recheck(&mut self, now: Moment) {
         self.recheck_from = Some(now);
         self.records_uncertain = true;
     }
 
-    /// Handles a restore of the store from an older backup. Leases from before are invalid,
-    /// even if one with the same id exists now: this node steps down and may acquire a new
-    /// one.
+    /// Handles a restore of the store from an older backup. Leases from before the restore
+    /// are invalid, even if the store has a lease with the same id now: this node steps
+    /// down and may acquire a new lease.
     pub fn on_store_restored(&mut self, table: &RolloutTable, now: Moment) {
         self.in_flight_is_void = self.in_flight.is_some();
         self.step_down(now);
@@ -422,8 +433,9 @@
         })
     }
 
-    /// The form in which a state is persisted. A shift of traffic is persisted as running,
-    /// since the next decider evaluates from scratch; a rollback is persisted as finished.
+    /// Returns the form in which a rollout state is persisted. A shift of traffic is
+    /// persisted as running, since the next decider evaluates the version from scratch; a
+    /// rollback is persisted as finished.
     fn persisted_form(&self, state: RolloutState) -> RolloutState {
         let evaluation = self.evaluations.get(&state.service);
         let phase = match state.phase {
@@ -512,6 +524,7 @@
         output
     }
 
+    /// Applies the lease and rollout states that were read from the store.
     fn on_records(
         &mut self,
         fence: Option<u64>,
@@ -557,7 +570,7 @@
         self.role = Role::Candidate { term };
     }
 
-    /// The comparison is complete once the records contain all known states.
+    /// Ends the comparison once the store's records contain all known rollout states.
     fn finish_recheck(&mut self, table: &RolloutTable, now: Moment) {
         if self.unpersisted(table, now).is_none() {
             self.recheck_from = None;
@@ -565,6 +578,7 @@
         }
     }
 
+    /// Applies the success of a write of a rollout state.
     fn on_written(
         &mut self,
         state: RolloutState,
@@ -593,6 +607,7 @@
 
     // ---- decisions ----
 
+    /// Evaluates all open rollouts, if an evaluation is due.
     fn decide(
         &mut self,
         table: &mut RolloutTable,
@@ -617,8 +632,8 @@
                 EVALUATION_INTERVAL
             };
         for state in table.states(now) {
-            // An order gets no calls before it is persisted: another decider couldn't end
-            // it.
+            // An order gets no calls before its state is persisted: another decider
+            // couldn't end the rollout.
             let stored = self.persisted.get(&state.service);
             if stored.is_none_or(|stored| stored.state.order != state.order) {
                 continue;
@@ -644,7 +659,7 @@
         }
     }
 
-    /// Evaluates one rollout: returns its next state and the reason.
+    /// Evaluates one open rollout: returns its next state and the reason.
     fn evaluate(
         &mut self,
         state: &RolloutState,
@@ -713,6 +728,7 @@
 }
 
 impl Evaluation {
+    /// Evaluates the counts received since the last evaluation.
     fn take_round(&mut self, passed: Duration) {
         let round = std::mem::take(&mut self.round);
         let responses = round
@@ -729,6 +745,7 @@
     }
 }
 
+/// Returns the evaluation of the rollout in `state`; a new order starts a new one.
 fn evaluation_of<'a>(
     evaluations: &'a mut BTreeMap<ResourceName, Evaluation>,
     state: &RolloutState,
--- a/crates/rampthread-core/src/rollout/evaluation.rs
+++ b/crates/rampthread-core/src/rollout/evaluation.rs
@@ -1,11 +1,11 @@
-//! Detects whether the new version is worse than the present one.
+//! Detects whether the target version of a rollout is worse than the present version.
 //!
-//! Uses a sequential test (CUSUM, Page 1954) per route: every response of the new version
-//! adds its log-likelihood ratio, a bad version against one like the present version, to a
-//! score. A score never falls below zero, so that a version that degrades late is detected
-//! as fast as one that was bad from the start. The baseline is taken from the other
-//! version's responses of the last seconds, so that an outage affecting both is no
-//! evidence.
+//! Uses a sequential test (CUSUM, Page 1954) per route: every response of the target
+//! version adds its log-likelihood ratio, a bad version against one like the present
+//! version, to a score. A score never falls below zero, so that a version that degrades
+//! late is detected as fast as one that was bad from the start. The baseline is taken from
+//! the other version's responses of the last seconds, so that an outage affecting both is
+//! no evidence.
 //!
 //! Compared are the ratio of failures, and the ratio of slow responses at several quantiles
 //! of the baseline: some versions are slow for all calls, some for a few.
@@ -20,82 +20,84 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Score from which on a version is bad. A good version reaches it once in thousands of
-/// responses.
+/// CUSUM score from which on the target version counts as bad. A good version reaches this
+/// score once in thousands of responses.
 const REGRESSION_SCORE: f64 = 8.0;
-/// Maximum number of bad responses in excess of the baseline, however bad the baseline is.
-/// During outages the scores alone would take too long.
+/// Maximum number of bad responses of the target version in excess of the baseline, however
+/// bad the baseline is. During outages the scores alone would take too long.
 const MAX_EXCESS: f64 = 18.0;
-/// Half-life of the weight of past responses.
+/// Time in which the weight of past responses halves.
 const HALF_LIFE: Duration = Duration::from_secs(4);
-/// Minimum number of the other version's responses on a route as a baseline.
+/// Minimum number of the other version's responses on a route for a baseline.
 const MIN_BASELINE_RESPONSES: f64 = 20.0;
-/// Number of groups with responses per group that may be excluded.
+/// Number of groups with responses per group that may be excluded: 4 allows to exclude one
+/// quarter.
 const GROUPS_PER_OUTLIER: usize = 4;
-/// Minimum number of bad responses for a group to be excluded.
+/// Minimum number of bad responses for a group of backends to be excluded.
 const MIN_OUTLIER_RESPONSES: f64 = 1.5;
 /// Prior failure rate of the baseline: these failures in this many responses.
 const PRIOR_FAILURES: f64 = 0.4;
 const PRIOR_RESPONSES: f64 = 40.0;
-/// Minimum increase of the failure ratio in a bad version.
+/// Minimum increase of the failure ratio over the baseline in a bad version.
 const MIN_FAILURE_INCREASE: f64 = 0.1;
 /// Minimum factor between the failure ratios of a bad version and the baseline.
 const MIN_FAILURE_FACTOR: f64 = 2.0;
 /// Quantiles of the baseline's latency that are compared, as ratios of slower responses.
 const TAIL_RATIOS: [f64; 3] = [0.5, 0.2, 0.05];
-/// Minimum increase of the ratio beyond each of these quantiles in a bad version.
+/// Minimum increase of the ratio of responses beyond each of these quantiles in a bad
+/// version.
 const MIN_TAIL_INCREASES: [f64; 3] = [0.2, 0.15, 0.08];
-/// The quantile that the fewest responses of the baseline exceed.
+/// Index of the quantile that the fewest responses of the baseline exceed.
 const LAST_TAIL: usize = TAIL_RATIOS.len() - 1;
 /// Ratio of each tail that a good version may have beyond the tolerated latency.
 const TOLERATED_TAIL_RATIO: f64 = 0.25;
 /// Histogram buckets by which a good version may be slower, since the speed of backends
-/// varies and the new ones get few calls. Two buckets are a factor of two.
+/// varies and the target's get few calls. Two buckets are a factor of two.
 const TOLERATED_BUCKETS: usize = 2;
 /// Maximum of a baseline ratio, which keeps the scores finite.
 const MAX_BASELINE_RATIO: f64 = 0.75;
 
-/// Number of measures: failures, and one per quantile.
+/// Number of measures compared: failures, and one per latency quantile.
 const MEASURES: usize = 1 + TAIL_RATIOS.len();
-/// Index of the failure measure; quantile `n` has the index `1 + n`.
+/// Index of the failure measure; latency quantile `n` has the index `1 + n`.
 const FAILURES: usize = 0;
 
-/// A detected regression of the new version and the data behind it.
+/// A detected regression of the target version and the data behind it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionRegression {
     /// Route on which the regression was detected.
     pub route: ResourceName,
     /// What is worse than in the baseline.
-    pub symptom: Symptom,
+    pub kind: RegressionKind,
     /// CUSUM score, or for `Excess` the number of bad responses in excess of the baseline.
     pub score: f64,
-    /// Responses of the new version on the route.
+    /// Responses of the target version on the route.
     pub responses: u32,
     /// Failures among `responses`.
     pub failures: u32,
 }
 
-/// The kind of regression.
+/// What is worse in the target version than in the baseline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Symptom {
-    /// The new version has a higher ratio of failures.
+pub enum RegressionKind {
+    /// The target version has a higher ratio of failures.
     Failures,
-    /// The new version has a higher ratio of slow responses.
+    /// The target version has a higher ratio of slow responses.
     Slow,
-    /// The new version has too many failures and slow responses in total.
+    /// The target version has too many failures and slow responses in total.
     Excess,
 }
 
 impl fmt::Display for VersionRegression {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let symptom = match self.symptom {
-            Symptom::Failures => "failures",
-            Symptom::Slow => "slow responses",
-            Symptom::Excess => "failures and slow responses",
+        let kind = match self.kind {
+            RegressionKind::Failures => "failures",
+            RegressionKind::Slow => "slow responses",
+            RegressionKind::Excess => "failures and slow responses",
         };
         write!(
             formatter,
-            "{symptom} on route {}: score {:.1}, {} of {} responses failed",
+            "{kind} on route {}: score {:.1}, {} of {} responses failed",
             self.route, self.score, self.failures, self.responses
         )
     }
@@ -110,12 +112,13 @@
 }
 
 impl DecayingCounts {
+    /// Reduces the weight of past responses by the time `passed`.
     fn decay(&mut self, passed: Duration) {
-        let left = 0.5_f64.powf(passed.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        self.responses *= left;
-        self.failures *= left;
+        let remaining = 0.5_f64.powf(passed.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        self.responses *= remaining;
+        self.failures *= remaining;
         for count in &mut self.latencies {
-            *count *= left;
+            *count *= remaining;
         }
     }
 
@@ -135,9 +138,9 @@
         }
     }
 
-    /// Bad responses of a measure, and all responses that it covers. Latency measures count
-    /// buckets from `slow_from` on as bad.
-    fn bad(&self, measure: usize, slow_from: usize) -> (f64, f64) {
+    /// Returns the bad responses of a measure, and all responses that the measure covers.
+    /// Latency measures count responses in histogram buckets from `slow_from` on as bad.
+    fn bad_and_all_responses(&self, measure: usize, slow_from: usize) -> (f64, f64) {
         match measure {
             FAILURES => (self.failures, self.responses),
             _ => (
@@ -147,13 +150,14 @@
         }
     }
 
-    /// The first bucket that at most a ratio `tail` of the responses reach.
-    fn tail(&self, tail: f64) -> usize {
+    /// Returns the first histogram bucket that at most a ratio `tail` of the responses
+    /// reach.
+    fn tail_start_bucket(&self, tail: f64) -> usize {
         let total: f64 = self.latencies.iter().sum();
         let mut above = total;
-        for (step, count) in self.latencies.iter().enumerate() {
+        for (bucket, count) in self.latencies.iter().enumerate() {
             if above <= tail * total {
-                return step;
+                return bucket;
             }
             above -= count;
         }
@@ -161,16 +165,18 @@
     }
 }
 
-/// One version's responses on a route, by group.
+/// One version's responses on a route, by group of backends.
 #[derive(Debug, Clone, Default)]
 struct CountsByGroup([DecayingCounts; BACKEND_GROUPS as usize]);
 
 impl CountsByGroup {
-    fn group(&mut self, group: u8) -> &mut DecayingCounts {
+    /// Counts of one group of backends.
+    fn group_counts(&mut self, group: u8) -> &mut DecayingCounts {
         &mut self.0[usize::from(group % BACKEND_GROUPS)]
     }
 
-    fn all(&self) -> DecayingCounts {
+    /// Sums the counts of all groups.
+    fn total(&self) -> DecayingCounts {
         let mut sum = DecayingCounts::default();
         for group in &self.0 {
             sum.merge(group);
@@ -180,12 +186,12 @@
 
     /// Maximum number of groups to exclude, from the number of groups with responses.
     fn max_outliers(&self) -> usize {
-        let evidence = self.0.iter().filter(|group| group.responses > 0.0);
-        evidence.count() / GROUPS_PER_OUTLIER
+        let with_responses = self.0.iter().filter(|group| group.responses > 0.0);
+        with_responses.count() / GROUPS_PER_OUTLIER
     }
 
-    /// The groups to exclude for a measure: up to `max_outliers`, those with the most bad
-    /// responses.
+    /// Selects the groups to exclude for a measure: up to `max_outliers`, those with the
+    /// most bad responses.
     fn outliers(
         &self,
         measure: usize,
@@ -196,7 +202,7 @@
             .0
             .iter()
             .enumerate()
-            .map(|(index, group)| (group.bad(measure, slow_from).0, index))
+            .map(|(index, group)| (group.bad_and_all_responses(measure, slow_from).0, index))
             .filter(|(bad, _)| *bad >= MIN_OUTLIER_RESPONSES)
             .collect();
         worst.sort_by(|left, right| right.0.total_cmp(&left.0));
@@ -207,35 +213,41 @@
         outliers
     }
 
-    /// Bad responses and all responses, without those of the groups in `outliers`.
+    /// Bad responses and all responses of a measure, without those of the groups in
+    /// `outliers`.
     fn bad_excluding(
         &self,
         outliers: &[bool; BACKEND_GROUPS as usize],
         measure: usize,
         slow_from: usize,
     ) -> (f64, f64) {
-        let kept = self.0.iter().zip(outliers).filter(|(_, out)| !**out);
-        kept.map(|(group, _)| group.bad(measure, slow_from))
+        let kept = self
+            .0
+            .iter()
+            .zip(outliers)
+            .filter(|(_, is_excluded)| !**is_excluded);
+        kept.map(|(group, _)| group.bad_and_all_responses(measure, slow_from))
             .fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 }
 
-/// Evaluation of one route.
+/// Evaluation of the target version on one route.
 #[derive(Debug, Clone, Default)]
 struct RouteEvaluator {
     other: CountsByGroup,
     target: CountsByGroup,
-    /// Responses since the previous evaluation.
+    /// Responses since the previous evaluation, by version.
     other_round: CountsByGroup,
     target_round: CountsByGroup,
     scores: [f64; MEASURES],
-    /// Bad responses of the target in excess of the baseline.
+    /// Bad responses of the target version in excess of the baseline.
     excess: f64,
     responses: u32,
     failures: u32,
 }
 
 impl RouteEvaluator {
+    /// Reduces the weight of past responses by the time `passed`.
     fn decay(&mut self, passed: Duration) {
         for group in self.other.0.iter_mut().chain(&mut self.target.0) {
             group.decay(passed);
@@ -246,24 +258,25 @@
         if of_target {
             self.responses = self.responses.saturating_add(counts.responses);
             self.failures = self.failures.saturating_add(counts.failures);
-            self.target_round.group(group).add(counts);
+            self.target_round.group_counts(group).add(counts);
         } else {
-            self.other_round.group(group).add(counts);
+            self.other_round.group_counts(group).add(counts);
         }
     }
 
-    /// Evaluates the responses of the current round against the baseline.
+    /// Evaluates the responses since the previous evaluation against the baseline.
     fn end_round(&mut self) {
         let other_round = std::mem::take(&mut self.other_round);
         let target_round = std::mem::take(&mut self.target_round);
         for (sum, round) in self.other.0.iter_mut().zip(&other_round.0) {
             sum.merge(round);
         }
-        let baseline = self.other.all();
+        let baseline = self.other.total();
         if baseline.responses >= MIN_BASELINE_RESPONSES {
             self.evaluate(FAILURES, 0, &other_round, &target_round);
             for (index, tail) in TAIL_RATIOS.into_iter().enumerate() {
-                let slow_from = (baseline.tail(tail) + TOLERATED_BUCKETS).min(LATENCY_BUCKETS);
+                let slow_from =
+                    (baseline.tail_start_bucket(tail) + TOLERATED_BUCKETS).min(LATENCY_BUCKETS);
                 self.evaluate(1 + index, slow_from, &other_round, &target_round);
             }
         }
@@ -272,6 +285,7 @@
         }
     }
 
+    /// Updates the score of one measure from the responses since the previous evaluation.
     fn evaluate(
         &mut self,
         measure: usize,
@@ -279,7 +293,7 @@
         other_round: &CountsByGroup,
         target_round: &CountsByGroup,
     ) {
-        // Latency differs between sound backends too; only failures identify bad ones.
+        // Latency differs between sound backends too; only failures identify bad backends.
         let max_outliers = match measure {
             FAILURES => self.target.max_outliers(),
             _ => 0,
@@ -289,9 +303,9 @@
         if responses <= 0.0 {
             return;
         }
-        // Exclude the same number on both sides: bad backends of the new version show only
-        // after a while.
-        let max_outliers = excluded.iter().filter(|out| **out).count();
+        // Exclude the same number of groups on both sides: bad backends of the target
+        // version show only after a while.
+        let max_outliers = excluded.iter().filter(|is_excluded| **is_excluded).count();
         let excluded = self.other.outliers(measure, slow_from, max_outliers);
         let (baseline_bad, baseline_responses) =
             self.other.bad_excluding(&excluded, measure, slow_from);
@@ -322,25 +336,27 @@
         *score = (*score + bad * bad_weight + (responses - bad) * good_weight).max(0.0);
     }
 
+    /// Returns the regression on this route if a score is high enough.
     fn regression(&self, route: &ResourceName) -> Option<VersionRegression> {
         let mut scores = self.scores.iter().copied().enumerate();
         let (measure, score) = scores.find(|(_, score)| *score >= REGRESSION_SCORE)?;
-        let symptom = match measure {
-            FAILURES => Symptom::Failures,
-            _ => Symptom::Slow,
+        let kind = match measure {
+            FAILURES => RegressionKind::Failures,
+            _ => RegressionKind::Slow,
         };
-        Some(self.regression_by(route, symptom, score))
+        Some(self.regression_by(route, kind, score))
     }
 
+    /// Describes a regression on this route.
     fn regression_by(
         &self,
         route: &ResourceName,
-        symptom: Symptom,
+        kind: RegressionKind,
         score: f64,
     ) -> VersionRegression {
         VersionRegression {
             route: route.clone(),
-            symptom,
+            kind,
             score,
             responses: self.responses,
             failures: self.failures,
@@ -348,12 +364,13 @@
     }
 }
 
-/// Evaluates one version against the others, from the evidence of the whole fleet.
+/// Evaluates the target version of one rollout against the other version, from the response
+/// evidence of the whole fleet.
 #[derive(Debug, Clone)]
 pub struct VersionEvaluator {
     target: SoftwareVersion,
     routes: BTreeMap<ResourceName, RouteEvaluator>,
-    /// Responses of all versions, and of the target.
+    /// Responses of all versions, and of the target version.
     responses: u64,
     target_responses: u64,
 }
@@ -369,7 +386,8 @@
         }
     }
 
-    /// Adds the counts since the last round, which was `passed` ago, and evaluates them.
+    /// Adds the response counts since the last round, which was `passed` ago, and evaluates
+    /// them.
     pub fn add_round(&mut self, round: &[VersionEvidence], passed: Duration) {
         for route_evaluator in self.routes.values_mut() {
             route_evaluator.decay(passed);
@@ -387,7 +405,8 @@
         }
     }
 
-    /// Returns the detected regression, or `None` if there is none so far.
+    /// Returns the regression of the target version, or `None` if none has been detected so
+    /// far.
     pub fn regression(&self) -> Option<VersionRegression> {
         let mut routes = self.routes.iter();
         let by_score =
@@ -395,6 +414,7 @@
         by_score.or_else(|| self.excess_regression())
     }
 
+    /// Returns a regression if the bad responses of all routes exceed the maximum.
     fn excess_regression(&self) -> Option<VersionRegression> {
         let excess: f64 = self
             .routes
@@ -404,10 +424,10 @@
         let routes = self.routes.iter();
         let worst = routes.max_by(|left, right| left.1.excess.total_cmp(&right.1.excess));
         let (route, route_evaluator) = worst.filter(|_| excess >= MAX_EXCESS)?;
-        Some(route_evaluator.regression_by(route, Symptom::Excess, excess))
+        Some(route_evaluator.regression_by(route, RegressionKind::Excess, excess))
     }
 
-    /// Total responses of all versions, and of the target.
+    /// Total responses of all versions, and of the target version.
     pub fn responses(&self) -> (u64, u64) {
         (self.responses, self.target_responses)
     }
--- a/crates/rampthread-core/src/rollout/exposure.rs
+++ b/crates/rampthread-core/src/rollout/exposure.rs
@@ -1,8 +1,8 @@
 //! Limits the calls that one entry node (the node that receives calls from their callers)
-//! may send to the version of an open rollout.
+//! may send to the target version of an open rollout.
 //!
 //! Each entry node enforces the share by itself: every response that it sees adds credit,
-//! and every call to the new version spends credit. The share therefore holds over all
+//! and every call to the target version spends credit. The share therefore holds over all
 //! entry nodes without coordination, in bursts as with little traffic, and rejected calls
 //! add no credit.
 
@@ -12,24 +12,25 @@
 use crate::rendezvous;
 use std::collections::BTreeMap;
 
-/// Maximum credit, in calls, that an entry node accumulates while the version has no
+/// Maximum credit, in calls, that an entry node accumulates while the target version has no
 /// capacity.
 const MAX_CREDIT: f64 = 2.0;
-/// Ratio of the slack that all entry nodes start with in total. The rest is reserved for
-/// restarted nodes and for calls in flight during a rollback.
+/// Ratio of the exposure slack that all entry nodes start with in total. The rest is
+/// reserved for restarted nodes and for calls in flight during a rollback.
 const INITIAL_SLACK_RATIO: f64 = 0.25;
-/// Factor by which a version must have more backends than another one to count as the
+/// Factor by which a version must have more backends than another version to count as the
 /// present one.
 const PRESENT_VERSION_FACTOR: usize = 2;
-/// Hash key of the order in which backends of the new version take turns under load.
+/// Hash key of the order in which backends of the target version take turns under load.
+/// Must be the same on all nodes.
 const TURN_ORDER_KEY: &str = "roll-out turns";
 
 /// How an entry node may distribute the calls of one service over its versions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionRule {
-    /// The order that this rule results from.
+    /// The rollout order that this rule results from.
     pub order: OrderId,
-    /// The version that the order rolls out.
+    /// The version that the rollout order brings in.
     pub target: SoftwareVersion,
     /// Traffic that the target version may get.
     pub share: VersionShare,
@@ -38,45 +39,45 @@
 }
 
 impl VersionRule {
-    /// Returns whether responses are counted for the evaluation.
+    /// Returns whether responses are counted for the evaluation of the target version.
     pub fn collects_evidence(&self) -> bool {
         self.open
     }
 }
 
-/// Traffic that the version of a rollout may get.
+/// Traffic that the target version of a rollout may get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionShare {
-    /// The version gets no calls.
+    /// The target version gets no calls.
     Blocked,
-    /// The version gets calls only if no other version is available. Applies without a
-    /// decider, when the rollout may have ended long ago.
+    /// The target version gets calls only if no other version is available. Applies without
+    /// a decider, when the rollout may have ended long ago.
     LastResort,
-    /// The version gets calls up to a ratio of the service's responses.
+    /// The target version gets calls up to a ratio of the service's responses.
     Limited {
         /// Maximum ratio, in thousandths.
         permille: u16,
         /// Sequence number of the decider's evaluation; backends take turns by it.
         round: u64,
     },
-    /// The version gets all calls, as long as it has backends.
+    /// The target version gets all calls, as long as it has backends.
     Preferred,
 }
 
-/// Credit of one entry node for calls to the version of one order.
+/// Credit of one entry node for calls to the target version of one rollout order.
 #[derive(Debug, Clone)]
 pub struct ExposureLimiter {
     order: OrderId,
     credit: f64,
-    /// Calls sent to the version; they alternate between all of its backends and a single
-    /// one.
+    /// Calls sent to the target version. They alternate between all of its backends and a
+    /// single one.
     sent: u64,
 }
 
 impl ExposureLimiter {
     /// Creates the limiter of an entry node that has seen no response under `order` and is
     /// one of `nodes` that share the slack. `chance`, random in `0.0..=1.0`, spreads the
-    /// nodes' first calls over time.
+    /// nodes' first calls to the target version over time.
     pub fn new(order: OrderId, slack: f64, nodes: usize, chance: f64) -> Self {
         let initial_credit = INITIAL_SLACK_RATIO * slack / nodes.max(1) as f64;
         let credit = (2.0 * initial_credit).min(1.0) * chance;
@@ -87,30 +88,31 @@
         }
     }
 
-    /// The order whose version is limited.
+    /// The rollout order whose target version is limited.
     pub fn order(&self) -> OrderId {
         self.order
     }
 
-    /// Adds credit for a response of a backend of any version.
+    /// Adds credit for a response of a backend of any version; `permille` is the target
+    /// version's share in thousandths.
     pub fn on_response(&mut self, permille: u16) {
         let share = f64::from(permille) / f64::from(ALL_CALLS_PERMILLE);
         self.credit = (self.credit + share).min(MAX_CREDIT);
     }
 
-    /// Returns whether there is credit for a call to the version.
+    /// Returns whether the credit suffices for a call to the target version.
     pub fn may_send(&self) -> bool {
         self.credit >= 1.0
     }
 
-    /// Spends credit for a call to the version.
+    /// Spends credit for a call to the target version.
     pub fn on_sent(&mut self) {
         self.credit -= 1.0;
         self.sent += 1;
     }
 
-    /// Backends of the version that the next call may go to. Every other call goes to a
-    /// single one, which changes with `round`. That backend gets about as much load as
+    /// Backends of the target version that the next call may go to. Every other call goes
+    /// to a single one, which changes with `round`. That backend gets about as much load as
     /// those of the other version: some defects show only under load.
     pub fn eligible_backends(&self, version: Vec<Endpoint>, round: u64) -> Vec<Endpoint> {
         if self.sent.is_multiple_of(2) || version.len() < 2 {
@@ -135,8 +137,8 @@
     }
 }
 
-/// Splits candidates into backends of `target` and others. A backend of unknown version
-/// counts as one of the others, so that it doesn't lose its calls.
+/// Splits candidate backends of a call into backends of `target` and others. A backend of
+/// unknown version counts as one of the others, so that the backend doesn't lose its calls.
 pub fn split_by_version<'a>(
     candidates: &[Endpoint],
     version_of: impl Fn(&NodeId) -> Option<&'a SoftwareVersion>,
@@ -177,6 +179,7 @@
     Text(&'a str),
 }
 
+/// Splits a version's name into runs of digits and other characters.
 fn name_parts(version: &SoftwareVersion) -> Vec<NamePart<'_>> {
     let bytes = version.as_str().as_bytes();
     let runs = bytes.chunk_by(|left, right| left.is_ascii_digit() == right.is_ascii_digit());
--- a/crates/rampthread-core/src/rollout/mod.rs
+++ b/crates/rampthread-core/src/rollout/mod.rs
@@ -1,15 +1,16 @@
-//! Rollouts: gradual shift of a service's traffic to backends of another software version,
-//! with an automatic rollback based on the responses that callers in the whole fleet get.
+//! Rollouts: gradual shift of a service's traffic to backends of another software version
+//! (the target version), with an automatic rollback based on the responses that callers in
+//! the whole fleet get.
 //!
 //! | module | responsibility |
 //! |---|---|
 //! | [`state`] | state of a rollout, and the order between two states |
-//! | [`table`] | all rollouts known to a node, and which orders are new |
-//! | [`exposure`] | which calls may go to the new version |
-//! | [`evidence`] | responses that callers got from each version |
-//! | [`evaluation`] | whether the new version is worse than the present one |
+//! | [`table`] | all rollouts known to a node, and which rollout orders are new |
+//! | [`exposure`] | which calls may go to the target version |
+//! | [`evidence`] | counts of the responses that callers got from each version |
+//! | [`evaluation`] | whether the target version is worse than the present one |
 //! | [`schedule`] | when traffic shifts, and when the rollout ends |
-//! | [`decider`] | which node decides, its lease, and the persisted state |
+//! | [`decider`] | which node decides, its lease, and the persisted rollout states |
 //!
 //! `docs/design/roll-outs.md` describes the design.
 
@@ -29,13 +30,13 @@
 
 use std::time::Duration;
 
-/// Limits on the effect of a bad version, from the operator's settings.
+/// Limits on the effect of a bad target version, from the operator's settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RolloutBounds {
-    /// Maximum ratio of a service's calls that a bad version may get.
+    /// Maximum ratio of a service's calls that a bad target version may get.
     pub exposure_share: f64,
-    /// Calls that a bad version may get in addition to the ratio.
+    /// Calls that a bad target version may get in addition to the ratio.
     pub exposure_slack_calls: f64,
-    /// Time within which a bad version must stop getting calls.
+    /// Time within which a bad target version must stop getting calls.
     pub rollback_deadline: Duration,
 }
--- a/crates/rampthread-core/src/rollout/schedule.rs
+++ b/crates/rampthread-core/src/rollout/schedule.rs
@@ -10,31 +10,33 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Minimum and maximum ratio of the permitted exposure for the evaluation phase. The rest
-/// is reserved for the calls between the shift and the deadline.
+/// Minimum and maximum ratio of the permitted exposure that the evaluation phase uses. The
+/// rest is reserved for the calls between the shift of traffic and the deadline.
 const EVALUATION_EXPOSURE_RATIOS: RangeInclusive<f64> = 0.25..=0.5;
 /// Ratio of the permitted exposure that is planned for; the rest is reserved for calls in
-/// flight and for evidence not yet reported.
+/// flight and for response evidence not yet reported.
 const PLANNED_EXPOSURE_RATIO: f64 = 0.9;
-/// Latest shift before the deadline: time for the update to reach all nodes, and for calls
-/// in flight at the old backends to complete.
+/// Latest shift of traffic before the deadline: time for the update to reach all nodes, and
+/// for calls in flight at the old backends to complete.
 const LATEST_SHIFT: Duration = Duration::from_millis(900);
-/// Earliest shift before the deadline.
+/// Earliest shift of traffic before the deadline.
 const EARLIEST_SHIFT: Duration = Duration::from_secs(4);
 /// Time before the deadline at which success is persisted: enough for a write and one
 /// retry.
 const SUCCESS_WRITE_TIME: Duration = Duration::from_millis(450);
-/// Minimum time between the shift and the end, also past the deadline; at most a quarter of
-/// the order's duration.
+/// Minimum time between the shift of traffic and the end of the rollout, also past the
+/// deadline; at most a quarter of the order's duration.
 const MIN_SHIFT_TIME: Duration = Duration::from_millis(450);
 /// Time past the deadline after which a rollout with unmet conditions is rolled back.
 const OVERTIME: Duration = Duration::from_secs(5);
-/// Ratio of the slack that may be used by a version whose first calls come with the shift.
+/// Ratio of the slack that may be used by a target version whose first calls come with the
+/// shift of traffic.
 const SHIFT_SLACK_RATIO: f64 = 0.5;
 /// Sufficient capacity of the new version, as a ratio of the other versions' slots.
 const SUFFICIENT_SLOTS_RATIO: f64 = 0.6;
 
-/// Returns whether the deadline is near, so that the decider has to evaluate more often.
+/// Returns whether the rollout's deadline is near, so that the decider has to evaluate more
+/// often.
 pub fn is_near_end(state: &RolloutState) -> bool {
     let left = state.duration.saturating_sub(state.elapsed);
     !state.phase.is_ended() && left <= EARLIEST_SHIFT
@@ -43,46 +45,46 @@
 /// What the decider knows about the progress of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct RolloutProgress {
-    /// Responses of all versions since the order.
+    /// Responses of all versions since the rollout order.
     pub responses: u64,
-    /// Responses of the new version since the order.
+    /// Responses of the target version since the rollout order.
     pub target_responses: u64,
-    /// Present rate of responses per second.
+    /// Present rate of the service's responses per second, of all versions.
     pub rate: f64,
-    /// Slots (calls at a time) of the new version's backends.
+    /// Slots (calls at a time) of the target version's backends.
     pub target_slots: u32,
     /// Slots of the other versions' backends.
     pub other_slots: u32,
     /// Time since traffic began to shift; `None` before.
     pub shifting_for: Option<Duration>,
-    /// Responses of the new version reported since the shift.
+    /// Responses of the target version reported since the shift of traffic.
     pub responses_since_shift: u64,
-    /// Number of process epochs of nodes that reported evidence. Each starts without credit
-    /// for a call to the new version.
+    /// Number of process epochs of nodes that reported evidence. In each epoch a node
+    /// starts without credit for a call to the target version.
     pub reporters: usize,
-    /// Time for which this decider has collected evidence.
+    /// Time for which this decider has collected response evidence.
     pub evidence_collected_for: Duration,
-    /// Time within which a decider receives the evidence of all nodes.
+    /// Time within which a decider receives the response evidence of all nodes.
     pub evidence_collection_time: Duration,
 }
 
-/// Condition for the next step that is not met.
+/// Condition for the next step of a rollout that is not met.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnmetCondition {
-    /// The new version's backends have too few slots to take over.
+    /// The target version's backends have too few slots to take over.
     Capacity,
-    /// The decider has just taken over and lacks the evidence of some nodes.
+    /// The decider has just taken over and lacks the response evidence of some nodes.
     Evidence,
-    /// The service got no calls, so nothing shows whether the version works.
+    /// The service got no calls, so nothing shows whether the target version works.
     Traffic,
-    /// The service got calls, but the new version didn't.
+    /// The service got calls, but the target version got none.
     TargetResponses,
-    /// The new version has not responded to any call since the shift.
+    /// The target version has not responded to any call since the shift of traffic.
     ResponsesSinceShift,
 }
 
 impl UnmetCondition {
-    /// Description for logs.
+    /// The condition in words, for the reason of a decision in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             UnmetCondition::Capacity => "the new version has too few slots to take over",
@@ -99,12 +101,13 @@
 }
 
 impl RolloutProgress {
+    /// Returns whether the target version's backends can take over all calls.
     fn has_enough_capacity(&self) -> bool {
         let needed = f64::from(self.other_slots) * SUFFICIENT_SLOTS_RATIO;
         self.target_slots > 0 && f64::from(self.target_slots) >= needed
     }
 
-    /// Returns the first unmet condition for the next step of `state`.
+    /// Returns the first condition for the next step of `state` that is not met.
     pub fn unmet_condition(
         &self,
         state: &RolloutState,
@@ -135,8 +138,8 @@
     }
 
     /// Returns whether traffic is so low that no entry node has credit for a call to the
-    /// new version, and the calls after the latest shift fit into the bound. The shift
-    /// itself then brings the first calls.
+    /// target version, and the calls after the latest shift fit into the bound. The shift
+    /// of traffic itself then brings the first calls.
     fn is_low_traffic(&self, state: &RolloutState, bounds: &RolloutBounds) -> bool {
         let permille = f64::from(evaluation_permille(state.duration, bounds));
         let earned = self.responses as f64 * permille / f64::from(ALL_CALLS_PERMILLE);
@@ -149,17 +152,17 @@
     }
 }
 
-/// Next action for a rollout without a detected regression.
+/// Next action of the decider for a rollout without a detected regression.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextAction {
-    /// Continue to evaluate with this share of the traffic.
+    /// Continue to evaluate the target version with this share of the traffic.
     Evaluate {
-        /// The share, in thousandths.
+        /// Share of the service's calls, in thousandths.
         permille: u16,
     },
-    /// Shift the traffic to the new version.
+    /// Shift all traffic to the target version.
     ShiftTraffic,
-    /// The rollout has succeeded, which has to be persisted.
+    /// End the rollout as succeeded, which has to be persisted.
     Succeed,
     /// Roll back, since this condition was not met in time.
     RollBack(UnmetCondition),
@@ -179,7 +182,7 @@
     (share * f64::from(ALL_CALLS_PERMILLE)) as u16
 }
 
-/// Decides on the next action for a rollout in `state`.
+/// Decides on the next action for a rollout in `state` from its progress so far.
 pub fn next_action(
     state: &RolloutState,
     progress: &RolloutProgress,
@@ -210,8 +213,9 @@
     }
 }
 
-/// Returns whether the time to meet `unmet` is over. Capacity is known without evidence; for
-/// the other conditions a decider that took over late waits as long as any other.
+/// Returns whether the time to meet the condition `unmet` is over. Capacity is known
+/// without evidence; for the other conditions a decider that took over late waits as long
+/// as any other.
 fn is_overdue(unmet: UnmetCondition, state: &RolloutState, progress: &RolloutProgress) -> bool {
     let has_evidence =
         progress.evidence_collected_for >= progress.evidence_collection_time + OVERTIME;
@@ -219,7 +223,8 @@
         && (has_evidence || unmet == UnmetCondition::Capacity)
 }
 
-/// Returns whether all calls until the deadline may go to the new version.
+/// Returns whether all calls until the deadline may go to the target version within the
+/// exposure bound.
 fn rest_fits(left: Duration, progress: &RolloutProgress, bounds: &RolloutBounds) -> bool {
     let remaining_calls = progress.rate * left.as_secs_f64();
     let allowed = bounds.exposure_share
--- a/crates/rampthread-core/src/rollout/state.rs
+++ b/crates/rampthread-core/src/rollout/state.rs
@@ -4,22 +4,22 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Identifies an order. Later orders for the same service have greater ids.
+/// Identifies a rollout order. Later orders for the same service have greater ids.
 pub type OrderId = u64;
 
-/// All calls of a service, in thousandths.
+/// All calls of a service, as a share in thousandths.
 pub const ALL_CALLS_PERMILLE: u16 = 1_000;
 
-/// An operator's order to shift a service's traffic to another version.
+/// An operator's order to shift a service's traffic to another software version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// The service to roll out.
+    /// The service whose traffic is shifted.
     pub service: ResourceName,
     /// Id of this order, greater than those of the service's earlier orders.
     pub order: OrderId,
-    /// The version to roll out.
+    /// The software version that gets the traffic.
     pub target: SoftwareVersion,
-    /// Time from the order to its deadline.
+    /// Time from the order to the rollout's deadline.
     pub duration: Duration,
 }
 
@@ -27,26 +27,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// The new version gets a share of the traffic and is evaluated.
+    /// The target version gets a share of the traffic and is evaluated.
     Running,
-    /// No regression was detected; traffic shifts to the new version.
+    /// No regression was detected; traffic shifts to the target version.
     Moving,
-    /// A regression was detected or conditions were not met; the version gets no traffic,
-    /// but that is not persisted yet.
+    /// A regression was detected or conditions were not met. The target version gets no
+    /// traffic, but that is not persisted yet.
     RollingBack,
-    /// Final and persisted: the new version has taken over.
+    /// Final and persisted: the target version has taken over.
     Succeeded,
-    /// Final and persisted: the new version gets no traffic.
+    /// Final and persisted: the target version gets no traffic.
     RolledBack,
 }
 
 impl Phase {
-    /// Returns whether the phase is final.
+    /// Returns whether the phase is final, i.e. the rollout has ended.
     pub fn is_ended(self) -> bool {
         matches!(self, Phase::Succeeded | Phase::RolledBack)
     }
 
-    /// Name of the phase in logs and API responses.
+    /// Name of the phase in logs and API responses, with hyphens.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::Running => "running",
@@ -61,25 +61,26 @@
 /// The state of one rollout, as nodes exchange it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutState {
-    /// The service that is rolled out.
+    /// The service whose traffic is shifted.
     pub service: ResourceName,
-    /// The order that is executed.
+    /// The rollout order that is executed.
     pub order: OrderId,
-    /// The version that is rolled out.
+    /// The software version that gets the traffic.
     pub target: SoftwareVersion,
     /// Present phase of the rollout.
     pub phase: Phase,
-    /// Maximum share of the service's calls for the new version, in thousandths.
+    /// Maximum share of the service's calls for the target version, in thousandths.
     pub share_permille: u16,
-    /// Incremented with each new decider; 0 before the first one.
+    /// Incremented by each new decider; 0 before the first one.
     pub term: u64,
-    /// Incremented with each update of a decider; shows that it is alive.
+    /// Incremented by each update of a decider; shows that the decider is alive.
     pub step: u64,
     /// Time since the order, as of when this state was sent or received.
     pub elapsed: Duration,
-    /// Time from the order to its deadline.
+    /// Time from the order to the rollout's deadline.
     pub duration: Duration,
-    /// The decider, which receives the evidence; `None` before the first one.
+    /// The node that decides and receives the response evidence; `None` before the first
+    /// one.
     pub decider: Option<NodeId>,
 }
 
@@ -100,17 +101,19 @@
         }
     }
 
-    /// Returns whether `self` is later than `other`. The order is total, so that all nodes
-    /// converge to the same state regardless of the order of messages.
+    /// Returns whether `self` is later than `other`. The order between states is total, so
+    /// that all nodes converge to the same state regardless of the order of messages.
     pub fn supersedes(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
 
+    /// Key by which rollout states are ordered.
     fn rank(&self) -> (OrderId, Phase, u64, u64) {
         (self.order, self.phase, self.term, self.step)
     }
 
-    /// Returns whether both contain the same decision, apart from term, step and time.
+    /// Returns whether both states contain the same decision, apart from term, step and
+    /// time.
     pub fn has_same_decision(&self, other: &Self) -> bool {
         self.order == other.order
             && self.phase == other.phase
--- a/crates/rampthread-core/src/rollout/table.rs
+++ b/crates/rampthread-core/src/rollout/table.rs
@@ -1,4 +1,4 @@
-//! All rollouts known to one node.
+//! All rollouts known to one node, with the routing rules that result from them.
 
 use super::RolloutBounds;
 use super::exposure::{VersionRule, VersionShare};
@@ -17,7 +17,7 @@
 /// any other.
 const PREFERENCE_TIME: Duration = Duration::from_secs(30);
 
-/// How an order became known.
+/// How a node learned of a rollout order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderSource {
     /// The order was observed as a new write to the store.
@@ -27,28 +27,30 @@
     Existing,
 }
 
+/// A rollout state and when this node received it.
 #[derive(Debug, Clone)]
 struct ReceivedState {
     state: RolloutState,
-    /// When the state was received; the reference of its `elapsed`.
+    /// When this node received the state; `elapsed` in the state refers to this time.
     received_at: Moment,
 }
 
 impl ReceivedState {
+    /// Time since the order, as of `now`.
     fn elapsed(&self, now: Moment) -> Duration {
         self.state.elapsed + now.since(self.received_at)
     }
 }
 
-/// The latest state of each service's rollout.
+/// The latest known state of each service's rollout.
 #[derive(Debug, Default)]
 pub struct RolloutTable {
     states: BTreeMap<ResourceName, ReceivedState>,
 }
 
 impl RolloutTable {
-    /// Merges a state from another node or the store. Returns whether it is later than the
-    /// known one.
+    /// Merges a rollout state from another node or the store. Returns whether it is later
+    /// than the known state of the service's rollout.
     pub fn merge(&mut self, state: RolloutState, now: Moment) -> bool {
         let mut state = state;
         if let Some(known) = self.states.get_mut(&state.service) {
@@ -71,8 +73,9 @@
         true
     }
 
-    /// Applies an order; returns whether it is new. An order with the target of the known
-    /// one is the same: the store may have been restored and the order written again.
+    /// Applies a rollout order; returns whether it starts a new rollout. An order with the
+    /// target version of the known rollout is the same order: the store may have been
+    /// restored and the order written again.
     pub fn accept_order(&mut self, order: &RolloutOrder, source: OrderSource, now: Moment) -> bool {
         let mut order = order.clone();
         if let Some(known) = self.states.get(&order.service) {
@@ -86,7 +89,7 @@
         self.merge(RolloutState::from_order(&order, Duration::ZERO), now)
     }
 
-    /// The state of `service`, with the time elapsed until `now`.
+    /// Returns the rollout state of `service`, with the time elapsed until `now`.
     pub fn state(&self, service: &ResourceName, now: Moment) -> Option<RolloutState> {
         let known = self.states.get(service)?;
         let elapsed = known.elapsed(now);
@@ -96,7 +99,7 @@
         })
     }
 
-    /// All states, with the time elapsed until `now`.
+    /// Returns the states of all known rollouts, with the time elapsed until `now`.
     pub fn states(&self, now: Moment) -> Vec<RolloutState> {
         let services = self.states.keys();
         services
@@ -104,20 +107,20 @@
             .collect()
     }
 
-    /// Returns whether no rollout is known, open or ended.
+    /// Returns whether no rollout, open or ended, is known to this node.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Returns whether any rollout has not ended.
+    /// Returns whether any known rollout is open, i.e. has not ended.
     pub fn has_open(&self) -> bool {
         self.states
             .values()
             .any(|known| !known.state.phase.is_ended())
     }
 
-    /// Time since the last update of an open rollout; the maximum over all of them, or
-    /// `None` without any.
+    /// Maximum time since the last update over all open rollouts, or `None` if none is
+    /// open.
     pub fn longest_silence(&self, now: Moment) -> Option<Duration> {
         let open = self.states.values();
         open.filter(|known| !known.state.phase.is_ended())
@@ -125,7 +128,8 @@
             .max()
     }
 
-    /// The routing rules for the versions of each service that result from its rollout.
+    /// Returns the routing rules for the versions of each service that result from its
+    /// rollout.
     pub fn rules(
         &self,
         bounds: &RolloutBounds,
@@ -140,9 +144,9 @@
                     permille: known.state.share_permille,
                     round: known.state.step,
                 },
-                // Not even as a last resort: the version may have been rolled back since,
-                // and calls that no share limits would exceed the exposure bound wherever
-                // the other backends are unavailable.
+                // Not even as a last resort: the target version may have been rolled back
+                // since, and calls that no share limits would exceed the exposure bound
+                // wherever the other backends are unavailable.
                 Phase::Running | Phase::RollingBack | Phase::RolledBack => VersionShare::Blocked,
                 Phase::Moving if since_update < confirmation_timeout => VersionShare::Preferred,
                 // The old version's backends may be gone by now.
--- a/crates/rampthread-core/tests/quota_fleet/mod.rs
+++ b/crates/rampthread-core/tests/quota_fleet/mod.rs
@@ -101,7 +101,7 @@
     /// Partition of the network; nodes in different ones are unreachable for each other.
     partition: usize,
     partitioned_since: Moment,
-    /// The process is suspended until then.
+    /// Until when the node's process is suspended.
     suspended_until: Moment,
     next_tick: Moment,
     next_report: Moment,
@@ -119,7 +119,7 @@
     pub loss_ratio: f64,
     /// Probability that an admitted request doesn't run and its token is refunded.
     pub not_executed_ratio: f64,
-    /// When the next node ticks.
+    /// When the next of the nodes ticks.
     next_tick_at: Moment,
     members: ZoneMemberCounts,
     table: TenantTable,
@@ -337,7 +337,8 @@
         self.rng.random::<f64>() < self.loss_ratio
     }
 
-    /// The aggregator of the zone of `index`, from that node's point of view.
+    /// The aggregator of the zone of node `index` (the node that sums up the zone's load),
+    /// from that node's point of view.
     fn aggregator(&self, index: usize) -> usize {
         let entry = &self.entries[index];
         let expiry = self.interval() * EXPIRY_INTERVALS;
--- a/crates/rampthread-core/tests/quota_properties.rs
+++ b/crates/rampthread-core/tests/quota_properties.rs
@@ -202,7 +202,7 @@
     }
 }
 
-/// When a fault occurs in relation to a spike.
+/// When a fault occurs in relation to a traffic spike.
 #[derive(Debug, Clone, Copy)]
 enum When {
     Before,
@@ -235,7 +235,7 @@
     fleet.max_window_ratio(limit(rate))
 }
 
-/// Runs all combinations and describes each that exceeds the bound.
+/// Runs all combinations and describes each that exceeds the permitted requests.
 fn find_violations(sizes: &[usize], rates: &[f64], faults: &[Fault], when: When) -> Vec<String> {
     let mut found = Vec::new();
     for nodes in sizes {
@@ -345,8 +345,8 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// A zone leaves, and later the remaining zones are partitioned: demand as before must stay
-/// within each partition's fraction.
+/// A zone leaves, and later the remaining zones are partitioned. The tenant's demand as
+/// before must stay within each partition's fraction of the limit.
 #[rstest]
 fn partition_after_zone_removal_rejects_nothing(
     #[values(13, 71)] nodes: usize,
--- a/crates/rampthread-core/tests/rollout_evaluation.rs
+++ b/crates/rampthread-core/tests/rollout_evaluation.rs
@@ -1,6 +1,6 @@
 //! Accuracy of the version evaluation: false positives for good versions, time and bad
-//! responses until a bad one is detected. Compares the sequential test with fixed windows
-//! on the same responses.
+//! responses until a bad version is detected. Compares the sequential test with fixed
+//! windows on the same responses.
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::evaluation::VersionEvaluator;
@@ -29,14 +29,14 @@
 /// Difference between the new version and the other one.
 #[derive(Debug, Clone, Copy)]
 struct Version {
-    /// Ratio of its responses that fail, since `from`.
+    /// Ratio of the new version's responses that fail, since `from`.
     fails: f64,
-    /// Ratio of its responses that are slow, since `from`.
+    /// Ratio of the new version's responses that are slow, since `from`.
     slow_share: f64,
     /// Factor of the latency of slow responses.
     slow: f64,
     from: Duration,
-    /// Affects one of two routes only.
+    /// Whether the fault affects one of two routes only.
     one_route: bool,
 }
 
@@ -235,10 +235,10 @@
 /// Bad responses from which on the operator's rollback deadline counts, and that deadline.
 const DEADLINE_STARTS_AT: u32 = 50;
 const ROLLBACK_DEADLINE: Duration = Duration::from_secs(5);
-/// Time until all entry nodes have the decision.
+/// Time until all entry nodes know of the detected regression.
 const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// Result of the simulation of one version.
+/// Result of the simulated rollout of one version.
 #[derive(Debug, Clone, Copy)]
 struct Outcome {
     /// Time from the onset of the fault to the detection of the regression.
@@ -320,7 +320,8 @@
     );
 }
 
-/// The operator's bound: detection and rollback within 5 s of the 50th bad response.
+/// The operator's bound: a regression is detected and rolled back within 5 s of the 50th
+/// bad response.
 #[rstest]
 #[case::fails_at_once(Version { fails: 0.3, ..GOOD })]
 #[case::fails_seldom(Version { fails: 0.15, ..GOOD })]
--- a/crates/rampthread-core/tests/rollout_evidence.rs
+++ b/crates/rampthread-core/tests/rollout_evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence reports that arrive late, twice or from a restarted node.
+//! Response evidence in reports that arrive late, twice or from a restarted node.
 
 use rampthread_core::ids::{NodeId, ResourceName, SoftwareVersion};
 use rampthread_core::rollout::decider::DeciderContext;
@@ -57,7 +57,7 @@
         if let Some(call) = output.request {
             decider.on_response(response_to(&call), &mut table, now);
         }
-        // By then the decider has started to evaluate the order.
+        // By then the decider has started to evaluate the rollout.
         if now > START + Duration::from_secs(1)
             && let Some((process_epoch, responses)) = reports.next()
         {
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -60,8 +60,8 @@
 }
 
 proptest! {
-    /// The share holds over a whole fleet of entry nodes with bursts, low traffic and
-    /// restarts.
+    /// The share of the target version holds over a whole fleet of entry nodes with bursts,
+    /// low traffic and restarts.
     #[test]
     fn exposure_share_holds_over_all_entries(
         nodes in 1_usize..120,
@@ -95,8 +95,8 @@
         prop_assert!(f64::from(target) <= share * f64::from(total) + slack);
     }
 
-    /// Nodes converge to the same state for any order of messages, and phases never go
-    /// back.
+    /// Nodes converge to the same rollout state for any order of messages, and phases never
+    /// go back.
     #[test]
     fn nodes_converge_to_the_same_state(
         states in prop::collection::vec((1_u64..3, phase(), 0_u64..4, 0_u64..6), 1..20),
@@ -124,7 +124,8 @@
         prop_assert_eq!(merge_all(&states), merge_all(&shuffled));
     }
 
-    /// The evaluated share and the calls after the latest shift stay within the bound.
+    /// The evaluation share and the calls after the latest shift stay within the exposure
+    /// bound.
     #[test]
     fn version_without_regression_stays_within_the_bound(
         seconds in 12_u64..3_600,
@@ -178,7 +179,7 @@
     assert_eq!(share(later), VersionShare::Blocked);
 }
 
-/// A regression may have been detected meanwhile without the update having arrived.
+/// A regression may have been detected without the update having arrived at this node.
 #[test]
 fn unconfirmed_shift_returns_calls_to_other_versions() {
     let mut table = RolloutTable::default();
@@ -265,7 +266,7 @@
     );
 }
 
-/// Progress as known to a decider with the evidence of all nodes.
+/// Progress of a rollout as known to a decider with the evidence of all nodes.
 fn progress() -> RolloutProgress {
     RolloutProgress {
         responses: 1_000,
@@ -281,7 +282,7 @@
     }
 }
 
-/// The next action, with any share of a continued evaluation normalized to 0.
+/// The next action for a rollout, with the share of a continued evaluation normalized to 0.
 fn action_for(phase: Phase, elapsed_ms: u64, progress: RolloutProgress) -> NextAction {
     let known = RolloutState {
         elapsed: Duration::from_millis(elapsed_ms),
--- a/crates/rampthread-core/tests/rollout_restored.rs
+++ b/crates/rampthread-core/tests/rollout_restored.rs
@@ -151,7 +151,7 @@
     assert_eq!((state.phase, state.order), (Phase::Succeeded, 4));
 }
 
-/// The backup may contain a lease that has not expired yet.
+/// The restored store may contain a lease that has not expired yet.
 #[test]
 fn records_are_read_again_while_the_backup_has_a_lease() {
     let mut node = Node::new();
@@ -202,8 +202,8 @@
     RolloutState::from_order(&order(), Duration::ZERO)
 }
 
-/// The order was written again. Requests fail and claims are rejected, but the state that
-/// the store has lost must be persisted in the end.
+/// An operator writes the order again. Store requests fail and claims are rejected, but the
+/// state that the store has lost must be persisted in the end.
 #[test]
 fn recheck_is_repeated_until_records_match() {
     let mut node = Node::new();
