--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -192,6 +192,6 @@
         }
     };
     format!(
-        "tenant {tenant} exceeds its rate limit: demand {fleet_demand_rps:.1}, limit {rate:.1} requests per second ({basis})"
+        "tenant {tenant} asks for {fleet_demand_rps:.1} of {rate:.1} requests a second ({basis})"
     )
 }
