--- a/crates/rampthread-node/src/calls/entry/attempt.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt.rs
@@ -266,9 +266,9 @@
         let body = if declared.unwrap_or(0) > MAX_BUFFERED_RESPONSE_BYTES {
             body
         } else {
-            let whole = self.buffer_body(call, body).await?;
+            let buffered = self.buffer_body(call, body).await?;
             self.record_complete_response(call, selected, started_at);
-            whole
+            buffered
         };
         let now = self.now();
         let elapsed = now.since(started_at);
@@ -283,11 +283,11 @@
             let bytes = call.content.body_bytes() + declared.unwrap_or(0) as usize;
             self.record_service_time(call, selected, service_time, bytes);
         }
-        let answer = match failed {
+        let result = match failed {
             true => VersionResult::Failure,
             false => VersionResult::Success(elapsed),
         };
-        self.record_version_result(call, selected, answer);
+        self.record_version_result(call, selected, result);
         self.rewrite_response_headers(call, selected, &mut parts, outcome);
         let body = GuardedBody::new(body, in_flight);
         Ok(Response::from_parts(parts, boxed(body)))
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -26,8 +26,8 @@
     /// Records from a response whether the route carries nested calls, which only the gate can
     /// see.
     pub(super) fn record_nested_route(&self, call: &Call, response_headers: &HeaderMap) {
-        let word = header_filter::header_str(response_headers, headers::PRECEDENCE);
-        if word == Some(Precedence::Nested.as_str()) {
+        let value = header_filter::header_str(response_headers, headers::PRECEDENCE);
+        if value == Some(Precedence::Nested.as_str()) {
             let now = self.now();
             self.state()
                 .nested_routes
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -143,7 +143,7 @@
         &self,
         call: &Call,
         selected: &SelectedBackend,
-        answer: VersionResult,
+        result: VersionResult,
     ) {
         let Some(bounds) = self.options.roll_outs else {
             return;
@@ -161,25 +161,25 @@
         if !rule.collects_evidence() {
             return;
         }
-        let failed = matches!(answer, VersionResult::Failure);
+        let failed = matches!(result, VersionResult::Failure);
         let is_target = *version == rule.target;
         let metrics = &self.control().metrics;
         metrics.count_evaluated_call(is_target, failed);
-        let answer = match answer {
+        let result = match result {
             VersionResult::Failure => ResponseOutcome::Failure,
             VersionResult::Success(_) if self.is_warming_up(selected) => {
                 ResponseOutcome::SuccessDuringWarmUp
             }
             VersionResult::Success(elapsed) => ResponseOutcome::Success(elapsed),
         };
-        let place = ResponseSource {
+        let source = ResponseSource {
             service: &call.service,
             order: rule.order,
             version,
             node: &selected.node,
             route: &call.route.name,
         };
-        self.state().versions.evidence.record(place, answer);
+        self.state().versions.evidence.record(source, result);
     }
 
     /// Whether the backend came into service less than its warm-up time ago.
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -242,21 +242,21 @@
     /// start here any more.
     pub fn fence(&self, call_id: &str) -> FenceAnswer {
         let now = self.control.clock.now();
-        let answer = self.state().fences.fence(&call_id.to_string(), now);
+        let reply = self.state().fences.fence(&call_id.to_string(), now);
         let log = &self.control.call_log;
-        log.fence_answered(request_id_of(call_id), answer);
-        answer
+        log.fence_answered(request_id_of(call_id), reply);
+        reply
     }
 
     /// Admits a hop, runs the call at the backend, and returns the response or an error
     /// response.
     pub async fn handle(self: &Arc<Self>, hop: Hop, request: Request<Bytes>) -> Response<Body> {
-        let refused = hop.clone();
+        let hop_copy = hop.clone();
         let content = CallContent::of(&request);
         let mut response = match self.run(hop, &content, request).await {
             Ok(response) => response,
             Err(call_error) => {
-                self.log_rejected(&refused, &content, &call_error);
+                self.log_rejected(&hop_copy, &content, &call_error);
                 let mut response = call_error.into_hop_response();
                 let load = self.reported_load().to_string();
                 set_response_header(&mut response, headers::LOAD, &load);
@@ -264,7 +264,7 @@
                 response
             }
         };
-        self.add_nested_header(&refused.route, &mut response);
+        self.add_nested_header(&hop_copy.route, &mut response);
         response
     }
 
@@ -272,8 +272,8 @@
     /// gate can see.
     fn add_nested_header(&self, route: &ResourceName, response: &mut Response<Body>) {
         if self.state().nested_calls.is_nested(route) {
-            let word = Precedence::Nested.as_str();
-            set_response_header(response, headers::PRECEDENCE, word);
+            let value = Precedence::Nested.as_str();
+            set_response_header(response, headers::PRECEDENCE, value);
         }
     }
 
--- a/crates/rampthread-node/src/calls/gate/admission.rs
+++ b/crates/rampthread-node/src/calls/gate/admission.rs
@@ -159,14 +159,14 @@
             return Ok(());
         }
         let started = self.state().fences.start(&hop.call_id, now);
-        started.map_err(|refused| {
-            let outcome = match refused {
+        started.map_err(|start_error| {
+            let outcome = match start_error {
                 StartError::Duplicate => Outcome::Unknown,
                 _ => Outcome::NotRun,
             };
             CallError {
                 outcome,
-                ..CallError::not_run(Cause::Fenced, refused.to_string())
+                ..CallError::not_run(Cause::Fenced, start_error.to_string())
             }
         })
     }
--- a/crates/rampthread-node/src/calls/gate/lost_response.rs
+++ b/crates/rampthread-node/src/calls/gate/lost_response.rs
@@ -36,15 +36,15 @@
         on_trial: bool,
         lost: CallError,
     ) -> CallError {
-        let is_leaving = self
+        let is_draining = self
             .control
             .local_backend()
             .is_some_and(|now| now.name == backend.name && self.is_draining(&now));
-        if is_leaving {
+        if is_draining {
             return lost;
         }
         let port_is_closed = refuses_connections(backend.address, CONNECT_REFUSED_TIMEOUT).await;
-        let suspicion = CrashSuspect {
+        let suspect = CrashSuspect {
             identity: content.identity(&self.control.identity_key),
             instance: self.incarnation(backend),
             at: self.control.clock.now(),
@@ -52,22 +52,22 @@
         };
         self.state()
             .crash_detector
-            .record_loss(&suspicion, port_is_closed);
-        if BackendIncarnation::from_name(&suspicion.instance)
+            .record_loss(&suspect, port_is_closed);
+        if BackendIncarnation::from_name(&suspect.instance)
             .started_at()
             .is_none()
         {
             let polling = self.clone();
             let polling =
-                polling.poll_closed_port(backend.clone(), suspicion.clone(), port_is_closed);
+                polling.poll_closed_port(backend.clone(), suspect.clone(), port_is_closed);
             async_std::task::spawn(polling);
         }
         if !port_is_closed {
             return lost;
         }
         self.control.metrics.crashed_calls.inc();
-        let instance = suspicion.instance.clone();
-        self.control.report_suspicions(&[suspicion], false);
+        let instance = suspect.instance.clone();
+        self.control.report_suspicions(&[suspect], false);
         CallError {
             cause: Cause::BackendCrashed,
             status: Cause::BackendCrashed.status(),
--- a/crates/rampthread-node/src/calls/idempotency_claims.rs
+++ b/crates/rampthread-node/src/calls/idempotency_claims.rs
@@ -41,10 +41,10 @@
     }
 
     /// Parses the value of the header [`CLAIM_ACTION_HEADER`].
-    pub fn parse(word: &str) -> Option<Self> {
+    pub fn parse(value: &str) -> Option<Self> {
         [Self::Claim, Self::Done, Self::Release]
             .into_iter()
-            .find(|action| action.as_str() == word)
+            .find(|action| action.as_str() == value)
     }
 }
 
@@ -56,13 +56,13 @@
 }
 
 impl IdempotencyClaims {
-    /// Creates an empty table of claims. `life` is the time after which a claim expires.
-    pub fn new(control: Arc<Control>, peers: Arc<PeerClient>, life: Duration) -> Self {
+    /// Creates an empty table of claims. `claim_ttl` is the time after which a claim expires.
+    pub fn new(control: Arc<Control>, peers: Arc<PeerClient>, claim_ttl: Duration) -> Self {
         let started = control.clock.now();
         Self {
             control,
             peers,
-            table: Mutex::new(ClaimTable::new(started, life)),
+            table: Mutex::new(ClaimTable::new(started, claim_ttl)),
         }
     }
 
@@ -94,13 +94,13 @@
     pub async fn claim(&self, key: &str, call_id: &str) -> ClaimDecision {
         let holders = self.holders(key);
         let mut vote = ClaimVote::new(holders.len());
-        let answers = join_all(
+        let replies = join_all(
             holders
                 .iter()
                 .map(|holder| self.send_claim_action(holder, ClaimAction::Claim, key, call_id)),
         );
-        for answer in answers.await.into_iter().flatten() {
-            vote.add(answer);
+        for reply in replies.await.into_iter().flatten() {
+            vote.add(reply);
         }
         let verdict = vote.decision();
         if verdict != ClaimDecision::Run {
@@ -144,32 +144,32 @@
             (CLAIM_ACTION_HEADER, action.as_str()),
         ];
         let querying = self.peers.query(holder, CLAIM_PATH, call_id, &request);
-        let answer = rampthread_http::timeout(HOLDER_TIMEOUT, querying)
+        let reply = rampthread_http::timeout(HOLDER_TIMEOUT, querying)
             .await
             .ok()??;
-        parse_claim_result(&answer)
+        parse_claim_result(&reply)
     }
 }
 
 /// Encodes a holder's reply to a claim request as headers.
-pub fn claim_result_headers(answer: ClaimReply) -> Vec<(&'static str, String)> {
-    let word = match answer {
+pub fn claim_result_headers(reply: ClaimReply) -> Vec<(&'static str, String)> {
+    let value = match reply {
         ClaimReply::Granted => "granted",
         ClaimReply::Taken(ClaimState::Open) => "open",
         ClaimReply::Taken(ClaimState::Done) => "done",
         ClaimReply::CannotTell { .. } => "cannot-tell",
     };
-    let mut lines = vec![(CLAIM_RESULT_HEADER, word.to_string())];
-    if let ClaimReply::CannotTell { retry_after } = answer {
-        lines.push((RETRY_AFTER_MS, retry_after.as_millis().to_string()));
+    let mut headers = vec![(CLAIM_RESULT_HEADER, value.to_string())];
+    if let ClaimReply::CannotTell { retry_after } = reply {
+        headers.push((RETRY_AFTER_MS, retry_after.as_millis().to_string()));
     }
-    lines
+    headers
 }
 
 /// Decodes a holder's reply to a claim request; `None` if it is malformed.
 fn parse_claim_result(headers: &HeaderMap) -> Option<ClaimReply> {
-    let word = headers.get(CLAIM_RESULT_HEADER)?.to_str().ok()?;
-    Some(match word {
+    let value = headers.get(CLAIM_RESULT_HEADER)?.to_str().ok()?;
+    Some(match value {
         "granted" => ClaimReply::Granted,
         "open" => ClaimReply::Taken(ClaimState::Open),
         "done" => ClaimReply::Taken(ClaimState::Done),
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -89,12 +89,12 @@
         }
         let zones = self.control.zone_loads().at(now);
         let members = self.zone_member_counts(now);
-        let news = FleetLoadSnapshot {
+        let load_snapshot = FleetLoadSnapshot {
             zones: &zones,
             own_zone: &self.zone,
             members: &members,
         };
-        self.quotas().update(&news, &active.tenants, now);
+        self.quotas().update(&load_snapshot, &active.tenants, now);
         if now.0 >= self.next_metrics_update.load(Ordering::Relaxed) {
             let due = now + METRICS_INTERVAL;
             self.next_metrics_update.store(due.0, Ordering::Relaxed);
@@ -162,8 +162,8 @@
             let tenant = tenant.to_string();
             let label = TenantLabel { tenant };
             metrics.tenant_asked.get_or_create(&label).set(asked);
-            let refusals = metrics.tenant_refused.get_or_create(&label);
-            refusals.set(refused as i64);
+            let refused_metric = metrics.tenant_refused.get_or_create(&label);
+            refused_metric.set(refused as i64);
         };
         for (name, view) in shown {
             set_metrics(name.as_str(), view.local_demand_rps, view.refused);
