--- a/crates/rampthread-core/tests/acceptance_properties.rs
+++ b/crates/rampthread-core/tests/acceptance_properties.rs
@@ -1,5 +1,5 @@
-//! What an entry concludes from rejections, and what a gate replies to a query for a free
-//! slot.
+//! What an entry node concludes from rejections, and what a gate node replies to a query
+//! for a free slot.
 
 use proptest::prelude::*;
 use rampthread_core::call::acceptance::AcceptanceEstimator;
@@ -40,7 +40,8 @@
     assert!(!asked(95) && !asked(100));
 }
 
-/// Another gate is expected to run a call at once only while most attempts are accepted.
+/// Another gate node is expected to run a call at once only while most attempts are
+/// accepted.
 #[rstest]
 fn a_call_waits_where_many_are_rejected(#[values("near", "far")] at: &str) {
     let likely = |percent| after_rejections(percent, at).is_acceptance_likely(&zone(at), START);
@@ -49,7 +50,8 @@
     assert!(!likely(95) && !likely(100));
 }
 
-/// A nested call asks every gate of its own zone, but other zones only as other calls do.
+/// A nested call asks every gate node of its own zone, but other zones only as other calls
+/// do.
 #[test]
 fn a_nested_call_asks_all_gates_of_its_zone() {
     let near = after_rejections(100, "near");
--- a/crates/rampthread-core/tests/backend_speed_properties.rs
+++ b/crates/rampthread-core/tests/backend_speed_properties.rs
@@ -1,4 +1,4 @@
-//! Speed of a backend: parsing of its load header, and measurement by its gate.
+//! Speed of a backend: parsing of its load header, and measurement by its gate node.
 
 use proptest::prelude::*;
 use rampthread_core::call::backend_load::{BackendLoad, BackendLoadError};
--- a/crates/rampthread-core/tests/balancing_under_load.rs
+++ b/crates/rampthread-core/tests/balancing_under_load.rs
@@ -1,6 +1,6 @@
-//! Simulation of balancing under load: many entries choose backends at the same time, each
-//! knowing only what its own responses reported, and the backends of the service differ in
-//! speed.
+//! Simulation of balancing under load: many entry nodes choose backends at the same time,
+//! each knowing only what its own responses reported, and the backends of the service
+//! differ in speed.
 
 use rampthread_core::call::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
@@ -17,10 +17,11 @@
 const MEAN_SERVICE_TIME: f64 = 0.11;
 /// Target latency of callers, in seconds.
 const TARGET_LATENCY: f64 = 0.5;
-/// One-way delay between entry and gate, in seconds.
+/// One-way delay between entry node and gate node, in seconds.
 const ONE_WAY_DELAY: f64 = 0.001;
+/// Slots of each backend.
 const SLOTS: u32 = 6;
-/// Number of gates that a call asks; at the last one it waits in the queue.
+/// Number of gate nodes that a call asks; at the last one it waits in the queue.
 const MAX_ATTEMPTS: usize = 4;
 /// Speeds of the backends, assigned in turn.
 const SPEEDS: [f64; 3] = [0.7, 0.7, 1.7];
@@ -30,6 +31,7 @@
 /// Seconds for which a backend's slowdown stays the same.
 const SLOWDOWN_SECONDS: f64 = 0.2;
 
+/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 struct Load {
     backends: usize,
@@ -37,12 +39,13 @@
     /// Load as a ratio of the capacity of all backends.
     of_capacity: f64,
     seconds: f64,
-    /// Gates report speed and slowdown, and member records contain the speeds.
+    /// Gate nodes report speed and slowdown, and member records contain the speeds.
     reported: bool,
-    /// Index of a backend whose gate reports a wrong speed, and that speed in percent.
+    /// Index of a backend whose gate node reports a wrong speed, and that speed in percent.
     wrong_speed: Option<(usize, u16)>,
 }
 
+/// What callers and backends experienced in a simulation.
 #[derive(Debug, Default)]
 struct Results {
     calls: u32,
@@ -55,6 +58,7 @@
 }
 
 impl Results {
+    /// Share of calls whose response missed the target latency or never came.
     fn late_share(&self) -> f64 {
         f64::from(self.late) / f64::from(self.calls)
     }
@@ -68,18 +72,21 @@
     }
 }
 
+/// A call, the entry node that received it, and the nodes that it asked.
 struct Call {
     entry: usize,
     began: f64,
     tried: Vec<NodeId>,
 }
 
+/// A backend with its speed, running calls and queue.
 struct Backend {
     speed: f64,
     running: u32,
     waiting: VecDeque<usize>,
 }
 
+/// An event of a call; `at` is the index of the backend.
 enum Event {
     Arrives,
     AtGate {
@@ -104,6 +111,7 @@
     },
 }
 
+/// State of a simulation: backends, the balancer of each entry node, and pending events.
 struct Simulation {
     load: Load,
     rng: ChaCha8Rng,
@@ -125,6 +133,7 @@
     wrong.map_or(speed, |(_, reported)| reported)
 }
 
+/// Converts seconds of the simulation to the time of the balancers.
 fn moment(at: f64) -> Moment {
     Moment(((at + 60.0) * 1e6) as u64)
 }
@@ -161,7 +170,7 @@
                 ..Results::default()
             },
         };
-        simulation.at(0.0, Event::Arrives);
+        simulation.schedule(0.0, Event::Arrives);
         while let Some(Reverse((at, event))) = simulation.due.pop() {
             let event = simulation.events[event]
                 .take()
@@ -171,12 +180,14 @@
         simulation.results
     }
 
-    fn at(&mut self, at: f64, event: Event) {
+    /// Schedules an event at the time `at`, in seconds.
+    fn schedule(&mut self, at: f64, event: Event) {
         self.due
             .push(Reverse(((at * 1e9) as u64, self.events.len())));
         self.events.push(Some(event));
     }
 
+    /// Calls per second over all entry nodes.
     fn rate(&self) -> f64 {
         let slowed = 1.0 + SLOWDOWN.0 * (SLOWDOWN.1 - 1.0);
         let speeds: f64 = self.backends.iter().map(|backend| backend.speed).sum();
@@ -196,7 +207,7 @@
             Event::Arrives => {
                 if now < self.load.seconds {
                     let gap = -self.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / self.rate();
-                    self.at(now + gap, Event::Arrives);
+                    self.schedule(now + gap, Event::Arrives);
                 }
                 let entry = self.rng.random_range(0..self.load.entries);
                 self.results.calls += 1;
@@ -221,7 +232,7 @@
                 backend.running -= 1;
                 let next = backend.waiting.pop_front();
                 let load = backend.running + backend.waiting.len() as u32;
-                self.at(
+                self.schedule(
                     now + ONE_WAY_DELAY,
                     Event::Responded {
                         call,
@@ -255,6 +266,7 @@
         }
     }
 
+    /// Passes the reported speed of a backend to the balancer of an entry node.
     fn report_speed(&mut self, entry: usize, at: usize, now: f64) {
         if !self.load.reported {
             return;
@@ -268,6 +280,7 @@
         self.balancers[entry].record_speed(node, speed, moment(now));
     }
 
+    /// Sends a call to the next backend that its entry node's balancer chooses.
     fn send(&mut self, call: usize, now: f64) {
         let Call { entry, tried, .. } = &mut self.calls[call];
         let zone = self.endpoints[0].zone.clone();
@@ -291,9 +304,10 @@
             .iter()
             .position(|known| known.node == chosen.node);
         let at = at.expect("it is one of them");
-        self.at(now + ONE_WAY_DELAY, Event::AtGate { call, at });
+        self.schedule(now + ONE_WAY_DELAY, Event::AtGate { call, at });
     }
 
+    /// Runs, queues or rejects a call at a backend's gate node.
     fn at_gate(&mut self, call: usize, at: usize, now: f64) {
         let backend = &mut self.backends[at];
         if backend.running < SLOTS {
@@ -304,26 +318,28 @@
         if last && backend.waiting.len() < SLOTS as usize {
             backend.waiting.push_back(call);
         } else if last {
-            // Rejected by the last gate: the call has failed.
+            // Rejected by the last gate node: the call has failed.
             self.results.late += 1;
             let node = self.endpoints[at].node.clone();
             self.balancers[self.calls[call].entry].record_end(&node);
         } else {
             self.results.rejected_attempts += 1;
-            self.at(now + ONE_WAY_DELAY, Event::Rejected { call, at, load });
+            self.schedule(now + ONE_WAY_DELAY, Event::Rejected { call, at, load });
         }
     }
 
+    /// Starts a call at a backend and schedules its end.
     fn start_call(&mut self, call: usize, at: usize, now: f64) {
         let slowdown = self.slowdown(at, now);
         let backend = &mut self.backends[at];
         backend.running += 1;
         let took = MEAN_SERVICE_TIME * self.rng.random_range(0.4..1.6) / backend.speed * slowdown;
         self.results.used[at] += took;
-        self.at(now + took, Event::Done { call, at, took });
+        self.schedule(now + took, Event::Done { call, at, took });
     }
 }
 
+/// Parameters without reported speeds.
 fn load(backends: usize, of_capacity: f64) -> Load {
     let seconds = if backends > 100 { 2.0 } else { 8.0 };
     Load {
--- a/crates/rampthread-core/tests/body_transfer_properties.rs
+++ b/crates/rampthread-core/tests/body_transfer_properties.rs
@@ -7,24 +7,27 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// A step of the test: a body is offered, a transfer ends, an offer is cancelled, or
+/// milliseconds pass.
 #[derive(Debug, Clone)]
-enum Step {
+enum TransferStep {
     Offer { bytes: u64, max_wait_ms: u64 },
     End { pick: usize, arrived: bool },
     Cancel(usize),
     Advance(u64),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn transfer_step() -> impl Strategy<Value = TransferStep> {
     prop_oneof![
         4 => (1_u64..400_000, 0_u64..500)
-            .prop_map(|(bytes, max_wait_ms)| Step::Offer { bytes, max_wait_ms }),
-        3 => (any::<usize>(), any::<bool>()).prop_map(|(pick, arrived)| Step::End { pick, arrived }),
-        1 => any::<usize>().prop_map(Step::Cancel),
-        2 => (1_u64..80).prop_map(Step::Advance),
+            .prop_map(|(bytes, max_wait_ms)| TransferStep::Offer { bytes, max_wait_ms }),
+        3 => (any::<usize>(), any::<bool>()).prop_map(|(pick, arrived)| TransferStep::End { pick, arrived }),
+        1 => any::<usize>().prop_map(TransferStep::Cancel),
+        2 => (1_u64..80).prop_map(TransferStep::Advance),
     ]
 }
 
+/// An element of the set, chosen by the number `pick`.
 fn pick(set: &BTreeSet<u64>, pick: usize) -> Option<u64> {
     set.iter().nth(pick % set.len().max(1)).copied()
 }
@@ -41,14 +44,14 @@
     /// At most two transfers are in progress, no offer is granted twice, and each waiting
     /// offer is granted or cancelled.
     #[test]
-    fn at_most_two_bodies_are_in_transfer(steps in prop::collection::vec(step(), 1..200)) {
+    fn at_most_two_bodies_are_in_transfer(steps in prop::collection::vec(transfer_step(), 1..200)) {
         let mut transfers = BodyTransfers::default();
         let mut now = Moment(1);
         let (mut sent, mut waiting) = (BTreeSet::new(), BTreeSet::new());
         for (number, step) in steps.into_iter().enumerate() {
             let call = number as u64;
             match step {
-                Step::Offer { bytes, max_wait_ms } => {
+                TransferStep::Offer { bytes, max_wait_ms } => {
                     let max_wait = Duration::from_millis(max_wait_ms);
                     match transfers.offer(offer(call, bytes, max_wait), now) {
                         OfferDecision::Granted => prop_assert!(sent.insert(call)),
@@ -56,7 +59,7 @@
                         OfferDecision::Refused { retry_after } => prop_assert!(!retry_after.is_zero()),
                     }
                 }
-                Step::End { pick: index, arrived } => {
+                TransferStep::End { pick: index, arrived } => {
                     let Some(ended) = pick(&sent, index) else { continue };
                     sent.remove(&ended);
                     for granted in transfers.ended(ended, arrived, now) {
@@ -64,13 +67,13 @@
                         prop_assert!(sent.insert(granted));
                     }
                 }
-                Step::Cancel(index) => {
+                TransferStep::Cancel(index) => {
                     if let Some(call) = pick(&waiting, index) {
                         waiting.remove(&call);
                         prop_assert!(transfers.cancel(call));
                     }
                 }
-                Step::Advance(ms) => now = now + Duration::from_millis(ms),
+                TransferStep::Advance(ms) => now = now + Duration::from_millis(ms),
             }
             let in_progress = transfers.load() as usize - waiting.len();
             prop_assert!(in_progress <= 2);
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -20,6 +20,8 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
+/// A step of the admission test: a call arrives, a running call ends, a waiting call is
+/// cancelled, or milliseconds pass.
 #[derive(Debug, Clone)]
 enum QueueEvent {
     Arrive { caller: u8, max_wait_ms: u64 },
@@ -298,7 +300,8 @@
     }
 
     /// Two calls with one idempotency key never both get a majority of claims, in any order
-    /// of claims and if holders restart in between, as long as no majority of them does.
+    /// of claims and if claim holders restart in between, as long as no majority of them
+    /// does.
     #[test]
     fn one_key_has_at_most_one_claim(
         order in prop::collection::vec((0_usize..5, 0_usize..2), 0..20),
--- a/crates/rampthread-core/tests/crash_detector.rs
+++ b/crates/rampthread-core/tests/crash_detector.rs
@@ -1,5 +1,5 @@
-//! Which lost responses a crash explains, as a gate detects it at its local backend and an
-//! entry at the backends of other nodes.
+//! Which lost responses a crash explains, as a gate node detects it at its local backend
+//! and an entry node at the backends of other nodes.
 
 mod crash_cases;
 
@@ -13,6 +13,7 @@
 use rstest::rstest;
 use std::time::Duration;
 
+/// A lost response to the request with this number, at the backend with this number.
 fn suspect(request: u16, backend: u32) -> CrashSuspect {
     CrashSuspect {
         identity: identity(request),
@@ -79,6 +80,7 @@
     BackendIncarnation::new("i-1", born).unwrap().name()
 }
 
+/// A lost response at an incarnation of a backend that keeps its id.
 fn suspect_at_incarnation(request: u16, number: u32) -> CrashSuspect {
     CrashSuspect {
         instance: incarnation(number),
@@ -194,7 +196,7 @@
     );
 }
 
-/// What an entry knows of the backend at a node.
+/// What an entry node knows of the backend at a node.
 fn present(backend: u32, leaving: bool) -> Option<CurrentBackend> {
     let instance = instance(backend);
     Some(CurrentBackend { instance, leaving })
--- a/crates/rampthread-core/tests/fair_queue.rs
+++ b/crates/rampthread-core/tests/fair_queue.rs
@@ -23,6 +23,7 @@
     service_time: Duration,
 }
 
+/// A call that may wait for up to a second.
 fn arrival(call: u64, tenant: &str, service_time: Duration, now: Moment) -> Arrival {
     Arrival {
         call,
@@ -35,7 +36,7 @@
     }
 }
 
-/// Service time that each tenant gets at one gate in `seconds`; a call that waits is
+/// Service time that each tenant gets at one gate node in `seconds`; a call that waits is
 /// abandoned after 200 ms.
 fn served(
     loads: &BTreeMap<String, TenantLoad>,
--- a/crates/rampthread-core/tests/fence_properties.rs
+++ b/crates/rampthread-core/tests/fence_properties.rs
@@ -1,10 +1,11 @@
-//! What an entry may conclude from a fence, whatever is delayed, replaced or suspended
+//! What an entry node may conclude from a fence, whatever is delayed, replaced or suspended
 //! meanwhile.
 //!
 //! Guards against an error response with `not-run` for a call that ran: its request reached
-//! a gate and the call began; the entry was delayed; the gate's process was replaced; the
-//! entry found its connection lost and fenced the call; the new process knew nothing of it.
-//! "Never starts" of a process that is younger than the request must not be trusted.
+//! a gate node and the call began; the entry node was delayed; the gate node's process was
+//! replaced; the entry node found its connection lost and fenced the call; the new process
+//! knew nothing of it. "Never starts" of a process that is younger than the request must
+//! not be trusted.
 
 use proptest::prelude::*;
 use rampthread_core::call::fence::{
@@ -25,21 +26,22 @@
 /// A step of the simulation.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// Time passes in milliseconds while the gate is suspended or has nothing to do.
+    /// Time passes in milliseconds while the gate node is suspended or has nothing to do.
     Pause(u64),
-    /// Time passes in milliseconds while the gate runs and reads what has arrived.
+    /// Time passes in milliseconds while the gate node runs and reads what has arrived.
     Run(u64),
-    /// The entry connects to the gate process that listens now.
+    /// The entry node connects to the gate node process that listens now.
     Connect,
-    /// The connected gate process reads the request.
+    /// The connected gate node process reads the request.
     Arrive,
-    /// The gate process ends.
+    /// The gate node process ends.
     Kill,
-    /// A new gate process takes over the address.
+    /// A new gate node process takes over the address.
     Start,
-    /// The entry has lost the connection, and the present gate process handles its fence.
+    /// The entry node has lost the connection, and the present gate node process handles
+    /// its fence.
     Fence,
-    /// The reply to the fence reaches the entry.
+    /// The reply to the fence reaches the entry node.
     ReceiveReply,
 }
 
@@ -57,14 +59,14 @@
     ]
 }
 
-/// One process of the gate.
+/// One process of the gate node.
 struct GateProcess {
     table: FenceTable,
     alive: bool,
 }
 
-/// Simulation of one request to one address, at which gate processes replace each other,
-/// with clocks of different rates.
+/// Simulation of one request to one address, at which gate node processes replace each
+/// other, with clocks of different rates.
 struct Simulation {
     /// True time in milliseconds.
     now: u64,
@@ -72,11 +74,11 @@
     gate_rate: u64,
     gate_offset: u64,
     processes: Vec<GateProcess>,
-    /// When the entry sent the request, by its own clock.
+    /// When the entry node sent the request, by its own clock.
     sent_at: Moment,
-    /// Index of the gate process that the request's connection leads to.
+    /// Index of the gate node process that the request's connection leads to.
     connected: Option<usize>,
-    /// The entry has abandoned the request: it connects no more.
+    /// The entry node has abandoned the request: it connects no more.
     abandoned: bool,
     started: bool,
     reply: Option<FenceReply>,
@@ -102,15 +104,18 @@
         simulation
     }
 
+    /// Present time by the entry node's clock.
     fn entry_now(&self) -> Moment {
         Moment(self.now * self.entry_rate)
     }
 
+    /// Present time by the gate node's clock.
     fn gate_now(&self) -> Moment {
         Moment(self.gate_offset + self.now * self.gate_rate)
     }
 
-    fn present(&self) -> Option<usize> {
+    /// Index of the gate process that listens at the address now.
+    fn listening(&self) -> Option<usize> {
         self.processes.iter().position(|process| process.alive)
     }
 
@@ -119,37 +124,39 @@
             Step::Pause(ms) => self.now += ms,
             Step::Run(ms) => self.run(ms),
             Step::Connect if !self.abandoned && self.connected.is_none() => {
-                self.connected = self.present();
+                self.connected = self.listening();
             }
-            Step::Arrive => self.arrive(),
+            Step::Arrive => self.read_request(),
             Step::Kill => self
                 .processes
                 .iter_mut()
                 .for_each(|process| process.alive = false),
-            Step::Start if self.present().is_none() => {
+            Step::Start if self.listening().is_none() => {
                 let table = FenceTable::new(self.gate_now());
                 self.processes.push(GateProcess { table, alive: true });
             }
             Step::Fence if self.reply.is_none() => self.fence(),
-            Step::ReceiveReply if self.outcome.is_none() => self.receive(),
+            Step::ReceiveReply if self.outcome.is_none() => self.conclude(),
             Step::Connect | Step::Start | Step::Fence | Step::ReceiveReply => {}
         }
     }
 
-    /// The gate process first reads what has arrived, and then uses the table often.
+    /// The gate node process first reads what has arrived, and then uses the table often.
     fn run(&mut self, ms: u64) {
-        self.arrive();
+        self.read_request();
         let end = self.now + ms;
         while self.now < end {
             self.now = end.min(self.now + 500);
             let now = self.gate_now();
-            if let Some(present) = self.present() {
-                self.processes[present].table.expire(now);
+            if let Some(listening) = self.listening() {
+                self.processes[listening].table.expire(now);
             }
         }
     }
 
-    fn arrive(&mut self) {
+    /// The connected gate process reads the request and starts the call unless it was
+    /// fenced.
+    fn read_request(&mut self) {
         let now = self.gate_now();
         let Some(process) = self.connected.map(|index| &mut self.processes[index]) else {
             return;
@@ -161,19 +168,23 @@
         self.abandoned = true;
     }
 
+    /// The entry node abandons the request, and the listening gate process fences the call.
     fn fence(&mut self) {
         self.abandoned = true;
         let now = self.gate_now();
-        let Some(present) = self.present() else {
+        let Some(listening) = self.listening() else {
             return;
         };
         self.reply = Some(FenceReply {
             by: NodeId::new(GATE).ok(),
-            answer: self.processes[present].table.fence(&CALL.to_string(), now),
+            answer: self.processes[listening]
+                .table
+                .fence(&CALL.to_string(), now),
         });
     }
 
-    fn receive(&mut self) {
+    /// The entry node draws its conclusion from the reply.
+    fn conclude(&mut self) {
         let Some(reply) = &self.reply else { return };
         let node = NodeId::new(GATE).unwrap();
         let age = self.entry_now().since(self.sent_at);
@@ -207,6 +218,7 @@
     }
 }
 
+/// Conclusion for an abandoned request of this age, sent to the node [`GATE`].
 fn outcome(age: Duration, reply: &FenceReply) -> FenceOutcome {
     let node = NodeId::new(GATE).unwrap();
     FenceOutcome::new(AbandonedHop { node: &node, age }, Some(reply))
@@ -215,7 +227,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(4_096))]
 
-    /// In any order of request, end and start of gate processes, fence, delays and
+    /// In any order of request, end and start of gate node processes, fence, delays and
     /// suspensions, "never starts" is concluded only for a call that has not started
     /// anywhere and does not start afterwards.
     #[test]
@@ -231,8 +243,8 @@
     }
 
     /// The conclusion is not needlessly cautious, so that a caller keeps its retry: a gate
-    /// process that is older than the request by half its age and a millisecond, and has
-    /// not started the call, is trusted.
+    /// node process that is older than the request by half its age and a millisecond, and
+    /// has not started the call, is trusted.
     #[test]
     fn a_gate_older_than_the_request_is_trusted(
         older in 1_u64..100_000,
@@ -306,7 +318,7 @@
     assert_eq!(simulation.outcome, Some(FenceOutcome::Unknown));
 }
 
-/// A gate that replies to a fence and is then suspended for longer than
+/// A gate node that replies to a fence and is then suspended for longer than
 /// [`FENCE_RETENTION`], with the request unread in its socket, must not have dropped the
 /// fence when it reads the request.
 #[test]
@@ -320,7 +332,7 @@
     assert_eq!(table.start(&call, awake), Err(StartError::Fenced));
 }
 
-/// While the process runs, old entries are dropped.
+/// While the process runs, old records of calls are dropped.
 #[test]
 fn entries_expire_while_the_gate_runs() {
     let mut table = FenceTable::new(Moment(0));
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -1,5 +1,5 @@
-//! Simulation of a service under load: calls arrive, ask gates in turn, wait, run or are
-//! rejected, and are retried. Time is simulated; all decisions are those of rampthread.
+//! Simulation of a service under load: calls arrive, ask gate nodes in turn, wait, run or
+//! are rejected, and are retried. Time is simulated; all decisions are those of rampthread.
 
 use rampthread_core::call::acceptance::AcceptanceEstimator;
 use rampthread_core::call::admission::{
@@ -32,7 +32,7 @@
 /// Multiple of its maximum queueing time after which a waiting call is abandoned.
 const ABANDON_FACTOR: f64 = 1.5;
 
-/// Rule by which an entry expects that another gate runs the call at once.
+/// Rule by which an entry node expects that another gate node runs the call at once.
 pub type AcceptanceRule = fn(&AcceptanceEstimator, &Zone, Moment) -> bool;
 
 /// Results of a simulation.
@@ -42,7 +42,7 @@
     pub in_time: u32,
     pub late: u32,
     pub rejected: u32,
-    /// Number of attempts that gates rejected.
+    /// Number of attempts that gate nodes rejected.
     pub rejected_attempts: u32,
     /// Number of responses in each second.
     pub responses: Vec<u32>,
@@ -61,11 +61,12 @@
     }
 }
 
-/// Calls per second that the slots of all gates can serve.
+/// Calls per second that the slots of all gate nodes can serve.
 pub fn capacity_per_second() -> f64 {
     (GATES as u32 * SLOTS) as f64 / MEAN_SERVICE_TIME.as_secs_f64()
 }
 
+/// An event of a call at a gate node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives { call: u64 },
@@ -73,6 +74,7 @@
     Abandons { call: u64, gate: usize },
 }
 
+/// A caller's call, with its retries so far.
 #[derive(Debug, Clone, Copy)]
 struct Caller {
     first: Moment,
@@ -81,7 +83,7 @@
     waiting: bool,
 }
 
-/// Gates, callers and pending events of a simulation.
+/// Gate nodes, callers and pending events of a simulation.
 pub struct OverloadSimulation {
     gates: Vec<AdmissionController>,
     estimator: AcceptanceEstimator,
@@ -129,14 +131,15 @@
         self.plan_arrivals(seconds, load);
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             match event {
-                Event::Arrives { call } => self.arrives(call, now),
-                Event::Ends { call, gate } => self.ends(call, gate, now),
-                Event::Abandons { call, gate } => self.abandons(call, gate, now),
+                Event::Arrives { call } => self.handle_arrival(call, now),
+                Event::Ends { call, gate } => self.end_call(call, gate, now),
+                Event::Abandons { call, gate } => self.handle_abandonment(call, gate, now),
             }
         }
         self.results
     }
 
+    /// Schedules first attempts at random times within each second.
     fn plan_arrivals(&mut self, seconds: u64, load: impl Fn(u64) -> f64) {
         for second in 0..seconds {
             let calls = (capacity_per_second() * load(second)) as u64;
@@ -153,17 +156,19 @@
                 };
                 self.callers.insert(call, caller);
                 self.results.calls += 1;
-                self.at(first, Event::Arrives { call });
+                self.schedule(first, Event::Arrives { call });
             }
         }
     }
 
-    fn at(&mut self, moment: Moment, event: Event) {
+    /// Schedules an event.
+    fn schedule(&mut self, moment: Moment, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((moment, self.sequence, event)));
     }
 
-    fn arrives(&mut self, call: u64, now: Moment) {
+    /// An attempt asks gate nodes in turn until one runs or queues it.
+    fn handle_arrival(&mut self, call: u64, now: Moment) {
         let mut tried: Vec<usize> = Vec::new();
         while tried.len() < MAX_ATTEMPTS {
             let untried = (0..GATES).filter(|gate| !tried.contains(gate));
@@ -179,11 +184,11 @@
             let rejected = matches!(admitted, AdmissionDecision::Refused { .. });
             self.estimator.record(&self.zone.clone(), rejected, now);
             match admitted {
-                AdmissionDecision::Run => return self.begins(call, gate, now),
+                AdmissionDecision::Run => return self.start_call(call, gate, now),
                 AdmissionDecision::Wait => {
                     self.callers.get_mut(&call).unwrap().waiting = true;
                     let at = now + max_wait.mul_f64(ABANDON_FACTOR);
-                    return self.at(at, Event::Abandons { call, gate });
+                    return self.schedule(at, Event::Abandons { call, gate });
                 }
                 AdmissionDecision::Refused { .. } => self.results.rejected_attempts += 1,
             }
@@ -191,9 +196,10 @@
                 break;
             }
         }
-        self.rejected(call, now);
+        self.handle_rejection(call, now);
     }
 
+    /// Precedence of the call's present attempt.
     fn precedence(&self, call: u64) -> Precedence {
         match self.callers[&call].retries {
             0 => Precedence::FirstAttempt,
@@ -201,6 +207,7 @@
         }
     }
 
+    /// Maximum queueing time; zero while another gate node is expected to accept the call.
     fn max_wait(&self, call: u64, others_likely: bool, now: Moment) -> Duration {
         if others_likely {
             return Duration::ZERO;
@@ -223,14 +230,16 @@
         }
     }
 
-    fn begins(&mut self, call: u64, gate: usize, now: Moment) {
+    /// A call gets a slot; its end is scheduled.
+    fn start_call(&mut self, call: u64, gate: usize, now: Moment) {
         let caller = self.callers.get_mut(&call).unwrap();
         caller.waiting = false;
         let end = now + caller.service_time;
-        self.at(end, Event::Ends { call, gate });
+        self.schedule(end, Event::Ends { call, gate });
     }
 
-    fn ends(&mut self, call: u64, gate: usize, now: Moment) {
+    /// A call ends and its caller gets the response.
+    fn end_call(&mut self, call: u64, gate: usize, now: Moment) {
         let caller = self.callers[&call];
         Results::count(&mut self.results.responses, now);
         match now.since(caller.first) <= TARGET_LATENCY {
@@ -239,21 +248,23 @@
         }
         let released = self.gates[gate].release(Some(caller.service_time), now);
         for expired in released.expired {
-            self.rejected(expired, now);
+            self.handle_rejection(expired, now);
         }
         if let Some(next) = released.run {
-            self.begins(next, gate, now);
+            self.start_call(next, gate, now);
         }
     }
 
-    fn abandons(&mut self, call: u64, gate: usize, now: Moment) {
+    /// A call that waited too long leaves the queue.
+    fn handle_abandonment(&mut self, call: u64, gate: usize, now: Moment) {
         if self.callers[&call].waiting && self.gates[gate].cancel(call) {
             self.results.rejected_attempts += 1;
-            self.rejected(call, now);
+            self.handle_rejection(call, now);
         }
     }
 
-    fn rejected(&mut self, call: u64, now: Moment) {
+    /// An attempt was rejected; the caller retries later or gives up.
+    fn handle_rejection(&mut self, call: u64, now: Moment) {
         let caller = self.callers.get_mut(&call).unwrap();
         caller.waiting = false;
         Results::count(&mut self.results.rejections, now);
@@ -263,6 +274,6 @@
             return;
         }
         caller.retries += 1;
-        self.at(back, Event::Arrives { call });
+        self.schedule(back, Event::Arrives { call });
     }
 }
--- a/crates/rampthread-core/tests/path_delay_properties.rs
+++ b/crates/rampthread-core/tests/path_delay_properties.rs
@@ -9,6 +9,7 @@
 const SENDER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1));
 const OTHER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 2));
 
+/// A hop that was sent `millis` after the start of the sending process.
 fn sent(process_epoch: u32, millis: u64) -> SentAt {
     SentAt {
         process_epoch,
--- a/crates/rampthread-core/tests/precedence_properties.rs
+++ b/crates/rampthread-core/tests/precedence_properties.rs
@@ -19,6 +19,7 @@
     ResourceName::new(text).unwrap()
 }
 
+/// A call that may wait for up to an hour.
 fn arrival(call: u64, precedence: Precedence, service_time_ms: u64) -> Arrival {
     Arrival {
         call,
@@ -45,6 +46,7 @@
     admission
 }
 
+/// Numbers of the waiting calls, in the order in which they are served.
 fn order(mut admission: AdmissionController) -> Vec<u64> {
     let release = || admission.release(None, Moment(1)).run;
     std::iter::from_fn(release).collect()
--- a/crates/rampthread-core/tests/queueing_under_overload.rs
+++ b/crates/rampthread-core/tests/queueing_under_overload.rs
@@ -1,5 +1,5 @@
-//! Queueing under overload: calls that wait at a gate are answered in time as often as
-//! calls that ask full gates in turn, with far fewer queries.
+//! Queueing under overload: calls that wait at a gate node are answered in time as often as
+//! calls that ask full gate nodes in turn, with far fewer queries.
 
 mod overload;
 
@@ -9,12 +9,12 @@
 use rampthread_core::time::Moment;
 use rstest::rstest;
 
-/// Asks another gate while that is worth the query.
+/// Asks another gate node while that is worth the query.
 fn while_worth_asking(estimator: &AcceptanceEstimator, zone: &Zone, now: Moment) -> bool {
     estimator.should_ask(zone, now)
 }
 
-/// Asks another gate while it most likely runs the call at once.
+/// Asks another gate node while it most likely runs the call at once.
 fn while_likely(estimator: &AcceptanceEstimator, zone: &Zone, now: Moment) -> bool {
     estimator.is_acceptance_likely(zone, now)
 }
@@ -59,7 +59,8 @@
 }
 
 /// Minimum responses per second at this load, which is a ratio of capacity. Below full
-/// capacity, since a caller that waits at one gate does not get a free slot of another.
+/// capacity, since a caller that waits at one gate node does not get a free slot of
+/// another.
 fn min_responses(load: f64) -> f64 {
     0.9 * load.min(1.0) * overload::capacity_per_second()
 }
--- a/crates/rampthread-core/tests/response_check.rs
+++ b/crates/rampthread-core/tests/response_check.rs
@@ -6,6 +6,8 @@
 use rampthread_core::call::response_check::{CallIds, ResponseCheck, ResponseHead};
 use rstest::rstest;
 
+/// Checks a response with this status and these headers against the call `call`, attempt
+/// `call~1`.
 fn check(status: u16, lines: &[(&'static str, &'static str)]) -> ResponseCheck {
     let headers: HeaderMap = lines
         .iter()
--- a/crates/rampthread-core/tests/retry_priority.rs
+++ b/crates/rampthread-core/tests/retry_priority.rs
@@ -18,13 +18,14 @@
 const RATIO: f64 = 0.2;
 /// Ratio of arriving calls that the backends shed.
 const SHED_RATIO: f64 = 0.55;
-/// Calls of one entry per second: from callers outside, and from parents with two nested
-/// calls each.
+/// Calls of one entry node per second: from callers outside, and from parents with two
+/// nested calls each.
 const CALLERS_PER_SECOND: u64 = 6;
 const PARENTS_PER_SECOND: u64 = 20;
 /// Duration of the shedding: most of one window.
 const SHED_SECONDS: u64 = 8;
 
+/// Limit of the retries in these tests.
 fn limit() -> RetryLimit {
     RetryLimit {
         ratio: RATIO,
@@ -109,7 +110,7 @@
     assert_eq!(taken, 201);
 }
 
-/// A retry that was rejected by a full gate is returned to the budget.
+/// A retry that was rejected by a full gate node is returned to the budget.
 #[test]
 fn a_retry_that_reached_no_backend_is_returned() {
     let now = Moment(1);
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -29,6 +29,7 @@
 /// serve.
 const CALLS_PER_SECOND: u64 = 100;
 
+/// An event of the call with this number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives(u64),
@@ -37,22 +38,25 @@
     Abandons(u64),
 }
 
+/// Whether a call waits for a slot, holds one, or has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
+enum CallState {
     Waits,
     Runs,
     Ended,
 }
 
+/// A call in the ring, and the call that it is nested in.
 #[derive(Debug, Clone, Copy)]
 struct Call {
     service: usize,
     parent: Option<u64>,
     depth: u32,
     deadline: Moment,
-    state: State,
+    state: CallState,
 }
 
+/// Numbers of calls from outside by outcome, and of calls whose work was lost.
 #[derive(Debug, Default)]
 struct Outcome {
     answered: u32,
@@ -61,6 +65,7 @@
     work_lost: u32,
 }
 
+/// State of the simulation; `nested` is the precedence that nested calls get.
 struct Ring {
     gates: Vec<AdmissionController>,
     calls: Vec<Call>,
@@ -107,19 +112,21 @@
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             last = now;
             match event {
-                Event::Arrives(call) => self.arrives(call, now),
-                Event::Worked(call) => self.worked(call, now),
-                Event::Abandons(call) => self.abandons(call, now),
+                Event::Arrives(call) => self.handle_arrival(call, now),
+                Event::Worked(call) => self.handle_work_done(call, now),
+                Event::Abandons(call) => self.handle_abandonment(call, now),
             }
         }
         (self, last)
     }
 
-    fn at(&mut self, moment: Moment, event: Event) {
+    /// Schedules an event.
+    fn schedule(&mut self, moment: Moment, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((moment, self.sequence, event)));
     }
 
+    /// Adds a call that arrives at the time `at`.
     fn call(
         &mut self,
         service: usize,
@@ -134,12 +141,13 @@
             parent,
             depth,
             deadline,
-            state: State::Waits,
+            state: CallState::Waits,
         });
-        self.at(at, Event::Arrives(number));
+        self.schedule(at, Event::Arrives(number));
     }
 
-    fn arrives(&mut self, number: u64, now: Moment) {
+    /// Admits, queues or rejects an arriving call.
+    fn handle_arrival(&mut self, number: u64, now: Moment) {
         let call = self.calls[number as usize];
         let precedence = match call.parent {
             Some(_) => self.nested,
@@ -159,57 +167,61 @@
             expected_service_time: Some(SERVICE_TIME),
         };
         match self.gates[call.service].arrive(arrival, now) {
-            AdmissionDecision::Run => self.begins(number, now),
-            AdmissionDecision::Wait => self.at(now + max_wait, Event::Abandons(number)),
-            AdmissionDecision::Refused { .. } => self.rejected(number, now),
+            AdmissionDecision::Run => self.start_call(number, now),
+            AdmissionDecision::Wait => self.schedule(now + max_wait, Event::Abandons(number)),
+            AdmissionDecision::Refused { .. } => self.handle_rejection(number, now),
         }
     }
 
-    fn begins(&mut self, number: u64, now: Moment) {
-        self.calls[number as usize].state = State::Runs;
-        self.at(now + SERVICE_TIME, Event::Worked(number));
+    /// A call gets a slot and starts its own work.
+    fn start_call(&mut self, number: u64, now: Moment) {
+        self.calls[number as usize].state = CallState::Runs;
+        self.schedule(now + SERVICE_TIME, Event::Worked(number));
     }
 
-    fn worked(&mut self, number: u64, now: Moment) {
+    /// A call has done its own work: it makes a nested call or ends.
+    fn handle_work_done(&mut self, number: u64, now: Moment) {
         let call = self.calls[number as usize];
         if call.depth < MAX_DEPTH && self.rng.random_bool(NESTED_CHANCE) {
             let next = (call.service + 1) % SERVICES;
             return self.call(next, Some(number), call.depth + 1, call.deadline, now);
         }
-        self.ends(number, true, now);
+        self.end_call(number, true, now);
     }
 
     /// Releases the slot of the call, and ends the parent, which waits for this call only.
-    fn ends(&mut self, number: u64, answered: bool, now: Moment) {
+    fn end_call(&mut self, number: u64, answered: bool, now: Moment) {
         let call = self.calls[number as usize];
-        self.calls[number as usize].state = State::Ended;
+        self.calls[number as usize].state = CallState::Ended;
         let released = self.gates[call.service].release(Some(SERVICE_TIME), now);
         for expired in released.expired {
-            self.rejected(expired, now);
+            self.handle_rejection(expired, now);
         }
         if let Some(next) = released.run {
-            self.begins(next, now);
+            self.start_call(next, now);
         }
         match call.parent {
-            Some(parent) => self.ends(parent, answered, now),
+            Some(parent) => self.end_call(parent, answered, now),
             None => self.outcome.answered += u32::from(answered),
         }
     }
 
-    fn abandons(&mut self, number: u64, now: Moment) {
+    /// A call has waited for its maximum queueing time.
+    fn handle_abandonment(&mut self, number: u64, now: Moment) {
         let call = self.calls[number as usize];
-        if call.state == State::Waits && self.gates[call.service].cancel(number) {
-            self.rejected(number, now);
+        if call.state == CallState::Waits && self.gates[call.service].cancel(number) {
+            self.handle_rejection(number, now);
         }
     }
 
-    fn rejected(&mut self, number: u64, now: Moment) {
+    /// A call is rejected; the calls that it is nested in fail with it.
+    fn handle_rejection(&mut self, number: u64, now: Moment) {
         let call = &mut self.calls[number as usize];
-        call.state = State::Ended;
+        call.state = CallState::Ended;
         match call.parent {
             Some(parent) => {
                 self.outcome.work_lost += 1;
-                self.ends(parent, false, now);
+                self.end_call(parent, false, now);
             }
             None => self.outcome.rejected += 1,
         }
@@ -229,7 +241,7 @@
         let states: HashMap<_, _> = ring
             .calls
             .iter()
-            .map(|call| (call.state == State::Ended, ()))
+            .map(|call| (call.state == CallState::Ended, ()))
             .collect();
         assert!(!states.contains_key(&false), "a call never ended");
     }
--- a/crates/rampthread-core/tests/zone_spill.rs
+++ b/crates/rampthread-core/tests/zone_spill.rs
@@ -1,5 +1,6 @@
 //! Which zone calls go to, with simulated demand: demand swings in each zone independently,
-//! what is known of other zones is out of date, and all entries decide at the same time.
+//! what is known of other zones is out of date, and all entry nodes decide at the same
+//! time.
 
 use proptest::prelude::*;
 use rampthread_core::call::demand::DemandMeter;
@@ -125,6 +126,8 @@
     both_ways: f64,
 }
 
+/// Simulates two zones whose demand swings with this period in seconds, around `mean` times
+/// their capacity.
 fn swing(period: f64, phase: f64, mean: f64, report_age: f64) -> Swing {
     const STEP: f64 = 0.05;
     const REPORT_INTERVAL: f64 = 0.3;
@@ -202,6 +205,7 @@
     }
 }
 
+/// Load report of a zone for the service `s`.
 fn report(index: usize, age_ms: u64, capacity: f64, demand: f64) -> ZoneLoad {
     ZoneLoad {
         zone: zone(index),
@@ -216,6 +220,7 @@
     }
 }
 
+/// What zone 0 knows of zones 0 and 1, which have 100 slots each.
 fn known(reports: &[ZoneLoad]) -> Option<Vec<ZoneDemand>> {
     let slots = [(zone(0), 100.0), (zone(1), 100.0)];
     zone_demands(&name("s"), &zone(0), &slots, reports)
@@ -342,7 +347,7 @@
 }
 
 /// A route without a response yet counts with the mean service time of its service, since
-/// most entries call a route seldom.
+/// most entry nodes call a route seldom.
 #[test]
 fn a_route_that_was_not_answered_yet_counts_like_its_service() {
     let (mut meter, now) = metered();
