--- a/crates/rampthread-core/src/backend_incarnation.rs
+++ b/crates/rampthread-core/src/backend_incarnation.rs
@@ -13,13 +13,14 @@
 /// Decimal digits of `u64::MAX`.
 const MAX_START_DIGITS: usize = 20;
 
-/// Start time of a backend process, in Unix milliseconds by its own clock.
+/// Start time of a backend process, in Unix milliseconds by the backend's own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StartedAt(pub u64);
 
-/// One process of a backend. Nodes pass it on as [`BackendIncarnation::name`]; nodes that
-/// do not know start times treat the name as an ordinary id.
+/// One process of a backend, identified by the backend's id and the start time of the
+/// process. Nodes pass it on as [`BackendIncarnation::name`]; nodes that do not know start
+/// times treat that name as an ordinary id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendIncarnation {
     id: InstanceId,
@@ -41,8 +42,8 @@
 }
 
 impl BackendIncarnation {
-    /// Creates the incarnation of the backend `id`; `started_at` is `None` if the backend
-    /// does not report it.
+    /// Creates the incarnation of the backend `id`. `started_at` is `None` if the backend
+    /// does not report its start time.
     pub fn new(id: &str, started_at: Option<StartedAt>) -> Result<Self, InvalidIncarnation> {
         let id = InstanceId::new(id)?;
         if id.as_str().len() > MAX_BACKEND_ID_BYTES || id.as_str().contains(SEPARATOR) {
@@ -51,8 +52,8 @@
         Ok(Self { id, started_at })
     }
 
-    /// Parses a name made by [`BackendIncarnation::name`]. A name without a start time is
-    /// taken as an id with unknown start time.
+    /// Parses a name made by [`BackendIncarnation::name`]. A name without a start time
+    /// becomes an id with unknown start time.
     pub fn from_name(name: &InstanceId) -> Self {
         let with_start = name
             .as_str()
@@ -67,8 +68,8 @@
         })
     }
 
-    /// Name made of the id and the start time; different for any two incarnations that can
-    /// be told apart.
+    /// Joins the id and the start time to one name. Any two incarnations that can be told
+    /// apart have different names.
     pub fn name(&self) -> InstanceId {
         let Some(StartedAt(started_at)) = self.started_at else {
             return self.id.clone();
@@ -77,12 +78,12 @@
             .expect("a valid backend id with a start time is a valid name")
     }
 
-    /// Id that the backend reports; a restarted backend may report the same one.
+    /// Id that the backend reports. A restarted backend may report the same id.
     pub fn id(&self) -> &InstanceId {
         &self.id
     }
 
-    /// Start time of the process, if the backend reports it.
+    /// Start time of the backend process; `None` if the backend does not report it.
     pub fn started_at(&self) -> Option<StartedAt> {
         self.started_at
     }
--- a/crates/rampthread-core/src/compression.rs
+++ b/crates/rampthread-core/src/compression.rs
@@ -14,16 +14,16 @@
 /// the platform's store holds.
 pub const MAX_CONTENT_BYTES: usize = 8 << 20;
 
-/// Decompression failed: the data is corrupt, or its content would exceed
+/// Error for compressed data that is corrupt, or whose content would exceed
 /// [`MAX_CONTENT_BYTES`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("corrupt data, or content larger than {MAX_CONTENT_BYTES} bytes: {reason}")]
 pub struct DecompressError {
-    /// Message of the decoder.
+    /// Error message of the zstd decoder.
     reason: String,
 }
 
-/// Compresses `content` with a checksum, so that corruption is detected.
+/// Compresses `content` with zstd and adds a checksum, so that corruption is detected.
 pub fn compress(content: &[u8]) -> Vec<u8> {
     // Compression into memory fails only when the allocation fails.
     let compressed = zstd::bulk::Compressor::new(LEVEL).and_then(|mut compressor| {
@@ -33,7 +33,8 @@
     compressed.expect("compression into memory succeeds")
 }
 
-/// Decompresses `bytes`; data without the magic number is returned unchanged.
+/// Decompresses zstd data. Bytes without the magic number are returned unchanged, since
+/// older nodes send content uncompressed.
 pub fn decompress(bytes: &[u8]) -> Result<Cow<'_, [u8]>, DecompressError> {
     if !bytes.starts_with(&FRAME_MAGIC) {
         return Ok(Cow::Borrowed(bytes));
--- a/crates/rampthread-core/src/config/change.rs
+++ b/crates/rampthread-core/src/config/change.rs
@@ -7,7 +7,7 @@
 /// Maximum size of an encoded log entry, in bytes.
 pub const MAX_ENTRY_BYTES: usize = 1 << 20;
 
-/// One operation of a change set.
+/// One step of a change set: creating, replacing or deleting a resource.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "action", deny_unknown_fields)]
 pub enum Operation {
@@ -20,9 +20,10 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         if_generation: Option<Version>,
     },
-    /// Deletes a resource.
+    /// Deletes a resource; the change set is rejected if the resource does not exist or
+    /// others refer to it.
     Delete {
-        /// Resource to delete.
+        /// Kind and name of the resource to delete.
         key: ResourceKey,
         /// Generation that the resource must currently have (`If-Match`).
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -31,7 +32,7 @@
 }
 
 impl Operation {
-    /// Key of the resource that the operation affects.
+    /// Kind and name of the resource that the operation creates, replaces or deletes.
     pub fn key(&self) -> ResourceKey {
         match self {
             Operation::Put { resource, .. } => resource.key(),
@@ -40,18 +41,18 @@
     }
 }
 
-/// Operations that are applied atomically.
+/// Operations that an operator submits together and that are applied atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeSet {
     /// Idempotency key of the change: unique across nodes, and equal in repeated
     /// submissions.
     pub operation_id: OperationId,
-    /// Operations, applied in order.
+    /// Operations in the order in which they are applied.
     pub operations: Vec<Operation>,
 }
 
-/// Content of one slot of the change log.
+/// Content of one slot of the change log: a change set and the node that wrote it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogEntry {
@@ -61,7 +62,7 @@
     pub change: ChangeSet,
 }
 
-/// Reason why the bytes of a log slot are not a valid log entry.
+/// Reason why the bytes in a slot of the change log are not a valid [`LogEntry`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
     /// The encoded entry is larger than [`MAX_ENTRY_BYTES`].
@@ -73,7 +74,7 @@
     /// The encoded entry is not valid JSON of a [`LogEntry`].
     #[error("cannot decode the log entry: {reason}")]
     Unreadable {
-        /// Message of the JSON decoder.
+        /// Error message of the JSON decoder.
         reason: String,
     },
 }
--- a/crates/rampthread-core/src/config/delta.rs
+++ b/crates/rampthread-core/src/config/delta.rs
@@ -12,9 +12,9 @@
 /// Difference between two configuration states, sent to peers that hold the earlier one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDelta {
-    /// Version of the state to which the delta applies.
+    /// Version of the configuration state to which the delta applies.
     pub base: Version,
-    /// Version of the resulting state.
+    /// Version of the configuration state that the delta produces.
     pub version: Version,
     /// Resources that are new or changed.
     put: Vec<Arc<Resource>>,
@@ -30,39 +30,40 @@
     digest: Option<String>,
 }
 
-/// Reason why a delta was not applied.
+/// Reason why a [`StateDelta`] could not be decoded or applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
-    /// The bytes are not valid JSON of a [`StateDelta`].
+    /// The decompressed bytes are not valid JSON of a [`StateDelta`].
     #[error("cannot decode the delta: {reason}")]
     Unreadable {
         /// Message of the JSON decoder.
         reason: String,
     },
-    /// Decompression failed.
+    /// The bytes could not be decompressed with zstd.
     #[error("cannot decompress the delta: {0}")]
     Decompress(#[from] DecompressError),
-    /// The delta applies to another version than the state at hand.
+    /// The delta applies to another version than that of the configuration state it was to
+    /// be applied to.
     #[error("the delta applies to version {base}, not to {held}")]
     BaseMismatch {
         /// Version to which the delta applies.
         base: Version,
-        /// Version of the state at hand.
+        /// Version of the configuration state that the delta was to be applied to.
         held: Version,
     },
     /// The resulting state has another number of resources than the sender's state.
     #[error("the delta produces {found} resources, expected {expected}")]
     ResourceCountMismatch {
-        /// Number of resources after the delta was applied.
+        /// Number of resources that applying the delta produced.
         found: usize,
-        /// Number of resources at the sender.
+        /// Number of resources in the sender's configuration state.
         expected: usize,
     },
-    /// The resulting state has other content than the sender's state, so the base state
-    /// differed.
+    /// The content digest after the delta differs from the sender's, because the two nodes
+    /// hold different states of the base version.
     #[error("the delta applies to different content of version {base}")]
     ContentMismatch {
-        /// Version of the base state.
+        /// Version of which sender and receiver hold different states.
         base: Version,
     },
     /// The resulting state violates a rule of the configuration.
@@ -74,7 +75,8 @@
 }
 
 impl StateDelta {
-    /// Computes the delta from `base` to `later`.
+    /// Collects the resources that differ between `base` and `later`, and the content
+    /// digest of `later` as a check.
     pub fn between(base: &ConfigState, later: &ConfigState) -> StateDelta {
         Self::with_digest(base, later, later.content_digest())
     }
@@ -103,13 +105,13 @@
         }
     }
 
-    /// Encodes and compresses the delta for a peer.
+    /// Encodes the delta as zstd-compressed JSON, to send it to a peer.
     pub fn encode(&self) -> Vec<u8> {
         let content = serde_json::to_vec(self).expect("a delta is serializable as JSON");
         compress(&content)
     }
 
-    /// Decodes a delta received from a peer.
+    /// Decodes the zstd-compressed JSON of a delta that a peer sent.
     pub fn decode(bytes: &[u8]) -> Result<StateDelta, DeltaError> {
         let content = decompress(bytes)?;
         serde_json::from_slice(&content).map_err(|error| DeltaError::Unreadable {
@@ -144,7 +146,6 @@
     }
 }
 
-/// True when `state` contains an equal resource of the same key.
 fn contains_equal(state: &ConfigState, stored: &StoredResource) -> bool {
     state.get(&stored.resource.key()).is_some_and(|known| {
         Arc::ptr_eq(&known.resource, &stored.resource) || known.resource == stored.resource
--- a/crates/rampthread-core/src/config/resource.rs
+++ b/crates/rampthread-core/src/config/resource.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Kind of a configuration resource.
+/// Kinds of resources that operators can define in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ResourceKind {
@@ -33,7 +33,7 @@
         ResourceKind::Tenant,
     ];
 
-    /// Name of the kind in files, URLs and tables.
+    /// Lower-case word for the kind, used in files, URLs and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             ResourceKind::Service => "service",
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Parses the name used in files, URLs and tables.
+    /// Parses the lower-case word for a kind; `None` if the word is unknown.
     pub fn parse(word: &str) -> Option<ResourceKind> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == word)
     }
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceKey {
-    /// Kind of the resource, part of its key.
+    /// Distinguishes resources of the same name.
     pub kind: ResourceKind,
     /// Name of the resource, unique within its kind.
     pub name: ResourceName,
@@ -91,12 +91,12 @@
     pub connections: Option<u32>,
 }
 
-/// Default of [`Service::retry_percent`].
+/// Retry budget of a [`Service`] that sets none: retries may be 10% of its calls.
 pub fn default_retry_percent() -> u8 {
     10
 }
 
-/// Default of [`Service::slow_start_ms`].
+/// Ramp-up time for new backends of a [`Service`] that sets none, in milliseconds.
 pub fn default_slow_start_ms() -> u64 {
     5_000
 }
@@ -126,7 +126,7 @@
 pub struct HeaderMatch {
     /// Header name, compared case-insensitively (RFC 9110).
     pub name: String,
-    /// Required value of the header.
+    /// Value that the header must have, compared byte for byte.
     pub value: String,
 }
 
@@ -134,14 +134,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Destination {
-    /// Service that receives the calls.
+    /// Service that receives the weighted share of the route's calls.
     pub service: ResourceName,
     /// Weight relative to the other destinations of the route.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
 
-/// Default of [`Destination::weight`].
+/// Weight of a [`Destination`] that sets none: destinations share the calls equally.
 pub fn default_weight() -> u32 {
     1
 }
@@ -168,7 +168,7 @@
     /// Host that a call must name to match; `None` matches every host.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    /// Path that a call must have to match.
+    /// Condition on the path of a call.
     pub path: PathMatch,
     /// Methods of calls that match; empty matches every method.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -184,7 +184,7 @@
     /// Which calls may be executed more than once.
     #[serde(default)]
     pub repeatability: Repeatability,
-    /// Secret that the gate adds to the call before it forwards it to the backend.
+    /// Secret that the backend's local node (its gate) adds to the call before it forwards it to the backend.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub secret: Option<ResourceName>,
     /// Header in which the backend receives the secret.
@@ -210,22 +210,22 @@
     !value
 }
 
-/// Default of [`Route::max_attempts`].
+/// Number of backends to which a call is sent at most, for a [`Route`] that sets none.
 pub fn default_max_attempts() -> u32 {
     3
 }
 
-/// Default of [`Route::priority`].
+/// Priority of calls of a [`Route`] that sets none; 0 is the highest.
 pub fn default_priority() -> u32 {
     1
 }
 
-/// Default of [`Route::timeout_ms`].
+/// Timeout of calls without a deadline for a [`Route`] that sets none, in milliseconds.
 pub fn default_timeout_ms() -> u64 {
     10_000
 }
 
-/// Default of [`Route::secret_header`].
+/// Header that carries the secret of a [`Route`] that names none.
 pub fn default_secret_header() -> String {
     "authorization".to_string()
 }
@@ -250,7 +250,7 @@
 pub struct Secret {
     /// Unique among secrets; routes refer to the secret by it.
     pub name: ResourceName,
-    /// The encrypted value.
+    /// Encrypted value, which the local node of a backend decrypts when it forwards a call.
     pub sealed: SealedValue,
 }
 
@@ -260,15 +260,15 @@
 pub struct Backend {
     /// Unique among backends.
     pub name: ResourceName,
-    /// Service that the backend belongs to.
+    /// Service whose calls the backend processes.
     pub service: ResourceName,
     /// Node that runs next to the backend and admits and forwards its calls.
     pub node: NodeId,
     /// Address at which that node reaches the backend.
     pub address: SocketAddr,
-    /// Zone of the backend's machine.
+    /// Zone of the backend's machine; calls prefer backends in their own zone.
     pub zone: Zone,
-    /// Region of the backend's machine.
+    /// Region of the backend's machine, a group of zones.
     pub region: Region,
     /// Number of calls that the backend can process concurrently.
     #[serde(default = "default_slots")]
@@ -278,12 +278,12 @@
     pub connections: u32,
 }
 
-/// Default of [`Backend::slots`].
+/// Calls that a [`Backend`] processes concurrently if the operator sets no number.
 pub fn default_slots() -> u32 {
     10
 }
 
-/// Default of [`Backend::connections`].
+/// Connections that a [`Backend`] accepts if the operator sets no number.
 pub fn default_connections() -> u32 {
     100
 }
@@ -305,7 +305,7 @@
 }
 
 impl Resource {
-    /// Key made of the kind and the name of the resource.
+    /// Key that identifies the resource within a configuration state.
     pub fn key(&self) -> ResourceKey {
         let (kind, name) = match self {
             Resource::Service(service) => (ResourceKind::Service, &service.name),
--- a/crates/rampthread-core/src/config/state.rs
+++ b/crates/rampthread-core/src/config/state.rs
@@ -13,8 +13,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Number of recent operations whose outcome is kept, so that a repeated submission is
-/// recognized.
+/// Number of recently decided change sets whose outcome is kept, so that a repeated
+/// submission is recognized.
 pub const MAX_RECORDED_OPERATIONS: usize = 1_024;
 
 /// A resource of a configuration state, with the version that last changed it.
@@ -63,7 +63,8 @@
     resources: BTreeMap<ResourceKey, StoredResource>,
     /// Latest decided change sets, oldest first, at most [`MAX_RECORDED_OPERATIONS`].
     recent: VecDeque<RecordedOperation>,
-    /// Caller limits of a document; `None` if the node's settings apply.
+    /// Limits on callers' requests that the operators' configuration document sets; `None`
+    /// if the settings of the node apply.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     caller_limits: Option<CallerLimits>,
 }
@@ -77,7 +78,7 @@
         /// Message of the JSON decoder.
         reason: String,
     },
-    /// The snapshot could not be decompressed.
+    /// The bytes of the snapshot could not be decompressed with zstd.
     #[error("cannot decompress the snapshot: {0}")]
     Decompress(#[from] DecompressError),
     /// The digest of the snapshot does not match its content.
@@ -97,8 +98,8 @@
         self.version
     }
 
-    /// Creates the state described by a document with its own `version`, or returns all
-    /// violations found.
+    /// Creates the configuration state that a document describes. `version` is the
+    /// document's own; the error contains all violations found.
     pub fn from_document(
         version: Version,
         resources: Vec<Resource>,
@@ -128,8 +129,9 @@
         })
     }
 
-    /// Creates the state at `version` with the resources of `put` added or replaced and
-    /// those of `removed` deleted, or returns all violations found.
+    /// Creates the configuration state at `version`, in which the resources of `put` are
+    /// added or replaced and those of `removed` deleted. The error contains all violations
+    /// found.
     pub(super) fn with_changes(
         &self,
         version: Version,
@@ -161,7 +163,8 @@
         })
     }
 
-    /// Shares the memory of resources that are equal in `older`.
+    /// Reuses the memory of `older` for all resources that are equal there, since
+    /// consecutive states differ in few.
     pub fn share_unchanged_resources(mut self, older: &ConfigState) -> ConfigState {
         for (key, stored) in &mut self.resources {
             if let Some(known) = older.resources.get(key)
@@ -173,7 +176,8 @@
         self
     }
 
-    /// Digest of the resources and caller limits, independent of versions and generations.
+    /// BLAKE3 digest of the resources and caller limits. It does not depend on versions and
+    /// generations.
     pub fn content_digest(&self) -> String {
         let resources: Vec<&Resource> = self.resources().map(|stored| &*stored.resource).collect();
         let content = serde_json::to_vec(&(resources, &self.caller_limits))
@@ -181,7 +185,8 @@
         blake3::hash(&content).to_hex().to_string()
     }
 
-    /// Caller limits of the document, if it sets any.
+    /// Limits on callers' requests that the operators' configuration document sets, if it
+    /// sets any.
     pub fn caller_limits(&self) -> Option<&CallerLimits> {
         self.caller_limits.as_ref()
     }
@@ -221,7 +226,8 @@
         }
     }
 
-    /// Recorded outcome of `operation_id`; `None` if it is unknown or no longer kept.
+    /// Recorded decision about the change set `operation_id`; `None` if it is unknown or no
+    /// longer kept.
     pub fn operation(&self, operation_id: &OperationId) -> Option<&RecordedOperation> {
         self.recent
             .iter()
@@ -229,7 +235,8 @@
             .find(|recorded| recorded.operation_id == *operation_id)
     }
 
-    /// Recorded operation of the slot `version`; `None` if it is unknown or no longer kept.
+    /// Recorded decision of the log slot `version`; `None` if it is unknown or no longer
+    /// kept.
     pub fn operation_at(&self, version: Version) -> Option<&RecordedOperation> {
         self.recent
             .iter()
@@ -237,12 +244,12 @@
             .find(|recorded| recorded.version == version)
     }
 
-    /// Resource with this key.
+    /// Resource of this kind and name, with its generation.
     pub fn get(&self, key: &ResourceKey) -> Option<&StoredResource> {
         self.resources.get(key)
     }
 
-    /// All resources, ordered by kind and name.
+    /// All resources in the order of their kinds and names.
     pub fn resources(&self) -> impl Iterator<Item = &StoredResource> {
         self.resources.values()
     }
@@ -274,7 +281,7 @@
             })
     }
 
-    /// Service with this name.
+    /// Looks up a service by name.
     pub fn service(&self, name: &ResourceName) -> Option<&Service> {
         match &*self.named(ResourceKind::Service, name)?.resource {
             Resource::Service(service) => Some(service),
@@ -282,7 +289,7 @@
         }
     }
 
-    /// Secret with this name.
+    /// Looks up a secret by name.
     pub fn secret(&self, name: &ResourceName) -> Option<&Secret> {
         match &*self.named(ResourceKind::Secret, name)?.resource {
             Resource::Secret(secret) => Some(secret),
@@ -305,7 +312,8 @@
         findings
     }
 
-    /// Encodes the state, prefixed with a BLAKE3 digest of its content.
+    /// Encodes the state as JSON after a BLAKE3 digest of that JSON, which detects
+    /// corruption.
     pub fn encode_snapshot(&self) -> Vec<u8> {
         let content = serde_json::to_vec(self).expect("the state is serializable as JSON");
         let mut snapshot = blake3::hash(&content).as_bytes().to_vec();
@@ -313,12 +321,12 @@
         snapshot
     }
 
-    /// Encodes the state as a zstd-compressed snapshot for a peer.
+    /// Like [`ConfigState::encode_snapshot`], compressed with zstd to send it to a peer.
     pub fn encode_compressed_snapshot(&self) -> Vec<u8> {
         compress(&self.encode_snapshot())
     }
 
-    /// Decodes a snapshot, compressed or not, and verifies its digest and the rules of the
+    /// Decodes a snapshot, compressed or not. Verifies its digest and the rules of the
     /// configuration.
     pub fn decode_snapshot(bytes: &[u8]) -> Result<ConfigState, SnapshotError> {
         let bytes = decompress(bytes)?;
--- a/crates/rampthread-core/src/config/tenant.rs
+++ b/crates/rampthread-core/src/config/tenant.rs
@@ -18,18 +18,20 @@
 /// Resolution of a limit: units per request.
 const UNITS_PER_REQUEST: f64 = 1_000.0;
 
-/// Digest of a tenant's key. `Debug` and error messages do not show it.
+/// BLAKE3 digest of a tenant's key, which identifies the key without revealing it. `Debug`
+/// and error messages do not show it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
-/// The text is not a key digest. The error does not show the text, which may be a key.
+/// Error for a text that is not a key digest. It does not contain the text, which may be a
+/// key.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not a key digest")]
 pub struct InvalidKeyDigest;
 
 impl KeyDigest {
-    /// Computes the digest of `key`.
+    /// Derives the digest from the plaintext `key`.
     pub fn of(key: &str) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(KEY_DERIVATION_CONTEXT);
         hasher.update(key.as_bytes());
@@ -60,12 +62,13 @@
     }
 }
 
-/// A number of requests, in units of 1/1000 request.
+/// A number of requests with a resolution of 1/1000, for rates and bursts of tenants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct RequestCount(u64);
 
-/// The number is not a valid request count.
+/// Error for a number that is negative, too large or not finite, and so is no
+/// [`RequestCount`].
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 #[error("{0} is not a number from 0 to 1000000000")]
 pub struct InvalidRequestCount(pub f64);
@@ -99,9 +102,10 @@
 /// Rate limit of one tenant, summed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimit {
-    /// Sustained rate in requests per second.
+    /// Average number of requests per second that the tenant may send.
     pub rate: f64,
-    /// Requests that a tenant may send beyond the rate after a period without load.
+    /// Number of requests that the tenant may send beyond the rate after a period without
+    /// requests.
     pub burst: f64,
 }
 
@@ -117,10 +121,11 @@
     /// route; 0 is the highest. `None` uses the priority of the route.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u32>,
-    /// Sustained rate in requests per second; 0 means no limit.
+    /// Average number of requests per second that the tenant may send; 0 means no limit.
     #[serde(default, skip_serializing_if = "RequestCount::is_zero")]
     pub rate: RequestCount,
-    /// Requests allowed beyond the rate after a period without load.
+    /// Number of requests that the tenant may send beyond the rate after a period without
+    /// requests.
     #[serde(default, skip_serializing_if = "RequestCount::is_zero")]
     pub burst: RequestCount,
 }
--- a/crates/rampthread-core/src/findings.rs
+++ b/crates/rampthread-core/src/findings.rs
@@ -6,14 +6,15 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One error in an input.
+/// One validation error in a settings file, a resource file, a change set or a
+/// configuration state: where it is, what was found and what is accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// Location: a file and key path, such as `node.toml: limits.slots`.
+    /// Location of the error: a file and key path, such as `node.toml: limits.slots`.
     pub place: String,
-    /// The invalid value or condition that was found.
+    /// The invalid value or condition.
     pub found: String,
-    /// Description of the values that are accepted.
+    /// Which values or conditions are accepted instead.
     pub allowed: String,
 }
 
@@ -27,18 +28,18 @@
     }
 }
 
-/// List of the errors found in an input; empty if the input is valid.
+/// All validation errors found in an input; empty if the input is valid.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Creates an empty list.
+    /// Creates an empty list, to which checks add their errors.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds an error at `place`, with what was found there and what is accepted.
+    /// Adds a validation error at `place`, with what was found there and what is accepted.
     pub fn push(
         &mut self,
         place: impl Into<String>,
@@ -52,13 +53,13 @@
         });
     }
 
-    /// Moves all findings of `other` to the end of this list.
+    /// Adds all errors of `other` after those of this list.
     pub fn append(&mut self, other: Findings) {
         self.0.extend(other.0);
     }
 
-    /// The first `count` findings as text and the number of further ones, to keep log lines
-    /// short.
+    /// Formats the first `count` errors and the number of further ones, so that log lines
+    /// stay short.
     pub fn first(&self, count: usize) -> String {
         let shown = Findings(self.0.iter().take(count).cloned().collect());
         match self.0.len().saturating_sub(count) {
@@ -72,17 +73,17 @@
         self.0.is_empty()
     }
 
-    /// Number of errors found.
+    /// Number of validation errors found so far.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Findings in the order in which they were added.
+    /// Iterates over the validation errors in the order in which the checks found them.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.0.iter()
     }
 
-    /// Returns `Ok(value)` if there are no findings, else the findings.
+    /// Returns `Ok(value)` if the input is valid, else the errors.
     pub fn into_result<T>(self, value: T) -> Result<T, Findings> {
         if self.is_empty() {
             Ok(value)
--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -1,5 +1,5 @@
-//! Announcement of the local backend: as it reports itself, or as recorded before this node
-//! restarted.
+//! Announcement of the local backend to peers: the endpoint that the backend reports
+//! itself, or the one recorded before this node restarted.
 
 use super::Agent;
 use crate::fleet::action::{Action, Decision, Outbox};
@@ -8,7 +8,8 @@
 use crate::ids::InstanceId;
 use crate::time::Moment;
 
-/// Result of handling a report of the local backend.
+/// Result of handling a report of the local backend: the driver carries out the actions,
+/// then acknowledges the report or not.
 #[derive(Debug)]
 pub struct HandledReport {
     /// Actions that the driver must carry out.
@@ -19,8 +20,8 @@
 }
 
 impl Agent {
-    /// Drops a restored endpoint when its time is over and the backend has not reported
-    /// since.
+    /// Drops an endpoint restored after a restart when its time is over and the backend has
+    /// not reported since.
     pub(super) fn drop_unconfirmed_backend(&mut self, now: Moment, outbox: &mut Outbox) {
         if self
             .restored_endpoint_expiry
@@ -33,7 +34,7 @@
             self.set_endpoint(None, outbox);
         }
     }
-    /// Replaces the announced endpoint and logs the change.
+    /// Replaces the announced endpoint of the local backend and logs the change.
     fn set_endpoint(&mut self, endpoint: Option<EndpointRecord>, outbox: &mut Outbox) {
         let endpoint = endpoint.map(|endpoint| self.with_known_speed(endpoint));
         outbox.log_decision(Decision::BackendChanged {
@@ -42,7 +43,8 @@
         self.endpoint = endpoint;
     }
 
-    /// Keeps the measured speed of the same instance, since reports do not contain it.
+    /// Copies the measured speed into a newly reported endpoint of the same backend
+    /// instance, since backend reports do not contain a speed.
     fn with_known_speed(&self, endpoint: EndpointRecord) -> EndpointRecord {
         let present = self.endpoint.as_ref();
         let same = present.filter(|present| present.instance == endpoint.instance);
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Records the steady-state speed that the gate of this node measured for `instance`,
-    /// in percent.
+    /// Records the steady-state speed that this node has measured for the backend
+    /// `instance`, in percent of the service's usual speed, and announces it if it has changed.
     pub fn record_backend_speed(
         &mut self,
         instance: &InstanceId,
@@ -73,7 +75,7 @@
         };
         self.announce_endpoint(Some(endpoint), now)
     }
-    /// Handles a report of the local backend.
+    /// Handles a heartbeat or departure report that the local backend sent to this node.
     pub fn on_backend_report(&mut self, report: BackendReport, now: Moment) -> HandledReport {
         let (actions, acknowledge) = match self.reported.apply_report(report, now) {
             ReportStatus::Changed(endpoint) => (self.apply_reported_endpoint(endpoint, now), true),
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Records a departure in the store at once, so that it outlives all nodes that receive
-    /// it now.
+    /// Announces a reported endpoint. A departure is also recorded in the store at once, so
+    /// that the record outlives all nodes that receive the announcement.
     fn apply_reported_endpoint(&mut self, endpoint: EndpointRecord, now: Moment) -> Vec<Action> {
         let mut actions = self.announce_endpoint(Some(endpoint.clone()), now);
         if endpoint.draining {
@@ -96,7 +98,8 @@
         actions
     }
 
-    /// Instance of the local backend that reported last, and when.
+    /// Backend instance of the latest report that counted, and the time of the report;
+    /// `None` before the first report.
     pub fn last_backend_report(&self) -> Option<(&InstanceId, Moment)> {
         self.reported.last_report()
     }
@@ -143,17 +146,18 @@
         }
         Vec::new()
     }
-    /// Replaces the announced endpoint and sends it to peers at once.
+    /// Replaces the announced endpoint of the local backend and sends the change to peers
+    /// at once.
     fn announce_endpoint(&mut self, endpoint: Option<EndpointRecord>, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.set_endpoint(endpoint, &mut outbox);
         self.announce(now);
         self.send_updates_now(now, &mut outbox);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// Sends urgent updates at once unless some were sent a moment ago, and relays
-    /// departures immediately.
+    /// Sends urgent member updates to peers at once unless some were sent a moment ago.
+    /// Relays backend departures in any case.
     pub(super) fn send_urgent_updates(&mut self, now: Moment, outbox: &mut Outbox) {
         self.membership
             .forward_departures(self.adoption.version(), outbox);
@@ -162,14 +166,15 @@
         }
     }
 
-    /// Sends this node's updates without waiting for the next gossip round.
+    /// Sends this node's member updates to peers without waiting for the next gossip round.
     pub(super) fn send_updates_now(&mut self, now: Moment, outbox: &mut Outbox) {
         let held = self.adoption.version();
         self.membership
             .gossip_updates(now, held, &self.settings, &mut self.rng, outbox);
     }
 
-    /// Endpoint that this node announces for its backend, if any.
+    /// Endpoint of the local backend that this node announces; `None` while no backend is
+    /// known.
     pub fn endpoint(&self) -> Option<&EndpointRecord> {
         self.endpoint.as_ref()
     }
--- a/crates/rampthread-core/src/fleet/agent/conditions.rs
+++ b/crates/rampthread-core/src/fleet/agent/conditions.rs
@@ -1,4 +1,5 @@
-//! Conditions that this node announces of itself, and the start of a drain.
+//! Conditions of this node that its member record announces to peers (log reader, draining,
+//! ready, backend up), and the start of a drain.
 
 use super::Agent;
 use crate::fleet::action::{Action, Decision, Outbox};
@@ -9,8 +10,8 @@
 use crate::time::Moment;
 
 impl Agent {
-    /// Announces that this node accepts no new work; `origin` is logged. Has no effect when
-    /// it is draining already.
+    /// Announces that this node accepts no new calls for its backend, and logs `origin`,
+    /// the cause of the drain. Does nothing while the node is draining.
     pub(super) fn start_drain(&mut self, origin: &str, outbox: &mut Outbox) {
         if self.draining {
             return;
@@ -24,8 +25,8 @@
         outbox.actions.push(Action::StartDrain);
     }
 
-    /// Notifies a node that the machine list marks as leaving. A reader may see the list
-    /// before the node itself does.
+    /// Notifies the node `id`, which the machine list marks as leaving, that it must drain.
+    /// A log reader may see the machine list before that node does.
     pub(super) fn notify_drain(&mut self, id: &NodeId, outbox: &mut Outbox) {
         let knows = self
             .membership
@@ -36,6 +37,7 @@
         }
     }
 
+    /// Current conditions of this node, with the log reader condition as last announced.
     pub(super) fn conditions(&self) -> Conditions {
         Conditions {
             reader: self.membership.me().conditions.reader,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Updates this node's own member record.
+    /// Updates this node's own member record, which peers receive by gossip.
     pub(super) fn announce(&mut self, now: Moment) {
         let reader = match self.settings.source {
             ConfigSource::ChangeLog => self.reader.holds_lease(now),
--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -1,9 +1,12 @@
-//! Dissemination of backend crash reports.
+//! Dissemination of crash reports. A crash report says that a backend crashed while it ran
+//! a certain request; a request that has crashed several backends is a poison request and
+//! is quarantine_decision.
 //!
-//! A report is sent at once to the whole zone and to some members of each other zone, which
-//! forward it within theirs, and is repeated for a few rounds. Probes carry a digest of the
-//! table, so that a node that was partitioned, lost messages or has just started
-//! synchronizes with the first peer that answers.
+//! A node sends a new report at once to its whole zone and to some members of each other
+//! zone, which forward it within their zones. The report is repeated for a few gossip
+//! rounds. Probes carry a digest of the crash table. When digests differ, two nodes compare
+//! their crash tables, so that a node that was partitioned, lost messages or has just
+//! started learns the reports it lacks.
 
 use super::Agent;
 use crate::call::identity::RequestIdentity;
@@ -18,33 +21,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Reports in one message, so that it fits a datagram.
+/// Maximum number of crash reports in one message, so that it fits a datagram.
 const REPORTS_PER_MESSAGE: usize = 12;
-/// Reports sent in one comparison about requests that crashed several backends; about 64
-/// kB.
+/// Maximum number of crash reports about poison requests in one comparison of crash tables;
+/// about 64 kB.
 const POISON_REPORTS_PER_COMPARISON: usize = 1_024;
-/// Reports sent in one comparison about requests that crashed a single backend, sampled at
-/// random if there are more; about 16 kB.
+/// Maximum number of recent crash reports about other requests in one comparison of crash
+/// tables, sampled at random if there are more; about 16 kB.
 const RECENT_REPORTS_PER_COMPARISON: usize = 256;
-/// Members of each other zone to which a new report is sent.
+/// Number of members of each other zone to which a node sends a new crash report.
 const REMOTE_ZONE_FANOUT: usize = 2;
-/// Rounds in which the node that observed a crash repeats its report. At 30% message loss,
-/// 1 of 1,000 zones misses all of them and recovers by comparison.
+/// Number of gossip rounds in which the node that observed a crash repeats its report. At
+/// 30% message loss, 1 of 1,000 zones misses all rounds and learns the report when crash
+/// tables are compared.
 const ORIGIN_GOSSIP_ROUNDS: u32 = 3;
-/// Rounds in which other nodes repeat a report.
+/// Number of gossip rounds in which a node repeats a crash report received from a peer.
 const FORWARD_GOSSIP_ROUNDS: u32 = 3;
-/// Rounds in which the clearing of an earlier crash is sent once a later crash makes it
-/// relevant. Low, since many nodes may send it.
+/// Number of gossip rounds in which a node sends that an earlier crash of a request does
+/// not count any more, once the same request crashes another backend. Low, since many nodes
+/// may send the same.
 const CLEARING_GOSSIP_ROUNDS: u32 = 2;
-/// Members of the own zone to which reports are sent in a round.
+/// Number of members of the same zone to which a node sends crash reports in a gossip
+/// round.
 const LOCAL_ZONE_FANOUT: usize = 2;
-/// Shortest interval between two comparisons started by this node.
+/// Shortest interval between two crash table comparisons that this node starts because of a
+/// probe.
 const MIN_COMPARISON_INTERVAL: Duration = Duration::from_millis(250);
-/// Number of further comparisons after one that found a difference; at 30% message loss,
-/// one in four succeeds.
+/// Number of crash table comparisons with further peers after a probe has shown a different
+/// digest. At 30% message loss, one in four comparisons completes.
 const COMPARISONS_AFTER_MISMATCH: u32 = 8;
-/// Comparisons that a node starts after its start or a suspension, one per round. More than
-/// one, since the first peer may have just stopped and probes are a second apart.
+/// Number of crash table comparisons with peers that a node starts, one per gossip round,
+/// after its start or a suspension. One might reach a peer that has just stopped, and the
+/// next probe comes a second later.
 const COMPARISONS_AT_START: u32 = 4;
 /// Remaining gossip rounds of a crash report.
 #[derive(Debug, Clone, Copy)]
@@ -61,15 +69,16 @@
     /// Reports to send in the next gossip rounds.
     pending_gossip: BTreeMap<ReportKey, Transmissions>,
     next_round: Moment,
-    /// Earliest time of the next comparison triggered by a probe.
+    /// Earliest time at which a probe may trigger the next crash table comparison.
     next_comparison: Moment,
-    /// Comparisons still to be started: after a start, a suspension or a digest mismatch.
+    /// Number of crash table comparisons still to be started after a start, a suspension or
+    /// a digest mismatch.
     comparisons_left: u32,
-    /// Cached digest of the reports on poison requests.
+    /// Cached digest of the crash reports about poison requests.
     digest: u64,
     /// Revision of the crash table for which `digest` was computed.
     digest_revision: u64,
-    /// Time of the last tick or probe; digests in outgoing probes are computed for it.
+    /// Time of the last tick or probe, for which digests in outgoing probes are computed.
     now: Moment,
 }
 
@@ -88,12 +97,13 @@
         }
     }
 
-    /// Schedules comparisons as after a start, since the table may be outdated.
+    /// Schedules crash table comparisons with peers as after a start, since the table may
+    /// be outdated.
     pub(super) fn schedule_comparisons(&mut self) {
         self.comparisons_left = COMPARISONS_AT_START;
     }
-    /// Digest carried by probes: covers reports on poison requests (those that crashed
-    /// several backends) and reports of the last seconds.
+    /// Digest of the crash reports that nodes compare: those about poison requests, and
+    /// those of the last seconds. Each probe carries it.
     fn digest(&mut self) -> u64 {
         if self.digest_revision != self.table.revision() {
             self.digest_revision = self.table.revision();
@@ -109,7 +119,8 @@
         &self.crashes.table
     }
 
-    /// Records crashes observed by this node, or corrections of them, and announces them.
+    /// Records crash reports of this node's own observations, which may also withdraw
+    /// earlier reports, and sends them to peers.
     pub fn report_crashes(&mut self, reports: &[CrashReport], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         let recorded = self.crashes.table.poison_reports(now);
@@ -117,18 +128,19 @@
         self.persist_poison_crashes(&new, now, &mut outbox);
         retract_recorded_crashes(&recorded, &new, &mut outbox);
         self.broadcast_crash_reports(new, now, &mut outbox);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// Records reports that need no announcement: received with a peer's response, which
-    /// other nodes get as well, or read from the store.
+    /// Merges crash reports that need not be sent to peers: those that came with a peer's
+    /// response to a call, which the peer itself sends to the fleet, and those read from
+    /// the store.
     pub fn merge_crash_reports(&mut self, reports: &[CrashReport], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.merge_reports(reports, now, &mut outbox);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
-    /// Stores all crashes of a request that has crashed enough backends to be quarantined.
-    /// Done by the node that observed the last crash.
+    /// Stores all crashes of each poison request in `new`. Only the node that observed the
+    /// last crash does so.
     fn persist_poison_crashes(&self, new: &[CrashReport], now: Moment, outbox: &mut Outbox) {
         let identities: BTreeSet<RequestIdentity> = new
             .iter()
@@ -142,8 +154,8 @@
             }
         }
     }
-    /// Clears the crashes of a request up to `until`: a backend answered the request then,
-    /// or an operator lifted its quarantine.
+    /// Makes the crashes of a request up to `until` count no more, because a backend
+    /// answered the request then or an operator lifted its quarantine.
     pub fn clear_request(
         &mut self,
         identity: &RequestIdentity,
@@ -161,17 +173,18 @@
                 origin: origin.to_string(),
             });
         }
-        // The clearing of a single crash matters only when a second crash follows, and is
-        // sent then. This saves traffic after a crash with many calls in
-        // flight.
+        // Peers need to learn that a single crash does not count only if the request
+        // crashes a second backend, and are told then. This saves traffic after a crash
+        // with many calls in flight.
         if crashes >= QUARANTINE_CRASHES {
             outbox.actions.push(Action::ForgetCrashes(cleared.clone()));
             self.broadcast_crash_reports(cleared, now, &mut outbox);
         }
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// Sends pending reports, starts due comparisons and drops expired reports.
+    /// Sends pending crash reports, starts due crash table comparisons and drops expired
+    /// reports, once per gossip round.
     pub(super) fn tick_crash_gossip(&mut self, now: Moment, outbox: &mut Outbox) {
         self.crashes.now = now;
         let idle = self.crashes.table.is_empty() && self.crashes.comparisons_left == 0;
@@ -180,7 +193,7 @@
         }
         self.crashes.next_round = now + self.settings.gossip_interval;
         self.crashes.table.forget_old(now);
-        self.continue_comparisons(now, outbox);
+        self.start_scheduled_comparison(now, outbox);
         let due = std::mem::take(&mut self.crashes.pending_gossip);
         let (mut same_zone, mut other_zones) = (Vec::new(), Vec::new());
         for (key, transmissions) in due {
@@ -211,8 +224,8 @@
         send_reports(&targets, &other_zones, outbox);
     }
 
-    /// Handles a peer's reports. `all` marks a comparison with everything that the peer
-    /// holds; the response contains what it lacks.
+    /// Handles crash reports of a peer. `all` marks a crash table comparison: the message
+    /// contains everything that the peer holds, and the reply contains what the peer lacks.
     pub(super) fn on_crash_reports(
         &mut self,
         from: &NodeId,
@@ -244,7 +257,8 @@
         send_reports(std::slice::from_ref(from), &answer, outbox);
     }
 
-    /// Starts a comparison when a probe or its response carries a different digest.
+    /// Starts a crash table comparison when a peer's probe or acknowledgement carries
+    /// another digest than this node's.
     pub(super) fn compare_crashes(
         &mut self,
         peer: &NodeId,
@@ -264,33 +278,36 @@
         if now >= self.crashes.next_comparison {
             self.crashes.next_comparison = now + MIN_COMPARISON_INTERVAL;
             self.crashes.comparisons_left = COMPARISONS_AFTER_MISMATCH;
-            self.begin_comparison(peer, now, outbox);
+            self.start_crash_table_comparison(peer, now, outbox);
         }
     }
 
-    /// Compares with several peers at once when this node first learns of peers: successive
-    /// random choices may all hit a peer that has just stopped.
+    /// Starts crash table comparisons with several peers at once when this node first
+    /// learns of peers. Successive random choices may all hit a peer that has just stopped.
     pub(super) fn compare_with_several_peers(&mut self, now: Moment, outbox: &mut Outbox) {
         let same_zone = self.membership.same_zone_peers().cloned();
         let peers = rendezvous::order(self.identity.id.as_str(), same_zone);
         for peer in peers.iter().take(COMPARISONS_AT_START as usize) {
-            self.begin_comparison(peer, now, outbox);
+            self.start_crash_table_comparison(peer, now, outbox);
         }
     }
 
-    /// Starts the next scheduled comparison. Probes alone are too slow: they are a second
-    /// apart, and messages or peers may be lost.
-    fn continue_comparisons(&mut self, now: Moment, outbox: &mut Outbox) {
+    /// Starts the next scheduled crash table comparison with a random peer. Probes alone
+    /// would synchronize a new node too slowly: they are a second apart, and messages are
+    /// lost.
+    fn start_scheduled_comparison(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.crashes.comparisons_left == 0 {
             return;
         }
         if let Some(peer) = self.membership.random_peer_preferring_zone(&mut self.rng) {
             self.crashes.comparisons_left -= 1;
-            self.begin_comparison(&peer, now, outbox);
+            self.start_crash_table_comparison(&peer, now, outbox);
         }
     }
 
-    fn begin_comparison(&mut self, peer: &NodeId, now: Moment, outbox: &mut Outbox) {
+    /// Sends this node's crash reports to `peer`, which replies with those that this node
+    /// lacks.
+    fn start_crash_table_comparison(&mut self, peer: &NodeId, now: Moment, outbox: &mut Outbox) {
         let reports = self.compared_reports(now);
         outbox.send(
             peer,
@@ -301,8 +318,8 @@
         );
     }
 
-    /// Reports for a comparison: those on quarantined requests, and a sample of those of
-    /// the last seconds.
+    /// Crash reports to send in a crash table comparison: those about poison requests, and
+    /// a random sample of those of the last seconds.
     fn compared_reports(&mut self, now: Moment) -> Vec<CrashReport> {
         let table = &self.crashes.table;
         let mut reports = table.poison_reports(now);
@@ -321,7 +338,8 @@
         }
     }
 
-    /// Merges reports into the table and returns the new ones.
+    /// Merges crash reports into the table, logs new quarantines and returns the reports
+    /// that were new.
     fn merge_reports(
         &mut self,
         reports: &[CrashReport],
@@ -341,14 +359,14 @@
             let standing = self.crashes.table.standing(&report.identity, now);
             if let QuarantineState::Quarantined { left, .. } = standing {
                 let against = self.crashes.table.uncleared_reports(&report.identity, now);
-                outbox.log_decision(quarantined(report.identity, &against, left));
+                outbox.log_decision(quarantine_decision(report.identity, &against, left));
             }
         }
         new
     }
 
-    /// Sends new reports to the whole zone and to some members of each other zone, and
-    /// schedules repeats.
+    /// Sends new crash reports to the whole zone and to some members of each other zone,
+    /// and schedules repeats.
     fn broadcast_crash_reports(&mut self, new: Vec<CrashReport>, now: Moment, outbox: &mut Outbox) {
         let direct = self.settings.direct_update_fanout;
         let same_zone = self
@@ -362,8 +380,8 @@
         self.schedule_repeats(new, ORIGIN_GOSSIP_ROUNDS, true, now);
     }
 
-    /// Forwards new reports: those from another zone to the whole own zone, others only in
-    /// gossip rounds.
+    /// Forwards new crash reports of a peer: those from another zone to this whole zone at
+    /// once, others only in gossip rounds.
     fn forward_crash_reports(
         &mut self,
         from: &NodeId,
@@ -384,7 +402,7 @@
     fn zone_of(&self, node: &NodeId) -> Option<&Zone> {
         self.membership.record(node).map(|record| &record.zone)
     }
-    /// Schedules reports for `left` gossip rounds.
+    /// Schedules crash reports to be sent in the next `left` gossip rounds.
     fn schedule_repeats(
         &mut self,
         reports: Vec<CrashReport>,
@@ -406,7 +424,8 @@
         }
     }
 }
-/// Removes withdrawn crashes of poison requests from the store, where they may be recorded.
+/// Removes withdrawn crashes of poison requests from the store, where the crashes may be
+/// recorded.
 fn retract_recorded_crashes(recorded: &[CrashReport], new: &[CrashReport], outbox: &mut Outbox) {
     let recorded: BTreeSet<ReportKey> = recorded.iter().map(CrashReport::key).collect();
     let withdrawn: Vec<CrashReport> = new
@@ -422,8 +441,12 @@
 fn is_same_report(left: &CrashReport, right: &CrashReport) -> bool {
     left.on_trial == right.on_trial && left.key() == right.key()
 }
-/// Log entry for a request that has been quarantined.
-fn quarantined(identity: RequestIdentity, against: &[CrashReport], left: Duration) -> Decision {
+/// Log entry for a request that has been quarantine_decision.
+fn quarantine_decision(
+    identity: RequestIdentity,
+    against: &[CrashReport],
+    left: Duration,
+) -> Decision {
     Decision::RequestQuarantined {
         identity,
         instances: against
--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -179,11 +179,13 @@
                 .on_answer(&from, process_epoch, submission, answer, outbox),
             Message::PropagationQuery { nonce } => {
                 if self.reader.holds_lease(now) {
-                    let status = self.spread();
+                    let status = self.propagation_status();
                     outbox.send(&from, Message::PropagationReply { nonce, status });
                 }
             }
-            Message::PropagationReply { nonce, status } => self.on_spread(nonce, status, outbox),
+            Message::PropagationReply { nonce, status } => {
+                self.on_propagation_reply(nonce, status, outbox)
+            }
             Message::CrashReports { reports, complete } => {
                 self.on_crash_reports(&from, &reports, complete, now, outbox);
             }
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -1,8 +1,10 @@
-//! Restart floor: the lowest version that a restarted node may activate. Nothing is active
-//! before it is known.
+//! Restart floor: the lowest version that a restarted node may activate, so that it never
+//! goes back behind a version it activated before the restart. The node activates nothing
+//! until the restart floor is known.
 //!
-//! Two queries run in parallel, and the first answer counts: the head of the log, read
-//! after this process asked for it, and the records of this id's witnesses.
+//! Two queries run in parallel, and the first answer counts: the head of the change log,
+//! read after this process asked for it, and the records of witness nodes (peers that
+//! record which version this node holds).
 
 use super::{Agent, Defect};
 use crate::fleet::action::{Decision, FloorSource, Outbox};
@@ -13,7 +15,8 @@
 use rand::Rng;
 
 impl Agent {
-    /// Sends the queries for the restart floor at the retry interval until it is known.
+    /// Sends the queries for the restart floor, and repeats them until the restart floor is
+    /// known.
     pub(super) fn request_floor(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_some() || now < self.next_floor_query {
             return;
@@ -34,7 +37,7 @@
             outbox,
         );
     }
-    /// Queries all readers for the head of the log.
+    /// Queries all log readers for the head of the change log.
     pub(super) fn request_head(&mut self, outbox: &mut Outbox) {
         let nonce = self.head_nonce;
         let me = &self.identity.id;
@@ -46,7 +49,8 @@
             outbox.send(&reader.id, Message::HeadQuery { nonce });
         }
     }
-    /// Handles a reader's reply with the head of the log.
+    /// Handles a log reader's reply with the head of the change log. Replies to queries of
+    /// an earlier process are ignored by their nonce.
     pub(super) fn on_head(&mut self, nonce: u64, head: Version, now: Moment, outbox: &mut Outbox) {
         if nonce != self.head_nonce || self.floor.is_some() {
             return;
@@ -54,8 +58,8 @@
         self.replica.observe_version(head);
         self.apply_head(head, now, outbox);
     }
-    /// Takes the head of the log as the restart floor once the replica has reached it. The
-    /// head is at or above every version that this node id ever held.
+    /// Sets the restart floor to the head of the change log once this node has received all
+    /// entries up to it. The head is at or above every version that this node id ever held.
     pub(super) fn apply_head(&mut self, head: Version, now: Moment, outbox: &mut Outbox) {
         if self.replica.version() >= head {
             self.confirm_floor(head, FloorSource::Store, now, outbox);
@@ -63,13 +67,15 @@
             self.target_head = Some(head);
         }
     }
-    /// Sets the floor once the replica has reached a head received earlier.
+    /// Sets the restart floor once this node has caught up with the head of the change log
+    /// that a log reader replied earlier.
     pub(super) fn recheck_floor(&mut self, now: Moment, outbox: &mut Outbox) {
         if let Some(head) = self.target_head {
             self.apply_head(head, now, outbox);
         }
     }
-    /// Sets the floor once enough witnesses have replied.
+    /// Sets the restart floor once enough witness nodes have replied which version they
+    /// have recorded for this node.
     pub(super) fn evaluate_witnesses(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_some() {
             return;
@@ -83,7 +89,7 @@
             }
         }
     }
-    /// Sets the restart floor, from which on versions may become active.
+    /// Sets the restart floor. From then on versions at or above it may become active.
     pub(super) fn confirm_floor(
         &mut self,
         floor: Version,
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -55,7 +55,7 @@
             self.collect_decided_proposals(now);
         }
         if self.floor.is_none() {
-            // A newer state may name other witnesses: query them soon.
+            // A newer state may name other witness nodes: query them soon.
             self.next_floor_query = now;
             return;
         }
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Activates versions that enough witnesses have acknowledged.
+    /// Activates versions that enough witness nodes have acknowledged, then sends due
+    /// version notices and proposal replies.
     pub(super) fn activate_ready_versions(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.floor.is_none() {
             self.recheck_floor(now, outbox);
@@ -114,7 +115,7 @@
         self.answer_replicated_proposals(now, outbox);
     }
 
-    /// Sends version notices and pulls that are due.
+    /// Sends version notices to peers and pulls versions from peers as far as they are due.
     pub(super) fn tick_distribution(&mut self, now: Moment, outbox: &mut Outbox) {
         self.distribution.tick(
             now,
@@ -125,7 +126,7 @@
             outbox,
         );
     }
-    /// Makes `state` the active configuration and logs where it came from.
+    /// Makes `state` the active configuration for new calls, and logs where it came from.
     pub(super) fn activate(&mut self, state: Arc<ConfigState>, now: Moment, outbox: &mut Outbox) {
         let version = state.version();
         outbox.actions.push(Action::Adopt(state));
--- a/crates/rampthread-core/src/fleet/agent/machines.rs
+++ b/crates/rampthread-core/src/fleet/agent/machines.rs
@@ -8,8 +8,8 @@
 use crate::time::Moment;
 
 impl Agent {
-    /// Applies the platform's machine list; starts a drain when it marks this node as
-    /// leaving.
+    /// Replaces the platform's machine list. If the list marks this node as leaving, this
+    /// node starts to drain.
     pub fn set_machines(&mut self, machines: &[Machine], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.update_machines(now, &mut outbox, |membership| {
@@ -22,21 +22,21 @@
                 self.notify_drain(&machine.id, &mut outbox);
             }
         }
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// Adds machines that are not known yet.
+    /// Adds machines that are not known yet, without removing any.
     pub fn add_machines(&mut self, machines: &[Machine], now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.update_machines(now, &mut outbox, |membership| {
             membership.add_machines(machines, now);
         });
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// Updates the known machines. When this node had no peers before, it contacts some at
-    /// once rather than with the next probe, and updates its watcher role before it reads
-    /// the document.
+    /// Updates the known machines with `learn`. If this node had no peers before, it
+    /// contacts some at once rather than with the next probe, and finds out whether it is a
+    /// document watcher before it reads the document.
     fn update_machines(
         &mut self,
         now: Moment,
@@ -54,14 +54,15 @@
         }
     }
 
-    /// Stops accepting new work for the backend; `origin` names who requested it.
+    /// Stops accepting new calls for the local backend; `origin` names who requested it,
+    /// for the log.
     pub fn drain(&mut self, origin: &str) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.start_drain(origin, &mut outbox);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// Records the result of the backend's health check.
+    /// Records whether the health checks of the local backend succeed.
     pub fn set_backend_up(&mut self, up: bool) {
         self.backend_up = up;
     }
@@ -71,6 +72,6 @@
         let mut outbox = Outbox::default();
         self.reader.release(&mut outbox);
         self.membership.leave(&mut self.rng, &mut outbox);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 }
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -55,11 +55,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-/// Number of rejected submissions that a log reader remembers, so that a delayed duplicate
-/// of one is not executed later.
+/// Number of rejected submissions of proposals that a log reader remembers, so that a
+/// delayed duplicate of one is not executed later.
 const MAX_REJECTED_SUBMISSIONS: usize = 4_096;
-/// Log entries kept behind the newest snapshot when this node, as a reader, truncates the
-/// log.
+/// Number of log entries kept behind the newest snapshot when this node, as a log reader,
+/// truncates the change log.
 const RETAINED_LOG_ENTRIES: u64 = 128;
 /// Id, address and location of the node that an [`Agent`] controls.
 #[derive(Debug, Clone)]
@@ -75,16 +75,16 @@
     /// Wall-clock time at which the process started, in microseconds since the Unix epoch.
     pub process_epoch: ProcessEpoch,
 }
-/// Fault that a test injects to prove that its property check detects the fault.
+/// Fault that a test injects into an agent to prove that a property test detects it.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Defect {
-    /// The node activates versions without witness acknowledgements.
+    /// The agent activates versions without acknowledgements of witness nodes.
     SkipWitnesses,
-    /// A restarted node activates the first state that a peer sends, below its restart
-    /// floor.
+    /// A restarted agent activates the first state that a peer sends, though it may be
+    /// below the restart floor.
     SkipFloor,
-    /// The node reports a write whose store response was lost as "not run".
+    /// The agent reports a write whose store response was lost as "not run".
     LostAnswerIsRefusal,
 }
 /// A decided proposal whose reply waits until enough other nodes hold its version.
@@ -100,12 +100,13 @@
 #[derive(Debug)]
 struct PropagationQuery {
     ticket: Ticket,
-    /// Random number that the reader's reply must repeat.
+    /// Random number that the reply of the log reader must repeat.
     nonce: u64,
     sent: Moment,
 }
 
-/// Control plane of one node, as a state machine without I/O.
+/// Control plane of one node: a state machine that decides about membership, configuration
+/// versions and rollouts without doing I/O.
 #[derive(Debug)]
 pub struct Agent {
     settings: FleetSettings,
@@ -127,29 +128,31 @@
     history: DocumentHistory,
     /// Time of the next store read in document mode; `None` while this node does not lag.
     next_store_read: Option<Moment>,
-    /// Newest era of the store that this node has seen or a peer has announced. The store
-    /// raises its era by one when it is restored from an older copy.
+    /// Newest store era that this node has seen or a peer has announced. The store raises
+    /// its era by one each time it is restored from an older copy.
     newest_known_era: u64,
     /// Where the newest state came from: the change log, the store's document or a peer.
     learnt_from: VersionSource,
-    /// Selection of document watchers, and whether the store answers this node.
+    /// Selection of the document watchers, and whether the store answers this node.
     store_watch: StoreWatch,
     /// Highest transfer rate seen for a document read, in bytes per second.
     link_bytes_per_second: f64,
     /// Estimated time of a document read at `link_bytes_per_second`.
     estimated_read_time: Duration,
-    /// Active state, and newer states that wait for witness acknowledgements.
+    /// Active state, and newer states that wait for acknowledgements of witness nodes.
     adoption: VersionActivation,
-    /// Versions that this node has recorded as a witness of other nodes.
+    /// Versions that this node has recorded as a witness node of other nodes.
     witness_records: WitnessRecords,
-    /// Query for the restart floor to the witnesses of this node.
+    /// Query for the restart floor to the witness nodes of this node.
     floor_query: FloorQuery,
-    /// Lowest version that this process may activate; `None` until it is known.
+    /// Restart floor: lowest version that this process may activate; `None` until it is
+    /// known.
     floor: Option<Version>,
-    /// Head of the log, read after this process asked for it, that the replica has not
-    /// reached yet.
+    /// Head of the change log that a log reader replied to this process, while entries up
+    /// to it are missing here.
     target_head: Option<Version>,
-    /// Random number that replies to this process's head queries must repeat.
+    /// Random number that replies to this process's queries for the head of the change log
+    /// must repeat.
     head_nonce: u64,
     next_floor_query: Moment,
     ready: bool,
@@ -160,13 +163,13 @@
     rejected_submissions: VecDeque<Requester>,
     /// Versions that other nodes have reported to hold.
     holders: VersionHolders,
-    /// Unacknowledged reports of the active version to the readers.
+    /// Reports of the active version to the log readers, until they are acknowledged.
     reports: HeldVersionReports,
     proposals: ProposalForwarder,
     propagation_queries: Vec<PropagationQuery>,
     crashes: crash_gossip::CrashGossip,
     loads: LoadExchange,
-    /// `None` where rollouts are disabled.
+    /// State of rollouts on this node; `None` where the settings disable rollouts.
     rollouts: Option<rollouts::RolloutParticipant>,
     draining: bool,
     backend_up: bool,
@@ -262,18 +265,19 @@
         }
     }
 
-    /// Injects a fault, or removes it with `None`.
+    /// Injects a fault into the agent for a test, or removes it with `None`.
     #[doc(hidden)]
     pub fn set_defect(&mut self, defect: Option<Defect>) {
         self.defect = defect;
     }
 
-    /// Active configuration; meaningful once [`Agent::is_ready`] returns true.
+    /// Active configuration, by which this node handles calls. It is meaningful once
+    /// [`Agent::is_ready`] returns true.
     pub fn active(&self) -> &Arc<ConfigState> {
         self.adoption.active()
     }
 
-    /// Newest known state, active or not.
+    /// Newest configuration state that this node knows, which may not be active yet.
     pub fn staged(&self) -> &Arc<ConfigState> {
         self.replica.staged()
     }
@@ -289,22 +293,23 @@
         self.floor
     }
 
-    /// Member table of the fleet.
+    /// Members of the fleet as known to this node.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Number of node ids that this node is a witness of.
+    /// Number of nodes for which this node is a witness, that is, records which version
+    /// they hold.
     pub fn witnessed_id_count(&self) -> usize {
         self.witness_records.len()
     }
 
-    /// True while this node accepts no new work for its backend.
+    /// True while this node accepts no new calls for its backend.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Advances timers and returns the actions that are due.
+    /// Advances all timers to `now`. The driver calls it about ten times a second.
     pub fn tick(&mut self, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.detect_suspension(now, &mut outbox);
@@ -313,7 +318,7 @@
         self.tick_rollouts(now, &mut outbox);
         if self.settings.source == ConfigSource::Document {
             self.tick_with_document(now, &mut outbox);
-            return self.finish(outbox);
+            return self.collect_actions(outbox);
         }
         let held = self.adoption.version();
         self.membership
@@ -328,10 +333,11 @@
         self.answer_replicated_proposals(now, &mut outbox);
         self.expire_propagation_queries(now, &mut outbox);
         self.announce(now);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// Handles a message from a peer.
+    /// Handles a message from a peer, and detects from its process epoch when the peer has
+    /// restarted.
     pub fn on_message(&mut self, envelope: Envelope, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         if envelope.from == self.identity.id {
@@ -347,12 +353,12 @@
         self.activate_ready_versions(now, &mut outbox);
         self.announce(now);
         self.send_urgent_updates(now, &mut outbox);
-        let mut actions = self.finish(outbox);
+        let mut actions = self.collect_actions(outbox);
         actions.extend(self.restore_backend_from_peer(now));
         actions
     }
 
-    /// Handles the store's response to `request_id`.
+    /// Handles the response of the store to the request `request_id`.
     pub fn on_store(
         &mut self,
         request_id: RequestId,
@@ -380,28 +386,29 @@
         self.tick_reader(now, &mut outbox);
         self.activate_ready_versions(now, &mut outbox);
         self.announce(now);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// Submits an operator's change; the result follows as [`Action::AnswerProposal`].
+    /// Submits an operator's change set to a log reader. The result follows as
+    /// [`Action::AnswerProposal`] with the same ticket.
     pub fn propose(&mut self, ticket: Ticket, entry: SharedBytes, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.proposals.submit(ticket, entry, now);
         self.tick_proposals(now, &mut outbox);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// Answers an operator's query about the propagation of the newest version, if
-    /// necessary by asking a reader.
+    /// Answers an operator's query how many nodes hold the newest version, if necessary by
+    /// querying a log reader.
     pub fn query_propagation(&mut self, ticket: Ticket, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         let knows = self.settings.source == ConfigSource::Document;
         if knows || self.reader.holds_lease(now) {
-            let status = Some(self.spread());
+            let status = Some(self.propagation_status());
             outbox
                 .actions
                 .push(Action::AnswerPropagation { ticket, status });
-            return self.finish(outbox);
+            return self.collect_actions(outbox);
         }
         let reader = self
             .membership
@@ -413,7 +420,7 @@
             outbox
                 .actions
                 .push(Action::AnswerPropagation { ticket, status });
-            return self.finish(outbox);
+            return self.collect_actions(outbox);
         };
         let nonce = self.rng.random();
         let sent = now;
@@ -423,10 +430,12 @@
             sent,
         });
         outbox.send(&reader, Message::PropagationQuery { nonce });
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    fn finish(&mut self, outbox: Outbox) -> Vec<Action> {
+    /// Converts the collected messages and actions of one step to actions: adds the crash
+    /// digest to probes, and the address to each message.
+    fn collect_actions(&mut self, outbox: Outbox) -> Vec<Action> {
         let mut actions = outbox.actions;
         for (to, mut message) in outbox.messages {
             self.attach_crash_digest(&mut message);
@@ -447,6 +456,8 @@
         actions
     }
 
+    /// Detects from the time between two ticks that the process was suspended, and discards
+    /// knowledge that may be outdated.
     fn detect_suspension(&mut self, now: Moment, outbox: &mut Outbox) {
         let gap = self
             .last_tick
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -1,4 +1,5 @@
-//! Operator requests: proposals, their results, and the propagation of a version.
+//! Operator requests: proposed configuration changes with their results, and queries how
+//! far the newest version has propagated in the fleet.
 
 use super::{Agent, MAX_REJECTED_SUBMISSIONS, PendingReplication};
 use crate::config::{LogEntry, Outcome};
@@ -9,8 +10,8 @@
 use crate::time::Moment;
 
 impl Agent {
-    /// Sends and repeats open proposals; those addressed to this node itself are handled
-    /// directly.
+    /// Sends and repeats open proposals of change sets; those addressed to this node itself
+    /// are handled directly.
     pub(super) fn tick_proposals(&mut self, now: Moment, outbox: &mut Outbox) {
         let own = self.proposals.tick(
             now,
@@ -30,8 +31,8 @@
             self.on_propose(requester, process_epoch, proposal.entry, now, outbox);
         }
     }
-    /// Handles a proposal as a reader: answers it if it is decided or cannot be written,
-    /// else queues its write.
+    /// Handles a proposed change set as a log reader: replies if the change set is decided
+    /// or cannot be written, else queues its write to the change log.
     pub(super) fn on_propose(
         &mut self,
         requester: Requester,
@@ -60,7 +61,8 @@
             self.await_replication(operation_id, version, outcome, vec![requester], now);
             return;
         }
-        // Also without a lease: a write of this operation may be in flight.
+        // This node may have lost its reader lease while a write of this change set is in
+        // flight, so the requester waits for that write in any case.
         if self.writer.add_requester(&operation_id, &requester) {
             return;
         }
@@ -74,8 +76,8 @@
         }
         self.tick_reader(now, outbox);
     }
-    /// Sends the result of a proposal to the node that submitted it, and remembers rejected
-    /// submissions.
+    /// Sends the result of a proposed change set to the node that submitted it, and
+    /// remembers rejected submissions.
     pub(super) fn answer_proposer(
         &mut self,
         requester: Requester,
@@ -105,7 +107,8 @@
         };
         outbox.send(&requester.node, message);
     }
-    /// Moves proposals whose log slot is decided to the wait for replication.
+    /// Moves proposals whose log slot is decided to the list of those that wait for
+    /// replication.
     pub(super) fn collect_decided_proposals(&mut self, now: Moment) {
         for finished in self.writer.take_decided(&self.replica) {
             let recorded = self.replica.staged().operation(&finished.operation_id);
@@ -120,6 +123,7 @@
         }
     }
 
+    /// Keeps a decided proposal until enough other nodes hold its version.
     pub(super) fn await_replication(
         &mut self,
         operation_id: OperationId,
@@ -137,8 +141,8 @@
         });
     }
 
-    /// Answers decided proposals once enough other nodes hold the version or the wait is
-    /// over. The log entry alone makes a change accepted.
+    /// Replies to decided proposals once enough other nodes hold the version or the wait is
+    /// over. Whether a change set is accepted depends on its log entry alone.
     pub(super) fn answer_replicated_proposals(&mut self, now: Moment, outbox: &mut Outbox) {
         let awaited = std::mem::take(&mut self.pending_replications);
         for hold in awaited {
@@ -160,7 +164,8 @@
         }
     }
 
-    pub(super) fn spread(&self) -> PropagationStatus {
+    /// Number of reachable nodes that hold the newest version, and which do not.
+    pub(super) fn propagation_status(&self) -> PropagationStatus {
         self.holders.propagation_status(
             self.replica.version(),
             self.adoption.version(),
@@ -168,7 +173,14 @@
         )
     }
 
-    pub(super) fn on_spread(&mut self, nonce: u64, status: PropagationStatus, outbox: &mut Outbox) {
+    /// Handles a log reader's reply to a propagation query, and answers the operator's
+    /// request.
+    pub(super) fn on_propagation_reply(
+        &mut self,
+        nonce: u64,
+        status: PropagationStatus,
+        outbox: &mut Outbox,
+    ) {
         let index = self
             .propagation_queries
             .iter()
@@ -180,7 +192,7 @@
             .actions
             .push(Action::AnswerPropagation { ticket, status });
     }
-    /// Answers propagation queries without a result when no reader replied in time.
+    /// Answers propagation queries without a result when no log reader replied in time.
     pub(super) fn expire_propagation_queries(&mut self, now: Moment, outbox: &mut Outbox) {
         let wait = self.settings.query_retry_interval;
         self.propagation_queries.retain(|request| {
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -1,10 +1,12 @@
-//! A node's part in rollouts: watchers read the orders from the store, nodes gossip the
-//! states, and entry nodes report evidence to the decider.
+//! A node's part in rollouts of new software versions. Document watchers read rollout
+//! orders from the store, all nodes gossip rollout states, and entry nodes (which receive
+//! calls from callers) report response evidence for the versions to the decider, the node
+//! that holds the decision lease.
 //!
-//! A new state is forwarded at once to a few members, so that it reaches a fleet of any
-//! size in a few rounds; the decider also sends changes that affect callers directly to
-//! many members. A state that only confirms that the decider is alive is forwarded once.
-//! Nothing is sent while there is no order.
+//! A new rollout state is forwarded at once to a few members, so that it reaches a fleet of
+//! any size in a few gossip rounds. The decider also sends changes that affect callers
+//! directly to many members. A state that only confirms that the decider is alive is
+//! forwarded once. Nodes send nothing while there is no rollout order.
 
 use super::Agent;
 use crate::fleet::action::{Action, Decision, Outbox};
@@ -21,65 +23,73 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Gossip targets per round in the node's own zone.
+/// Number of members of the same zone to which a node sends rollout states in a gossip
+/// round.
 const LOCAL_ZONE_FANOUT: usize = 3;
-/// Gossip targets per round in each other zone for changes that affect callers.
-/// Confirmations go to one member of one other zone.
+/// Number of members of each other zone to which a node sends rollout changes that affect
+/// callers in a gossip round. States that only confirm the decider go to one member of one
+/// other zone.
 const REMOTE_ZONE_FANOUT: usize = 1;
-/// Members to which the decider sends changes directly.
+/// Number of members to which the decider sends rollout changes directly.
 const DIRECT_FANOUT: usize = 96;
 /// Number of gossip rounds in which a node forwards a rollout change that affects callers.
 const CHANGE_GOSSIP_ROUNDS: u32 = 3;
-/// Interval between gossip rounds.
+/// Interval between gossip rounds of rollout states.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(150);
-/// Shortest interval between two evidence reports of one node.
+/// Shortest interval between two reports of response evidence from one node.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval per fleet member, where that exceeds [`MIN_REPORT_INTERVAL`]. Limits the
-/// decider's load to about 330 reports per second in a fleet of any size.
+/// Interval between reports of response evidence per member of the fleet, where the product
+/// exceeds [`MIN_REPORT_INTERVAL`]. It limits the decider's load to about 330 reports per
+/// second in a fleet of any size.
 const REPORT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(3);
-/// Interval between full evidence reports. Other reports omit unchanged rows; full ones
-/// cover lost messages and a new decider.
+/// Interval between full reports of response evidence. Reports in between omit unchanged
+/// rows; the full ones make up for lost messages and inform a new decider.
 const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Evidence rows in one datagram, about 60 bytes each.
+/// Maximum number of rows of response evidence in one datagram; a row has about 60 bytes.
 const ROWS_PER_MESSAGE: usize = 20;
-/// Time without a confirmation of an open rollout after which peers are queried; the
-/// decider confirms twice a second.
+/// Time without a confirmation of an open rollout after which a node queries peers for its
+/// state; the decider confirms it twice a second.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval between queries to peers.
+/// Interval between queries to peers for rollout states.
 const QUERY_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval between queries to peers after [`FAST_QUERY_COUNT`] queries brought no newer
-/// state.
+/// Interval between queries to peers for rollout states after [`FAST_QUERY_COUNT`] queries
+/// brought no newer state.
 const SLOW_QUERY_INTERVAL: Duration = Duration::from_secs(10);
-/// Interval between later queries while a known rollout has no confirmations: it may have
-/// ended long ago.
+/// Interval between queries to peers for the state of a stalled rollout after
+/// [`FAST_QUERY_COUNT`] queries: the rollout may have ended long ago.
 const STALL_QUERY_INTERVAL: Duration = Duration::from_secs(2);
-/// Number of queries sent at [`QUERY_INTERVAL`] before a node slows down.
+/// Number of queries for rollout states sent at [`QUERY_INTERVAL`] before a node slows
+/// down.
 const FAST_QUERY_COUNT: u32 = 8;
-/// Rendezvous key of the order in which watchers take over as decider.
+/// Rendezvous key of the order in which document watchers take over as rollout decider.
 const DECIDERS_KEY: &str = "roll-out deciders";
-/// Rollout state of a node: known rollouts, its own evidence, and its role as decider.
+/// Rollouts on one node: known rollout states, response evidence from its callers' calls,
+/// and its role as decider.
 #[derive(Debug)]
 pub(super) struct RolloutParticipant {
     bounds: RolloutBounds,
-    /// States of all rollouts that this node knows.
+    /// States of all rollouts known to this node.
     table: RolloutTable,
-    /// Decision logic, which is active while this node holds the decision lease.
+    /// Decision logic of the rollout decider, active only while this node holds the
+    /// decision lease.
     decider: Decider,
     /// Services whose rollout state is still to be forwarded, with the number of gossip
     /// rounds left.
     pending_gossip: BTreeMap<ResourceName, u32>,
     next_gossip: Moment,
-    /// Results that callers of this node got from versions in rollout.
+    /// Response evidence for the versions in rollout, from calls of this node's callers.
     evidence: Vec<VersionEvidence>,
-    /// The evidence has changed since the last report.
+    /// The response evidence has changed since the last report.
     evidence_is_new: bool,
     next_report: Moment,
-    /// Evidence as last reported; unchanged rows are omitted until the next full report.
+    /// Response evidence as last reported; unchanged rows are omitted until the next full
+    /// report.
     reported: Vec<VersionEvidence>,
     next_full_report: Moment,
-    /// Time of the next query to a peer.
+    /// Time of the next query to a peer for rollout states.
     next_query: Moment,
-    /// Queries sent in a row while this node is behind.
+    /// Number of queries for rollout states sent in a row while this node lacks a newer
+    /// state.
     unanswered_queries: u32,
 }
 
@@ -120,7 +130,8 @@
             if rollouts.table.accept_order(order, source, now) {
                 new.extend(rollouts.table.state(&order.service, now));
             } else if source == OrderSource::NewWrite {
-                // Written again: the store may have lost its records of the decision.
+                // The order was written again, so the store may have lost its records of
+                // the decision.
                 rollouts.decider.recheck(now);
             }
         }
@@ -136,7 +147,7 @@
             }
         }
         self.tick_rollouts(now, &mut outbox);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
     /// Invalidates a decision lease that the store granted before it was restored from an
     /// older copy.
@@ -145,8 +156,8 @@
             rollouts.decider.on_store_restored(&rollouts.table, now);
         }
     }
-    /// Records the results that callers of this node got from versions in rollout, to be
-    /// reported to the decider.
+    /// Records the response evidence for versions in rollout from calls of this node's
+    /// callers. It is reported to the decider later.
     pub fn record_version_evidence(&mut self, evidence: Vec<VersionEvidence>) {
         if let Some(rollouts) = &mut self.rollouts
             && rollouts.evidence != evidence
@@ -156,7 +167,7 @@
         }
     }
 
-    /// Handles the store's response to a decider call.
+    /// Handles the response of the store to a request of the decision logic.
     pub fn on_decider_response(&mut self, answer: DeciderResponse, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         if let Some(rollouts) = &mut self.rollouts {
@@ -165,16 +176,17 @@
             self.apply_decider_step(step, now, &mut outbox);
         }
         self.tick_rollouts(now, &mut outbox);
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
-    /// All rollouts that this node knows.
+    /// States of all rollouts known to this node, as of `now`.
     pub fn rollouts(&self, now: Moment) -> Vec<RolloutState> {
         let rollouts = self.rollouts.as_ref();
         rollouts.map_or_else(Vec::new, |rollouts| rollouts.table.states(now))
     }
 
-    /// Routing rule of entry nodes for the versions of each service.
+    /// Rule for each service in rollout which share of calls entry nodes may send to the
+    /// new version.
     pub fn version_rules(&self, now: Moment) -> BTreeMap<ResourceName, VersionRule> {
         let rollouts = self.rollouts.as_ref();
         rollouts.map_or_else(BTreeMap::new, |rollouts| {
@@ -182,12 +194,13 @@
         })
     }
 
-    /// True while this node is the decider.
+    /// True while this node holds the lease to decide about rollouts.
     pub fn is_rollout_decider(&self, now: Moment) -> bool {
         let rollouts = self.rollouts.as_ref();
         rollouts.is_some_and(|rollouts| rollouts.decider.holds_lease(now))
     }
 
+    /// Advances the decision logic, gossip, queries and evidence reports of rollouts.
     pub(super) fn tick_rollouts(&mut self, now: Moment, outbox: &mut Outbox) {
         let idle = |rollouts: &RolloutParticipant| rollouts.table.is_empty();
         if self.rollouts.as_ref().is_none_or(idle) {
@@ -231,8 +244,9 @@
         self.report_evidence(now, outbox);
     }
 
-    /// Queries a peer when this node may have missed updates: a known rollout has stalled,
-    /// or backends of a service run different versions and no rollout of it is known.
+    /// Queries a peer for rollout states when this node may have missed updates: a known
+    /// rollout has stalled, or backends of a service run different versions and no rollout
+    /// of the service is known.
     fn query_peers(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(rollouts) = &self.rollouts else {
             return;
@@ -245,7 +259,8 @@
         let known = rollouts.table.states(now);
         let versions_unknown = self.has_unknown_versions(now);
         let is_behind = is_stalled || versions_unknown;
-        // A peer answers for the listed rollouts, or for all when the list is empty.
+        // A peer replies with the states of the listed rollouts, or of all when the list is
+        // empty.
         let queried = if versions_unknown { Vec::new() } else { known };
         let peer = self.membership.random_peer_preferring_zone(&mut self.rng);
         let Some(rollouts) = &mut self.rollouts else {
@@ -267,8 +282,8 @@
         }
     }
 
-    /// True when backends of a service run different versions and no rollout of it is
-    /// known.
+    /// True when backends of a service run different versions and no rollout of the service
+    /// is known.
     fn has_unknown_versions(&self, now: Moment) -> bool {
         let mut versions: BTreeMap<&ResourceName, &SoftwareVersion> = BTreeMap::new();
         let known = self.version_rules(now);
@@ -297,8 +312,8 @@
             .filter(|peer| *peer != me && rendezvous::weight(DECIDERS_KEY, peer) > mine)
             .count() as u32
     }
-    /// Logs the decisions of a decider step, sends its store request and distributes
-    /// changed states.
+    /// Logs the decisions of one step of the decision logic, sends its store request and
+    /// distributes the changed rollout states.
     fn apply_decider_step(&mut self, step: DeciderOutput, now: Moment, outbox: &mut Outbox) {
         for made in &step.decisions {
             outbox.log_decision(decision(&made.state, &made.reason));
@@ -316,7 +331,7 @@
         self.queue_gossip(&confirmations, 1, now);
     }
 
-    /// Sends changes that affect callers to many members at once.
+    /// Sends rollout changes that affect callers to many members at once.
     fn broadcast_states(&mut self, states: Vec<RolloutState>, now: Moment, outbox: &mut Outbox) {
         if states.is_empty() {
             return;
@@ -332,7 +347,7 @@
             outbox.send(peer, Message::Rollouts(states.clone()));
         }
     }
-    /// Schedules states for the next gossip rounds.
+    /// Schedules rollout states for the next gossip rounds.
     fn queue_gossip(&mut self, states: &[RolloutState], rounds: u32, now: Moment) {
         let Some(rollouts) = &mut self.rollouts else {
             return;
@@ -346,7 +361,7 @@
             rollouts.next_gossip = now;
         }
     }
-    /// Sends scheduled states to some members when a gossip round is due.
+    /// Sends the scheduled rollout states to some members when a gossip round is due.
     fn gossip_states(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(rollouts) = &mut self.rollouts else {
             return;
@@ -379,7 +394,8 @@
         }
     }
 
-    /// Merges states from a peer, and sends back states that are newer here.
+    /// Merges rollout states from a peer, and replies with those that are newer on this
+    /// node.
     pub(super) fn on_rollouts(
         &mut self,
         from: &NodeId,
@@ -416,7 +432,7 @@
         self.gossip_states(now, outbox);
     }
 
-    /// Sends all known states to a peer that has restarted and lost them.
+    /// Sends the states of all known rollouts to a peer that has restarted and lost them.
     pub(super) fn send_states_to_restarted_peer(
         &self,
         peer: &NodeId,
@@ -429,7 +445,8 @@
         }
     }
 
-    /// Records a peer's evidence; it is used only while this node is the decider.
+    /// Records a peer's response evidence for versions in rollout; it is used only while
+    /// this node is the decider.
     pub(super) fn on_version_evidence(
         &mut self,
         from: &NodeId,
@@ -440,12 +457,12 @@
             rollouts.decider.on_evidence(from, process_epoch, evidence);
         }
     }
-    /// Reports evidence to the deciders of the rollouts when a report is due.
+    /// Sends response evidence to the deciders of the rollouts when a report is due.
     fn report_evidence(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(rollouts) = &mut self.rollouts else {
             return;
         };
-        // A full report is due even without traffic: the last rows may have been lost.
+        // A full report is due even without new calls: the last rows may have been lost.
         let is_open = !rollouts.evidence.is_empty() && rollouts.table.has_open();
         let full_report_due = is_open && now >= rollouts.next_full_report;
         let due = rollouts.evidence_is_new || full_report_due;
@@ -487,11 +504,12 @@
     }
 }
 
-/// Interval between evidence reports in a fleet of `members` nodes.
+/// Interval between reports of response evidence in a fleet of `members` nodes; grows with
+/// the fleet to bound the decider's load.
 fn report_interval(members: usize) -> Duration {
     MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_MEMBER * members as u32)
 }
-/// Log entry for a decision on a rollout.
+/// Builds the decision about a rollout that is written to the log.
 fn decision(state: &RolloutState, reason: &str) -> Decision {
     Decision::Rollout {
         service: state.service.clone(),
--- a/crates/rampthread-core/src/fleet/agent/store.rs
+++ b/crates/rampthread-core/src/fleet/agent/store.rs
@@ -1,4 +1,5 @@
-//! StoreReader role of the agent: lease, log watch, writes and snapshots.
+//! The agent as a log reader: one of the few nodes that hold a lease in the store, watch
+//! the change log for the fleet, and write accepted proposals and snapshots to the store.
 
 use super::{Agent, Defect, RETAINED_LOG_ENTRIES};
 use crate::fleet::action::{Action, Decision, Outbox, StoreAnswer, StoreFailure, StoreRequest};
@@ -7,7 +8,7 @@
 use crate::ids::Version;
 use crate::time::Moment;
 impl Agent {
-    /// Advances the reader role: renews the lease, watches the log, writes pending
+    /// Advances the log reader: renews its lease, watches the change log, writes pending
     /// proposals and due snapshots.
     pub(super) fn tick_reader(&mut self, now: Moment, outbox: &mut Outbox) {
         let known = self.replica.version();
@@ -29,7 +30,8 @@
             self.write_snapshot(outbox);
         }
     }
-    /// Rejects proposals whose write was not attempted, while no write is possible.
+    /// Rejects proposals whose write was not attempted, while this node cannot write to the
+    /// change log.
     pub(super) fn reject_unstarted_writes(&mut self, now: Moment, outbox: &mut Outbox) {
         let retry_after = self.reader.retry_after(now);
         for unattempted in self.writer.take_unattempted() {
@@ -39,8 +41,8 @@
             }
         }
     }
-    /// Writes a snapshot when enough versions have passed since the last one, and truncates
-    /// the log behind it.
+    /// Writes a snapshot to the store when enough versions have passed since the last one,
+    /// and truncates the change log behind it.
     pub(super) fn write_snapshot(&mut self, outbox: &mut Outbox) {
         let version = self.replica.version();
         let due = version.0 >= self.last_snapshot.0 + self.settings.versions_per_snapshot;
@@ -60,7 +62,7 @@
             request,
         });
     }
-    /// Handles the store's response to a log write.
+    /// Handles the response of the store to a write to the change log.
     pub(super) fn on_write_answer(
         &mut self,
         result: Result<StoreAnswer, StoreFailure>,
@@ -84,8 +86,8 @@
             self.ingest_entry(version, entry, now, outbox);
         }
     }
-    /// Handles what the reader has read from the store: entries, a snapshot or the head of
-    /// the log.
+    /// Handles what the log reader has read from the store: log entries, a snapshot or the
+    /// head of the log.
     pub(super) fn on_reader_news(&mut self, news: ReaderEvent, now: Moment, outbox: &mut Outbox) {
         match news {
             ReaderEvent::Entries { first, entries } => {
--- a/crates/rampthread-core/src/fleet/agent/store_era.rs
+++ b/crates/rampthread-core/src/fleet/agent/store_era.rs
@@ -1,7 +1,8 @@
-//! Reaction to a store that was restored from an older copy, which raises its era by one.
+//! Reaction to a restored store. The store era is a number that the store raises by one
+//! each time it is restored from an older copy.
 //!
-//! An era announced by a peer only triggers a read of the store and is not trusted: a false
-//! era must not make a node ignore the store.
+//! A store era announced by a peer only makes this node read the era from the store. It is
+//! not trusted otherwise: a false era must not make a node ignore the store.
 
 use super::Agent;
 use crate::fleet::action::{Action, Outbox};
@@ -11,13 +12,13 @@
 use crate::time::Moment;
 use rand::seq::IteratorRandom;
 
-/// Number of document watchers that a node notifies of a new era; each of them notifies as
-/// many once it has read the era from the store.
+/// Number of document watchers that a node notifies of a new store era. Each of them
+/// notifies as many once it has read the era from the store.
 const WATCHER_FANOUT: usize = 3;
 
 impl Agent {
-    /// Handles a store response with a newer era: invalidates earlier leases and notifies a
-    /// few peers.
+    /// Handles a store response with a newer store era, which shows that the store was
+    /// restored from an older copy. Invalidates earlier leases and notifies a few peers.
     pub fn on_store_restored(&mut self, era: u64, now: Moment) -> Vec<Action> {
         let mut outbox = Outbox::default();
         self.newest_known_era = self.newest_known_era.max(era);
@@ -25,7 +26,7 @@
         for peer in self.restore_notification_targets() {
             outbox.send(&peer, Message::StoreEra { era });
         }
-        self.finish(outbox)
+        self.collect_actions(outbox)
     }
 
     /// Peers to notify of a restore: some document watchers, and the node that writes the
@@ -46,8 +47,8 @@
         targets
     }
 
-    /// Handles a peer's announcement that the store is in `era`: reads the era from the
-    /// store, once per era.
+    /// Handles a peer's announcement that the store is in `era`: reads the store era from
+    /// the store, once for each era.
     pub(super) fn on_store_era(&mut self, era: u64, outbox: &mut Outbox) {
         if era > self.newest_known_era {
             self.newest_known_era = era;
--- a/crates/rampthread-core/src/ids.rs
+++ b/crates/rampthread-core/src/ids.rs
@@ -7,11 +7,11 @@
 /// Maximum length of a name, in bytes: the limit of a DNS label (RFC 1035).
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// A text was rejected because it is not a valid name.
+/// Error for a text that is not a valid name, because of its length or its characters.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is not a name: 1 to 63 letters, digits, '-', '_' or '.'")]
 pub struct InvalidName {
-    /// The rejected text, truncated to the maximum length of a name.
+    /// The rejected text, truncated to 63 characters so that it can be logged.
     pub text: String,
 }
 
@@ -39,13 +39,14 @@
             /// Maximum length of a name, in bytes.
             pub const MAX_BYTES: usize = MAX_NAME_BYTES;
 
-            /// Validates `text` and wraps it.
+            /// Checks that `text` has 1 to 63 bytes, all of them letters, digits, `-`, `_`
+            /// or `.`.
             pub fn new(text: &str) -> Result<Self, InvalidName> {
                 check_name(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// Name as a string slice.
+            /// The validated text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -118,10 +119,10 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// Version of the empty configuration, before any change.
+    /// Version of the empty configuration, before any change set is applied.
     pub const ZERO: Version = Version(0);
 
-    /// Version of the log slot that follows this one.
+    /// Version of the following slot of the change log.
     pub fn next(self) -> Version {
         Version(self.0 + 1)
     }
--- a/crates/rampthread-core/src/rendezvous.rs
+++ b/crates/rampthread-core/src/rendezvous.rs
@@ -5,7 +5,8 @@
 use crate::ids::{NodeId, Zone};
 use std::collections::BTreeSet;
 
-/// Weight of `candidate` for `key`; the highest weight comes first.
+/// Hash of `key` and `candidate`, by which all nodes order the candidates of a key. The
+/// highest weight comes first.
 pub fn weight(key: &str, candidate: &NodeId) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(key.as_bytes());
@@ -16,7 +17,7 @@
     u64::from_le_bytes(first)
 }
 
-/// Sorts the candidates in rendezvous order for `key`.
+/// Sorts the candidates by descending [`weight`] for `key`.
 pub fn order(key: &str, candidates: impl IntoIterator<Item = NodeId>) -> Vec<NodeId> {
     let mut weighted: Vec<(u64, NodeId)> = candidates
         .into_iter()
@@ -29,7 +30,7 @@
         .collect()
 }
 
-/// Position of `candidate` in rendezvous order: the number of `others` that precede it.
+/// Number of `others` that precede `candidate` in the rendezvous order for `key`.
 pub fn rank<'a>(
     key: &str,
     candidate: &NodeId,
@@ -40,8 +41,8 @@
     others.into_iter().filter(before).count()
 }
 
-/// Selects up to `count` candidates in rendezvous order, one from each zone before any zone
-/// gets a further one.
+/// Selects up to `count` candidates in rendezvous order. No zone gets a second candidate
+/// before each zone has one, and so on.
 pub fn select_across_zones(
     key: &str,
     candidates: impl IntoIterator<Item = (NodeId, Zone)>,
--- a/crates/rampthread-core/src/time.rs
+++ b/crates/rampthread-core/src/time.rs
@@ -4,13 +4,11 @@
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Point in time on the caller's monotonic clock, in microseconds since the process
-/// started.
+/// Point in time on the monotonic clock of the process that drives the state machines, in
+/// microseconds since that process started.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
-/// Point in time on the caller's monotonic clock, in microseconds since the caller's
-/// process started.
 #[serde(transparent)]
 pub struct Moment(pub u64);
 
