--- a/crates/rampthread-http/src/server/pipeline.rs
+++ b/crates/rampthread-http/src/server/pipeline.rs
@@ -23,7 +23,7 @@
     pub(super) unread: UnreadBody,
 }
 
-/// State of a request's handler.
+/// A handler that is still running, or the response that it has returned.
 enum HandlerState {
     Running(BoxFuture<'static, Response<Body>>),
     Responded(Response<Body>),
--- a/crates/rampthread-http/tests/connections.rs
+++ b/crates/rampthread-http/tests/connections.rs
@@ -22,7 +22,7 @@
 
 /// What the handlers of one test observed, and the responses that the test has released.
 #[derive(Default)]
-struct Progress {
+struct Observations {
     started: Vec<String>,
     dropped: Vec<String>,
     released: HashMap<String, Response<Vec<u8>>>,
@@ -33,7 +33,7 @@
 /// `/safe` may overlap.
 #[derive(Clone, Default)]
 struct ControlledService {
-    progress: Arc<(Mutex<Progress>, Condvar)>,
+    observations: Arc<(Mutex<Observations>, Condvar)>,
     released: Arc<event::Event>,
 }
 
@@ -63,30 +63,36 @@
 impl Drop for DropRecorder {
     fn drop(&mut self) {
         if let Some(path) = self.1.take() {
-            self.0.change(|progress| progress.dropped.push(path));
+            self.0
+                .update_observations(|observations| observations.dropped.push(path));
         }
     }
 }
 
 impl ControlledService {
-    fn change<T>(&self, change: impl FnOnce(&mut Progress) -> T) -> T {
-        let changed = change(&mut self.progress.0.lock().unwrap());
-        self.progress.1.notify_all();
+    fn update_observations<T>(
+        &self,
+        update_observations: impl FnOnce(&mut Observations) -> T,
+    ) -> T {
+        let changed = update_observations(&mut self.observations.0.lock().unwrap());
+        self.observations.1.notify_all();
         changed
     }
 
     /// Lets the handler of `path` respond with `body`.
     fn release(&self, path: &str, body: &str) {
         let response = Response::new(body.as_bytes().to_vec());
-        self.change(|progress| progress.released.insert(path.to_string(), response));
+        self.update_observations(|observations| {
+            observations.released.insert(path.to_string(), response)
+        });
         self.released.notify();
     }
 
-    fn wait(&self, what: &str, done: impl Fn(&Progress) -> bool) {
-        let (lock, changed) = &*self.progress;
+    fn wait(&self, what: &str, done: impl Fn(&Observations) -> bool) {
+        let (lock, changed) = &*self.observations;
         let guard = lock.lock().unwrap();
         let waited = changed
-            .wait_timeout_while(guard, CONDITION_TIMEOUT, |progress| !done(progress))
+            .wait_timeout_while(guard, CONDITION_TIMEOUT, |observations| !done(observations))
             .unwrap();
         assert!(
             !waited.1.timed_out(),
@@ -95,13 +101,13 @@
     }
 
     fn wait_started(&self, path: &str) {
-        self.wait(path, |progress| {
-            progress.started.iter().any(|one| one == path)
+        self.wait(path, |observations| {
+            observations.started.iter().any(|one| one == path)
         });
     }
 
     fn started(&self) -> Vec<String> {
-        self.change(|progress| progress.started.clone())
+        self.update_observations(|observations| observations.started.clone())
     }
 
     async fn respond(self, request: Request<RequestBody>) -> Response<Body> {
@@ -112,9 +118,9 @@
             let read = body
                 .map(|body| body.len())
                 .map_err(|error| error.to_string());
-            self.change(|progress| progress.bodies.insert(path.clone(), read));
+            self.update_observations(|observations| observations.bodies.insert(path.clone(), read));
         }
-        self.change(|progress| progress.started.push(path.clone()));
+        self.update_observations(|observations| observations.started.push(path.clone()));
         if path.starts_with("/broken") {
             recorder.1 = None;
             let frames = futures_util::stream::iter([
@@ -125,7 +131,9 @@
         }
         loop {
             let next = self.released.listen();
-            if let Some(response) = self.change(|progress| progress.released.remove(&path)) {
+            if let Some(response) =
+                self.update_observations(|observations| observations.released.remove(&path))
+            {
                 recorder.1 = None;
                 return response.map(full);
             }
@@ -162,7 +170,7 @@
     stream
 }
 
-fn get(path: &str) -> String {
+fn get_request_text(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: a\r\n\r\n")
 }
 
@@ -206,7 +214,12 @@
 fn pipelined_requests_run_concurrently_with_responses_in_order() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
-    let pipeline = [get("/safe/1"), get("/safe/2"), get("/safe/3")].concat();
+    let pipeline = [
+        get_request_text("/safe/1"),
+        get_request_text("/safe/2"),
+        get_request_text("/safe/3"),
+    ]
+    .concat();
     stream.write_all(pipeline.as_bytes()).unwrap();
     for path in ["/safe/1", "/safe/2", "/safe/3"] {
         service.wait_started(path);
@@ -229,7 +242,7 @@
 fn non_overlapping_request_waits_for_earlier_requests() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
-    let pipeline = [get("/safe/1"), get("/once/2")].concat();
+    let pipeline = [get_request_text("/safe/1"), get_request_text("/once/2")].concat();
     stream.write_all(pipeline.as_bytes()).unwrap();
     service.wait_started("/safe/1");
     std::thread::sleep(Duration::from_millis(100));
@@ -246,7 +259,7 @@
     let mut stream = connect(address);
     let closing = "GET /safe/1 HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     stream
-        .write_all([closing, &get("/once/2")].concat().as_bytes())
+        .write_all([closing, &get_request_text("/once/2")].concat().as_bytes())
         .unwrap();
     service.wait_started("/safe/1");
     service.release("/safe/1", "one");
@@ -263,10 +276,12 @@
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     let pipeline: String = (0..40)
-        .map(|number| get(&format!("/safe/{number}")))
+        .map(|number| get_request_text(&format!("/safe/{number}")))
         .collect();
     stream.write_all(pipeline.as_bytes()).unwrap();
-    service.wait("sixteen run", |progress| progress.started.len() == 16);
+    service.wait("sixteen run", |observations| {
+        observations.started.len() == 16
+    });
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(service.started().len(), 16);
     for number in 0..40 {
@@ -279,11 +294,18 @@
 fn disconnect_drops_all_handlers() {
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
-    let pipeline = [get("/safe/1"), get("/safe/2"), get("/once/3")].concat();
+    let pipeline = [
+        get_request_text("/safe/1"),
+        get_request_text("/safe/2"),
+        get_request_text("/once/3"),
+    ]
+    .concat();
     stream.write_all(pipeline.as_bytes()).unwrap();
     service.wait_started("/safe/2");
     drop(stream);
-    service.wait("both are dropped", |progress| progress.dropped.len() == 2);
+    service.wait("both are dropped", |observations| {
+        observations.dropped.len() == 2
+    });
     assert_eq!(service.started().len(), 2);
 }
 
@@ -292,7 +314,9 @@
     let (address, service, _shutdown) = serve(ServerLimits::default());
     service.release("/safe/1", "one");
     let mut stream = connect(address);
-    stream.write_all(get("/safe/1").as_bytes()).unwrap();
+    stream
+        .write_all(get_request_text("/safe/1").as_bytes())
+        .unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
     // The server may see the close before or after the handler has run.
     let response = read_to_end(stream);
@@ -324,7 +348,7 @@
     let (address, service, _shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     stream
-        .write_all([request, &get("/safe/1")].concat().as_bytes())
+        .write_all([request, &get_request_text("/safe/1")].concat().as_bytes())
         .unwrap();
     let response = read_to_end(stream);
     assert!(response.starts_with("HTTP/1.1 400"), "{response}");
@@ -364,14 +388,18 @@
         ..ServerLimits::default()
     });
     let mut stream = connect(address);
-    stream.write_all(get("/safe/1").as_bytes()).unwrap();
+    stream
+        .write_all(get_request_text("/safe/1").as_bytes())
+        .unwrap();
     service.wait_started("/safe/1");
     std::thread::sleep(idle_timeout.mul_f64(0.8));
     service.release("/safe/1", "one");
     read_responses(&mut stream, 1);
     std::thread::sleep(idle_timeout.mul_f64(0.6));
     service.release("/safe/2", "two");
-    stream.write_all(get("/safe/2").as_bytes()).unwrap();
+    stream
+        .write_all(get_request_text("/safe/2").as_bytes())
+        .unwrap();
     assert!(read_responses(&mut stream, 1)[0].ends_with("two"));
 }
 
@@ -407,7 +435,7 @@
     let request = format!("POST /read HTTP/1.1\r\nhost: a\r\n{rest}");
     stream.write_all(request.as_bytes()).unwrap();
     assert!(read_responses(&mut stream, 1)[0].ends_with("done"));
-    let seen = service.change(|progress| progress.bodies["/read"].clone());
+    let seen = service.update_observations(|observations| observations.bodies["/read"].clone());
     assert_eq!(seen.map_err(|_| ()), read);
 }
 
@@ -420,10 +448,12 @@
     let head = "POST /read HTTP/1.1\r\nhost: a\r\ncontent-length: 360000\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
     stream.write_all(&vec![b'x'; 360_000]).unwrap();
-    stream.write_all(get("/safe/2").as_bytes()).unwrap();
+    stream
+        .write_all(get_request_text("/safe/2").as_bytes())
+        .unwrap();
     let responses = read_responses(&mut stream, 2);
     assert!(responses[1].ends_with("second"), "{responses:?}");
-    let seen = service.change(|progress| progress.bodies["/read"].clone());
+    let seen = service.update_observations(|observations| observations.bodies["/read"].clone());
     assert_eq!(seen, Ok(360_000));
 }
 
@@ -435,11 +465,12 @@
     stream.write_all(request.as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(50));
     drop(stream);
-    service.wait("the handler is dropped", |progress| {
-        progress.dropped.len() == 1
+    service.wait("the handler is dropped", |observations| {
+        observations.dropped.len() == 1
     });
     assert!(service.started().is_empty());
-    let seen = service.change(|progress| progress.bodies.get("/read").cloned());
+    let seen =
+        service.update_observations(|observations| observations.bodies.get("/read").cloned());
     assert_eq!(seen, None);
 }
 
@@ -494,7 +525,7 @@
     let mut stream = connect(address);
     let request = "POST /once/1 HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\nabc";
     stream
-        .write_all([request, &get("/safe/2")].concat().as_bytes())
+        .write_all([request, &get_request_text("/safe/2")].concat().as_bytes())
         .unwrap();
     assert!(read_responses(&mut stream, 2)[1].ends_with("two"));
 }
@@ -543,7 +574,7 @@
     let mut stream = connect(address);
     let head = "HEAD /safe/1 HTTP/1.1\r\nhost: a\r\n\r\n";
     stream
-        .write_all([head, &get("/safe/2")].concat().as_bytes())
+        .write_all([head, &get_request_text("/safe/2")].concat().as_bytes())
         .unwrap();
     let mut bytes = Vec::new();
     let mut piece = [0; 4_096];
@@ -564,7 +595,11 @@
     let (address, service, shutdown) = serve(ServerLimits::default());
     let mut stream = connect(address);
     stream
-        .write_all([get("/safe/1"), get("/safe/2")].concat().as_bytes())
+        .write_all(
+            [get_request_text("/safe/1"), get_request_text("/safe/2")]
+                .concat()
+                .as_bytes(),
+        )
         .unwrap();
     service.wait_started("/safe/2");
     let idle = connect(address);
--- a/crates/rampthread-http/tests/pipeline_properties.rs
+++ b/crates/rampthread-http/tests/pipeline_properties.rs
@@ -37,7 +37,8 @@
 }
 
 /// Responds to `/overlap|alone/NUMBER/WORK_MS/BYTES` with the number and padding of the given
-/// size.
+/// size. Requests of the kind `overlap` may run beside others, those of the kind `alone` may
+/// not.
 #[derive(Clone, Default)]
 struct NumberedService {
     running: Arc<AtomicUsize>,
--- a/crates/rampthread-http/tests/suspension.rs
+++ b/crates/rampthread-http/tests/suspension.rs
@@ -51,7 +51,7 @@
     );
 }
 
-async fn completed_future_is_returned() {
+async fn timeout_returns_the_output_of_a_completed_future() {
     let completed = timeout(SUSPENSION, async { 7 }).await;
     assert_eq!(completed, Ok(7));
 }
@@ -101,7 +101,7 @@
 fn suspension_counts_as_elapsed_time() {
     block_on(async {
         timeouts_and_sleeps_end_after_suspension().await;
-        completed_future_is_returned().await;
+        timeout_returns_the_output_of_a_completed_future().await;
         stale_pooled_connection_is_not_reused().await;
     });
 }
--- a/crates/rampthread-node/src/calls/entry/admission.rs
+++ b/crates/rampthread-node/src/calls/entry/admission.rs
@@ -59,7 +59,7 @@
         .unwrap_or(route.priority)
 }
 
-/// Removes from a forwarded request the tenant's key, which only the entry needs, and any
+/// Removes from a forwarded request the tenant's key, which only the entry node needs, and any
 /// tenant name set by the caller.
 pub(super) fn remove_identity(config: &ActiveConfig, tenant: &HeaderName, headers: &mut HeaderMap) {
     headers.remove(tenant);
--- a/crates/rampthread-node/src/calls/entry/attempt.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of a call: sends the call as a hop to the gate at the backend's node, processes
-//! the response, and fences an abandoned hop (asks the gate never to start it).
+//! One attempt of a call: sends the call as a hop to the gate node at the backend's node,
+//! processes the response, and fences an abandoned hop (asks the gate node never to start it).
 
 use super::versions::VersionResult;
 use super::{Call, Entry, NO_BACKEND_RETRY_AFTER, SelectedBackend, outcome_of};
@@ -29,8 +29,9 @@
 /// Time added to the call's deadline before a hop counts as lost, so that the gate's own
 /// deadline error arrives first.
 const HOP_DEADLINE_MARGIN: Duration = Duration::from_millis(20);
-/// Maximum size of a response that the entry buffers before forwarding it, in bytes. If such a
-/// response is truncated, the call can still be retried or answered with an error status.
+/// Maximum size of a response that the entry node buffers before forwarding it, in bytes. If
+/// such a response is truncated, the call can still be retried or answered with an error
+/// status.
 const MAX_BUFFERED_RESPONSE_BYTES: u64 = 1 << 20;
 /// Maximum size of a response without a `Content-Length`, in bytes.
 const MAX_UNSIZED_RESPONSE_BYTES: usize = 16 << 20;
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Sends the call to the gate of the selected backend, directly if that is the local one.
+    /// Sends the call to the gate node of the selected backend, directly if that is the local
+    /// one.
     async fn send(
         self: &Arc<Self>,
         call: &Call,
@@ -103,8 +105,9 @@
         sent.map(|response| response.map(boxed)).map_err(failed)
     }
 
-    /// Whether to reserve at the gate before sending the request body. A large body needs a
-    /// transfer permit; a smaller body would probably be sent in vain where gates are full.
+    /// Whether to reserve at the gate node before sending the request body. A large body needs
+    /// a transfer permit; a smaller body would probably be sent in vain where gate nodes are
+    /// full.
     fn should_reserve(&self, call: &Call, selected: &SelectedBackend, bytes: usize) -> bool {
         let now = self.now();
         bytes >= LARGE_BODY_BYTES
@@ -113,8 +116,8 @@
                 .should_ask_before_body(&selected.zone, bytes, now)
     }
 
-    /// How long the gate may queue the call. While another backend appears free, the gate must
-    /// run the call immediately or reject it.
+    /// How long the gate node may queue the call. While another backend appears free, the gate
+    /// node must run the call immediately or reject it.
     pub(super) fn queueing_limit(&self, call: &Call, selected: &SelectedBackend) -> QueueingLimit {
         if selected.others_have_free_slot {
             return QueueingLimit::Never;
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Asks the gate never to start the abandoned hop, which was sent at `started_at`. The
+    /// Asks the gate node never to start the abandoned hop, which was sent at `started_at`. The
     /// error says whether the call has run or not, as far as the reply shows.
     async fn fence(
         &self,
@@ -231,8 +234,8 @@
         request
     }
 
-    /// Records what a gate's response shows about the backend, and turns the response into that
-    /// for the caller or into an error.
+    /// Records what a gate node's response shows about the backend, and turns the response into
+    /// that for the caller or into an error.
     async fn handle_response(
         self: &Arc<Self>,
         call: &Call,
@@ -293,8 +296,8 @@
         Ok(Response::from_parts(parts, boxed(body)))
     }
 
-    /// Records the backend's speed from the header that the gate adds. A completed response
-    /// without the header means normal speed.
+    /// Records the backend's speed from the header that the gate node adds. A completed
+    /// response without the header means normal speed.
     fn record_speed(&self, node: &NodeId, outcome: Outcome, from: &HeaderMap) {
         let reported = header_filter::header_str(from, headers::PACE).and_then(BackendSpeed::parse);
         let normal = (outcome == Outcome::Completed).then(BackendSpeed::default);
@@ -368,7 +371,7 @@
     request
 }
 
-/// Decodes the error that a gate returned instead of a response of the backend.
+/// Decodes the error that a gate node returned instead of a response of the backend.
 fn error_from_response<B>(response: &Response<B>, outcome: Outcome) -> CallError {
     let from = response.headers();
     let wait =
--- a/crates/rampthread-node/src/calls/entry/attempt_loop.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt_loop.rs
@@ -254,7 +254,7 @@
             .call_log
             .hedged(&call.id, selected.node.as_str());
         self.start_attempt(SelectedBackend {
-            // A hedged attempt must not be queued.
+            // Makes the gate node run the hedged attempt immediately or reject it.
             others_have_free_slot: true,
             ..selected
         });
@@ -280,7 +280,7 @@
                 self.last_error = Some(call_error);
                 Ok(())
             }
-            // The gate was allowed to queue the call, but its queue was too long. Other
+            // The gate node was allowed to queue the call, but its queue was too long. Other
             // backends are no better, and trying them costs traffic between zones. A nested
             // call still tries them, since failing it would waste the work of its parent.
             NextStep::Retry
--- a/crates/rampthread-node/src/calls/entry/call_setup.rs
+++ b/crates/rampthread-node/src/calls/entry/call_setup.rs
@@ -160,7 +160,8 @@
     ) -> Option<String> {
         self.options.claims.as_ref()?;
         let key = header_filter::header_str(from, headers::IDEMPOTENCY_KEY)?;
-        // Idempotency keys are scoped by route and tenant. No resource name starts with `@`.
+        // Idempotency keys are scoped by route and tenant. No route name starts with `@`, so a
+        // key with a tenant never equals a key without one.
         let of_route = format!("{}/{key}", route.name);
         Some(match tenant {
             Some(tenant) => format!("@{}/{of_route}", tenant.name),
--- a/crates/rampthread-node/src/calls/entry/caller_service.rs
+++ b/crates/rampthread-node/src/calls/entry/caller_service.rs
@@ -1,4 +1,4 @@
-//! The entry as the HTTP service of the listener for callers.
+//! The entry node as the HTTP service of the listener for callers.
 
 use super::Entry;
 use crate::calls::response::CallError;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Passes the requests of callers to the entry.
+/// Passes the requests of callers to the entry node.
 pub struct CallerService(pub Arc<Entry>);
 
 impl Service for CallerService {
--- a/crates/rampthread-node/src/calls/entry/claim.rs
+++ b/crates/rampthread-node/src/calls/entry/claim.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Notifies the holders of the idempotency key whether the call has run, without waiting
-    /// for them.
+    /// Notifies the claim holders of the idempotency key whether the call has run, without
+    /// waiting for them.
     pub(super) fn finish_claim(&self, call: &Call, result: &Result<Response<Body>, CallError>) {
         let (Some(key), Some(claims)) = (call.key.clone(), self.options.claims.clone()) else {
             return;
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -1,9 +1,9 @@
 //! The entry: the node that receives a call from its caller and routes it to a backend.
 //!
 //! Phases, in order: read the head ([`Entry::handle`]), match the route, admit the call, claim
-//! its idempotency key, choose a backend, send the call as a hop to the gate at the backend's
-//! node, fence an abandoned hop (forbid its gate to start it), decide on a retry, forward the
-//! response. Only the entry retries.
+//! its idempotency key, choose a backend, send the call as a hop to the gate node at the
+//! backend's node, fence an abandoned hop (forbid its gate node to start it), decide on a
+//! retry, forward the response. Only the entry node retries.
 
 mod admission;
 mod attempt;
@@ -64,12 +64,12 @@
 /// rest is for nodes that have not yet discovered each other.
 const USED_SLACK_RATIO: f64 = 0.7;
 
-/// Minimum admission probability, estimated from this entry's recent attempts, at which a call
-/// is spilled to the zone that the zone plan selects. Below it, that zone rejects more of these
-/// calls than it admits, so the capacity that it published is out of date.
+/// Minimum admission probability, estimated from this entry node's recent attempts, at which a
+/// call is spilled to the zone that the zone plan selects. Below it, that zone rejects more of
+/// these calls than it admits, so the capacity that it published is out of date.
 const MIN_SPILL_ADMISSION_PROBABILITY: f64 = 0.5;
 
-/// How an entry selects backends and limits retries. Values other than the default are
+/// How an entry node selects backends and limits retries. Values other than the default are
 /// baselines for experiments.
 #[derive(Debug, Clone, Copy)]
 pub struct EntryMode {
@@ -118,7 +118,7 @@
     pub mode: EntryMode,
 }
 
-/// What an entry has learned; changes with every call.
+/// What an entry node has learned; changes with every call.
 struct EntryState {
     balancer: Balancer,
     budgets: HashMap<ResourceName, RetryBudget>,
@@ -179,7 +179,8 @@
     others_have_free_slot: bool,
     /// Estimated number of calls running and queued at the selected backend.
     seen_load: u32,
-    /// Percentage of this entry's recent attempts in the backend's zone that were admitted.
+    /// Percentage of this entry node's recent attempts in the backend's zone that were
+    /// admitted.
     room_percent: u32,
     /// The request is on trial: it is suspected of crashing backends and must run alone at this
     /// one.
@@ -187,7 +188,7 @@
 }
 
 impl Entry {
-    /// Creates an entry that knows no load of any backend yet.
+    /// Creates the entry of a node, without any load information about backends.
     pub fn new(options: EntryOptions) -> Self {
         let balancer = Balancer::new(options.mode.balance, options.control.clock.now());
         let lost_responses = PeerCrashDetector::with_heartbeat(options.heartbeat);
@@ -441,15 +442,15 @@
 }
 
 impl Entry {
-    /// Estimate of how likely the gates of the call's service admit a call, by zone.
+    /// Estimate of how likely the gate nodes of the call's service admit a call, by zone.
     fn acceptance_estimate(&self, call: &Call) -> AcceptanceEstimator {
         let state = self.state();
         let known = state.acceptance.get(&call.service).cloned();
         known.unwrap_or_else(|| AcceptanceEstimator::new(self.options.zone.clone()))
     }
 
-    /// Records whether a gate of the call's service admitted the call or rejected it for lack
-    /// of capacity.
+    /// Records whether a gate node of the call's service admitted the call or rejected it for
+    /// lack of capacity.
     fn record_admission(&self, call: &Call, selected: &SelectedBackend, was_rejected: bool) {
         let now = self.now();
         let mut state = self.state();
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -23,8 +23,8 @@
 }
 
 impl Entry {
-    /// Records from a response whether the route carries nested calls, which only the gate can
-    /// see.
+    /// Records from a response whether the route carries nested calls, which only the gate node
+    /// can see.
     pub(super) fn record_nested_route(&self, call: &Call, response_headers: &HeaderMap) {
         let value = header_filter::header_str(response_headers, headers::PRECEDENCE);
         if value == Some(Precedence::Nested.as_str()) {
--- a/crates/rampthread-node/src/calls/entry/progress.rs
+++ b/crates/rampthread-node/src/calls/entry/progress.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What determines the order in which a gate serves the call.
+/// What determines the order in which a gate node serves the call.
 struct CallPriority {
     tenant: Option<ResourceName>,
     rank: u32,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The attributes as the call log takes them.
+    /// Borrows these attributes for the final log line of the call.
     fn line(&self) -> CallPriorityFields<'_> {
         CallPriorityFields {
             tenant: self.tenant.as_ref().map(ResourceName::as_str),
--- a/crates/rampthread-node/src/calls/entry/quarantine.rs
+++ b/crates/rampthread-node/src/calls/entry/quarantine.rs
@@ -1,6 +1,6 @@
-//! Quarantine at the entry. A request in whose handling backends crashed is suspected, later
-//! put on trial (runs alone at one backend) or quarantined (rejected). The entry applies these
-//! states and clears requests that get a response.
+//! Quarantine at the entry node. A request in whose handling backends crashed is suspected,
+//! later put on trial (runs alone at one backend) or quarantined (rejected). The entry node
+//! applies these states and clears requests that get a response.
 
 use super::progress::Progress;
 use super::{Call, Entry, SelectedBackend};
@@ -41,11 +41,11 @@
         Err(quarantine_error(crashes, left))
     }
 
-    /// Records a response that the gate reports as lost. If the gate already knows that the
-    /// backend crashed, the crash is reported to all nodes at once. Otherwise this entry keeps
-    /// the loss as well, because the gate may stop before the backend's next incarnation shows
-    /// the crash. Nothing is recorded if the gate goes down with the call: a power failure
-    /// would put all calls in progress under suspicion.
+    /// Records a response that the gate node reports as lost. If the gate node already knows
+    /// that the backend crashed, the crash is reported to all nodes at once. Otherwise this
+    /// entry node keeps the loss as well, because the gate node may stop before the backend's
+    /// next incarnation shows the crash. Nothing is recorded if the gate node goes down with
+    /// the call: a power failure would put all calls in progress under suspicion.
     pub(super) fn record_lost_response(
         &self,
         call: &Call,
@@ -70,7 +70,7 @@
             .record_loss(&selected.node, &suspect);
     }
 
-    /// Reports to all nodes the crash that the gate's error names.
+    /// Reports to all nodes the crash that the gate node's error names.
     fn report_crash(&self, call: &Call, call_error: &CallError) {
         let Some(instance) = &call_error.crashed else {
             return;
@@ -79,14 +79,15 @@
             identity: self.identity(call),
             instance: instance.clone(),
             age: Duration::ZERO,
-            // The gate's own crash report carries this flag.
+            // The gate node's own crash report carries this flag.
             on_trial: false,
             cleared: false,
         });
     }
 
-    /// Clears the request of suspicion after a backend has completed the call that started at
-    /// `started_at`. The response also shows that the backend is alive.
+    /// Withdraws the suspicion that the request crashes backends, after a backend has completed
+    /// the call that started at `started_at`. The response also shows that the backend is
+    /// alive.
     pub(super) fn record_complete_response(
         &self,
         call: &Call,
@@ -131,7 +132,7 @@
 }
 
 /// Incarnation of the backend that the call was sent to. A backend known only from the
-/// configuration has no incarnations; its gate alone detects a crash.
+/// configuration has no incarnations; its gate node alone detects a crash.
 fn incarnation(selected: &SelectedBackend) -> Option<InstanceId> {
     InstanceId::new(selected.target.backend.as_str()).ok()
 }
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -24,7 +24,7 @@
 pub(super) struct Versions {
     limiters: HashMap<ResourceName, ExposureLimiter>,
     evidence: EvidenceRecorder,
-    /// When this entry first saw each version of a service that has several versions.
+    /// When this entry node first saw each version of a service that has several versions.
     first_seen: HashMap<ResourceName, HashMap<SoftwareVersion, Moment>>,
     /// When each backend came into service.
     ready_since: HashMap<NodeId, Moment>,
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -44,8 +44,8 @@
         self.plans.get(service)
     }
 
-    /// Keeps publishing the demand for `service` after a gate has rejected a call for lack of
-    /// capacity.
+    /// Keeps publishing the demand for `service` after a gate node has rejected a call for lack
+    /// of capacity.
     pub(super) fn record_rejection(&mut self, service: &ResourceName, now: Moment) {
         let window = self.publication_windows.entry(service.clone()).or_default();
         window.extend(now);
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -1,8 +1,8 @@
 //! The gate: the node that forwards calls to its local backend. All calls to the backend pass
-//! through its gate.
+//! through its gate node.
 //!
-//! Only the gate knows the exact number of calls in flight. It rejects a call immediately if
-//! the call cannot run in time, and it alone can assert that a request has not run.
+//! Only the gate node knows the exact number of calls in flight. It rejects a call immediately
+//! if the call cannot run in time, and it alone can assert that a request has not run.
 
 mod admission;
 mod backend_request;
@@ -60,7 +60,7 @@
 /// Separates the request id from the attempt number in a call id.
 pub const ATTEMPT_SEPARATOR: char = '~';
 
-/// What a gate keeps in memory about its backend and the calls at the backend.
+/// What a gate node keeps in memory about its backend and the calls at the backend.
 struct GateState {
     admission: AdmissionController,
     fences: FenceTable,
@@ -115,7 +115,8 @@
     live: ReloadableSettings,
 }
 
-/// One attempt of a call, decoded from the headers that the entry has sent to the gate.
+/// One attempt of a call, decoded from the headers that the entry node has sent to the gate
+/// node.
 #[derive(Clone)]
 pub struct Hop {
     /// Id of the attempt: the request id and the attempt number, separated by
@@ -123,9 +124,10 @@
     pub call_id: String,
     /// Name of the service that makes the call.
     pub caller: String,
-    /// Route that the entry has matched.
+    /// Route that the entry node, which received the call from its caller, has matched.
     pub route: ResourceName,
-    /// Backend that the entry has selected; a gate with another backend rejects the hop.
+    /// Backend that the entry node has selected; a gate node with another backend rejects the
+    /// hop.
     pub backend: ResourceName,
     /// Time after which the caller no longer waits for the response.
     pub deadline: Moment,
@@ -134,14 +136,14 @@
     /// Number of services that the call chain has passed, including this one; limits call
     /// loops.
     pub hops: u32,
-    /// Tenant that the entry has identified; `None` for a route that needs none.
+    /// Tenant that the entry node has identified; `None` for a route that needs none.
     pub tenant: Option<ResourceName>,
     /// Priority of the tenant, or else of the route; calls with a lower number are served
     /// first.
     pub rank: u32,
     /// Order among calls of the same priority.
     pub precedence: Precedence,
-    /// Whether, and for how long, the gate may queue the call for a slot.
+    /// Whether, and for how long, the gate node may queue the call for a slot.
     pub queueing_limit: QueueingLimit,
 }
 
@@ -160,8 +162,8 @@
 }
 
 impl Gate {
-    /// Creates a gate without slots. The gate takes its limits from the local backend when the
-    /// first hop arrives.
+    /// Creates a gate node without slots. The gate node takes its limits from the local backend
+    /// when the first hop arrives.
     pub fn new(options: GateOptions) -> Self {
         let limits = AdmissionLimits { slots: 0, queue: 0 };
         let now = options.control.clock.now();
@@ -214,7 +216,7 @@
         backend.draining || self.control.is_draining()
     }
 
-    /// Load sent to entries; [`UNAVAILABLE_LOAD`] while the gate takes no calls.
+    /// Load sent to entries; [`UNAVAILABLE_LOAD`] while the gate node takes no calls.
     fn reported_load(&self) -> u32 {
         match self.control.local_backend() {
             Some(backend) if self.control.is_ready() && !self.is_draining(&backend) => self.load(),
@@ -227,19 +229,21 @@
         self.state().admission.running()
     }
 
-    /// Drops expired entries of the fence table. To be called periodically.
+    /// Drops calls from the call fence table whose retention has passed. To be called
+    /// periodically.
     pub fn expire_fences(&self) {
         let now = self.control.clock.now();
         self.state().fences.expire(now);
     }
 
-    /// Number of entries in the fence table.
+    /// Number of calls whose start or fence the gate node remembers; bounded by the retention
+    /// of the call fence table.
     pub fn fence_table_len(&self) -> usize {
         self.state().fences.len()
     }
 
-    /// Fences `call_id`, which its entry has abandoned: unless the call has started, it cannot
-    /// start here any more.
+    /// Fences `call_id`, which its entry node has abandoned: unless the call has started, it
+    /// cannot start here any more.
     pub fn fence(&self, call_id: &str) -> FenceAnswer {
         let now = self.control.clock.now();
         let reply = self.state().fences.fence(&call_id.to_string(), now);
@@ -268,8 +272,8 @@
         response
     }
 
-    /// Adds a header that tells the entry that `route` carries nested calls, which only the
-    /// gate can see.
+    /// Adds a header that tells the entry node that `route` carries nested calls, which only
+    /// the gate node can see.
     fn add_nested_header(&self, route: &ResourceName, response: &mut Response<Body>) {
         if self.state().nested_calls.is_nested(route) {
             let value = Precedence::Nested.as_str();
--- a/crates/rampthread-node/src/calls/gate/admission.rs
+++ b/crates/rampthread-node/src/calls/gate/admission.rs
@@ -1,5 +1,6 @@
-//! What a hop must pass at the gate before its call starts: the backend check, the deadline,
-//! admission to a slot, and the fence table.
+//! Checks at the gate node (the node that forwards calls to its local backend) before the call
+//! of a hop starts: the backend check, the deadline, admission to a slot, and the call fence
+//! table, which records the started and fenced calls.
 
 use super::slot::Slot;
 use super::{CONFIG_RETRY_AFTER, Gate, GateState, Hop};
@@ -150,8 +151,8 @@
         hop.caller.clone()
     }
 
-    /// Records the start of the call in the fence table. From here on, a fence no longer stops
-    /// the call.
+    /// Records the start of the call in the call fence table, which records the calls that must
+    /// not start. From here on, a fence no longer stops the call.
     pub(super) fn start(&self, hop: &Hop) -> Result<(), CallError> {
         let now = self.control.clock.now();
         self.check_deadline(hop)?;
@@ -180,8 +181,8 @@
     CallError::not_run(Cause::QueueFull, reason).retry_after(retry_after)
 }
 
-/// Precedence of a hop at this gate. Calls made by other backends are nested calls; only the
-/// gate sees who calls a route.
+/// Precedence of a hop at this gate node. Calls made by other backends are nested calls; only
+/// the gate node sees who calls a route.
 fn precedence(nested_calls: &mut NestedCallDetector, hop: &Hop) -> Precedence {
     if nested_calls.observe(&hop.route, &hop.caller) {
         return Precedence::Nested;
--- a/crates/rampthread-node/src/calls/gate/backend_request.rs
+++ b/crates/rampthread-node/src/calls/gate/backend_request.rs
@@ -1,5 +1,5 @@
-//! Builds the request that the gate sends to the backend: system headers and the secret of the
-//! route.
+//! Builds the request that the gate node sends to the backend: system headers and the secret of
+//! the route.
 
 use super::{CONFIG_RETRY_AFTER, Gate, Hop};
 use crate::calls::header_filter;
--- a/crates/rampthread-node/src/calls/gate/exchange.rs
+++ b/crates/rampthread-node/src/calls/gate/exchange.rs
@@ -18,8 +18,8 @@
 use rampthread_http::{Body, ConnectionReuse, PooledBody, SendError, boxed, full, read_limited};
 use std::sync::Arc;
 
-/// Maximum size of a response that the gate buffers before returning it to the entry, in bytes.
-/// 100 concurrent calls hold at most 6 MB.
+/// Maximum size of a response that the gate node buffers before returning it to the entry node,
+/// in bytes. 100 concurrent calls hold at most 6 MB.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// A call that holds a slot, with what is needed to send the call to the backend.
@@ -105,7 +105,7 @@
     }
 
     /// Checks that the response is one to this call, and turns it into the response for the
-    /// entry.
+    /// entry node.
     async fn process_response(
         &self,
         hop: &Hop,
@@ -173,7 +173,7 @@
     }
 
     /// Reads the body of a response. A body of moderate size is buffered, so that a slow link
-    /// to the entry does not hold the backend's slot.
+    /// to the entry node does not hold the backend's slot.
     async fn read_body(
         &self,
         hop: &Hop,
--- a/crates/rampthread-node/src/calls/gate/lost_response.rs
+++ b/crates/rampthread-node/src/calls/gate/lost_response.rs
@@ -180,14 +180,14 @@
     })
 }
 
-/// Body of a streamed response. If the body ends early, the gate checks whether the backend
-/// crashed, as for any lost response.
+/// Body of a streamed response. If the body ends early, the gate node checks whether the
+/// backend crashed, as for any lost response.
 pub(super) struct LossDetectingBody<B> {
     inner: B,
     loss: Option<LossContext>,
 }
 
-/// What the gate needs to investigate a lost response.
+/// What the gate node needs to investigate a lost response.
 struct LossContext {
     gate: Arc<Gate>,
     backend: LocalBackend,
--- a/crates/rampthread-node/src/calls/gate/reservation.rs
+++ b/crates/rampthread-node/src/calls/gate/reservation.rs
@@ -1,6 +1,6 @@
-//! Reservations: an entry asks the gate before it sends a request body. A large body is queued
-//! for a transfer permit, so that large bodies do not congest the link; the body of a call that
-//! the gate would reject is not sent.
+//! Reservations: an entry node asks the gate node before it sends a request body. A large body
+//! is queued for a transfer permit, so that large bodies do not congest the link; the body of a
+//! call that the gate node would reject is not sent.
 
 use super::admission::{OVERTAKEN_WAIT_RATIO, precedence_for_query, queue_full_error};
 use super::{Gate, Hop};
@@ -28,8 +28,8 @@
 /// Call number for asking whether a call would be admitted; numbers of real calls are lower.
 const NO_CALL_NUMBER: CallNumber = CallNumber::MAX;
 
-/// Permit to send one large request body to this gate. Released when the body has arrived or
-/// the permit is dropped.
+/// Permit to send one large request body to this gate node. Released when the body has arrived
+/// or the permit is dropped.
 pub struct TransferPermit {
     gate: Arc<Gate>,
     number: CallNumber,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Decides whether the entry may send the body of `hop`, of `bytes` bytes.
+    /// Decides whether the entry node may send the body of `hop`, of `bytes` bytes.
     pub async fn reserve(self: &Arc<Self>, hop: Hop, bytes: u64) -> Response<Body> {
         let mut response = match self.decide(&hop, bytes).await {
             Ok(permit) => {
--- a/crates/rampthread-node/src/calls/gate/slot.rs
+++ b/crates/rampthread-node/src/calls/gate/slot.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the gate signals to a queued call.
+/// What the gate node signals to a queued call.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum QueueSignal {
     /// The call now holds a slot.
@@ -107,7 +107,8 @@
             .run
             .and_then(|next| state.queued_calls.remove(&next))
         {
-            // The receiver lives as long as its sender in `queued_calls`; see `QueueEntry`.
+            // Sending cannot fail: `QueueEntry` removes the sender from `queued_calls` when it
+            // drops the receiver.
             let _ = sender.try_send(QueueSignal::Run);
         }
     }
--- a/crates/rampthread-node/src/calls/gate/speed.rs
+++ b/crates/rampthread-node/src/calls/gate/speed.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Adds the backend's speed to a response for the entry, unless the speed is normal.
+    /// Adds the backend's speed to a response for the entry node, unless the speed is normal.
     pub(super) fn add_speed_header(&self, response_headers: &mut HeaderMap) {
         let speed = self.state().speed.speed(self.control.clock.now());
         if speed != BackendSpeed::default() {
--- a/crates/rampthread-node/src/calls/gate/trial.rs
+++ b/crates/rampthread-node/src/calls/gate/trial.rs
@@ -1,4 +1,4 @@
-//! Quarantine at the gate. Requests in whose handling backends crashed are rejected
+//! Quarantine at the gate node. Requests in whose handling backends crashed are rejected
 //! (quarantined) or run on trial: one at a time, so that a crash is attributed to the right
 //! request.
 
@@ -12,11 +12,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Retry delay advised while no trial can start: about one service time, and a fraction of the
-/// time that a backend takes to restart.
+/// Retry delay advised while no quarantine trial can start: about one service time, and a
+/// fraction of the time that a backend takes to restart.
 const TRIAL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The trial of a suspected request; ends on drop.
+/// The quarantine trial of a suspected request; ends on drop.
 pub(super) struct Trial {
     gate: Arc<Gate>,
 }
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Starts the trial of a request that must run on trial; `None` for any other request.
-    /// Rejects a quarantined request.
+    /// Starts the quarantine trial of a request that must run on trial; `None` for any other
+    /// request. Rejects a quarantined request.
     pub(super) fn begin_trial(
         self: &Arc<Self>,
         content: &CallContent,
@@ -52,9 +52,9 @@
         }
     }
 
-    /// Starts a trial, unless another request is on trial or the backend may already be down,
-    /// having lost responses and sent none since. A trial at such a backend would fail whatever
-    /// the request does, and would count against the request.
+    /// Starts a quarantine trial, unless another request is on trial or the backend may already
+    /// be down, having lost responses and sent none since. A quarantine trial at such a backend
+    /// would fail whatever the request does, and would count against the request.
     fn start_trial(
         self: &Arc<Self>,
         identity: RequestIdentity,
--- a/crates/rampthread-node/src/calls/hop_headers.rs
+++ b/crates/rampthread-node/src/calls/hop_headers.rs
@@ -1,8 +1,8 @@
-//! Headers of a hop, that is, of a request that the entry sends to the gate of the selected
-//! backend.
+//! Headers of a hop, that is, of a request that the entry node sends to the gate node of the
+//! selected backend.
 //!
 //! Traffic between zones is expensive, and the head is a large part of a small call. Values
-//! that the gate can derive are therefore omitted.
+//! that the gate node can derive are therefore omitted.
 
 use super::gate::{ATTEMPT_SEPARATOR, Hop};
 use super::header_filter;
--- a/crates/rampthread-node/src/calls/idempotency_claims.rs
+++ b/crates/rampthread-node/src/calls/idempotency_claims.rs
@@ -1,6 +1,6 @@
-//! Claims of idempotency keys. A call with a key may run only if a majority of the key's
-//! holders (nodes chosen by the key) grants a claim. This node is a holder itself and asks
-//! other holders.
+//! Claims of idempotency keys. A call with a key may run only if a majority of the key's claim
+//! holders (nodes chosen by the key) grants a claim. This node is a claim holder itself and
+//! asks other claim holders.
 
 use super::peers::{CLAIM_ACTION_HEADER, CLAIM_PATH, CLAIM_RESULT_HEADER, PeerClient};
 use crate::control::Control;
@@ -14,12 +14,13 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Timeout of a request to one holder.
+/// Timeout of a request to one claim holder.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Header with the time after which a holder can decide, in milliseconds.
+/// Header with the time after which a claim holder knows its older claims for certain and can
+/// decide on a claim request, in milliseconds.
 const RETRY_AFTER_MS: &str = "rampthread-retry-after-ms";
 
-/// What an entry asks of a holder.
+/// What an entry node asks of a claim holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimAction {
     /// Grant the call a claim to the key.
@@ -48,7 +49,7 @@
     }
 }
 
-/// The claims that this node holds, and the client for other holders.
+/// The claims that this node holds, and the client for other claim holders.
 pub struct IdempotencyClaims {
     control: Arc<Control>,
     peers: Arc<PeerClient>,
@@ -72,7 +73,7 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Applies a claim action to the table of this holder.
+    /// Applies a claim action to the table of this claim holder.
     pub fn handle_request(&self, action: ClaimAction, key: &str, call_id: &str) -> ClaimReply {
         let now = self.control.clock.now();
         let call = call_id.to_string();
@@ -89,8 +90,8 @@
         }
     }
 
-    /// Claims `key` for `call_id` at all its holders and returns the result of their vote. If
-    /// the call may not run, its claims are released.
+    /// Claims `key` for `call_id` at all its claim holders and returns the result of their
+    /// vote. If the call may not run, its claims are released.
     pub async fn claim(&self, key: &str, call_id: &str) -> ClaimDecision {
         let holders = self.holders(key);
         let mut vote = ClaimVote::new(holders.len());
@@ -110,7 +111,7 @@
         verdict
     }
 
-    /// Notifies all holders of `key` of the outcome of the call.
+    /// Notifies all claim holders of `key` of the outcome of the call.
     pub async fn notify_holders(&self, action: ClaimAction, key: &str, call_id: &str) {
         let holders = self.holders(key);
         join_all(
@@ -128,7 +129,8 @@
         claims::holders(key, nodes)
     }
 
-    /// Sends a claim action to one holder; `None` if the holder does not reply in time.
+    /// Sends a claim action to one claim holder; `None` if the claim holder does not reply in
+    /// time.
     async fn send_claim_action(
         &self,
         holder: &NodeId,
@@ -151,7 +153,7 @@
     }
 }
 
-/// Encodes a holder's reply to a claim request as headers.
+/// Encodes a claim holder's reply to a claim request as headers.
 pub fn claim_result_headers(reply: ClaimReply) -> Vec<(&'static str, String)> {
     let value = match reply {
         ClaimReply::Granted => "granted",
@@ -166,7 +168,7 @@
     headers
 }
 
-/// Decodes a holder's reply to a claim request; `None` if it is malformed.
+/// Decodes a claim holder's reply to a claim request; `None` if it is malformed.
 fn parse_claim_result(headers: &HeaderMap) -> Option<ClaimReply> {
     let value = headers.get(CLAIM_RESULT_HEADER)?.to_str().ok()?;
     Some(match value {
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -23,9 +23,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Path of a fence request, which forbids the gate to start an abandoned call.
+/// Path of a fence request, which forbids the gate node to start an abandoned call.
 pub const FENCE_PATH: &str = "/rampthread/fence";
-/// Path of a reservation, which an entry sends before a request body.
+/// Path of a reservation: the question of an entry node whether it may send a request body to
+/// this gate node.
 pub const RESERVE_PATH: &str = "/rampthread/reserve";
 /// Path of a claim request for an idempotency key.
 pub const CLAIM_PATH: &str = "/rampthread/claim";
@@ -37,7 +38,7 @@
 const FENCE_STATUS_HEADER: &str = "rampthread-fenced";
 /// Header with the id of the node that responds to a fence request.
 const FENCING_NODE_HEADER: &str = "rampthread-fenced-by";
-/// Header that says how far back the fence table of the responding gate reaches, in
+/// Header that says how far back the call fence table of the responding gate reaches, in
 /// milliseconds.
 const FENCE_RETENTION_MS_HEADER: &str = "rampthread-fence-memory-ms";
 /// Timeout of connecting to a peer, which may be in another region.
@@ -144,9 +145,9 @@
         (parts.status == StatusCode::OK).then_some(parts.headers)
     }
 
-    /// Asks the gate at `address` whether a request body of `bytes` bytes may be sent; `head`
-    /// is the head of the hop. Returns `None` if the body may be sent, or else the gate's error
-    /// response.
+    /// Asks the gate node at `address` whether a request body of `bytes` bytes may be sent;
+    /// `head` is the head of the hop. Returns `None` if the body may be sent, or else the gate
+    /// node's error response.
     pub async fn reserve(
         &self,
         address: SocketAddr,
@@ -193,7 +194,7 @@
         let querying = self.query_at(address, node, FENCE_PATH, call_id, &[]);
         let reply = rampthread_http::timeout(wait, querying).await.ok()??;
         let by = header_filter::header_str(&reply, FENCING_NODE_HEADER);
-        // Older nodes do not report how far back their fence table reaches; zero claims
+        // Older nodes do not report how far back their call fence table reaches; zero claims
         // nothing.
         let memory_ms = header_filter::parse_header(&reply, FENCE_RETENTION_MS_HEADER).unwrap_or(0);
         Some(FenceReply {
@@ -345,7 +346,7 @@
         }
     }
 
-    /// Reads the body of a hop and passes the hop to the gate.
+    /// Reads the body of a hop and passes the hop to the gate node.
     async fn handle_hop(
         &self,
         call_id: String,
--- a/crates/rampthread-node/src/calls/response.rs
+++ b/crates/rampthread-node/src/calls/response.rs
@@ -11,14 +11,14 @@
 use std::time::Duration;
 
 /// Error of a call that was rejected or failed; becomes the response to the caller or, between
-/// nodes, to the entry.
+/// nodes, to the entry node.
 #[derive(Debug, Clone)]
 pub struct CallError {
     /// HTTP status code of the response.
     pub status: StatusCode,
     /// Whether the request has run.
     pub outcome: Outcome,
-    /// How far the request got: to the gate, or to a backend.
+    /// How far the request got: to the gate node, or to a backend.
     pub reach: Reach,
     /// Cause for logs and metrics.
     pub cause: Cause,
