--- a/crates/rampthread-core/src/call/acceptance.rs
+++ b/crates/rampthread-core/src/call/acceptance.rs
@@ -19,8 +19,8 @@
 /// Weight of the newest attempt in a zone other than the entry node's. Attempts there are
 /// few, and a rejection is expensive.
 const OTHER_ZONE_WEIGHT: f64 = 0.3;
-/// Time constant with which rejections are forgotten: calls run for some tenths of a second
-/// and then free their slots.
+/// Time constant with which rejections lose weight, since calls run for some tenths of a
+/// second and then free their slots.
 const DECAY: Duration = Duration::from_secs(2);
 /// Probability of acceptance below which no further gate node of the entry node's zone is
 /// asked.
@@ -32,7 +32,7 @@
 /// once. Below it the call waits in the queue of the present gate node: queues serve by
 /// urgency, while calls that ask full gate nodes in turn get a free slot by chance.
 const LIKELY_PROBABILITY: f64 = 0.7;
-/// Bytes of a query whether a gate node has a free slot, including the reply.
+/// Bytes that it takes to ask a gate node whether it has a free slot, including the reply.
 const QUERY_BYTES: f64 = 500.0;
 
 /// Share of recent attempts in one zone that gate nodes rejected for lack of free slots.
@@ -45,7 +45,7 @@
 }
 
 impl ZoneRejectionRate {
-    /// Rejected share of attempts. It decays since the last attempt.
+    /// Share of rejected attempts in the zone. It decays since the last attempt.
     fn share(&self, now: Moment) -> f64 {
         let age = now.since(self.at).as_secs_f64() / DECAY.as_secs_f64();
         self.share * (-age).exp()
--- a/crates/rampthread-core/src/call/admission.rs
+++ b/crates/rampthread-core/src/call/admission.rs
@@ -16,8 +16,8 @@
 const MEAN_WEIGHT: f64 = 0.1;
 /// Mean service time that is assumed before the first measurement.
 const INITIAL_MEAN: Duration = Duration::from_millis(5);
-/// Minimum time after which a rejected caller is told to retry; one that returns while the
-/// slots are still taken is rejected again.
+/// Minimum time after which a rejected caller is told to retry. A caller that retries while
+/// the slots are still in use is rejected again.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Limits for the calls that one backend's gate node accepts.
@@ -59,7 +59,7 @@
     running: u32,
     /// Waiting calls by rank; the lowest rank is served first.
     ranks: BTreeMap<Rank, RankQueue>,
-    /// Moving average of the service times of calls that ended.
+    /// Moving average of the service times of all calls at the backend.
     mean: Duration,
     /// True while the backend shuts down, so that all new calls are rejected.
     draining: bool,
@@ -128,14 +128,15 @@
         AdmissionDecision::Wait
     }
 
-    /// Rejects a call; the retry time is when a slot is expected to be free.
+    /// The decision to reject a call, with the time until a slot is expected to be free.
     fn rejection(&self, arrival: &Arrival) -> AdmissionDecision {
         AdmissionDecision::Refused {
             retry_after: self.expected_wait(arrival).max(MIN_RETRY_AFTER),
         }
     }
 
-    /// True if the call can be answered before its deadline after waiting in the queue.
+    /// True if the call may wait: its expected queueing time is within its maximum, the
+    /// queue has space, and the response can meet the deadline.
     fn may_wait(&self, arrival: &Arrival, now: Moment) -> bool {
         let wait = self.expected_wait(arrival);
         let answer_expected = now + wait + self.mean;
@@ -213,7 +214,8 @@
         released
     }
 
-    /// Removes the first call of the lowest rank with waiting calls.
+    /// Removes the call that is served next from the queue of the lowest rank with waiting
+    /// calls.
     fn take_next(&mut self) -> Option<Arrival> {
         let rank = *self.ranks.iter().find(|(_, queue)| !queue.is_empty())?.0;
         self.ranks.get_mut(&rank)?.pop()
--- a/crates/rampthread-core/src/call/attempt_age.rs
+++ b/crates/rampthread-core/src/call/attempt_age.rs
@@ -41,11 +41,11 @@
 
 /// The timeouts that recent calls of one route had, with their frequency.
 #[derive(Debug, Default)]
-struct RouteTimeouts {
+struct RouteTimeoutCounts {
     timeouts: Vec<SeenTimeout>,
 }
 
-impl RouteTimeouts {
+impl RouteTimeoutCounts {
     /// Counts a call with this timeout.
     fn record(&mut self, time: Duration) {
         for known in &mut self.timeouts {
@@ -78,7 +78,8 @@
         }
     }
 
-    /// The longest timeout that enough calls have; `None` before enough calls were counted.
+    /// Timeout that first attempts of the route have: the longest that enough calls had.
+    /// `None` before enough calls were counted.
     fn first_attempt_timeout(&self) -> Option<Duration> {
         let total: f64 = self.timeouts.iter().map(|one| one.weight).sum();
         if total < MIN_WEIGHT {
@@ -95,12 +96,13 @@
 /// Learns the timeout of first attempts for each route.
 #[derive(Debug, Default)]
 pub struct AttemptAges {
-    routes: HashMap<ResourceName, RouteTimeouts>,
+    routes: HashMap<ResourceName, RouteTimeoutCounts>,
 }
 
 impl AttemptAges {
-    /// Records a call of `route` whose timeout is `time`, and returns how long ago the
-    /// caller made its first attempt; zero if this is the first attempt.
+    /// Records a call of `route` that has the timeout `time` left, and returns how long ago
+    /// its caller made the first attempt: the time by which `time` is shorter than the
+    /// timeout of first attempts. Zero for a first attempt.
     pub fn age(&mut self, route: &ResourceName, time: Duration) -> Duration {
         let times = match self.routes.get_mut(route) {
             Some(times) => times,
--- a/crates/rampthread-core/src/call/balance.rs
+++ b/crates/rampthread-core/src/call/balance.rs
@@ -53,10 +53,11 @@
 const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
 /// Weight of the newest response in a route's mean response time.
 const ROUTE_MEAN_WEIGHT: f64 = 0.05;
-/// Weight of the newest response in a backend's mean slowness, the ratio of its response
-/// time to the mean of the route.
+/// Weight of the newest response in a backend's slowness, the mean ratio of its response
+/// times to the means of their routes.
 const SLOWNESS_WEIGHT: f64 = 0.2;
-/// Limit of the slowness that a single response counts with.
+/// Upper limit of the slowness (response time over the mean of the route) that is taken
+/// from a single response.
 const MAX_SLOWNESS: f64 = 20.0;
 /// Age up to which the speed that a gate node reported with a response is preferred to that
 /// of the member record, which may lag by some seconds.
@@ -113,8 +114,8 @@
     reported: u32,
     in_flight_at_report: u32,
     reported_at: Moment,
-    /// When the endpoint became ready.
-    first_seen: Moment,
+    /// When the endpoint became ready, from which its slow start counts.
+    became_ready_at: Moment,
     /// Calls in a row that got no response.
     failures: u32,
     /// Ejections since the endpoint became ready, up to the maximum.
@@ -233,7 +234,7 @@
         let stats = self.endpoints.entry(node.clone()).or_default();
         *stats = EndpointStats {
             in_flight: stats.in_flight,
-            first_seen: now,
+            became_ready_at: now,
             ..EndpointStats::default()
         };
     }
@@ -398,10 +399,10 @@
         slow_start: Duration,
         now: Moment,
     ) -> f64 {
-        if stats.first_seen <= self.started || slow_start.is_zero() {
+        if stats.became_ready_at <= self.started || slow_start.is_zero() {
             return 1.0;
         }
-        let age = now.since(stats.first_seen).as_secs_f64();
+        let age = now.since(stats.became_ready_at).as_secs_f64();
         (age / slow_start.as_secs_f64()).clamp(MIN_SLOW_START_SHARE, 1.0)
     }
 
--- a/crates/rampthread-core/src/call/body_transfers.rs
+++ b/crates/rampthread-core/src/call/body_transfers.rs
@@ -45,20 +45,21 @@
 /// What the backend's node decides about an offered request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferDecision {
-    /// The body may be sent now.
+    /// The sender may send the body now.
     Granted,
-    /// The offer waits until another transfer has ended.
+    /// The body must wait until the transfer of another body has ended.
     Queued,
-    /// The offer is rejected, since its turn would come too late.
+    /// The body must not be sent, since the call could not wait until its transfer would
+    /// start.
     Refused {
         /// Time after which the sender should retry.
         retry_after: Duration,
     },
 }
 
-/// A transfer that was granted and is not known to have ended.
+/// A large request body whose transfer was granted and is not known to have ended.
 #[derive(Debug, Clone, Copy)]
-struct Transfer {
+struct GrantedBodyTransfer {
     call: CallNumber,
     bytes: u64,
     /// When the transfer is given up if its body has not arrived.
@@ -68,7 +69,7 @@
 /// Schedules the transfers of large request bodies to one gate node.
 #[derive(Debug)]
 pub struct BodyTransfers {
-    in_progress: Vec<Transfer>,
+    in_progress: Vec<GrantedBodyTransfer>,
     waiting: VecDeque<BodyOffer>,
     /// Measured rate of all transfers to this gate node together, in bytes per second.
     rate: f64,
@@ -128,7 +129,7 @@
             self.measured_since = now;
         }
         let timeout = (self.expected(offer.bytes) * EXPIRY_FACTOR).max(MIN_EXPIRY);
-        self.in_progress.push(Transfer {
+        self.in_progress.push(GrantedBodyTransfer {
             call: offer.call,
             bytes: offer.bytes,
             expires_at: now + timeout,
--- a/crates/rampthread-core/src/call/cause.rs
+++ b/crates/rampthread-core/src/call/cause.rs
@@ -96,7 +96,7 @@
     Overdue = "overdue", GATEWAY_TIMEOUT;
     /// No response came before the call's deadline.
     Deadline = "deadline", GATEWAY_TIMEOUT;
-    /// The sender of the request between nodes is not a member of the fleet.
+    /// A node that is not a member of the fleet sent a request that only members may send.
     NotAMember = "stranger", FORBIDDEN;
 }
 
--- a/crates/rampthread-core/src/call/claims.rs
+++ b/crates/rampthread-core/src/call/claims.rs
@@ -42,7 +42,8 @@
     Granted,
     /// Another call claimed the idempotency key before; the state is that of its request.
     Taken(ClaimState),
-    /// The claim holder may have lost claims in a restart, or its table is full.
+    /// The claim holder does not know whether the key is claimed: it may have lost claims
+    /// in a restart, or its table is full.
     CannotTell {
         /// Time after which the claim holder may be able to grant claims.
         retry_after: Duration,
@@ -66,7 +67,7 @@
     started: Moment,
     ttl: Duration,
     claims: HashMap<String, IdempotencyClaim>,
-    /// Changes of claims, oldest first; a claim that changed again has several.
+    /// Keys of claims with the time of each change, oldest first, to find expired claims.
     order: VecDeque<(Moment, String)>,
 }
 
@@ -160,7 +161,8 @@
 pub struct ClaimVote {
     holders: usize,
     granted: usize,
-    /// State of the request that holds the key, if a claim holder reported another call.
+    /// State of the request of another call, if a claim holder reported that this call
+    /// holds the key.
     taken: Option<ClaimState>,
     retry_after: Duration,
 }
@@ -169,7 +171,7 @@
 /// idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// A majority of the claim holders granted the claim: the request may run.
+    /// The request may run, since a majority of the claim holders granted the claim.
     Run,
     /// A request with this idempotency key has already run.
     AlreadyDone,
--- a/crates/rampthread-core/src/call/crash_detector.rs
+++ b/crates/rampthread-core/src/call/crash_detector.rs
@@ -19,8 +19,8 @@
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Maximum number of lost responses that are kept, one per request and incarnation: four
-/// times the slots of a large backend.
+/// Maximum number of lost responses that are remembered for one backend: four times the
+/// slots of a large backend.
 const MAX_LOSSES: usize = 128;
 /// Time for which a lost response may turn out to be a crash; a crashed backend is back
 /// within seconds.
@@ -53,8 +53,8 @@
     on_trial: bool,
     /// True if a crash was reported because of this lost response.
     reported: bool,
-    /// When a call that began after the loss was answered, by the same incarnation or the
-    /// next one.
+    /// When a later call to the same backend id was answered, by the same incarnation or
+    /// the next one.
     answered: Option<Moment>,
 }
 
@@ -198,9 +198,9 @@
         explained
     }
 
-    /// Records that the backend's port was found closed shortly after the response was
-    /// lost, and no call was answered in between. Returns the crash to report; `None` if it
-    /// was reported before.
+    /// Records that the port of the backend was found closed shortly after the response was
+    /// lost. Returns the request and incarnation to report as a crash; `None` if they were
+    /// reported before or a call was answered in between.
     pub fn port_closed(&mut self, lost: &CrashSuspect) -> Option<CrashSuspect> {
         let is_meant = |loss: &&mut LostCall| {
             loss.identity == lost.identity && loss.instance == lost.instance && !loss.reported
@@ -251,7 +251,7 @@
         self.losses.is_empty()
     }
 
-    /// The requests of the lost responses that `wanted` selects.
+    /// Lists the requests whose lost responses fulfil the condition `wanted`.
     fn suspects(&self, wanted: impl Fn(&LostCall) -> bool) -> Vec<CrashSuspect> {
         let losses = self.losses.iter().filter(|loss| wanted(loss));
         losses
--- a/crates/rampthread-core/src/call/demand.rs
+++ b/crates/rampthread-core/src/call/demand.rs
@@ -51,7 +51,8 @@
         route.rate(now) * self.service_time(route)
     }
 
-    /// Bytes that cross zones for each slot-second that spilling the route's calls saves.
+    /// Cost of sending the route's calls to another zone: bytes that cross zones, per
+    /// second of slot time that is saved in this zone.
     fn bytes_per_slot(&self, route: &RouteDemand) -> f64 {
         route.bytes / self.service_time(route).max(f64::MIN_POSITIVE)
     }
--- a/crates/rampthread-core/src/call/demand_trend.rs
+++ b/crates/rampthread-core/src/call/demand_trend.rs
@@ -27,7 +27,8 @@
 /// noise.
 const MIN_STEP: Duration = Duration::from_millis(50);
 
-/// Alpha-beta filter over the demand for one service in one zone.
+/// Tracks level and slope of the demand for one service in one zone with an alpha-beta
+/// filter.
 #[derive(Debug, Clone, Copy)]
 pub struct DemandTrend {
     /// Time that the newest report describes, which is before its arrival.
@@ -39,7 +40,7 @@
 }
 
 impl DemandTrend {
-    /// Starts the filter with a first report: demand was `demand` at `at`.
+    /// Starts tracking: the first report says that demand was `demand` at the time `at`.
     pub fn new(demand: f64, at: Moment) -> Self {
         Self {
             at,
@@ -76,8 +77,8 @@
     }
 }
 
-/// Tracks the demand of each service in each zone, for the spill plans of one entry node, a
-/// node that receives calls.
+/// Tracks the demand for each service in each zone, so that an entry node, which receives
+/// calls, can plan with the present demand instead of the last report.
 #[derive(Debug, Default)]
 pub struct ZoneTrends {
     trends: HashMap<ResourceName, HashMap<Zone, DemandTrend>>,
--- a/crates/rampthread-core/src/call/fair_queue.rs
+++ b/crates/rampthread-core/src/call/fair_queue.rs
@@ -21,9 +21,10 @@
 /// State of start-time fair queueing for one queue: virtual clock and finish tags.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    /// Start tag of the call served last.
+    /// Virtual clock: the start tag of the call that was served last.
     clock: Duration,
-    /// Finish tag of each owner's last call, where that is ahead of the clock.
+    /// Start tag plus service time of each owner's last call, if that is ahead of the
+    /// clock.
     finish_tags: HashMap<String, Duration>,
 }
 
--- a/crates/rampthread-core/src/call/fence.rs
+++ b/crates/rampthread-core/src/call/fence.rs
@@ -28,7 +28,7 @@
 
 /// What the table of a gate node records of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CallState {
+enum RecordedCallState {
     Started,
     Fenced,
 }
@@ -67,12 +67,12 @@
     }
 }
 
-/// Reply of a gate node to an entry node that forbids it to start a call.
+/// What a gate node replies when an entry node forbids a call to start (fences the call).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FenceAnswer {
-    /// Whether the gate node had started the call.
+    /// Whether the call had started at the gate node before it was forbidden.
     pub fenced: FenceStatus,
-    /// How far back the gate node's table of starts reaches.
+    /// How far back the gate node's table of started calls reaches.
     pub retention: Duration,
 }
 
@@ -103,7 +103,7 @@
     /// at most [`MAX_COUNTED_GAP`], since the process may have been suspended.
     running_time: Duration,
     /// Calls that have started here, and calls that must not start.
-    states: HashMap<CallId, CallState>,
+    states: HashMap<CallId, RecordedCallState>,
     /// Calls in the order in which they were recorded, with the value of `running_time` at
     /// that time.
     order: VecDeque<(Duration, CallId)>,
@@ -126,14 +126,14 @@
     pub fn start(&mut self, call: &CallId, now: Moment) -> Result<(), StartError> {
         self.expire(now);
         match self.states.get(call) {
-            Some(CallState::Fenced) => return Err(StartError::Fenced),
-            Some(CallState::Started) => return Err(StartError::Duplicate),
+            Some(RecordedCallState::Fenced) => return Err(StartError::Fenced),
+            Some(RecordedCallState::Started) => return Err(StartError::Duplicate),
             None => {}
         }
-        if self.is_full() {
+        if self.is_table_full() {
             return Err(StartError::Full);
         }
-        self.record(call, CallState::Started);
+        self.record_call(call, RecordedCallState::Started);
         Ok(())
     }
 
@@ -142,11 +142,11 @@
     pub fn fence(&mut self, call: &CallId, now: Moment) -> FenceAnswer {
         self.expire(now);
         let fenced = match self.states.get(call) {
-            Some(CallState::Started) => FenceStatus::Started,
-            Some(CallState::Fenced) => FenceStatus::NeverStarts,
-            None if self.is_full() => FenceStatus::Unknown,
+            Some(RecordedCallState::Started) => FenceStatus::Started,
+            Some(RecordedCallState::Fenced) => FenceStatus::NeverStarts,
+            None if self.is_table_full() => FenceStatus::Unknown,
             None => {
-                self.record(call, CallState::Fenced);
+                self.record_call(call, RecordedCallState::Fenced);
                 FenceStatus::NeverStarts
             }
         };
@@ -156,8 +156,9 @@
         }
     }
 
-    /// Drops starts and fences older than [`FENCE_RETENTION`]. To be called regularly, even
-    /// without calls, since only uses of the table show that the process is running.
+    /// Drops records of calls older than [`FENCE_RETENTION`]. The gate node calls this
+    /// regularly, even without calls, since only uses of the table show that its process is
+    /// not suspended.
     pub fn expire(&mut self, now: Moment) {
         self.running_time += now.since(self.last_used).min(MAX_COUNTED_GAP);
         self.last_used = self.last_used.max(now);
@@ -170,12 +171,12 @@
         }
     }
 
-    fn record(&mut self, call: &CallId, state: CallState) {
+    fn record_call(&mut self, call: &CallId, state: RecordedCallState) {
         self.states.insert(call.clone(), state);
         self.order.push_back((self.running_time, call.clone()));
     }
 
-    fn is_full(&self) -> bool {
+    fn is_table_full(&self) -> bool {
         self.states.len() >= MAX_FENCE_ENTRIES
     }
 
--- a/crates/rampthread-core/src/call/fence_outcome.rs
+++ b/crates/rampthread-core/src/call/fence_outcome.rs
@@ -47,12 +47,12 @@
 pub enum FenceOutcome {
     /// The call has not run and never will.
     NeverStarts,
-    /// The call had started at the gate node and may have run.
+    /// The call had started at the gate node, so it may have run.
     Started,
-    /// The node that replied cannot know whether the call has started: the call may have
-    /// run.
+    /// The node that replied does not know whether the call has started, so the call may
+    /// have run.
     Unknown,
-    /// No node replied in time: the call may have run.
+    /// No node replied to the fence in time, so the call may have run.
     NoReply,
 }
 
--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -151,13 +151,13 @@
 /// calls to the backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueingLimit {
-    /// The call runs at once or is rejected, since another backend seems to have a free
-    /// slot.
+    /// The call must not wait: it runs at once or is rejected, since another backend seems
+    /// to have a free slot.
     Never,
-    /// The call may wait while its response can meet the target latency of its route. The
-    /// duration is what is left of the target latency.
+    /// The call may wait as long as its response can meet the target latency of its route,
+    /// of which this much is left.
     ForTarget(Duration),
-    /// The call may wait while its response can meet the call's deadline.
+    /// The call may wait as long as its response can meet its deadline.
     UntilDeadline,
 }
 
--- a/crates/rampthread-core/src/call/incarnation_names.rs
+++ b/crates/rampthread-core/src/call/incarnation_names.rs
@@ -13,7 +13,7 @@
 pub struct IncarnationNames {
     /// Backend id that `ended` counts for.
     name: Option<InstanceId>,
-    /// How many incarnations under that id have ended.
+    /// How many incarnations with this id have ended.
     ended: u64,
 }
 
--- a/crates/rampthread-core/src/call/load_average.rs
+++ b/crates/rampthread-core/src/call/load_average.rs
@@ -8,19 +8,20 @@
 /// Time constant of the average load.
 const AVERAGING_TIME: Duration = Duration::from_millis(500);
 
-/// Keeps load reports going for [`REPORTING_TAIL`] after the last reason to send one.
+/// Decides how long load reports go on: until [`REPORTING_TAIL`] has passed since the load
+/// was last high.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReportingHold {
     last_reason: Option<Moment>,
 }
 
 impl ReportingHold {
-    /// Reports are to go on for [`REPORTING_TAIL`] from `now`.
+    /// Lets load reports go on for [`REPORTING_TAIL`] from `now`, since the load is high.
     pub fn extend(&mut self, now: Moment) {
         self.last_reason = Some(now);
     }
 
-    /// False once the last reason for reports is longer ago than [`REPORTING_TAIL`].
+    /// False once the load has not been high for [`REPORTING_TAIL`].
     pub fn is_reporting(&self, now: Moment) -> bool {
         self.last_reason
             .is_some_and(|at| now.since(at) < REPORTING_TAIL)
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Keeps reports going because the whole zone of the backend is loaded, even if this
-    /// backend is not.
+    /// Lets load reports go on because the load of the whole zone is high, even if that of
+    /// this backend is not.
     pub fn zone_is_loaded(&mut self, now: Moment) {
         self.hold.extend(now);
     }
--- a/crates/rampthread-core/src/call/log_rate_limit.rs
+++ b/crates/rampthread-core/src/call/log_rate_limit.rs
@@ -26,12 +26,12 @@
     hasher.finish().is_multiple_of(SAMPLE_INTERVAL)
 }
 
-/// Token bucket that limits the log lines of one cause.
+/// Limits the rate of the log lines about one cause of failures.
 #[derive(Debug)]
-struct TokenBucket {
+struct LogTokenBucket {
     tokens: f64,
     refilled_at: Moment,
-    /// Lines of the cause that were not logged since the last summary.
+    /// Lines about the cause that were not logged since the last summary.
     suppressed: u64,
 }
 
@@ -47,7 +47,7 @@
 /// Decides which log lines are written, with a token bucket for each cause.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
-    buckets: BTreeMap<&'static str, TokenBucket>,
+    buckets: BTreeMap<&'static str, LogTokenBucket>,
     next_summary: Moment,
 }
 
@@ -55,7 +55,7 @@
     /// True when a line of `cause` may be logged now; otherwise counts the line as
     /// suppressed.
     pub fn allow(&mut self, cause: &'static str, now: Moment) -> bool {
-        let bucket = self.buckets.entry(cause).or_insert(TokenBucket {
+        let bucket = self.buckets.entry(cause).or_insert(LogTokenBucket {
             tokens: BURST_LINES,
             refilled_at: now,
             suppressed: 0,
--- a/crates/rampthread-core/src/call/nested_call_detector.rs
+++ b/crates/rampthread-core/src/call/nested_call_detector.rs
@@ -18,14 +18,14 @@
 /// Share of a route's calls that one service must make for them to count as nested.
 const MIN_SHARE: f64 = 0.99;
 
-/// The services that call one route, with the number of their recent calls.
+/// The services that call one route, and how often each does.
 #[derive(Debug, Default)]
-struct Callers {
+struct RouteCallers {
     /// Recent calls by service; each counts less with each newer call.
     weights: HashMap<String, f64>,
 }
 
-impl Callers {
+impl RouteCallers {
     /// Counts a call from a node of the service `caller`.
     fn record(&mut self, caller: &str) {
         for weight in self.weights.values_mut() {
@@ -50,7 +50,7 @@
 /// Detects nested calls at one gate node, from which service calls which route.
 #[derive(Debug, Default)]
 pub struct NestedCallDetector {
-    routes: HashMap<ResourceName, Callers>,
+    routes: HashMap<ResourceName, RouteCallers>,
 }
 
 impl NestedCallDetector {
@@ -68,7 +68,8 @@
     /// True if calls of `route` are most likely nested, judging by the calls recorded so
     /// far.
     pub fn is_nested(&self, route: &ResourceName) -> bool {
-        let one_caller = |callers: &Callers| callers.main_share().map(|share| share >= MIN_SHARE);
+        let one_caller =
+            |callers: &RouteCallers| callers.main_share().map(|share| share >= MIN_SHARE);
         self.routes.get(route).and_then(one_caller) == Some(true)
             && self
                 .routes
--- a/crates/rampthread-core/src/call/path_delay.rs
+++ b/crates/rampthread-core/src/call/path_delay.rs
@@ -13,7 +13,8 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Maximum number of senders whose idle path is kept; beyond it, all are measured anew.
+/// Maximum number of sending machines whose fastest hop is remembered; beyond it, all are
+/// measured anew.
 const MAX_SENDERS: usize = 4_096;
 
 /// Time at which a hop was sent, by the clock of the sending process.
@@ -48,18 +49,19 @@
     }
 }
 
-/// The least time that a hop from one machine took, up to an unknown difference of clocks.
+/// The least time that a hop (a request between nodes) from one machine has taken, as the
+/// difference between the receiver's and the sender's clock.
 #[derive(Debug, Clone, Copy)]
-struct IdlePath {
+struct FastestHop {
     process_epoch: u32,
-    /// Least difference between the clocks of receiver and sender, in microseconds.
+    /// Receiver's clock minus sender's clock when the fastest hop arrived, in microseconds.
     least_difference: i64,
 }
 
 /// Delays of the hops that one node receives. Each sending machine has its own idle path.
 #[derive(Debug, Default)]
 pub struct PathDelays {
-    senders: HashMap<IpAddr, IdlePath>,
+    senders: HashMap<IpAddr, FastestHop>,
 }
 
 impl PathDelays {
@@ -70,16 +72,18 @@
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&sender) {
             self.senders.clear();
         }
-        let path = self.senders.entry(sender).or_insert(IdlePath {
+        let fastest_hop = self.senders.entry(sender).or_insert(FastestHop {
             process_epoch: sent.process_epoch,
             least_difference: difference,
         });
-        if path.process_epoch != sent.process_epoch || difference < path.least_difference {
-            *path = IdlePath {
+        if fastest_hop.process_epoch != sent.process_epoch
+            || difference < fastest_hop.least_difference
+        {
+            *fastest_hop = FastestHop {
                 process_epoch: sent.process_epoch,
                 least_difference: difference,
             };
         }
-        Duration::from_micros((difference - path.least_difference) as u64)
+        Duration::from_micros((difference - fastest_hop.least_difference) as u64)
     }
 }
--- a/crates/rampthread-core/src/call/peer_crash_detector.rs
+++ b/crates/rampthread-core/src/call/peer_crash_detector.rs
@@ -17,7 +17,7 @@
 pub struct CurrentBackend {
     /// Incarnation of the backend.
     pub instance: InstanceId,
-    /// True if the backend has announced its departure, a planned end.
+    /// True if the backend has announced that it will end as planned.
     pub leaving: bool,
 }
 
--- a/crates/rampthread-core/src/call/quarantine.rs
+++ b/crates/rampthread-core/src/call/quarantine.rs
@@ -87,8 +87,8 @@
 pub const MAX_CRASH_RETENTION: Duration = LONGEST_QUARANTINE.saturating_add(RETENTION);
 
 impl QuarantineState {
-    /// State of a request from how often backends have crashed while running it, and the
-    /// time since the last of these crashes.
+    /// State of a request, from the number of backend crashes while running it and the time
+    /// since the last of them.
     pub fn after(counts: CrashCounts, since_last: Duration) -> Self {
         let crashes = counts.crashes;
         match crashes {
--- a/crates/rampthread-core/src/call/rank_queue.rs
+++ b/crates/rampthread-core/src/call/rank_queue.rs
@@ -16,7 +16,7 @@
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// One in this many calls taken from the queue is a longer one, if one waits.
+/// One call in this many is served out of turn: a long call that waits behind shorter ones.
 const TURNS_PER_LONGER_CALL: u32 = 4;
 
 /// Size of a set of waiting calls.
@@ -56,7 +56,8 @@
     (arrival.precedence, length, arrival.deadline)
 }
 
-/// Queue of the waiting calls of one rank, ordered by precedence, fairness and length.
+/// Queue of the waiting calls of one rank. Calls are served by precedence, then in fair
+/// turns between callers, then by expected service time.
 #[derive(Debug, Default)]
 pub struct RankQueue {
     /// Calls of each caller, in the order in which they are served.
@@ -64,7 +65,7 @@
     fair_queue: FairQueue,
     /// Waiting calls of all callers together.
     length: u32,
-    /// Calls taken since a longer call went before shorter ones.
+    /// Calls that were served since a long call was last served out of turn.
     turns_taken: u32,
 }
 
@@ -84,7 +85,7 @@
         self.waiting.len() as u32
     }
 
-    /// Puts a call into the queue of its caller, in the order in which they are served.
+    /// Puts a call into its caller's queue, before the calls with a greater sort key.
     pub fn push(&mut self, arrival: Arrival) {
         if self.is_empty() {
             self.fair_queue.reset();
@@ -108,7 +109,8 @@
         self.take(next)
     }
 
-    /// The call of the highest precedence, from the caller with the least start tag.
+    /// Finds the call to serve next: of the highest precedence, from the caller that has
+    /// received least service.
     fn next_in_turn(&self) -> Option<CallNumber> {
         let heads = self.waiting.iter().filter_map(|(owner, queue)| {
             let head = queue.front()?;
@@ -125,9 +127,9 @@
         Some(taken)
     }
 
-    /// The call to serve out of turn, so that long calls are not starved: among waiting
-    /// calls of the highest precedence that are longer than the shortest of them, the one
-    /// that arrived first.
+    /// Finds the call to serve out of turn so that long calls are not starved. It is the
+    /// call that arrived first among those of the highest precedence that are not the
+    /// shortest.
     fn oldest_longer(&self) -> Option<CallNumber> {
         let all = || self.waiting.values().flatten();
         let highest = all().map(|arrival| arrival.precedence).min()?;
--- a/crates/rampthread-core/src/call/recent_responses.rs
+++ b/crates/rampthread-core/src/call/recent_responses.rs
@@ -19,7 +19,8 @@
 pub struct RecentResponses {
     /// When each request was last answered.
     last: HashMap<RequestIdentity, Moment>,
-    /// All responses, oldest first; a request that was answered again has several.
+    /// Answered requests with the time of each response, oldest first, to find those to
+    /// forget.
     order: VecDeque<(Moment, RequestIdentity)>,
 }
 
--- a/crates/rampthread-core/src/call/response_check.rs
+++ b/crates/rampthread-core/src/call/response_check.rs
@@ -88,7 +88,7 @@
             && !of_another
     }
 
-    /// Value of a response header; `None` if it is absent or not ASCII.
+    /// Value of the response header `name`; `None` if the header is absent or not ASCII.
     fn header_text(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
--- a/crates/rampthread-core/src/call/retry_budget.rs
+++ b/crates/rampthread-core/src/call/retry_budget.rs
@@ -66,9 +66,9 @@
     }
 }
 
-/// Calls and retries in one part of the sliding window.
+/// Calls and retries of one service, counted over one part of the sliding window.
 #[derive(Debug, Clone, Copy)]
-struct WindowPart {
+struct RetryWindowPart {
     /// Index of the part since time zero; consecutive parts have consecutive numbers.
     number: u64,
     calls: u32,
@@ -87,7 +87,7 @@
     limit: RetryLimit,
     /// True if every retry is allowed.
     unlimited: bool,
-    parts: VecDeque<WindowPart>,
+    parts: VecDeque<RetryWindowPart>,
 }
 
 impl RetryBudget {
@@ -149,8 +149,9 @@
             return true;
         }
         self.part(now);
-        let sum =
-            |count: fn(&WindowPart) -> u32| f64::from(self.parts.iter().map(count).sum::<u32>());
+        let sum = |count: fn(&RetryWindowPart) -> u32| {
+            f64::from(self.parts.iter().map(count).sum::<u32>())
+        };
         let allowed = self.limit.ratio * sum(|part| part.calls) + self.limit.slack;
         let fits = |retries: f64, allowed: f64| retries < allowed - 1.0 + f64::EPSILON;
         if !fits(sum(|part| part.retries), allowed) {
@@ -170,7 +171,7 @@
 
     /// The part of the window that `now` falls into; drops parts that lie before the
     /// window.
-    fn part(&mut self, now: Moment) -> &mut WindowPart {
+    fn part(&mut self, now: Moment) -> &mut RetryWindowPart {
         let number = self.part_number(now);
         while let Some(oldest) = self.parts.front()
             && oldest.number + WINDOW_PARTS < number
@@ -178,7 +179,7 @@
             self.parts.pop_front();
         }
         if self.parts.back().is_none_or(|part| part.number < number) {
-            self.parts.push_back(WindowPart {
+            self.parts.push_back(RetryWindowPart {
                 number,
                 calls: 0,
                 retries: 0,
--- a/crates/rampthread-core/src/call/route_table.rs
+++ b/crates/rampthread-core/src/call/route_table.rs
@@ -33,7 +33,8 @@
 pub struct RouteTable {
     /// Routes that name a host, keyed by the host in lower case.
     by_host: HashMap<String, Vec<Arc<Route>>>,
-    /// Routes that match every host; they are tried after those of the call's host.
+    /// Routes that do not name a host. They are tried after the routes that name the call's
+    /// host.
     any_host: Vec<Arc<Route>>,
 }
 
@@ -111,7 +112,8 @@
     })
 }
 
-/// Picks a destination of a route at random, by weight; `None` if all weights are 0.
+/// Picks one of a route's destination services at random, by weight. `None` if all weights
+/// are 0.
 pub fn choose_destination<'a>(
     destinations: &'a [Destination],
     rng: &mut impl Rng,
--- a/crates/rampthread-core/src/call/speed_meter.rs
+++ b/crates/rampthread-core/src/call/speed_meter.rs
@@ -33,7 +33,8 @@
 pub struct SpeedMeter {
     /// Recent calls, each with a weight that shrinks with each newer one.
     calls: f64,
-    /// Seconds that the recent calls usually take, and seconds that they took (`taken`).
+    /// Seconds that the recent calls would usually take; `taken` has the seconds that they
+    /// took.
     usual: f64,
     taken: f64,
     /// Reported long-term speed, as an exponent of [`STEP`].
--- a/crates/rampthread-core/src/call/tenant_table.rs
+++ b/crates/rampthread-core/src/call/tenant_table.rs
@@ -26,7 +26,7 @@
 /// Why no tenant was found for a request that needs one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TenantKeyError {
-    /// The request has no API key, or none that can be parsed.
+    /// The request carries no API key, or one that cannot be parsed.
     #[error("the request has no key of a tenant")]
     NoKey,
     /// Cause of the error response that the caller gets.
@@ -35,7 +35,8 @@
 }
 
 impl TenantKeyError {
-    /// Cause of the error response, for logs and metrics.
+    /// The [`Cause`] under which a request without a valid API key is rejected, logged and
+    /// counted.
     pub fn cause(self) -> Cause {
         match self {
             TenantKeyError::NoKey => Cause::KeyMissing,
--- a/crates/rampthread-core/src/call/zone_spill.rs
+++ b/crates/rampthread-core/src/call/zone_spill.rs
@@ -49,7 +49,8 @@
 }
 
 impl ZoneDemand {
-    /// Slots up to which the zone serves calls while other zones have spare slots.
+    /// Slots up to which the zone serves calls before it sends some to other zones: its
+    /// capacity less a reserve for random variation.
     fn comfortable(&self) -> f64 {
         (self.capacity - SPARE_SLOT_ROOTS * self.capacity.sqrt()).max(0.0)
     }
@@ -60,12 +61,12 @@
 pub struct SpillPlan {
     /// Fraction of the zone's calls to send to other zones, from 0 to 1.
     pub spill_fraction: f64,
-    /// Other zones that can take calls, and the spare slots of each.
+    /// Zones that can take calls from this zone, each with its free slots.
     pub spare_slots: Vec<(Zone, f64)>,
 }
 
 impl SpillPlan {
-    /// True if `zone` has capacity to spare; false also for zones whose demand is unknown.
+    /// True if calls can be sent to `zone`: it has free slots according to the plan.
     pub fn has_spare_slots(&self, zone: &Zone) -> bool {
         self.spare_slots
             .iter()
--- a/crates/rampthread-core/tests/body_transfer_properties.rs
+++ b/crates/rampthread-core/tests/body_transfer_properties.rs
@@ -41,8 +41,8 @@
 }
 
 proptest! {
-    /// At most two transfers are in progress, no offer is granted twice, and each waiting
-    /// offer is granted or cancelled.
+    /// At most two bodies are in transfer at a time, no offer is granted twice, and each
+    /// waiting offer is later granted or cancelled.
     #[test]
     fn at_most_two_bodies_are_in_transfer(steps in prop::collection::vec(transfer_step(), 1..200)) {
         let mut transfers = BodyTransfers::default();
--- a/crates/rampthread-core/tests/fence_properties.rs
+++ b/crates/rampthread-core/tests/fence_properties.rs
@@ -26,9 +26,11 @@
 /// A step of the simulation.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// Time passes in milliseconds while the gate node is suspended or has nothing to do.
+    /// The given milliseconds pass. The gate process is suspended or idle, so it does not
+    /// use its table.
     Pause(u64),
-    /// Time passes in milliseconds while the gate node runs and reads what has arrived.
+    /// The given milliseconds pass. The gate process reads what has arrived and keeps using
+    /// its table.
     Run(u64),
     /// The entry node connects to the gate node process that listens now.
     Connect,
@@ -38,10 +40,11 @@
     Kill,
     /// A new gate node process takes over the address.
     Start,
-    /// The entry node has lost the connection, and the present gate node process handles
-    /// its fence.
+    /// The entry node has lost the connection and forbids the call to start. The gate
+    /// process that listens now handles that.
     Fence,
-    /// The reply to the fence reaches the entry node.
+    /// The reply to the fence reaches the entry node, which concludes whether the call may
+    /// have run.
     ReceiveReply,
 }
 
@@ -183,7 +186,7 @@
         });
     }
 
-    /// The entry node draws its conclusion from the reply.
+    /// The entry node concludes from the reply whether the call may have run.
     fn conclude(&mut self) {
         let Some(reply) = &self.reply else { return };
         let node = NodeId::new(GATE).unwrap();
@@ -227,9 +230,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(4_096))]
 
-    /// In any order of request, end and start of gate node processes, fence, delays and
-    /// suspensions, "never starts" is concluded only for a call that has not started
-    /// anywhere and does not start afterwards.
+    /// The entry node concludes that a call never starts only if the call has not started
+    /// anywhere and does not start afterwards, in any order of request, end and start of
+    /// gate processes, fence, delays and suspensions.
     #[test]
     fn never_starts_is_concluded_only_for_a_call_that_never_starts(
         mut simulation in simulation(),
@@ -242,9 +245,10 @@
         }
     }
 
-    /// The conclusion is not needlessly cautious, so that a caller keeps its retry: a gate
-    /// node process that is older than the request by half its age and a millisecond, and
-    /// has not started the call, is trusted.
+    /// A gate process that has existed for clearly longer than the request, and has not
+    /// started the call, is trusted: the entry node concludes that the call never starts,
+    /// so that the caller can retry. In the test the process is 1.5 times as old as the
+    /// request, and a millisecond more.
     #[test]
     fn a_gate_older_than_the_request_is_trusted(
         older in 1_u64..100_000,
@@ -267,7 +271,8 @@
         prop_assert!(!simulation.started);
     }
 
-    /// "Never starts" counts only from the node that the request was sent to.
+    /// An entry node trusts the reply "never starts" only from the node that the request
+    /// was sent to.
     #[test]
     fn a_reply_of_another_or_unnamed_node_proves_nothing(
         age_ms in 0_u64..10_000,
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -25,8 +25,9 @@
 const TARGET_LATENCY: Duration = Duration::from_millis(500);
 /// Time that a caller has for all its attempts.
 const DEADLINE: Duration = Duration::from_secs(3);
-/// Delay after which a rejected caller retries, and its maximum number of retries.
+/// Time after which the caller of a rejected attempt retries.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of retries of one call.
 const MAX_RETRIES: u32 = 2;
 const MAX_ATTEMPTS: usize = 8;
 /// Multiple of its maximum queueing time after which a waiting call is abandoned.
