--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -12,9 +12,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Correlates a store answer with its request.
+/// Id of a request to the store. The driver returns it with the answer, so that the agent can
+/// assign the answer to its request.
 pub type RequestId = u64;
-/// Identifies a request of an operator at this node, so that its answer finds the way back.
+/// Identifies an operator's request at this node, so that the driver can return the answer to
+/// that operator.
 pub type Ticket = u64;
 /// Identifies a lease in the platform's store.
 pub type LeaseId = u64;
@@ -58,7 +60,8 @@
     WatchLog {
         /// Version before the first requested entry.
         after: Version,
-        /// Time after which the store answers without entries.
+        /// Time after which the store answers with an empty list if the log has no newer
+        /// entries.
         wait: Duration,
     },
     /// Read the newest snapshot of the configuration.
@@ -160,7 +163,7 @@
     FloorConfirmed {
         /// The restart floor: this node's previous run did not activate a higher version.
         floor: Version,
-        /// Who confirmed the restart floor.
+        /// Whether the store or the witness nodes confirmed the restart floor.
         source: FloorSource,
     },
     /// The head of the log in the store is below the active version of this node. This node
@@ -195,7 +198,7 @@
     },
     /// The process was suspended or starved of CPU.
     Frozen {
-        /// Time between two ticks of the agent, in milliseconds.
+        /// Time between the two ticks of the agent around the suspension, in milliseconds.
         gap_ms: u64,
     },
     /// This node accepts no new work for its backend any more.
@@ -212,14 +215,16 @@
     StoreAvailable,
     /// This node was selected to watch the store for a new document.
     WatchBegun {
-        /// Number of selected watchers according to this node's member table.
+        /// Number of nodes that are selected to watch the document in the store, according to
+        /// this node's member table.
         watchers: usize,
     },
     /// This node no longer watches the document in the store.
     WatchEnded {
-        /// True if the store answered this node's last call.
+        /// True if the store answered the last call of this node before the watch ended.
         store_answers: bool,
-        /// Number of selected watchers according to this node's member table.
+        /// Number of nodes that are selected to watch the document in the store, according to
+        /// this node's member table.
         watchers: usize,
     },
     /// This node announces a changed state of its local backend.
@@ -263,7 +268,7 @@
         /// Term of the rollout decider that made the decision. It increases with each new
         /// decider.
         term: u64,
-        /// Observations on which the decision is based.
+        /// Observations that caused this change of the rollout, as text for operators.
         reason: String,
     },
     /// A call was rejected or ended without a complete response.
@@ -332,7 +337,7 @@
     AnswerProposal {
         /// Ticket that the operator's request got at its submission.
         ticket: Ticket,
-        /// Outcome of the proposal.
+        /// What the operator is told about the proposal: the decision, or why there is none.
         answer: ProposalReply,
     },
     /// Answer an operator's query which nodes hold the newest version.
--- a/crates/rampthread-core/src/fleet/backend_tracker.rs
+++ b/crates/rampthread-core/src/fleet/backend_tracker.rs
@@ -93,8 +93,11 @@
 /// How the incarnation in a heartbeat relates to the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum IncarnationRelation {
+    /// The report is of the current incarnation.
     Same,
+    /// The report is of a later incarnation, which replaces the current one.
     Newer,
+    /// The report may be a late one of an earlier incarnation.
     PossiblyStale,
 }
 
@@ -125,8 +128,8 @@
         }
     }
 
-    /// Restores the record of the backend that an earlier run of this node has written to the
-    /// store. Returns the record, or `None` if the backend's state is already known. Any
+    /// Restores the record of the local backend that an earlier run of this node has written to
+    /// the store. Returns the record, or `None` if the backend's state is already known. Any
     /// heartbeat of the same incarnation is newer.
     pub fn restore(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         match self.current {
@@ -274,7 +277,7 @@
         self.unconfirmed = false;
         self.last_report_at = now;
         self.candidate = None;
-        // A departing backend does not return.
+        // Once a backend incarnation drains, a later heartbeat of it cannot end that.
         record.draining |= current.draining;
         let changed =
             announced_state_differs(&record, current) || record.instance != current.instance;
@@ -309,7 +312,7 @@
         }
     }
 
-    /// Makes the incarnation in `record` the current one.
+    /// Replaces the current backend incarnation by the one that sent `record`.
     fn supersede_current(&mut self, record: EndpointRecord, now: Moment) -> ReportStatus {
         self.retire_current_incarnation();
         let id = BackendIncarnation::from_name(&record.instance).id().clone();
@@ -366,7 +369,8 @@
                 .started_at()
                 .is_some_and(|at| started_earlier(at, &present))
         {
-            // Heartbeats of this incarnation may still arrive.
+            // Remember the departure, since late heartbeats of this incarnation may still
+            // arrive.
             self.retire_incarnation(departed.name(), true);
             return ReportStatus::Unchanged;
         }
@@ -419,7 +423,8 @@
         has_start_time && self.retired.iter().any(departed_as_this)
     }
 
-    /// Moves the current incarnation to the previous ones.
+    /// Adds the current incarnation to the list of ended ones, so that its late reports are
+    /// recognized.
     fn retire_current_incarnation(&mut self) {
         if let Some(current) = self.current.take() {
             self.retire_incarnation(current.instance, current.draining);
@@ -444,8 +449,10 @@
     }
 }
 
-fn started_earlier(born: StartedAt, present: &BackendIncarnation) -> bool {
-    present.started_at().is_some_and(|present| born < present)
+/// Returns true if `start_time` is earlier than the start of the backend incarnation `other`.
+/// False if the start of `other` is unknown.
+fn started_earlier(start_time: StartedAt, other: &BackendIncarnation) -> bool {
+    other.started_at().is_some_and(|other| start_time < other)
 }
 
 /// Returns true if the two records differ in what other nodes must learn. The warm-up time is
@@ -478,7 +485,7 @@
                 false => IncarnationRelation::PossiblyStale,
             }
         }
-        // Without start times, the order of arrival decides.
+        // Without start times, the report that arrives later counts as the newer incarnation.
         (None, _) => IncarnationRelation::Newer,
     }
 }
--- a/crates/rampthread-core/src/fleet/crash_table.rs
+++ b/crates/rampthread-core/src/fleet/crash_table.rs
@@ -59,7 +59,8 @@
 /// Result of merging a report into the crash table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The report changed the crash table.
+    /// The report was new to the crash table, or showed that a known crash was cleared or
+    /// happened in a quarantine trial.
     New,
     /// The crash table already contained the report.
     Known,
@@ -96,7 +97,8 @@
         self.suspects.len()
     }
 
-    /// Returns a counter that is incremented with every change of the table.
+    /// Returns a counter that is incremented with every change of the crash table, so that
+    /// callers can detect changes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -214,8 +216,8 @@
             .collect()
     }
 
-    /// Returns a digest of [`CrashTable::recent`], without the ages and cleared marks of the
-    /// reports; 0 if there are none.
+    /// Returns a digest of [`CrashTable::recent`], which leaves out the ages of the reports and
+    /// whether they were cleared; 0 if there are no reports.
     pub fn recent_digest(&self, now: Moment) -> u64 {
         self.all_crashes()
             .filter(|(_, _, crash)| is_reconciled_by_peers(crash, now))
@@ -245,7 +247,8 @@
         digest
     }
 
-    /// Removes the requests whose newest crash is too old to matter.
+    /// Removes the requests whose newest crash is older than their quarantine and the retention
+    /// after it.
     pub fn forget_old(&mut self, now: Moment) {
         let before = self.suspects.len();
         self.suspects.retain(|_, crashes| {
@@ -281,6 +284,7 @@
     (SETTLED_AGE..COMPARED_AGE).contains(&now.since(crash.at))
 }
 
+/// Returns a hash of the parts of a report that peers compare.
 fn hash_of(report: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     report.hash(&mut hasher);
@@ -332,6 +336,7 @@
     }
 }
 
+/// Converts a stored crash to the report that is sent to peers.
 fn to_report(
     identity: RequestIdentity,
     instance: &InstanceId,
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -18,9 +18,10 @@
 
 /// Maximum size of the entries in one reply to a pull, in bytes.
 const MAX_PULL_REPLY_BYTES: usize = 256 * 1024;
-/// Delay requested from peers when the pull rate limit is exceeded.
+/// Delay before the next pull that this node requests of peers if it has reached its limit of
+/// pulls per second.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Pause after a pull that returned nothing new.
+/// Pause before the next pull if the last pull returned no new versions.
 const EMPTY_PULL_PAUSE: Duration = Duration::from_millis(50);
 /// Interval between polls in [`DistributionMode::PollReader`].
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
@@ -56,15 +57,15 @@
     announcement: Option<Announcement>,
     next_round: Moment,
     pull: Option<PendingPull>,
-    /// Number of consecutive pulls that timed out.
+    /// Number of consecutive pulls of this node that got no reply in time.
     timeouts: u32,
     /// Minimum timeout of a pull, depending on the bandwidth of this node's link.
     min_pull_timeout: Duration,
     pull_not_before: Moment,
     /// True if pulls request the full configuration, whatever version this node holds.
     pull_all: bool,
-    /// Peer known to hold a newer version than this node.
-    source: Option<NodeId>,
+    /// Peer from which this node pulls next, since it is known to hold a newer version.
+    next_pull_peer: Option<NodeId>,
     next_poll: Moment,
     served_window: Moment,
     served: u32,
@@ -116,8 +117,8 @@
         }
         let by_gossip = settings.distribution == DistributionMode::Gossip;
         if by_gossip && replica.is_behind() && self.pull.is_none() && now >= self.pull_not_before {
-            let source = self.source.take();
-            if let Some(peer) = source.or_else(|| membership.random_peer_preferring_zone(rng)) {
+            let known_peer = self.next_pull_peer.take();
+            if let Some(peer) = known_peer.or_else(|| membership.random_peer_preferring_zone(rng)) {
                 self.pull_from(&peer, replica, now, outbox);
                 self.pull_from_second(&peer, membership, replica, rng, outbox);
             }
@@ -125,8 +126,8 @@
     }
 
     /// Sends the pull to a second peer after a timeout: at a message loss of 30 %, one exchange
-    /// fails in half of the cases, two in a quarter. Not if the full configuration is
-    /// requested, since it would be transferred twice.
+    /// fails in half of the cases, two in a quarter. A request for the full configuration is not
+    /// repeated, since the configuration would be transferred twice.
     fn pull_from_second(
         &self,
         first: &NodeId,
@@ -204,7 +205,7 @@
 
     /// Records the peer from which this node pulls next, since it holds a newer version.
     pub fn note_source(&mut self, peer: &NodeId) {
-        self.source = Some(peer.clone());
+        self.next_pull_peer = Some(peer.clone());
     }
 
     /// Requests the missing entries from `peer`, unless a pull is already pending.
@@ -239,7 +240,8 @@
         self.pull_all = pull_all;
     }
 
-    /// Suspends pulls until `moment`, while the version may still arrive by other means.
+    /// Suspends pulls until `moment`, since the missing version may arrive without a pull before
+    /// then.
     pub fn delay_pulls_until(&mut self, moment: Moment) {
         self.pull_not_before = self.pull_not_before.max(moment);
     }
--- a/crates/rampthread-core/src/fleet/document_history.rs
+++ b/crates/rampthread-core/src/fleet/document_history.rs
@@ -7,7 +7,8 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Number of states kept. They share unchanged resources.
+/// Number of document states kept. The states share the resources that did not change between
+/// them.
 const KEPT_STATES: usize = 16;
 
 /// The newest states of the document, oldest first.
@@ -15,8 +16,9 @@
 pub struct DocumentHistory {
     states: VecDeque<Arc<ConfigState>>,
     /// Encoded replies by the version of the requesting peer, valid for the newest state. Many
-    /// peers request the same within moments, so they share one copy.
-    answers: Vec<(Version, SharedBytes)>,
+    /// peers request the difference to the same version at about the same time, so they share
+    /// one copy of the reply.
+    encoded_replies: Vec<(Version, SharedBytes)>,
     /// Content digest of the newest state, computed when a delta first needs it.
     newest_digest: Option<String>,
 }
@@ -24,7 +26,7 @@
 impl DocumentHistory {
     /// Adds a newer state of the document.
     pub fn push(&mut self, state: Arc<ConfigState>) {
-        self.answers.clear();
+        self.encoded_replies.clear();
         self.newest_digest = None;
         self.states.push_back(state);
         if self.states.len() > KEPT_STATES {
@@ -36,13 +38,13 @@
     /// full state if that version is no longer kept. [`Version::ZERO`] requests the full state.
     pub fn answer(&mut self, held: Version) -> Message {
         let Some(newest) = self.states.back().cloned() else {
-            return nothing_new(held);
+            return empty_pull_reply(held);
         };
         if held >= newest.version() {
-            return nothing_new(held);
+            return empty_pull_reply(held);
         }
         if held == Version::ZERO {
-            let snapshot = self.shared(held, || newest.encode_compressed_snapshot());
+            let snapshot = self.shared_reply(held, || newest.encode_compressed_snapshot());
             return Message::PullSnapshot { snapshot };
         }
         let base = self.states.iter().find(|state| state.version() == held);
@@ -56,24 +58,28 @@
         let encode = || StateDelta::with_digest(&base, &newest, digest).encode();
         Message::PullEntries {
             first: held.next(),
-            entries: vec![self.shared(held, encode)],
+            entries: vec![self.shared_reply(held, encode)],
         }
     }
 
-    /// Returns the bytes for peers that hold `held`, encoded once per newest state.
-    fn shared(&mut self, held: Version, encode: impl FnOnce() -> Vec<u8>) -> SharedBytes {
-        let known = self.answers.iter().find(|(version, _)| *version == held);
+    /// Returns the encoded reply for peers that hold version `held`. It is encoded once and
+    /// reused until a newer state of the document arrives.
+    fn shared_reply(&mut self, held: Version, encode: impl FnOnce() -> Vec<u8>) -> SharedBytes {
+        let known = self
+            .encoded_replies
+            .iter()
+            .find(|(version, _)| *version == held);
         if let Some((_, bytes)) = known {
             return bytes.clone();
         }
         let bytes: SharedBytes = encode().into();
-        self.answers.push((held, bytes.clone()));
+        self.encoded_replies.push((held, bytes.clone()));
         bytes
     }
 }
 
 /// Returns the reply to a peer whose version is not older than the newest one known here.
-fn nothing_new(held: Version) -> Message {
+fn empty_pull_reply(held: Version) -> Message {
     Message::PullEntries {
         first: held.next(),
         entries: Vec::new(),
--- a/crates/rampthread-core/src/fleet/holders.rs
+++ b/crates/rampthread-core/src/fleet/holders.rs
@@ -74,17 +74,17 @@
 /// How many nodes other than the counting log reader have a given version active.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct OtherHolders {
-    /// Number of such nodes in all zones.
+    /// Number of other nodes with the version active, in all zones.
     pub count: usize,
-    /// Number of such nodes outside the log reader's zone.
+    /// Number of other nodes with the version active outside the log reader's zone.
     pub in_other_zones: usize,
     /// True if any reachable peer is in another zone.
     pub other_zones_exist: bool,
 }
 
 impl OtherHolders {
-    /// Returns true if the version survives the loss of the log reader and of its zone, given
-    /// that `wanted` nodes are enough.
+    /// Returns true if the version survives the loss of the log reader and of its zone, assuming
+    /// that `wanted` other nodes with the version are enough.
     pub fn suffice(&self, wanted: usize) -> bool {
         if self.other_zones_exist {
             self.in_other_zones >= wanted
--- a/crates/rampthread-core/src/fleet/load.rs
+++ b/crates/rampthread-core/src/fleet/load.rs
@@ -9,7 +9,7 @@
 /// Thousandths of a slot. An integer, so that loads compare and add without rounding.
 pub type MilliSlots = u32;
 
-/// Milli-slots per slot.
+/// Converts between slots, of which each runs one call at a time, and milli-slots.
 pub const MILLI_SLOTS_PER_SLOT: f64 = 1_000.0;
 
 /// Load of a service's backends and demand of its callers.
@@ -17,9 +17,9 @@
 pub struct ServiceLoad {
     /// Name of the service.
     pub service: ResourceName,
-    /// Slots of the backends in scope.
+    /// Number of calls that the service's backends can run at once.
     pub capacity: MilliSlots,
-    /// Slots in use.
+    /// Number of calls that the backends are running.
     pub busy: MilliSlots,
     /// Calls queued at the gates of the backends. A gate is the node that forwards calls to its
     /// local backend.
@@ -29,7 +29,7 @@
 }
 
 impl ServiceLoad {
-    /// Returns a load of zero.
+    /// Returns the load of a service without backends and callers.
     pub fn zero(service: ResourceName) -> Self {
         Self {
             service,
@@ -70,12 +70,13 @@
     pub tenant: TenantHash,
     /// Rate of received requests, admitted or not, in thousandths of a request per second.
     pub requested_millirps: u32,
-    /// Rate of those that were admitted and may have run, in the same unit.
+    /// Rate of the requests that were admitted and may have run, in thousandths of a request per
+    /// second.
     pub admitted_millirps: u32,
 }
 
 impl TenantLoad {
-    /// Returns a rate of zero.
+    /// Returns the load of a tenant that has sent no requests.
     pub fn zero(tenant: TenantHash) -> Self {
         Self {
             tenant,
@@ -100,7 +101,7 @@
 pub struct LoadReport {
     /// Number of nodes covered by the report.
     pub nodes: u32,
-    /// Period covered by the report, up to now.
+    /// Period over which the reported load was measured. It ends when the report is made.
     pub period: Duration,
     /// Load of the local backend, and demand of local callers by service.
     pub services: Vec<ServiceLoad>,
@@ -113,10 +114,10 @@
 pub struct ZoneLoad {
     /// Name of the zone.
     pub zone: Zone,
-    /// Age of the sums.
+    /// Time since the aggregator summed up the load reports of the zone.
     pub age: Duration,
-    /// Number of nodes that reported. The sums are partial if some nodes of the zone are
-    /// missing.
+    /// Number of nodes whose load reports are included. The load is partial if some nodes of the
+    /// zone are missing.
     pub nodes: u32,
     /// Services with backends or callers in the zone.
     pub services: Vec<ServiceLoad>,
--- a/crates/rampthread-core/src/fleet/load_exchange.rs
+++ b/crates/rampthread-core/src/fleet/load_exchange.rs
@@ -20,7 +20,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Minimum interval between messages of one node. The demand of callers changes over seconds.
+/// Minimum interval between the load messages that one node sends. The demand of callers changes
+/// over seconds.
 const MIN_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval per member of the zone, if that makes more than [`MIN_INTERVAL`]. It limits an
 /// aggregator to 125 reports per second.
@@ -28,7 +29,8 @@
 /// Number of intervals for which a report is valid, and after which a silent aggregator is
 /// skipped. Two consecutive messages may be lost.
 const TIMEOUT_INTERVALS: u32 = 4;
-/// Number of members per other zone that receive the sums, since one may have failed unnoticed.
+/// Number of members of each other zone to which an aggregator sends the load of its zone. More
+/// than one, since one may have failed unnoticed.
 const RECEIVERS_PER_OTHER_ZONE: usize = 2;
 /// Maximum number of tenants per message: those with the highest request rates.
 pub const MAX_TENANTS: usize = 256;
@@ -38,7 +40,7 @@
     MIN_INTERVAL.max(INTERVAL_PER_MEMBER * members)
 }
 
-/// A report or load, and the time at which it was current by this node's clock.
+/// A load report or a zone's load, with the time of its measurement by this node's clock.
 #[derive(Debug, Clone)]
 struct Timestamped<T> {
     value: T,
@@ -54,7 +56,7 @@
     reports: BTreeMap<NodeId, Timestamped<LoadReport>>,
     /// Latest known load of each zone, this node's own included.
     zones: BTreeMap<Zone, Timestamped<ZoneLoad>>,
-    /// Time at which this node sends its next message.
+    /// Time at which this node sends its next load report or, as an aggregator, the zone loads.
     due: Moment,
     /// Members of each zone in rendezvous order, as of the member table's revision `ranked_at`.
     /// The first one is the aggregator.
@@ -224,6 +226,8 @@
         order.get(self.skipped)
     }
 
+    /// Returns the interval between load messages, which depends on the number of members in
+    /// `zone`.
     fn message_interval(&self, zone: &Zone) -> Duration {
         let members = self.members_by_zone.get(zone).map_or(1, Vec::len) as u32;
         load_interval(members)
--- a/crates/rampthread-core/src/fleet/membership/member_entry.rs
+++ b/crates/rampthread-core/src/fleet/membership/member_entry.rs
@@ -1,4 +1,4 @@
-//! Entry of the member table.
+//! Entry for one member in this node's member table.
 
 use crate::fleet::member::{Conditions, EndpointRecord, Machine, MemberRecord, Status};
 use crate::time::Moment;
@@ -7,11 +7,11 @@
 #[derive(Debug, Clone)]
 pub(super) struct MemberEntry {
     pub(super) record: MemberRecord,
-    /// Time of the last status change.
+    /// Time of the last change of the member's status.
     pub(super) since: Moment,
     /// True if the settings or the platform's list name the member.
     pub(super) listed: bool,
-    /// True if the member was sent this node's own record.
+    /// True if this node has sent its own record to the member.
     pub(super) sent_own_record: bool,
     /// Backend announced by the previous run of the member, until its current run is ready or
     /// announces one.
--- a/crates/rampthread-core/src/fleet/membership/mod.rs
+++ b/crates/rampthread-core/src/fleet/membership/mod.rs
@@ -31,20 +31,21 @@
 
 /// Maximum of the local health score, which rises when this node seems slow itself.
 const MAX_LOCAL_HEALTH: u32 = 8;
-/// Maximum number of pending indirect probes on behalf of peers.
+/// Maximum number of probes that this node sends on behalf of peers and that still await an ack.
 const MAX_PENDING_RELAYS: usize = 64;
 /// Transmissions deducted from an update when a peer sends it back (rumor mongering with
 /// feedback, Demers et al. 1987).
 const DUPLICATE_UPDATE_COST: u32 = 2;
-/// Number of reader records sent to a node without a version.
+/// Number of member records of nodes that can read the store, sent to a node that has no version
+/// yet.
 const READER_RECORDS_COUNT: usize = 3;
 /// Number of consecutive messages from peers with an identical table after which updates are no
 /// longer repeated.
 const MATCHING_DIGESTS_LIMIT: u32 = 4;
 /// Maximum number of members in the own zone that are notified of a departure.
 const MAX_DEPARTURE_NOTICES: usize = 64;
-/// Number of members per other zone that are notified of a departure. Nothing is repeated,
-/// since the process ends: two of three messages may be lost.
+/// Number of members per other zone that are notified of a departure. The notices are not
+/// repeated, since the process ends. With three of them, two may be lost.
 const DEPARTURE_NOTICES_PER_ZONE: usize = 3;
 
 /// Probe of another member that awaits its ack.
@@ -53,7 +54,8 @@
     target: NodeId,
     sequence: u64,
     sent: Moment,
-    /// Number of repeats, each sent directly and through other members.
+    /// Number of times that the probe was repeated, each time directly and through other
+    /// members.
     retries: u32,
 }
 
@@ -101,7 +103,7 @@
     next_sync: Moment,
     next_gossip: Moment,
     digest: u64,
-    /// Incremented with every change of the table.
+    /// Incremented with every change of the member table, so that derived data can be cached.
     revision: u64,
     differing_peer: Option<NodeId>,
     /// Consecutive comparisons of member tables after which the tables still differed, while
@@ -240,8 +242,9 @@
         base * (1 + self.local_health)
     }
 
-    /// Records a sign that this node is slow itself.
-    fn increase_local_health(&mut self) {
+    /// Raises the local health score after a sign that this node is slow itself. A higher score
+    /// extends this node's timeouts.
+    fn raise_local_health_score(&mut self) {
         self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
     }
 
@@ -310,8 +313,8 @@
         }
         self.matching_digests += 1;
         if self.matching_digests >= MATCHING_DIGESTS_LIMIT {
-            // The recent senders have an identical member table, so the updates have spread.
-            // Comparisons of tables deliver them where that is not so.
+            // The recent senders have an identical member table, so the updates have spread. A
+            // member that still lacks an update gets it when two members compare their tables.
             self.updates.clear();
         }
     }
@@ -393,7 +396,7 @@
             return;
         }
         if doubted {
-            self.increase_local_health();
+            self.raise_local_health_score();
         }
         self.raise_incarnation(record.incarnation);
     }
--- a/crates/rampthread-core/src/fleet/membership/probes.rs
+++ b/crates/rampthread-core/src/fleet/membership/probes.rs
@@ -45,7 +45,7 @@
         if waited >= whole_wait {
             let target = probe.target.clone();
             self.probe = None;
-            self.increase_local_health();
+            self.raise_local_health_score();
             self.mark_suspect(&target, now, outbox);
         }
     }
--- a/crates/rampthread-core/src/fleet/membership/reconcile.rs
+++ b/crates/rampthread-core/src/fleet/membership/reconcile.rs
@@ -12,15 +12,16 @@
 
 /// Maximum number of records per reply. The next comparison continues with the rest.
 const MAX_RECORDS: usize = 256;
-/// Maximum number of additional peers to compare with. At a message loss of 30 %, half of the
-/// comparisons get a reply; with four of them, at least one does in 93 of 100 cases.
+/// Maximum number of additional peers whose member tables are compared at once. At a message
+/// loss of 30 %, half of the comparisons get a reply; with four of them, at least one does in 93
+/// of 100 cases.
 const MAX_ADDITIONAL_PEERS: usize = 3;
 
 impl Membership {
-    /// Starts a comparison with the peer whose last message had another table digest. With a
-    /// peer of another zone it waits until there are no updates to send: until then different
-    /// tables are normal, and the records would be sent twice. Comparisons without effect are
-    /// extended to more peers the next time.
+    /// Starts a comparison with the peer whose last message had another table digest. A
+    /// comparison with a peer of another zone is delayed while this node has updates to send:
+    /// the tables then differ anyway, and the records would be sent twice. If comparisons leave
+    /// the tables different, the next one includes more peers.
     pub(super) fn compare_with_differing_peer(&mut self, rng: &mut impl Rng, outbox: &mut Outbox) {
         let Some(peer) = self.differing_peer.clone() else {
             self.ineffective_comparisons = 0;
--- a/crates/rampthread-core/src/fleet/membership/relays.rs
+++ b/crates/rampthread-core/src/fleet/membership/relays.rs
@@ -20,9 +20,9 @@
 }
 
 impl Membership {
-    /// Returns the at most `direct` members that this node sends a batch to first. `None` if
-    /// any members will do, since the batch contains no departure or all of the zone get it
-    /// directly.
+    /// Returns the members that get a batch of updates first and forward its departures,
+    /// `direct` of them at most. `None` if nothing has to be forwarded: the batch contains no
+    /// departure, or this node sends it to all members of the zone.
     pub(super) fn forwarders_for(
         &self,
         batch: &[MemberRecord],
--- a/crates/rampthread-core/src/fleet/membership/updates.rs
+++ b/crates/rampthread-core/src/fleet/membership/updates.rs
@@ -167,7 +167,7 @@
                 self.other_zone_updates.remove(&id);
                 self.urgent.insert(id.clone());
             }
-            // The update that this node was sending is outdated.
+            // An older update of this member that this node was still sending is outdated.
             UpdateOrigin::SameZone => {
                 self.other_zone_updates.remove(&id);
                 self.urgent.remove(&id);
@@ -237,7 +237,8 @@
         count_down(&mut self.updates, id, DUPLICATE_UPDATE_COST);
     }
 
-    /// Number of transmissions that reach the whole zone with high probability.
+    /// Returns how often an update is sent, so that it reaches the whole zone with high
+    /// probability.
     pub(super) fn transmissions(&self) -> u32 {
         let size = self.zone_size + 1;
         (self.retransmit_multiplier * (size as f64).log10()).ceil() as u32
--- a/crates/rampthread-core/src/fleet/message.rs
+++ b/crates/rampthread-core/src/fleet/message.rs
@@ -163,7 +163,7 @@
         /// Another node that the receiver may pull from at once.
         instead: Option<NodeId>,
     },
-    /// Tells a log reader that this version is active on the sender.
+    /// Reports the active version of the sender to a log reader.
     Held {
         /// Version that is active on the sender.
         version: Version,
@@ -177,12 +177,12 @@
     /// configuration is a document, the query asks the receiver to read the document from the
     /// store, since the store does not answer the sender.
     HeadQuery {
-        /// Random number that the reply repeats.
+        /// Random number by which the sender matches the reply to this query.
         nonce: u64,
     },
     /// Newest version in the log, in reply to [`Message::HeadQuery`].
     HeadReply {
-        /// Nonce of the query.
+        /// Copied from the query, so that its sender can match the reply to it.
         nonce: u64,
         /// Newest version in the log.
         head: Version,
@@ -207,12 +207,12 @@
     /// Sent by a restarted node to a witness node: asks which version the sender's previous run
     /// has recorded there.
     FloorQuery {
-        /// Random number that the reply repeats.
+        /// Random number by which the sender matches the reply to this query.
         nonce: u64,
     },
     /// Reply of a witness node to [`Message::FloorQuery`].
     FloorReply {
-        /// Nonce of the query.
+        /// Copied from the query, so that its sender can match the reply to it.
         nonce: u64,
         /// Version recorded for the restarted node. Absent if the witness node has none, e.g.
         /// after its own restart.
@@ -222,7 +222,7 @@
     },
     /// Forwards an operator's change to a log reader, which appends it to the log.
     Propose {
-        /// Number of the proposal, unique at the forwarding node.
+        /// Sequence number that identifies the proposal at the forwarding node.
         submission: u64,
         /// Process epoch of the log reader that has to append the change. Another run must
         /// ignore the message.
@@ -232,23 +232,23 @@
     },
     /// Reply to [`Message::Propose`] with the outcome of the proposal.
     ProposeReply {
-        /// Number of the proposal at the forwarding node.
+        /// Copied from [`Message::Propose`], so that the forwarding node finds the proposal.
         submission: u64,
         /// Id of the proposed operation.
         operation_id: OperationId,
-        /// Outcome of the proposal.
+        /// Outcome of the proposal, which the forwarding node passes on to the operator.
         answer: ProposalReply,
     },
     /// Asks a log reader how many nodes hold the newest version.
     PropagationQuery {
-        /// Random number that the reply repeats.
+        /// Random number by which the sender matches the reply to this query.
         nonce: u64,
     },
     /// Reply to [`Message::PropagationQuery`] with the counts of the reader.
     PropagationReply {
-        /// Nonce of the query.
+        /// Copied from the query, so that its sender can match the reply to it.
         nonce: u64,
-        /// Counts of the reader.
+        /// How many nodes hold the newest version, as counted by the log reader that replies.
         status: PropagationStatus,
     },
     /// Reports of backends that crashed while running requests.
@@ -283,7 +283,7 @@
 }
 
 impl Message {
-    /// Name of the message type, used as a label in logs and metrics.
+    /// Returns the name of the message type for labels in logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Message::Ping(_) => "ping",
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -19,7 +19,8 @@
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 /// Time for which a proposal waits until this node knows a log reader.
 const READER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay before another attempt that the operator is told if no log reader is known.
+/// Delay after which an operator is told to submit the proposal again if this node knows no log
+/// reader.
 const NO_READER_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Proposal submitted at this node that has no outcome yet.
@@ -45,7 +46,7 @@
 /// Proposal that this node handles itself because it is a log reader.
 #[derive(Debug)]
 pub struct LocalProposal {
-    /// Number of the proposal at this node.
+    /// Sequence number that identifies the proposal at this node.
     pub submission: u64,
     /// The change as encoded by `LogEntry::encode`.
     pub entry: SharedBytes,
@@ -156,6 +157,7 @@
         self.end_proposal(ticket, answer, outbox);
     }
 
+    /// Removes a proposal and answers the operator who submitted it.
     fn end_proposal(&mut self, ticket: Ticket, answer: ProposalReply, outbox: &mut Outbox) {
         self.open.retain(|open| open.ticket != ticket);
         outbox
@@ -165,7 +167,7 @@
 }
 
 impl PendingProposal {
-    /// Records that the proposal is sent to a run of a log reader.
+    /// Records to which log reader, and to which run of its process, the proposal is sent.
     fn set_target(&mut self, reader: NodeId, process_epoch: ProcessEpoch, now: Moment) {
         let next = (reader, process_epoch);
         // Epoch 0 means that the log reader's process epoch is not known. A proposal sent with
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -23,13 +23,19 @@
 /// Number of doublings after which the backoff of store requests stays constant.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// What a pending request to the store is for.
+/// Purpose of a request that this log reader has sent to the store. It determines how the answer
+/// is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestPurpose {
+    /// Acquires a lease on a free reader slot.
     Acquire { reader_slot: usize },
+    /// Renews the lease on this node's reader slot.
     Renew,
+    /// Waits for new entries of the log.
     Watch,
+    /// Reads the newest version in the log for nodes that queried it.
     Head,
+    /// Reads the snapshot of the configuration, since older log entries were deleted.
     Snapshot,
 }
 
@@ -46,8 +52,8 @@
 struct ReaderLease {
     id: LeaseId,
     reader_slot: usize,
-    /// End of the lease, counted from when the request was sent and so never later than in the
-    /// store.
+    /// Time at which this node considers the lease expired. It is counted from the sending of
+    /// the request, so it is never later than the expiry in the store.
     expires: Moment,
     renew_at: Moment,
 }
@@ -130,7 +136,7 @@
         self.not_before.since(now).max(Duration::from_millis(100))
     }
 
-    /// Returns a new id for a request to the store. The writer takes its ids from the same
+    /// Returns an unused id for a request to the store. The writer takes its ids from the same
     /// sequence.
     pub fn next_request_id(&mut self) -> RequestId {
         self.last_request_id += 1;
@@ -197,6 +203,7 @@
         }
     }
 
+    /// Gives up the lease on a reader slot if it has expired by this node's clock.
     fn abandon_if_expired(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.lease.is_some_and(|lease| now >= lease.expires) {
             self.abandon_lease("not renewed in time", outbox);
@@ -242,6 +249,7 @@
             .any(|pending| pending.purpose == purpose)
     }
 
+    /// Sends a request to the store and remembers its purpose until the answer arrives.
     fn send_store_request(
         &mut self,
         purpose: RequestPurpose,
@@ -377,6 +385,7 @@
         }
     }
 
+    /// Handles a successful answer of the store according to the purpose of its request.
     fn on_store_answer(
         &mut self,
         pending: PendingRequest,
--- a/crates/rampthread-core/src/fleet/replica.rs
+++ b/crates/rampthread-core/src/fleet/replica.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Maximum number of retained entries that arrived ahead of a gap.
+/// Maximum number of log entries kept while an entry before them is missing.
 const MAX_ENTRIES_AHEAD: usize = 256;
 
 /// This node's copy of the configuration log.
@@ -18,10 +18,10 @@
     staged: Arc<ConfigState>,
     /// Entries up to the staged version, kept for lagging peers.
     retained: BTreeMap<Version, SharedBytes>,
-    /// Entries that arrived ahead of a gap.
+    /// Log entries that cannot be applied yet, since an entry before them is missing.
     ahead: BTreeMap<Version, SharedBytes>,
     max_retained: usize,
-    /// Highest version known to exist.
+    /// Highest version that this node has received or that a peer or the store has named.
     newest_known: Version,
 }
 
--- a/crates/rampthread-core/src/fleet/settings.rs
+++ b/crates/rampthread-core/src/fleet/settings.rs
@@ -9,7 +9,8 @@
 pub struct FleetSettings {
     /// Interval between direct probes.
     pub probe_interval: Duration,
-    /// Time without an ack after which other peers are asked to probe.
+    /// Time without an ack after which this node asks other members to probe the target on its
+    /// behalf.
     pub probe_timeout: Duration,
     /// Number of peers asked to probe on this node's behalf.
     pub indirect_probes: usize,
@@ -22,7 +23,8 @@
     pub sync_interval: Duration,
     /// Maximum number of member updates per datagram.
     pub updates_per_message: usize,
-    /// A longer gap between two ticks means that the process was frozen.
+    /// If the gap between two ticks of the agent is longer than this, the process counts as
+    /// suspended or starved of CPU.
     pub freeze_threshold: Duration,
     /// Number of peers notified of a new version per round.
     pub notice_fanout: usize,
@@ -44,7 +46,7 @@
     pub reader_candidates: usize,
     /// Time to live of a lease on a reader slot.
     pub lease_ttl: Duration,
-    /// Maximum wait of a single watch on the store.
+    /// Maximum time for which one watch request waits in the store for a newer version.
     pub watch_wait: Duration,
     /// Base of the exponential backoff (with full jitter) after a failed store request.
     pub initial_store_backoff: Duration,
--- a/crates/rampthread-core/src/fleet/store_watch.rs
+++ b/crates/rampthread-core/src/fleet/store_watch.rs
@@ -21,8 +21,9 @@
 
 /// Rendezvous key for the selection of document watchers.
 const WATCHERS_KEY: &str = "document watchers";
-/// Minimum number of document watchers, even if the store is slow for them. Limited because a
-/// burst of versions saturates their links; enough to survive the failure of one or two.
+/// Minimum number of document watchers, even if the store is slow for them. The number is small
+/// because a burst of versions saturates the links of the watchers, and large enough for one or
+/// two of them to fail.
 const MIN_WATCHERS: usize = 4;
 /// Maximum wait of a watch per document watcher. What matters is when the first watch of any
 /// watcher ends after the store stopped answering: with eight watchers within 0.7 s in 998 of
@@ -41,7 +42,8 @@
 const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Ratio of the timeout of a store call to the latency of the last one.
 const TIMEOUT_LATENCY_RATIO: u32 = 2;
-/// Factor by which the timeout of store calls shrinks after an answer that was faster.
+/// Lower bound of the timeout of store calls as a share of the previous timeout. After a fast
+/// answer the timeout thus falls gradually.
 const TIMEOUT_DECAY: f64 = 0.8;
 /// Time after a failed store call for which a node does not count as reachable by the store,
 /// even if calls succeed, so that the set of document watchers does not flap.
@@ -64,15 +66,15 @@
 /// Interval per node between attempts of nodes without answers to call the store again:
 /// together these nodes make four calls a second, whatever their number.
 const RETRY_INTERVAL_PER_NODE: Duration = Duration::from_millis(250);
-/// The same while fewer than [`MIN_WATCHERS`] nodes get answers, because no other node would
-/// learn of a new version. If 15 % of the nodes are served again, one of 20 calls a second
-/// succeeds within 1.5 s in 99 of 100 cases.
+/// Replaces [`RETRY_INTERVAL_PER_NODE`] while fewer than [`MIN_WATCHERS`] nodes get answers from
+/// the store. Otherwise no node might see a new version for a long time. If 15 % of the nodes
+/// are served again, one of 20 calls a second succeeds within 1.5 s in 99 of 100 cases.
 const RETRY_INTERVAL_PER_NODE_FEW_WATCHERS: Duration = Duration::from_millis(50);
 /// A node without answers waits at least this long before it calls the store again.
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The document watchers according to this node's member table, and how the store answers this
-/// node.
+/// The document watchers according to this node's member table, and the state of this node's
+/// calls to the store.
 #[derive(Debug)]
 pub struct StoreWatch {
     /// Document watchers selected at `revision` of the member table.
@@ -181,7 +183,7 @@
         rng: &mut impl Rng,
     ) -> Vec<NodeId> {
         let was_reachable = std::mem::replace(&mut self.reachable, false);
-        // No other node relied on a hedged store call that never got an answer.
+        // If the last hedged store call got no answer, other nodes did not rely on this node.
         let last_hedge_answered = self.answered_at >= self.hedged_at;
         let was_watching =
             was_reachable && (self.selected || (self.hedge_until.is_some() && last_hedge_answered));
@@ -290,6 +292,7 @@
     (RETRY_INTERVAL_PER_NODE * unreachable).max(FAILURE_HOLD)
 }
 
+/// Returns the members that are neither suspect nor dead nor departed, this node included.
 fn alive_members(membership: &Membership) -> impl Iterator<Item = &MemberRecord> {
     membership
         .records()
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -66,6 +66,7 @@
         u64::from_le_bytes(first)
     }
 
+    /// Returns how many witness nodes make a majority of the set.
     fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Repeats the requests that witness nodes have not acknowledged.
+    /// Repeats the requests to record a version that witness nodes have not acknowledged.
     pub fn tick(&mut self, now: Moment, settings: &FleetSettings, outbox: &mut Outbox) {
         if self.pending.is_empty() || now < self.next_repeat {
             return;
@@ -319,8 +320,8 @@
     }
 }
 
-/// Query of a restarted node to its witness nodes, which asks for the version that they
-/// recorded for its previous run. Collects the replies.
+/// Query of a restarted node to its witness nodes for the version that they recorded for its
+/// previous run, with the replies received so far.
 #[derive(Debug, Default)]
 pub struct FloorQuery {
     nonce: u64,
@@ -371,7 +372,7 @@
         };
     }
 
-    /// Returns the witness nodes that were queried.
+    /// Returns the witness nodes to which this node has sent the query.
     pub fn set(&self) -> &WitnessSet {
         &self.set
     }
--- a/crates/rampthread-core/src/fleet/writer.rs
+++ b/crates/rampthread-core/src/fleet/writer.rs
@@ -20,8 +20,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Maximum number of queued proposals. Further ones are rejected with a delay before another
-/// attempt.
+/// Maximum number of queued proposals. Further proposals are rejected, and the operator is told
+/// after which delay to submit them again.
 const MAX_QUEUED: usize = 256;
 /// Delay before a write is repeated after a lost answer.
 const REWRITE_DELAY: Duration = Duration::from_millis(50);
@@ -33,7 +33,7 @@
 pub struct Requester {
     /// Id of the node. It is this node's own id if the operator submitted the proposal here.
     pub node: NodeId,
-    /// Number of the proposal at that node.
+    /// Sequence number that identifies the proposal at that node.
     pub submission: u64,
 }
 
@@ -223,7 +223,8 @@
         if let Err(StoreFailure::Unknown) = result {
             self.mark_maybe_written(&pending.operation_id);
         }
-        // If the slot was taken, the watch delivers the entry that took it.
+        // If another entry took the log slot, the log reader's watch on the store delivers that
+        // entry.
         self.not_before = now + REWRITE_DELAY;
         None
     }
--- a/crates/rampthread-core/src/fleet/zone_directory.rs
+++ b/crates/rampthread-core/src/fleet/zone_directory.rs
@@ -11,8 +11,8 @@
 //! over if the writer does not write.
 //!
 //! While the store is empty, no node knows the members of its zone. A few randomly chosen nodes
-//! write themselves early; the others read again after that and then join the existing
-//! snapshot.
+//! write the first snapshot of their zone early. The others read the store again later and add
+//! themselves to the existing snapshot.
 
 use super::action::LeaseId;
 use super::member::{EndpointRecord, Machine, MemberRecord};
@@ -44,10 +44,11 @@
 /// While the store is empty, one in this many nodes writes its zone's snapshot early. With
 /// 1,000 nodes that makes about 60 calls, most of which are rejected.
 const EARLY_WRITE_ONE_IN: u32 = 16;
-/// Delay of an early first write in milliseconds, after the first read.
+/// Delay in milliseconds between a node's first read of the store and its early write of the
+/// first snapshot, if the node was drawn to write early ([`EARLY_WRITE_ONE_IN`]).
 const EARLY_WRITE_DELAY_MS: std::ops::Range<u64> = 200..1_000;
-/// Delay of the second read of all other nodes in milliseconds, after the first one. Eventually
-/// consistent reads can lag by two seconds.
+/// Delay in milliseconds between the first and the second read of the nodes that were not drawn
+/// to write early. Eventually consistent reads can lag by two seconds.
 const SECOND_READ_DELAY_MS: std::ops::Range<u64> = 3_000..3_800;
 /// Delay per rank for reads after the store was restored, so that members earlier in the
 /// rendezvous order read and write the snapshot first.
@@ -94,7 +95,8 @@
 pub enum ZoneStep {
     /// Read the snapshots of all zones.
     Read {
-        /// True if the read must not be stale.
+        /// True if the read must return the latest state. Other reads may be eventually
+        /// consistent.
         consistent: bool,
     },
     /// Write the snapshot of this node's zone.
@@ -221,7 +223,7 @@
         Some(self.write_step(members))
     }
 
-    /// Handles a successful write of the snapshot.
+    /// Records the snapshot that this node has successfully written to the store.
     pub fn on_written(&mut self, written: ZoneSnapshot, now: Moment) {
         self.stored = written;
         self.members_before_restore.clear();
--- a/crates/rampthread-core/tests/crash_properties.rs
+++ b/crates/rampthread-core/tests/crash_properties.rs
@@ -1,5 +1,5 @@
-//! Crash reports: they merge in any order, cleared marks override reports, and memory is
-//! bounded.
+//! Crash reports merge in any order, a cleared report stays cleared, and the memory for reports
+//! is bounded.
 
 mod crash_cases;
 
@@ -16,24 +16,26 @@
 use rstest::rstest;
 use std::time::Duration;
 
-fn report(request: u16, back_end: u32, age: Duration, cleared: bool) -> CrashReport {
+fn report(request: u16, backend_number: u32, age: Duration, cleared: bool) -> CrashReport {
     CrashReport {
         identity: identity(request),
-        instance: instance(back_end),
+        instance: instance(backend_number),
         age,
         on_trial: false,
         cleared,
     }
 }
 
-/// Report of a crash during a trial.
-fn trial_report(request: u16, back_end: u32) -> CrashReport {
+/// Report of a crash during a quarantine trial, in which one backend runs a quarantined request
+/// again.
+fn trial_report(request: u16, backend_number: u32) -> CrashReport {
     CrashReport {
         on_trial: true,
-        ..report(request, back_end, Duration::ZERO, false)
+        ..report(request, backend_number, Duration::ZERO, false)
     }
 }
 
+/// Number of crashes of a request, and how many of them happened in quarantine trials.
 fn crash_counts(crashes: usize, in_trials: usize) -> CrashCounts {
     CrashCounts { crashes, in_trials }
 }
@@ -46,12 +48,15 @@
         prop::bool::weighted(0.2),
         any::<bool>(),
     )
-        .prop_map(|(request, back_end, age, cleared, on_trial)| CrashReport {
-            on_trial,
-            ..report(request, back_end, Duration::from_millis(age), cleared)
-        })
+        .prop_map(
+            |(request, backend_number, age, cleared, on_trial)| CrashReport {
+                on_trial,
+                ..report(request, backend_number, Duration::from_millis(age), cleared)
+            },
+        )
 }
 
+/// Returns a crash table into which the reports were merged in this order.
 fn table_of(reports: &[CrashReport]) -> CrashTable {
     let mut table = CrashTable::default();
     for report in reports {
@@ -102,16 +107,16 @@
     /// However many requests run at crashes, memory is bounded, and a request with several
     /// crashes is not evicted.
     #[test]
-    fn many_suspects_do_not_evict_a_poison_request(back_ends in 2_u32..5, suspects in 1_100_u16..3_000) {
+    fn many_suspects_do_not_evict_a_poison_request(backend_count in 2_u32..5, suspects in 1_100_u16..3_000) {
         let mut table = CrashTable::default();
-        for back_end in 0..back_ends {
-            table.merge(&report(0, back_end, HOUR / 100, false), NOW);
+        for backend_number in 0..backend_count {
+            table.merge(&report(0, backend_number, HOUR / 100, false), NOW);
         }
         for request in 1..suspects {
             table.merge(&report(request, u32::from(request), Duration::ZERO, false), NOW);
         }
         prop_assert!(table.len() <= MAX_SUSPECTS);
-        let crashes = back_ends as usize;
+        let crashes = backend_count as usize;
         prop_assert!(!matches!(table.standing(&identity(0), NOW), QuarantineState::Unsuspected | QuarantineState::Suspected));
         prop_assert_eq!(table.uncleared_reports(&identity(0), NOW).len(), crashes);
     }
@@ -165,7 +170,7 @@
 #[test]
 fn crashes_outside_of_trials_do_not_extend_the_quarantine() {
     let reports: Vec<CrashReport> = (0..8)
-        .map(|back_end| report(1, back_end, Duration::ZERO, false))
+        .map(|backend_number| report(1, backend_number, Duration::ZERO, false))
         .collect();
     let table = table_of(&reports);
     let short = crash_counts(2, 0).quarantine();
@@ -176,8 +181,8 @@
 #[test]
 fn quarantine_ends_in_a_trial_and_expires() {
     let mut table = CrashTable::default();
-    for back_end in 0..2 {
-        table.merge(&report(1, back_end, Duration::ZERO, false), NOW);
+    for backend_number in 0..2 {
+        table.merge(&report(1, backend_number, Duration::ZERO, false), NOW);
     }
     let standing = |table: &CrashTable, after: Duration| table.standing(&identity(1), NOW + after);
     let left = crash_counts(2, 0).quarantine();
@@ -197,7 +202,7 @@
     assert!(table.is_empty());
 }
 
-/// The entry reports a crash before the gate reports that the request was on trial.
+/// The entry node may report a crash before the gate node reports that the request was on trial.
 #[test]
 fn trial_mark_may_arrive_after_the_crash_report() {
     let mut table = table_of(&[
@@ -230,8 +235,8 @@
     );
 }
 
-/// Peers reconcile all reports of the last seconds, including single crashes. Cleared marks
-/// make no difference.
+/// Peers reconcile all reports of the last seconds, including single crashes. Whether a report
+/// was cleared makes no difference.
 #[test]
 fn all_recent_reports_are_reconciled() {
     let (young, recent, old) = (
@@ -296,7 +301,7 @@
         process_epoch: 1,
     };
     let mut agent = Agent::new(identity, FleetSettings::for_documents(), &[], 1, NOW);
-    let crashes = [1, 2].map(|back_end| report(1, back_end, Duration::ZERO, false));
+    let crashes = [1, 2].map(|backend_number| report(1, backend_number, Duration::ZERO, false));
     let withdrawn = report(1, 2, Duration::ZERO, true);
     let actions = agent.report_crashes(&crashes, NOW);
     assert!(actions.contains(&Action::RecordCrashes(crashes.to_vec())));
--- a/crates/rampthread-core/tests/fleet_properties.rs
+++ b/crates/rampthread-core/tests/fleet_properties.rs
@@ -21,11 +21,21 @@
 const NODES: usize = 8;
 const RECOVERY_TIME: Duration = Duration::from_secs(90);
 
+/// Random step of the simulation: an operator's change, a fault or its end, or the passing of
+/// time.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Lets this many milliseconds pass.
     Advance(u64),
-    Change { node: usize, kind: u8 },
-    Repeat { node: usize },
+    /// An operator submits a change at this node.
+    Change {
+        node: usize,
+        kind: u8,
+    },
+    /// An operator submits an earlier change again, after an unknown outcome.
+    Repeat {
+        node: usize,
+    },
     Crash(usize),
     Start(usize),
     RestartSeveral(u64),
@@ -33,12 +43,19 @@
     Resume(usize),
     Partition(u64),
     HealPartition,
-    Network { loss: u32, copies: u32, late: u32 },
+    Network {
+        loss: u32,
+        copies: u32,
+        late: u32,
+    },
     Outage(bool),
     Slow(u64),
     LoseAfter(u32),
     LoseBefore(u32),
-    Late { count: u32, by_ms: u64 },
+    Late {
+        count: u32,
+        by_ms: u64,
+    },
     ExpireLeases,
 }
 
@@ -84,17 +101,20 @@
         step().boxed()
     }
 
+    /// The state is only the seed of the simulation, which no step changes.
     fn apply(state: u64, _: &Step) -> u64 {
         state
     }
 }
 
+/// Simulated fleet with the changes that operators have submitted.
 struct Fleet {
     world: World,
     changes: Vec<LogEntry>,
 }
 
-/// Changes of all kinds, both valid and invalid.
+/// Returns the log entry of an operator's change. `kind` selects what it changes, which may be
+/// invalid.
 fn change(number: usize, kind: u8) -> LogEntry {
     let operations = match kind {
         0 => vec![put(service("shop")), put(route("shop", "shop", None))],
@@ -149,6 +169,7 @@
         }
     }
 
+    /// Performs a random step on the simulated fleet.
     fn step(&mut self, step: Step) {
         let world = &mut self.world;
         match step {
@@ -201,6 +222,7 @@
         }
     }
 
+    /// Ends all faults, waits for the recovery and checks the final invariants.
     fn finish(mut self) {
         self.world.end_faults();
         self.world.advance(RECOVERY_TIME);
--- a/crates/rampthread-core/tests/mesh/mod.rs
+++ b/crates/rampthread-core/tests/mesh/mod.rs
@@ -40,6 +40,7 @@
     })
 }
 
+/// Returns a small valid document with this version.
 pub fn document(version: u64) -> ConfigState {
     let resources = vec![service("shop"), route("r", "host", "/")];
     ConfigState::from_document(Version(version), resources, None).unwrap()
@@ -142,6 +143,7 @@
         readers
     }
 
+    /// Advances the simulated time and ticks all agents.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -154,6 +156,7 @@
         }
     }
 
+    /// Returns the backend of node `of` as known to node `at`.
     pub fn known_backend(&self, at: usize, of: usize) -> Option<EndpointRecord> {
         let id = NodeId::new(&format!("node-{of}")).unwrap();
         let record = self.agents[at].membership().record(&id)?;
--- a/crates/rampthread-core/tests/mesh_properties.rs
+++ b/crates/rampthread-core/tests/mesh_properties.rs
@@ -28,6 +28,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Returns a call with this id, rank, deadline and maximum queueing time that arrives for
+/// admission.
 fn arrival(call: u64, rank: u32, deadline: Moment, max_wait: Duration) -> Arrival {
     Arrival {
         call,
@@ -96,7 +98,7 @@
 
     /// With a maximum queueing time of zero a call is admitted or rejected at once.
     #[test]
-    fn no_call_queues_without_queueing_time(slots in 1_u32..10, calls in 1_u64..40) {
+    fn call_without_queueing_time_never_waits(slots in 1_u32..10, calls in 1_u64..40) {
         let mut admission = AdmissionController::new(AdmissionLimits { slots, queue: 100 });
         let now = Moment(1);
         for call in 0..calls {
@@ -314,7 +316,12 @@
     }
 }
 
-fn chosen(balancer: &mut Balancer, endpoints: &[Endpoint], now: Moment) -> BTreeMap<String, u32> {
+/// Returns how often the balancer selects each node for 200 calls.
+fn selection_counts(
+    balancer: &mut Balancer,
+    endpoints: &[Endpoint],
+    now: Moment,
+) -> BTreeMap<String, u32> {
     let zone = Zone::new("near").unwrap();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut counts = BTreeMap::new();
@@ -337,9 +344,9 @@
     let now = Moment(5_000_000);
     let near = &endpoints[0].node;
     let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
-    assert_eq!(chosen(&mut balancer, &endpoints, now)["a"], 200);
+    assert_eq!(selection_counts(&mut balancer, &endpoints, now)["a"], 200);
     balancer.record_load(near, 12, now);
-    assert!(!chosen(&mut balancer, &endpoints, now).contains_key("a"));
+    assert!(!selection_counts(&mut balancer, &endpoints, now).contains_key("a"));
     balancer.record_load(near, 0, now);
     for _ in 0..50 {
         for endpoint in &endpoints[1..] {
@@ -347,10 +354,10 @@
         }
         balancer.record_response(near, &name("r"), Duration::from_millis(900), now);
     }
-    assert!(!chosen(&mut balancer, &endpoints, now).contains_key("a"));
+    assert!(!selection_counts(&mut balancer, &endpoints, now).contains_key("a"));
     // Old measurements lose their weight, so the backend is tried again.
     let later = now + Duration::from_secs(60);
-    assert_eq!(chosen(&mut balancer, &endpoints, later)["a"], 200);
+    assert_eq!(selection_counts(&mut balancer, &endpoints, later)["a"], 200);
 }
 
 /// The known load of a gate may be outdated. A backend of the same zone that seems just full is
@@ -361,7 +368,7 @@
     let now = Moment(5_000_000);
     let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
     balancer.record_load(&endpoints[0].node, endpoints[0].slots, now);
-    assert_eq!(chosen(&mut balancer, &endpoints, now)["a"], 200);
+    assert_eq!(selection_counts(&mut balancer, &endpoints, now)["a"], 200);
 }
 
 #[test]
@@ -387,9 +394,9 @@
     let now = Moment(5_000_000);
     let mut balancer = Balancer::new(BalanceMode::LeastCost, now);
     balancer.record_unreachable(&endpoints[0].node, now);
-    assert_eq!(chosen(&mut balancer, &endpoints, now)["b"], 200);
+    assert_eq!(selection_counts(&mut balancer, &endpoints, now)["b"], 200);
     let later = now + Duration::from_secs(2);
-    assert_eq!(chosen(&mut balancer, &endpoints, later)["a"], 200);
+    assert_eq!(selection_counts(&mut balancer, &endpoints, later)["a"], 200);
 }
 
 #[test]
--- a/crates/rampthread-core/tests/simulation/store.rs
+++ b/crates/rampthread-core/tests/simulation/store.rs
@@ -17,6 +17,7 @@
     pub late_by: Duration,
 }
 
+/// Simulated store that holds the log, the snapshot and the reader leases.
 #[derive(Debug, Default)]
 pub struct SimStore {
     pub faults: StoreFaults,
@@ -52,6 +53,7 @@
         Version(self.full_log.len() as u64)
     }
 
+    /// Handles a request that has reached the store, subject to the injected faults.
     pub fn arrive(&mut self, request: &StoreRequest, now: Moment, until: Moment) -> StoreHandling {
         if self.faults.outage {
             return StoreHandling::Answer(Err(StoreFailure::Unknown));
--- a/crates/rampthread-core/tests/simulation/world.rs
+++ b/crates/rampthread-core/tests/simulation/world.rs
@@ -49,11 +49,12 @@
     },
 }
 
-struct Slot {
+/// One node of the simulated fleet, whose process may run, be suspended or have crashed.
+struct SimulatedNode {
     agent: Option<Agent>,
     process_epoch: u64,
     suspended: bool,
-    /// Side of the network partition. Nodes on different partition_sides cannot communicate.
+    /// Side of the network partition. Nodes on different sides cannot communicate.
     partition_side: u8,
     deferred_events: Vec<Event>,
     /// Highest version that any run of this node has activated.
@@ -69,7 +70,7 @@
 
 pub struct World {
     pub now: Moment,
-    slots: Vec<Slot>,
+    simulated_nodes: Vec<SimulatedNode>,
     pub store: SimStore,
     pub network: NetworkFaults,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -103,7 +104,7 @@
             .collect();
         let mut world = Self {
             now: Moment(1),
-            slots: Vec::new(),
+            simulated_nodes: Vec::new(),
             store: SimStore::new(),
             network: NetworkFaults::default(),
             queue: BinaryHeap::new(),
@@ -120,7 +121,7 @@
             messages: 0,
         };
         for index in 0..nodes {
-            world.slots.push(Slot {
+            world.simulated_nodes.push(SimulatedNode {
                 agent: None,
                 process_epoch: 0,
                 suspended: false,
@@ -134,17 +135,17 @@
     }
 
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.simulated_nodes.len()
     }
 
     pub fn agent(&self, node: usize) -> Option<&Agent> {
-        self.slots[node].agent.as_ref()
+        self.simulated_nodes[node].agent.as_ref()
     }
 
     // ---- fault injection ----
 
     pub fn start(&mut self, node: usize) {
-        if self.slots[node].agent.is_some() {
+        if self.simulated_nodes[node].agent.is_some() {
             return;
         }
         let process_epoch = EPOCH_BASE + self.now.0 + self.next_event;
@@ -160,9 +161,9 @@
         let settings = self.settings.clone();
         let mut agent = Agent::new(identity, settings, &self.machines, seed, self.now);
         agent.set_defect(self.defect);
-        self.slots[node].agent = Some(agent);
-        self.slots[node].process_epoch = process_epoch;
-        self.slots[node].suspended = false;
+        self.simulated_nodes[node].agent = Some(agent);
+        self.simulated_nodes[node].process_epoch = process_epoch;
+        self.simulated_nodes[node].suspended = false;
         let offset = Duration::from_millis(self.rng.random_range(0..100));
         self.schedule(
             offset,
@@ -175,25 +176,25 @@
 
     /// Kills the process; its memory is lost.
     pub fn crash(&mut self, node: usize) {
-        self.slots[node].agent = None;
-        self.slots[node].suspended = false;
-        self.slots[node].deferred_events.clear();
+        self.simulated_nodes[node].agent = None;
+        self.simulated_nodes[node].suspended = false;
+        self.simulated_nodes[node].deferred_events.clear();
     }
 
     pub fn suspend(&mut self, node: usize) {
-        self.slots[node].suspended = self.slots[node].agent.is_some();
+        self.simulated_nodes[node].suspended = self.simulated_nodes[node].agent.is_some();
     }
 
     pub fn resume(&mut self, node: usize) {
-        self.slots[node].suspended = false;
-        for event in std::mem::take(&mut self.slots[node].deferred_events) {
+        self.simulated_nodes[node].suspended = false;
+        for event in std::mem::take(&mut self.simulated_nodes[node].deferred_events) {
             self.schedule(Duration::ZERO, event);
         }
     }
 
     pub fn partition(&mut self, partition_sides: u64) {
-        for (index, slot) in self.slots.iter_mut().enumerate() {
-            slot.partition_side = ((partition_sides >> index) & 1) as u8;
+        for (index, node) in self.simulated_nodes.iter_mut().enumerate() {
+            node.partition_side = ((partition_sides >> index) & 1) as u8;
         }
     }
 
@@ -210,15 +211,19 @@
     /// Sets a deliberate defect in all running processes and in those started later.
     pub fn set_defect(&mut self, defect: Option<Defect>) {
         self.defect = defect;
-        for agent in self.slots.iter_mut().filter_map(|slot| slot.agent.as_mut()) {
+        for agent in self
+            .simulated_nodes
+            .iter_mut()
+            .filter_map(|node| node.agent.as_mut())
+        {
             agent.set_defect(defect);
         }
     }
 
-    // ---- operators ----
+    // ---- proposals of operators ----
 
     pub fn propose(&mut self, node: usize, entry: &LogEntry) {
-        if self.slots[node].suspended || self.slots[node].agent.is_none() {
+        if self.simulated_nodes[node].suspended || self.simulated_nodes[node].agent.is_none() {
             return;
         }
         self.next_ticket += 1;
@@ -226,7 +231,7 @@
         let operation = entry.change.operation_id.clone();
         self.open.insert(ticket, operation);
         let now = self.now;
-        let agent = self.slots[node].agent.as_mut().unwrap();
+        let agent = self.simulated_nodes[node].agent.as_mut().unwrap();
         let actions = agent.propose(ticket, entry.encode().into(), now);
         self.perform(node, actions);
     }
@@ -268,15 +273,17 @@
                 if !self.is_live(node, process_epoch) {
                     return;
                 }
-                if self.slots[node].suspended {
-                    self.slots[node].deferred_events.push(Event::Tick {
-                        node,
-                        process_epoch,
-                    });
+                if self.simulated_nodes[node].suspended {
+                    self.simulated_nodes[node]
+                        .deferred_events
+                        .push(Event::Tick {
+                            node,
+                            process_epoch,
+                        });
                     return;
                 }
                 let now = self.now;
-                let actions = self.slots[node].agent.as_mut().unwrap().tick(now);
+                let actions = self.simulated_nodes[node].agent.as_mut().unwrap().tick(now);
                 self.perform(node, actions);
                 self.schedule(
                     TICK,
@@ -287,14 +294,14 @@
                 );
             }
             Event::Deliver { to, envelope } => {
-                if self.slots[to].suspended {
-                    self.slots[to]
+                if self.simulated_nodes[to].suspended {
+                    self.simulated_nodes[to]
                         .deferred_events
                         .push(Event::Deliver { to, envelope });
                     return;
                 }
                 let now = self.now;
-                if let Some(agent) = self.slots[to].agent.as_mut() {
+                if let Some(agent) = self.simulated_nodes[to].agent.as_mut() {
                     let actions = agent.on_message(*envelope, now);
                     self.perform(to, actions);
                 }
@@ -321,28 +328,31 @@
                 if !self.is_live(node, process_epoch) {
                     return;
                 }
-                if self.slots[node].suspended {
+                if self.simulated_nodes[node].suspended {
                     let event = Event::StoreAnswers {
                         node,
                         process_epoch,
                         id,
                         result,
                     };
-                    self.slots[node].deferred_events.push(event);
+                    self.simulated_nodes[node].deferred_events.push(event);
                     return;
                 }
                 let now = self.now;
-                let agent = self.slots[node].agent.as_mut().unwrap();
+                let agent = self.simulated_nodes[node].agent.as_mut().unwrap();
                 let actions = agent.on_store(id, result, now);
                 self.perform(node, actions);
             }
         }
     }
 
+    /// Returns true if this run of the node's process has not ended.
     fn is_live(&self, node: usize, process_epoch: u64) -> bool {
-        self.slots[node].agent.is_some() && self.slots[node].process_epoch == process_epoch
+        self.simulated_nodes[node].agent.is_some()
+            && self.simulated_nodes[node].process_epoch == process_epoch
     }
 
+    /// Passes a request to the simulated store and schedules the answer.
     fn store_arrives(
         &mut self,
         node: usize,
@@ -396,8 +406,9 @@
 
     // ---- actions and invariants ----
 
+    /// Executes the actions that the agent of a node requests.
     fn perform(&mut self, node: usize, actions: Vec<Action>) {
-        let process_epoch = self.slots[node].process_epoch;
+        let process_epoch = self.simulated_nodes[node].process_epoch;
         for action in actions {
             match action {
                 Action::Send { to, envelope, .. } => self.send(node, to.as_str(), envelope),
@@ -439,7 +450,7 @@
     fn send(&mut self, from: usize, to: &str, envelope: Envelope) {
         self.messages += 1;
         let to: usize = to.trim_start_matches("node-").parse().unwrap();
-        if self.slots[from].partition_side != self.slots[to].partition_side {
+        if self.simulated_nodes[from].partition_side != self.simulated_nodes[to].partition_side {
             return;
         }
         let draw = |rng: &mut ChaCha8Rng, percent: u32| rng.random_range(0..100) < percent;
@@ -461,12 +472,12 @@
     /// without dangling references.
     fn check_adoption(&mut self, node: usize, state: &ConfigState) {
         let version = state.version();
-        let highest_version = self.slots[node].highest_version;
+        let highest_version = self.simulated_nodes[node].highest_version;
         assert!(
             version >= highest_version,
             "node-{node} went back from version {highest_version} to {version}"
         );
-        self.slots[node].highest_version = version;
+        self.simulated_nodes[node].highest_version = version;
         let findings = state.dangling_references();
         assert!(
             findings.is_empty(),
--- a/crates/rampthread-core/tests/zone_directory.rs
+++ b/crates/rampthread-core/tests/zone_directory.rs
@@ -34,6 +34,7 @@
     Zone::new("zone").unwrap()
 }
 
+/// Passes the result of a store read to the zone directory.
 fn read(directory: &mut ZoneDirectory, snapshot_read: Option<&ZoneSnapshot>, now: Moment) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     directory.on_read(snapshot_read, [], now, &mut rng);
@@ -52,6 +53,7 @@
     panic!("no snapshot was written");
 }
 
+/// Returns the snapshot as the store holds it after the write.
 fn stored(write: ZoneWrite, revision: u64) -> ZoneSnapshot {
     ZoneSnapshot {
         revision,
--- a/crates/rampthread-core/tests/zone_directory_restored.rs
+++ b/crates/rampthread-core/tests/zone_directory_restored.rs
@@ -27,6 +27,7 @@
     Other,
 }
 
+/// What the simulated store holds, and what a copy of it contains.
 #[derive(Debug, Clone, Default)]
 struct StoreContent {
     snapshot: Option<ZoneSnapshot>,
@@ -63,6 +64,7 @@
     }
 }
 
+/// Fault that the store may have in one step of the simulation.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     None,
@@ -88,7 +90,7 @@
 struct RestoreSimulation {
     mesh: Mesh,
     directories: Vec<ZoneDirectory>,
-    /// Latest era of the store known to each node.
+    /// Latest store era known to each node. The store raises it each time it is restored.
     eras: Vec<u64>,
     store: StoreContent,
     copy: StoreContent,
@@ -127,6 +129,8 @@
         }
     }
 
+    /// Replaces the content of the store by that of an older copy or by an empty one, and raises
+    /// the store era.
     fn restore(&mut self, content: StoreContent) {
         self.store = content;
         self.era += 1;
