--- a/crates/rampthread-core/src/backend_incarnation.rs
+++ b/crates/rampthread-core/src/backend_incarnation.rs
@@ -10,7 +10,7 @@
 /// Maximum length of a backend id, in bytes. Leaves room in a name for the separator and
 /// the longest start time.
 pub const MAX_BACKEND_ID_BYTES: usize = InstanceId::MAX_BYTES - SEPARATOR.len() - MAX_START_DIGITS;
-/// Decimal digits of `u64::MAX`.
+/// Number of decimal digits of the longest start time, `u64::MAX`.
 const MAX_START_DIGITS: usize = 20;
 
 /// Start time of a backend process, in Unix milliseconds by the backend's own clock.
@@ -27,17 +27,16 @@
     started_at: Option<StartedAt>,
 }
 
-/// Reason why a text is not a valid backend id.
+/// Reason why a text is not a valid backend id for a [`BackendIncarnation`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidIncarnation {
     /// The backend id is not a valid name.
     #[error(transparent)]
     Name(#[from] InvalidName),
-    /// The id is ambiguous or too long: it could not be told from an id with a start time.
+    /// The backend id is too long, or contains the separator that marks a start time.
     #[error(
         "a backend id must have at most {MAX_BACKEND_ID_BYTES} bytes and not contain {SEPARATOR:?}"
     )]
-    /// The backend id is too long, or contains the separator that marks a start time.
     Reserved,
 }
 
--- a/crates/rampthread-core/src/compression.rs
+++ b/crates/rampthread-core/src/compression.rs
@@ -4,8 +4,8 @@
 
 use std::borrow::Cow;
 
-/// zstd compression level; higher levels save little and need more CPU time.
-const LEVEL: i32 = 3;
+/// Level of zstd compression; higher levels save little and need more CPU time.
+const COMPRESSION_LEVEL: i32 = 3;
 /// Magic number of a zstd frame (RFC 8878, section 3.1.1). Uncompressed content from older
 /// nodes starts with a JSON character or a snapshot digest, which are not expected to match
 /// it.
@@ -26,7 +26,7 @@
 /// Compresses `content` with zstd and adds a checksum, so that corruption is detected.
 pub fn compress(content: &[u8]) -> Vec<u8> {
     // Compression into memory fails only when the allocation fails.
-    let compressed = zstd::bulk::Compressor::new(LEVEL).and_then(|mut compressor| {
+    let compressed = zstd::bulk::Compressor::new(COMPRESSION_LEVEL).and_then(|mut compressor| {
         compressor.include_checksum(true)?;
         compressor.compress(content)
     });
--- a/crates/rampthread-core/src/config/change.rs
+++ b/crates/rampthread-core/src/config/change.rs
@@ -1,4 +1,4 @@
-//! Change sets and the entries of the change log.
+//! Change sets, which operators submit, and the log entries in which the change log stores them.
 
 use super::resource::{Resource, ResourceKey};
 use crate::ids::{NodeId, OperationId, Version};
@@ -11,9 +11,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "action", deny_unknown_fields)]
 pub enum Operation {
-    /// Creates or replaces a resource.
+    /// Creates the resource, or replaces the resource of the same kind and name.
     Put {
-        /// New content of the resource.
+        /// Complete new content of the resource.
         resource: Box<Resource>,
         /// Generation that the resource must currently have (`If-Match`); `Version(0)`
         /// requires that it does not exist.
@@ -58,7 +58,7 @@
 pub struct LogEntry {
     /// Id of the node that wrote the entry as a log reader; shown by `explain`.
     pub author: NodeId,
-    /// Operations that the entry applies atomically, or none of them.
+    /// Change set of the operator, which is applied completely or not at all.
     pub change: ChangeSet,
 }
 
@@ -68,13 +68,13 @@
     /// The encoded entry is larger than [`MAX_ENTRY_BYTES`].
     #[error("log entry of {length} bytes exceeds {MAX_ENTRY_BYTES} bytes")]
     TooLarge {
-        /// Length of the encoded entry, in bytes.
+        /// Length of the rejected log entry, in bytes.
         length: usize,
     },
     /// The encoded entry is not valid JSON of a [`LogEntry`].
     #[error("cannot decode the log entry: {reason}")]
     Unreadable {
-        /// Error message of the JSON decoder.
+        /// Error message of the JSON decoder for the log entry.
         reason: String,
     },
 }
--- a/crates/rampthread-core/src/config/delta.rs
+++ b/crates/rampthread-core/src/config/delta.rs
@@ -16,13 +16,13 @@
     pub base: Version,
     /// Version of the configuration state that the delta produces.
     pub version: Version,
-    /// Resources that are new or changed.
+    /// Resources that the delta adds or replaces.
     put: Vec<Arc<Resource>>,
-    /// Keys of resources that were deleted.
+    /// Keys of the resources that the delta deletes.
     removed: Vec<ResourceKey>,
-    /// Number of resources in the resulting state, to verify the result.
+    /// Number of resources after the delta, by which the receiver verifies the result.
     resources: usize,
-    /// Caller limits of the resulting state.
+    /// Limits on callers' requests after the delta; `None` if the configuration sets none.
     caller_limits: Option<CallerLimits>,
     /// Content digest of the resulting state, absent from older nodes. Detects a base that
     /// has the same version but other content, which two concurrent writers may produce.
@@ -36,7 +36,7 @@
     /// The decompressed bytes are not valid JSON of a [`StateDelta`].
     #[error("cannot decode the delta: {reason}")]
     Unreadable {
-        /// Message of the JSON decoder.
+        /// Error message of the JSON decoder for the delta.
         reason: String,
     },
     /// The bytes could not be decompressed with zstd.
@@ -46,7 +46,7 @@
     /// be applied to.
     #[error("the delta applies to version {base}, not to {held}")]
     BaseMismatch {
-        /// Version to which the delta applies.
+        /// Version of the configuration state for which the sender made the delta.
         base: Version,
         /// Version of the configuration state that the delta was to be applied to.
         held: Version,
@@ -69,7 +69,7 @@
     /// The resulting state violates a rule of the configuration.
     #[error("the delta produces an invalid configuration: {findings}")]
     Invalid {
-        /// All violations found in the resulting state.
+        /// Rules that the configuration state after the delta would violate.
         findings: Findings,
     },
 }
@@ -146,6 +146,7 @@
     }
 }
 
+/// True when `state` contains `stored` with equal content, whatever its generation.
 fn contains_equal(state: &ConfigState, stored: &StoredResource) -> bool {
     state.get(&stored.resource.key()).is_some_and(|known| {
         Arc::ptr_eq(&known.resource, &stored.resource) || known.resource == stored.resource
--- a/crates/rampthread-core/src/config/resource.rs
+++ b/crates/rampthread-core/src/config/resource.rs
@@ -24,7 +24,7 @@
 }
 
 impl ResourceKind {
-    /// All kinds, in the order of tables and files.
+    /// All kinds of resources, in the order in which tables and files list them.
     pub const ALL: [ResourceKind; 5] = [
         ResourceKind::Service,
         ResourceKind::Route,
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceKey {
-    /// Distinguishes resources of the same name.
+    /// Kind of the resource; resources of different kinds may have the same name.
     pub kind: ResourceKind,
     /// Name of the resource, unique within its kind.
     pub name: ResourceName,
@@ -101,7 +101,7 @@
     5_000
 }
 
-/// How the path of a route is matched with the path of a call.
+/// Condition of a route on the path of a call.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PathMatch {
@@ -130,7 +130,7 @@
     pub value: String,
 }
 
-/// One weighted destination of a route.
+/// Service that receives a weighted share of the calls of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Destination {
@@ -168,7 +168,7 @@
     /// Host that a call must name to match; `None` matches every host.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    /// Condition on the path of a call.
+    /// Condition that the path of a call must meet to match the route.
     pub path: PathMatch,
     /// Methods of calls that match; empty matches every method.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -181,13 +181,14 @@
     /// Timeout of a call whose caller sets no deadline, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Which calls may be executed more than once.
+    /// Which calls of the route may be executed more than once, and so be retried after
+    /// they may have run.
     #[serde(default)]
     pub repeatability: Repeatability,
     /// Secret that the backend's local node (its gate) adds to the call before it forwards it to the backend.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub secret: Option<ResourceName>,
-    /// Header in which the backend receives the secret.
+    /// Name of the header in which the backend receives the secret of the route.
     #[serde(default = "default_secret_header")]
     pub secret_header: String,
     /// Maximum number of backends to which one call is sent, including retries.
@@ -206,6 +207,7 @@
     pub public: bool,
 }
 
+/// Lets serde omit `public` where it is false.
 fn is_false(value: &bool) -> bool {
     !value
 }
@@ -234,13 +236,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Maximum size of the request head (request line and headers), in bytes.
+    /// Maximum size of the head of a caller's request (request line and headers), in bytes.
     pub head_bytes: usize,
-    /// Maximum size of the request body, in bytes.
+    /// Maximum size of the body of a caller's request, in bytes.
     pub body_bytes: usize,
-    /// Timeout for receiving the request head, in milliseconds.
+    /// Time within which the head of a caller's request must arrive, in milliseconds.
     pub head_wait_ms: u64,
-    /// Time after which an idle connection is closed, in milliseconds.
+    /// Time without requests after which a caller's connection is closed, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -264,7 +266,7 @@
     pub service: ResourceName,
     /// Node that runs next to the backend and admits and forwards its calls.
     pub node: NodeId,
-    /// Address at which that node reaches the backend.
+    /// Address at which the local node reaches the backend.
     pub address: SocketAddr,
     /// Zone of the backend's machine; calls prefer backends in their own zone.
     pub zone: Zone,
--- a/crates/rampthread-core/src/config/state.rs
+++ b/crates/rampthread-core/src/config/state.rs
@@ -1,4 +1,5 @@
-//! Configuration state produced by the change log, and validation of changes.
+//! Configuration states: how a log entry, a document or a delta changes one, and which rules it
+//! must satisfy.
 
 use super::change::{LogEntry, Operation};
 use super::resource::{
@@ -47,7 +48,7 @@
     pub operation_id: OperationId,
     /// Version of the log slot that decided the change set.
     pub version: Version,
-    /// Whether the change set was applied, and why not.
+    /// Whether the change set was applied, and otherwise why it was rejected.
     pub outcome: Outcome,
 }
 
@@ -75,7 +76,7 @@
     /// The content of the snapshot is not valid JSON of a [`ConfigState`].
     #[error("cannot decode the snapshot: {reason}")]
     Unreadable {
-        /// Message of the JSON decoder.
+        /// Error message of the JSON decoder for the snapshot.
         reason: String,
     },
     /// The bytes of the snapshot could not be decompressed with zstd.
@@ -87,13 +88,13 @@
     /// The content of the snapshot violates a rule of the configuration.
     #[error("the snapshot is not a valid configuration: {findings}")]
     Invalid {
-        /// All violations found in the snapshot.
+        /// Rules of the configuration that the content of the snapshot violates.
         findings: Findings,
     },
 }
 
 impl ConfigState {
-    /// Version of the log slot or document that produced this state.
+    /// Version of the log slot or document from which this configuration state results.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -219,6 +220,7 @@
         next
     }
 
+    /// Adds the decision about a change set, and drops the oldest one beyond the limit.
     fn record_operation(&mut self, operation: RecordedOperation) {
         self.recent.push_back(operation);
         if self.recent.len() > MAX_RECORDED_OPERATIONS {
@@ -297,6 +299,7 @@
         }
     }
 
+    /// Looks up a resource by kind and name.
     fn named(&self, kind: ResourceKind, name: &ResourceName) -> Option<&StoredResource> {
         self.resources.get(&ResourceKey {
             kind,
@@ -384,6 +387,8 @@
     Ok(resources)
 }
 
+/// Applies one operation of a change set to `resources`. Adds unmet generation conditions
+/// to `conflicts` and broken rules to `violations`.
 fn apply_operation(
     resources: &mut BTreeMap<ResourceKey, StoredResource>,
     operation: &Operation,
@@ -428,12 +433,15 @@
     }
 }
 
+/// Validates the caller limits of a configuration document, if it sets any.
 fn check_limits(limits: Option<&CallerLimits>, findings: &mut Findings) {
     if let Some(limits) = limits {
         validate_caller_limits(limits, findings);
     }
 }
 
+/// Checks the rules that involve several resources: references, route conflicts, local
+/// nodes and tenant keys.
 fn check_consistency(resources: &BTreeMap<ResourceKey, StoredResource>, findings: &mut Findings) {
     check_references(resources, findings);
     check_route_conflicts(resources, findings);
@@ -476,7 +484,8 @@
     }
 }
 
-/// Checks that no two routes match the same calls with the same precedence.
+/// Checks that no two routes match the same calls with the same precedence, so that the
+/// route of a call is unambiguous.
 fn check_route_conflicts(
     resources: &BTreeMap<ResourceKey, StoredResource>,
     findings: &mut Findings,
--- a/crates/rampthread-core/src/config/tenant.rs
+++ b/crates/rampthread-core/src/config/tenant.rs
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Length of a key digest in bytes, long enough to rule out collisions.
+/// Length of the digest of a tenant's key in bytes, long enough to rule out collisions.
 const DIGEST_BYTES: usize = 16;
 /// Key derivation context that separates these digests from other digests of the same text.
 const KEY_DERIVATION_CONTEXT: &str = "rampthread 2026 keys of tenants";
-/// Maximum rate or burst that a limit may have.
+/// Maximum rate (requests per second) or burst (requests) of a tenant's limit.
 const MAX_REQUESTS: f64 = 1e9;
-/// Resolution of a limit: units per request.
+/// Number of units in which a [`RequestCount`] counts one request.
 const UNITS_PER_REQUEST: f64 = 1_000.0;
 
 /// BLAKE3 digest of a tenant's key, which identifies the key without revealing it. `Debug`
@@ -74,7 +74,7 @@
 pub struct InvalidRequestCount(pub f64);
 
 impl RequestCount {
-    /// True for a count of zero, which stands for "no limit".
+    /// True for zero requests, which as the rate of a tenant stands for "no limit".
     pub fn is_zero(&self) -> bool {
         self.0 == 0
     }
--- a/crates/rampthread-core/src/config/validate.rs
+++ b/crates/rampthread-core/src/config/validate.rs
@@ -4,14 +4,20 @@
 use super::tenant::{KeyDigest, Tenant};
 use crate::findings::Findings;
 
+/// Maximum retry budget of a service, in percent of its calls.
 const MAX_PERCENT: u8 = 100;
+/// Maximum number of slots or connections of one backend.
 const MAX_SLOTS: u32 = 100_000;
+/// Maximum timeout of a route and ramp-up time of a service, in milliseconds: one hour.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
+/// Maximum number of backends to which a route may send one call.
 const MAX_ATTEMPTS: u64 = 100;
+/// Maximum number of services among which a route divides its calls.
 const MAX_DESTINATIONS: usize = 64;
-/// Maximum of a size limit for requests, in bytes; larger than the memory of any machine.
+/// Maximum value of the size limits on requests, in bytes; larger than the memory of any
+/// machine.
 const MAX_SIZE_LIMIT_BYTES: u64 = 1 << 40;
-/// Maximum of a timeout for requests, in milliseconds: one day.
+/// Maximum value of the timeouts for receiving requests, in milliseconds: one day.
 const MAX_TIMEOUT_LIMIT_MS: u64 = 86_400_000;
 
 /// Adds all violations of `resource` to `findings`; `place` is its key path.
@@ -39,6 +45,7 @@
     }
 }
 
+/// Checks the retry budget and the ramp-up time of a service.
 fn validate_service(service: &Service, place: &str, findings: &mut Findings) {
     if service.retry_percent > MAX_PERCENT {
         findings.push(
@@ -56,6 +63,7 @@
     );
 }
 
+/// Checks the match conditions, destinations and limits of a route.
 fn validate_route(route: &Route, place: &str, findings: &mut Findings) {
     validate_path(&route.path, place, findings);
     check_range(
@@ -115,6 +123,7 @@
     );
 }
 
+/// Checks that the path or prefix of a route begins with a slash.
 fn validate_path(path: &PathMatch, place: &str, findings: &mut Findings) {
     if !path.text().starts_with('/') {
         findings.push(
@@ -125,6 +134,7 @@
     }
 }
 
+/// Checks the numbers of slots and connections of a backend.
 fn validate_backend(backend: &Backend, place: &str, findings: &mut Findings) {
     check_range(
         u64::from(backend.slots),
@@ -142,6 +152,7 @@
     );
 }
 
+/// Checks that no key of a tenant is the empty string.
 fn validate_tenant(tenant: &Tenant, place: &str, findings: &mut Findings) {
     let empty = KeyDigest::of("");
     for (index, key) in tenant.keys.iter().enumerate() {
@@ -151,12 +162,14 @@
     }
 }
 
+/// Adds a finding if `name` is not a valid HTTP header name.
 fn check_header_name(name: &str, place: &str, findings: &mut Findings) {
     if http::HeaderName::from_bytes(name.as_bytes()).is_err() {
         findings.push(place, format!("{name:?}"), "an HTTP header name");
     }
 }
 
+/// Adds a finding if `value` is not between `min` and `max`, both inclusive.
 fn check_range(value: u64, min: u64, max: u64, place: &str, findings: &mut Findings) {
     if !(min..=max).contains(&value) {
         findings.push(place, value.to_string(), format!("{min} to {max}"));
--- a/crates/rampthread-core/src/findings.rs
+++ b/crates/rampthread-core/src/findings.rs
@@ -12,9 +12,9 @@
 pub struct Finding {
     /// Location of the error: a file and key path, such as `node.toml: limits.slots`.
     pub place: String,
-    /// The invalid value or condition.
+    /// Invalid value or condition, as text for the author of the input.
     pub found: String,
-    /// Which values or conditions are accepted instead.
+    /// Accepted values or conditions, as text for the author of the input.
     pub allowed: String,
 }
 
--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -56,7 +56,7 @@
 const COMPARISONS_AT_START: u32 = 4;
 /// Remaining gossip rounds of a crash report.
 #[derive(Debug, Clone, Copy)]
-struct Transmissions {
+struct PendingCrashReport {
     /// Gossip rounds left.
     left: u32,
     /// Whether the report is also sent to other zones.
@@ -67,7 +67,8 @@
 pub(super) struct CrashGossip {
     table: CrashTable,
     /// Reports to send in the next gossip rounds.
-    pending_gossip: BTreeMap<ReportKey, Transmissions>,
+    pending_gossip: BTreeMap<ReportKey, PendingCrashReport>,
+    /// Time of the next gossip round of crash reports.
     next_round: Moment,
     /// Earliest time at which a probe may trigger the next crash table comparison.
     next_comparison: Moment,
@@ -207,7 +208,7 @@
             same_zone.push(report);
             let left = transmissions.left - 1;
             if left > 0 {
-                let transmissions = Transmissions {
+                let transmissions = PendingCrashReport {
                     left,
                     ..transmissions
                 };
@@ -217,11 +218,11 @@
         let targets = self
             .membership
             .random_same_zone_peers(LOCAL_ZONE_FANOUT, &mut self.rng);
-        send_reports(&targets, &same_zone, outbox);
+        send_crash_reports(&targets, &same_zone, outbox);
         let targets = self
             .membership
             .random_other_zone_peers(REMOTE_ZONE_FANOUT, &mut self.rng);
-        send_reports(&targets, &other_zones, outbox);
+        send_crash_reports(&targets, &other_zones, outbox);
     }
 
     /// Handles crash reports of a peer. `all` marks a crash table comparison: the message
@@ -254,7 +255,7 @@
             answer.extend(compared.into_iter().filter(lacking));
         }
         answer.truncate(POISON_REPORTS_PER_COMPARISON + RECENT_REPORTS_PER_COMPARISON);
-        send_reports(std::slice::from_ref(from), &answer, outbox);
+        send_crash_reports(std::slice::from_ref(from), &answer, outbox);
     }
 
     /// Starts a crash table comparison when a peer's probe or acknowledgement carries
@@ -372,11 +373,11 @@
         let same_zone = self
             .membership
             .random_same_zone_peers(direct, &mut self.rng);
-        send_reports(&same_zone, &new, outbox);
+        send_crash_reports(&same_zone, &new, outbox);
         let other_zones = self
             .membership
             .random_other_zone_peers(REMOTE_ZONE_FANOUT, &mut self.rng);
-        send_reports(&other_zones, &new, outbox);
+        send_crash_reports(&other_zones, &new, outbox);
         self.schedule_repeats(new, ORIGIN_GOSSIP_ROUNDS, true, now);
     }
 
@@ -389,17 +390,18 @@
         now: Moment,
         outbox: &mut Outbox,
     ) {
-        if self.zone_of(from) != Some(&self.identity.zone) {
+        if self.zone_of_member(from) != Some(&self.identity.zone) {
             let direct = self.settings.direct_update_fanout;
             let same_zone = self
                 .membership
                 .random_same_zone_peers(direct, &mut self.rng);
-            send_reports(&same_zone, &new, outbox);
+            send_crash_reports(&same_zone, &new, outbox);
         }
         self.schedule_repeats(new, FORWARD_GOSSIP_ROUNDS, false, now);
     }
 
-    fn zone_of(&self, node: &NodeId) -> Option<&Zone> {
+    /// Zone of a member; `None` if the member is unknown.
+    fn zone_of_member(&self, node: &NodeId) -> Option<&Zone> {
         self.membership.record(node).map(|record| &record.zone)
     }
     /// Schedules crash reports to be sent in the next `left` gossip rounds.
@@ -417,7 +419,7 @@
             self.crashes.next_round = now + self.settings.gossip_interval;
         }
         for report in reports {
-            let transmissions = Transmissions { left, other_zones };
+            let transmissions = PendingCrashReport { left, other_zones };
             self.crashes
                 .pending_gossip
                 .insert(report.key(), transmissions);
@@ -461,7 +463,8 @@
     }
 }
 
-fn send_reports(targets: &[NodeId], reports: &[CrashReport], outbox: &mut Outbox) {
+/// Sends crash reports to each target, in as many messages as needed.
+fn send_crash_reports(targets: &[NodeId], reports: &[CrashReport], outbox: &mut Outbox) {
     for target in targets {
         for reports in reports.chunks(REPORTS_PER_MESSAGE) {
             let reports = reports.to_vec();
--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -8,7 +8,13 @@
 use crate::ids::{NodeId, Version};
 use crate::time::Moment;
 impl Agent {
-    pub(super) fn dispatch(&mut self, envelope: Envelope, now: Moment, outbox: &mut Outbox) {
+    /// Passes a message from a peer to the component that handles messages of this kind.
+    pub(super) fn dispatch_message(
+        &mut self,
+        envelope: Envelope,
+        now: Moment,
+        outbox: &mut Outbox,
+    ) {
         let Envelope {
             from,
             process_epoch,
@@ -203,6 +209,8 @@
             Message::Drain => self.start_drain("machine list, told by a reader", outbox),
         }
     }
+    /// Handles a probe of a peer: compares crash tables, acknowledges the probe and notes
+    /// which version the peer holds.
     pub(super) fn on_ping(
         &mut self,
         from: &NodeId,
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -349,7 +349,7 @@
         if started_anew {
             self.send_states_to_restarted_peer(&envelope.from, now, &mut outbox);
         }
-        self.dispatch(envelope, now, &mut outbox);
+        self.dispatch_message(envelope, now, &mut outbox);
         self.activate_ready_versions(now, &mut outbox);
         self.announce(now);
         self.send_urgent_updates(now, &mut outbox);
@@ -477,6 +477,8 @@
     }
 }
 
+/// Member incarnation with which a process starts: its start time in seconds, so that it
+/// exceeds those of earlier processes.
 fn first_incarnation(process_epoch: ProcessEpoch) -> Incarnation {
     const MICROS_PER_SECOND: u64 = 1_000_000;
     process_epoch / MICROS_PER_SECOND
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -94,6 +94,7 @@
 }
 
 impl RolloutParticipant {
+    /// Creates the rollout state of the node `me`, which knows no rollout yet.
     pub(super) fn new(me: NodeId, bounds: RolloutBounds) -> Self {
         Self {
             bounds,
--- a/crates/rampthread-core/src/ids.rs
+++ b/crates/rampthread-core/src/ids.rs
@@ -15,6 +15,7 @@
     pub text: String,
 }
 
+/// Checks the length and the characters of a name.
 fn check_name(text: &str) -> Result<(), InvalidName> {
     let length_fits = (1..=MAX_NAME_BYTES).contains(&text.len());
     let alphabet_fits = text
--- a/crates/rampthread-core/src/time.rs
+++ b/crates/rampthread-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Time type of the state machines.
+//! Points in time for the state machines of this crate, which read no clock themselves.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
--- a/crates/rampthread-core/tests/config_properties.rs
+++ b/crates/rampthread-core/tests/config_properties.rs
@@ -11,6 +11,8 @@
 use rampthread_core::ids::{OperationId, Version};
 use simulation::{backend, delete, entry, name, put, route, secret, service};
 
+/// Puts and deletes of a few services, secrets, routes and backends, with references that
+/// may dangle.
 fn operation() -> impl Strategy<Value = Operation> {
     let number = 0_usize..4;
     prop_oneof![
@@ -61,7 +63,7 @@
 
     /// A repeated operation is applied once.
     #[test]
-    fn a_repeated_operation_is_applied_once(operations in prop::collection::vec(operation(), 1..4)) {
+    fn a_repeated_change_set_is_applied_once(operations in prop::collection::vec(operation(), 1..4)) {
         let bytes = entry("same", operations).encode();
         let once = ConfigState::default().apply(&bytes);
         let twice = once.apply(&bytes);
--- a/crates/rampthread-core/tests/document_properties.rs
+++ b/crates/rampthread-core/tests/document_properties.rs
@@ -27,7 +27,8 @@
     ConfigState::from_document(Version(version), resources, None).unwrap()
 }
 
-fn resources(state: &ConfigState) -> Vec<Resource> {
+/// Content of all resources of `state`, without generations.
+fn resource_contents(state: &ConfigState) -> Vec<Resource> {
     let all = state.resources();
     all.map(|stored| (*stored.resource).clone()).collect()
 }
@@ -47,7 +48,7 @@
         prop_assert_eq!(&read, &delta);
         let made = read.apply_to(&base).unwrap();
         prop_assert_eq!(made.version(), later.version());
-        prop_assert_eq!(resources(&made), resources(&later));
+        prop_assert_eq!(resource_contents(&made), resource_contents(&later));
         let other = with_routes(4, before.iter().copied());
         prop_assert!(read.apply_to(&other).is_err());
     }
@@ -71,7 +72,7 @@
         let newer = with_routes(9, after);
         let shared = newer.clone().share_unchanged_resources(&older);
         prop_assert_eq!(shared.version(), newer.version());
-        prop_assert_eq!(resources(&shared), resources(&newer));
+        prop_assert_eq!(resource_contents(&shared), resource_contents(&newer));
     }
 }
 
@@ -81,11 +82,13 @@
     document: Arc<ConfigState>,
     /// Agents whose requests the store rejects.
     rejected: BTreeSet<usize>,
-    /// Document reads answered by the store.
+    /// Number of document reads that the store has answered.
     reads: usize,
 }
 
 impl Store {
+    /// Starts `count` agents, lets each read the document, and waits until they know each
+    /// other.
     fn new(count: usize) -> Self {
         let mut store = Self {
             mesh: Mesh::new(count),
@@ -113,6 +116,8 @@
         self.deliver(actions);
     }
 
+    /// Delivers messages between the agents, and reads the store for those that ask for the
+    /// document.
     fn deliver(&mut self, actions: Vec<Action>) {
         let readers = self.mesh.deliver(actions);
         for index in readers {
@@ -141,12 +146,14 @@
         }
     }
 
-    fn change(&mut self, document: ConfigState) {
+    /// Replaces the document in the store and resets the count of reads.
+    fn replace_document(&mut self, document: ConfigState) {
         self.document = Arc::new(document);
         self.reads = 0;
     }
 
-    fn lagging(&self) -> Vec<usize> {
+    /// Indices of the agents whose active version is not that of the store.
+    fn lagging_agents(&self) -> Vec<usize> {
         let newest = self.document.version();
         let agents = self.mesh.agents.iter().enumerate();
         agents
@@ -160,15 +167,19 @@
 fn a_small_change_reaches_all_nodes_with_few_store_reads() {
     let mut store = Store::new(40);
     for version in 2..8 {
-        store.change(with_routes(version, 0..10 + version as u32));
+        store.replace_document(with_routes(version, 0..10 + version as u32));
         store.run(Duration::from_millis(1_500));
-        assert_eq!(store.lagging(), Vec::<usize>::new(), "version {version}");
+        assert_eq!(
+            store.lagging_agents(),
+            Vec::<usize>::new(),
+            "version {version}"
+        );
         assert!(store.reads <= 8, "{} reads", store.reads);
         let agents = &store.mesh.agents;
         assert!(
-            agents
-                .iter()
-                .all(|agent| resources(agent.active()) == resources(&store.document))
+            agents.iter().all(
+                |agent| resource_contents(agent.active()) == resource_contents(&store.document)
+            )
         );
     }
 }
@@ -176,7 +187,7 @@
 #[test]
 fn every_node_knows_the_propagation_of_a_version_without_reports() {
     let mut store = Store::new(20);
-    store.change(with_routes(2, 0..11));
+    store.replace_document(with_routes(2, 0..11));
     // Every node probes every other one within two rounds of 19 probes.
     store.run(Duration::from_secs(40));
     assert_eq!(store.mesh.sent("held"), 0, "nodes sent held reports");
@@ -208,9 +219,9 @@
 #[test]
 fn a_large_change_reaches_all_nodes_with_few_store_reads() {
     let mut store = Store::new(40);
-    store.change(with_routes(2, 0..3_000));
+    store.replace_document(with_routes(2, 0..3_000));
     store.run(Duration::from_millis(1_500));
-    assert_eq!(store.lagging(), Vec::<usize>::new());
+    assert_eq!(store.lagging_agents(), Vec::<usize>::new());
     assert!(store.reads <= 8, "{} reads", store.reads);
 }
 
@@ -227,13 +238,13 @@
         .agents
         .insert(frozen, mesh::agent(&format!("node-{frozen}"), 999_999));
     for version in 2..22 {
-        store.change(with_routes(version, 0..10 + version as u32));
+        store.replace_document(with_routes(version, 0..10 + version as u32));
         store.run(Duration::from_millis(300));
     }
     std::mem::swap(&mut store.mesh.agents[frozen], &mut lagging_agent);
     store.reads = 0;
     store.run(Duration::from_secs(3));
-    assert_eq!(store.lagging(), Vec::<usize>::new());
+    assert_eq!(store.lagging_agents(), Vec::<usize>::new());
     assert_eq!(store.reads, 0);
 }
 
@@ -259,9 +270,9 @@
         watching.iter().all(|index| !slow.contains(index)),
         "{watching:?}"
     );
-    store.change(with_routes(2, 0..3_000));
+    store.replace_document(with_routes(2, 0..3_000));
     store.run(Duration::from_millis(1_500));
-    assert_eq!(store.lagging(), Vec::<usize>::new());
+    assert_eq!(store.lagging_agents(), Vec::<usize>::new());
     assert!(store.reads <= 8, "{} reads", store.reads);
 }
 
@@ -305,10 +316,10 @@
     );
     assert!(StateDelta::between(&base, &later).encode().len() * 10 < full_size);
     let restored = ConfigState::decode_snapshot(&compressed).unwrap();
-    assert_eq!(resources(&restored), resources(&later));
+    assert_eq!(resource_contents(&restored), resource_contents(&later));
     // Uncompressed, as sent by older nodes.
     let uncompressed = ConfigState::decode_snapshot(&later.encode_snapshot()).unwrap();
-    assert_eq!(resources(&uncompressed), resources(&later));
+    assert_eq!(resource_contents(&uncompressed), resource_contents(&later));
 }
 
 /// A small compressed message that expands beyond the limit is rejected.
@@ -331,7 +342,7 @@
         let at = at.index(compressed.len());
         compressed[at] ^= 1 << bit;
         if let Ok(restored) = ConfigState::decode_snapshot(&compressed) {
-            prop_assert_eq!(resources(&restored), resources(&later));
+            prop_assert_eq!(resource_contents(&restored), resource_contents(&later));
         }
         let mut agent = mesh::agent("node-0", 1_000_000);
         agent.on_document(Arc::new(base.clone()), Moment(2));
@@ -350,9 +361,9 @@
 fn nodes_rejected_by_the_store_get_a_large_change_from_peers() {
     let mut store = Store::new(12);
     store.rejected = (0..12).filter(|index| index % 3 != 0).collect();
-    store.change(with_routes(2, 0..500));
+    store.replace_document(with_routes(2, 0..500));
     store.run(Duration::from_secs(4));
-    assert_eq!(store.lagging(), Vec::<usize>::new());
+    assert_eq!(store.lagging_agents(), Vec::<usize>::new());
 }
 
 #[test]
@@ -374,9 +385,9 @@
     store.run(Duration::from_secs(2));
     let after = watching(&store);
     assert!(after.is_disjoint(&before), "{after:?}");
-    store.change(with_routes(2, 0..11));
+    store.replace_document(with_routes(2, 0..11));
     store.run(Duration::from_millis(1_500));
-    assert_eq!(store.lagging(), Vec::<usize>::new());
+    assert_eq!(store.lagging_agents(), Vec::<usize>::new());
 }
 
 /// The machine list does not say whom the store answers. A node that knows its peers only
--- a/crates/rampthread-core/tests/peers_documents.rs
+++ b/crates/rampthread-core/tests/peers_documents.rs
@@ -12,9 +12,11 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
+/// Length of the digest at the start of an encoded snapshot.
 const DIGEST_BYTES: usize = 32;
 
-fn with_route(version: u64, prefix: &str) -> ConfigState {
+/// Configuration state with one route for `prefix`, and caller limits.
+fn state_with_route(version: u64, prefix: &str) -> ConfigState {
     let resources = vec![service("shop"), route("look", "host", prefix)];
     let limits = CallerLimits {
         head_bytes: 16_384,
@@ -36,7 +38,8 @@
     changed
 }
 
-fn receive(agent: &mut Agent, message: Message) {
+/// Delivers `message` to the agent as if from a peer.
+fn deliver_from_peer(agent: &mut Agent, message: Message) {
     let from = NodeId::new("node-1").unwrap();
     let process_epoch = 1;
     agent.on_message(
@@ -54,7 +57,7 @@
 #[case::zero_timeout("timeout_ms", json!(0))]
 #[case::no_destinations("destinations", json!([]))]
 fn a_snapshot_with_an_invalid_route_is_rejected(#[case] field: &str, #[case] value: Value) {
-    let snapshot = changed_snapshot(&with_route(9, "/look/"), |content| {
+    let snapshot = changed_snapshot(&state_with_route(9, "/look/"), |content| {
         let resources = content["resources"].as_array_mut().unwrap();
         for stored in resources {
             let resource = &mut stored["resource"];
@@ -71,7 +74,7 @@
     let mut agent = agent("node-0", 1_000_000);
     agent.on_document(Arc::new(document(1)), Moment(2));
     let snapshot = snapshot.into();
-    receive(&mut agent, Message::PullSnapshot { snapshot });
+    deliver_from_peer(&mut agent, Message::PullSnapshot { snapshot });
     assert_eq!(agent.active().version(), Version(1));
 }
 
@@ -90,12 +93,12 @@
 fn zero_caller_limits_are_rejected(
     #[values("head_bytes", "body_bytes", "head_wait_ms", "idle_ms")] field: &str,
 ) {
-    let state = with_route(9, "/look/");
+    let state = state_with_route(9, "/look/");
     let snapshot = changed_snapshot(&state, |content| {
         content["caller_limits"][field] = json!(0);
     });
     assert!(ConfigState::decode_snapshot(&snapshot).is_err());
-    let base = with_route(8, "/see/");
+    let base = state_with_route(8, "/see/");
     let mut delta = serde_json::to_value(StateDelta::between(&base, &state)).unwrap();
     delta["caller_limits"][field] = json!(0);
     let delta: StateDelta = serde_json::from_value(delta).unwrap();
@@ -106,16 +109,21 @@
 #[test]
 fn an_older_version_is_never_activated() {
     let mut agent = agent("node-0", 1_000_000);
-    agent.on_document(Arc::new(with_route(9, "/look/")), Moment(2));
-    agent.on_document(Arc::new(with_route(8, "/see/")), Moment(3));
+    agent.on_document(Arc::new(state_with_route(9, "/look/")), Moment(2));
+    agent.on_document(Arc::new(state_with_route(8, "/see/")), Moment(3));
     assert_eq!(agent.active().version(), Version(9));
-    let snapshot = with_route(7, "/see/").encode_compressed_snapshot().into();
-    receive(&mut agent, Message::PullSnapshot { snapshot });
+    let snapshot = state_with_route(7, "/see/")
+        .encode_compressed_snapshot()
+        .into();
+    deliver_from_peer(&mut agent, Message::PullSnapshot { snapshot });
     assert_eq!(agent.active().version(), Version(9));
-    let delta = StateDelta::between(&with_route(9, "/look/"), &with_route(5, "/see/"));
+    let delta = StateDelta::between(
+        &state_with_route(9, "/look/"),
+        &state_with_route(5, "/see/"),
+    );
     let entries = vec![delta.encode().into()];
     let first = Version(10);
-    receive(&mut agent, Message::PullEntries { first, entries });
+    deliver_from_peer(&mut agent, Message::PullEntries { first, entries });
     assert_eq!(agent.active().version(), Version(9));
 }
 
@@ -124,9 +132,9 @@
 #[test]
 fn a_newer_version_from_peers_replaces_an_outdated_document_at_the_start() {
     let mut agent = agent("node-0", 1_000_000);
-    let (old, new) = (with_route(8, "/see/"), with_route(9, "/look/"));
+    let (old, new) = (state_with_route(8, "/see/"), state_with_route(9, "/look/"));
     let version = new.version();
-    receive(
+    deliver_from_peer(
         &mut agent,
         Message::Notice {
             version,
@@ -137,7 +145,7 @@
     assert!(agent.lacks_current_document());
     let entries = vec![StateDelta::between(&old, &new).encode().into()];
     let first = Version(9);
-    receive(&mut agent, Message::PullEntries { first, entries });
+    deliver_from_peer(&mut agent, Message::PullEntries { first, entries });
     assert_eq!(agent.active().version(), Version(9));
     agent.on_document(Arc::new(old), Moment(5));
     assert_eq!(agent.active().version(), Version(9));
@@ -148,19 +156,19 @@
 /// the next version, which replaces it on all nodes.
 #[test]
 fn of_two_states_of_one_version_the_first_stays_until_the_next_version() {
-    let (one, other) = (with_route(9, "/look/"), with_route(9, "/see/"));
-    let next = with_route(12, "/next/");
+    let (one, other) = (state_with_route(9, "/look/"), state_with_route(9, "/see/"));
+    let next = state_with_route(12, "/next/");
     let mut agents = [agent("node-0", 1_000_000), agent("node-2", 1_000_000)];
     agents[0].on_document(Arc::new(one.clone()), Moment(2));
     agents[1].on_document(Arc::new(other.clone()), Moment(2));
     agents[0].on_document(Arc::new(other.clone()), Moment(3));
     let snapshot = other.encode_compressed_snapshot().into();
-    receive(&mut agents[0], Message::PullSnapshot { snapshot });
+    deliver_from_peer(&mut agents[0], Message::PullSnapshot { snapshot });
     assert!(agents[0].active().routes().eq(one.routes()));
     for agent in &mut agents {
         let entries = vec![StateDelta::between(&one, &next).encode().into()];
         let first = Version(10);
-        receive(agent, Message::PullEntries { first, entries });
+        deliver_from_peer(agent, Message::PullEntries { first, entries });
         assert_eq!(agent.active().version(), Version(12));
         assert!(agent.active().routes().eq(next.routes()));
     }
@@ -170,7 +178,7 @@
 /// is accepted.
 #[test]
 fn a_delta_for_different_content_of_the_version_is_rejected() {
-    let (one, other) = (with_route(9, "/look/"), with_route(9, "/see/"));
+    let (one, other) = (state_with_route(9, "/look/"), state_with_route(9, "/see/"));
     let resources = vec![
         service("shop"),
         service("new"),
@@ -184,9 +192,9 @@
     agent.on_document(Arc::new(other), Moment(2));
     let entries = vec![delta.encode().into()];
     let first = Version(10);
-    receive(&mut agent, Message::PullEntries { first, entries });
+    deliver_from_peer(&mut agent, Message::PullEntries { first, entries });
     assert_eq!(agent.active().version(), Version(9));
     let snapshot = next.encode_compressed_snapshot().into();
-    receive(&mut agent, Message::PullSnapshot { snapshot });
+    deliver_from_peer(&mut agent, Message::PullSnapshot { snapshot });
     assert!(agent.active().routes().eq(next.routes()));
 }
--- a/crates/rampthread-core/tests/resources/mod.rs
+++ b/crates/rampthread-core/tests/resources/mod.rs
@@ -7,6 +7,7 @@
     ResourceName::new(text).unwrap()
 }
 
+/// Service without slow start, whose backends define their connections.
 pub fn service(text: &str) -> Resource {
     Resource::Service(Service {
         name: name(text),
--- a/crates/rampthread-core/tests/store_era.rs
+++ b/crates/rampthread-core/tests/store_era.rs
@@ -10,6 +10,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// Time at which the single agent of a test receives messages.
 const NOW: Moment = Moment(2_000_000);
 
 /// Eras for which `agent` queries the store after a peer announced `era`.
