--- a/crates/rampthread-node/src/api/changes.rs
+++ b/crates/rampthread-node/src/api/changes.rs
@@ -14,8 +14,12 @@
 use std::time::Duration;
 use tide::{Request, Response, StatusCode};
 
+/// Header with which an operator names a change, so that a repeated request is applied
+/// once.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// Header with the generation that a resource must have for the change to apply.
 const IF_MATCH: &str = "if-match";
+/// Location of findings about the request as a whole.
 const PLACE: &str = "request";
 
 /// Handles `POST /v1/apply`: applies a file with any number of resources as one atomic
@@ -90,6 +94,7 @@
     Ok(Response::new(StatusCode::Accepted))
 }
 
+/// Reads the body of the request, limited to the size of a log entry.
 async fn read_body(request: &mut Request<ApiState>) -> Result<Vec<u8>, Findings> {
     let mut findings = Findings::new();
     if request.len().is_some_and(|length| length > MAX_ENTRY_BYTES) {
@@ -178,6 +183,7 @@
         .collect()
 }
 
+/// Kind and name of a resource from the path of the request.
 fn resource_key(request: &Request<ApiState>) -> Result<ResourceKey, Findings> {
     let mut findings = Findings::new();
     let kind = request.param("kind").ok().and_then(ResourceKind::parse);
@@ -198,6 +204,7 @@
     }
 }
 
+/// Change id from the `Idempotency-Key` header, or a random one without the header.
 fn operation_id(request: &Request<ApiState>) -> Result<OperationId, Findings> {
     let given = request
         .header(IDEMPOTENCY_KEY)
@@ -230,6 +237,7 @@
         })
 }
 
+/// Submits the operations as one change set, and waits for the result.
 async fn propose(
     request: &Request<ApiState>,
     operation_id: OperationId,
@@ -248,6 +256,7 @@
     Ok(change_response(result.operation_id, &result.answer))
 }
 
+/// Response with the outcome of a change.
 fn change_response(operation_id: OperationId, answer: &ProposalReply) -> Response {
     match answer {
         ProposalReply::Decided {
@@ -274,6 +283,8 @@
     }
 }
 
+/// Response with status 503 for a change that was not run, with the time after which it may
+/// be sent again.
 fn not_run_response(mut view: ChangeView, retry_after: Duration) -> Response {
     let seconds = retry_after_seconds(retry_after);
     view.retry_after_seconds = Some(seconds);
--- a/crates/rampthread-node/src/api/reads.rs
+++ b/crates/rampthread-node/src/api/reads.rs
@@ -11,12 +11,14 @@
 use std::sync::Arc;
 use tide::{Request, Response, StatusCode};
 
+/// Response of the handlers that list resources.
 #[derive(Serialize)]
 struct ResourceList {
     version: u64,
     resources: Vec<ResourceView>,
 }
 
+/// Configuration that is active on this node.
 fn active(request: &Request<ApiState>) -> Arc<ConfigState> {
     request.state().control.active().state.clone()
 }
@@ -34,6 +36,7 @@
     }
 }
 
+/// Response with the resources of one kind, or of all kinds, in the active configuration.
 fn resource_list(request: &Request<ApiState>, kind: Option<ResourceKind>) -> Response {
     let state = active(request);
     let resources = state
--- a/crates/rampthread-node/src/api/watch.rs
+++ b/crates/rampthread-node/src/api/watch.rs
@@ -49,6 +49,7 @@
     }
 }
 
+/// Sends one server-sent event; fails when the client has disconnected.
 async fn send(sender: &Sender, name: &str, data: &str) -> tide::Result<()> {
     sender.send(name, data, None).await?;
     Ok(())
--- a/crates/rampthread-node/src/call_log.rs
+++ b/crates/rampthread-node/src/call_log.rs
@@ -156,12 +156,15 @@
         }
     }
 
+    /// Rate limiter for log lines about calls, by cause.
     fn budget(&self) -> MutexGuard<'_, LogRateLimiter> {
         self.budget
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
+    /// True if the rate limit for `cause` allows another log line now. Also logs a due
+    /// summary of suppressed lines.
     fn may_write(&self, cause: &'static str) -> bool {
         let now = self.clock.now();
         let (allowed, left_out) = {
@@ -177,6 +180,7 @@
         allowed
     }
 
+    /// Updates the metrics of completed calls.
     fn count(&self, call: &CompletedCall<'_>, outcome: &'static str, cause: &'static str) {
         let label = CallLabel {
             service: call.service.unwrap_or(UNKNOWN_SERVICE_LABEL).to_string(),
--- a/crates/rampthread-node/src/decision_log.rs
+++ b/crates/rampthread-node/src/decision_log.rs
@@ -56,6 +56,8 @@
         entries.push_back(entry);
     }
 
+    /// True if the decision is not rate-limited, or the rate limit for its cause allows
+    /// another log line.
     fn may_log(&self, decision: &Decision) -> bool {
         let cause = match decision {
             Decision::MemberChanged { status, .. } => status_word(*status),
@@ -88,10 +90,12 @@
     }
 }
 
+/// Locks a mutex; the data stays usable after a panic in another thread.
 fn lock<T>(held: &Mutex<T>) -> MutexGuard<'_, T> {
     held.lock().unwrap_or_else(|broken| broken.into_inner())
 }
 
+/// Cause for the rate limit of log lines about members of this status.
 fn status_word(status: Status) -> &'static str {
     match status {
         Status::Alive => "alive",
@@ -101,6 +105,7 @@
     }
 }
 
+/// Writes the log line of a decision.
 fn log(decision: &Decision) {
     match decision {
         Decision::VersionAdopted {
--- a/crates/rampthread-node/src/metrics.rs
+++ b/crates/rampthread-node/src/metrics.rs
@@ -12,7 +12,9 @@
 
 /// Upper bound of the smallest call time bucket, in seconds.
 const FIRST_BUCKET_SECONDS: f64 = 0.000_25;
+/// Ratio of the upper bounds of neighbouring call time buckets.
 const BUCKET_FACTOR: f64 = 2.0;
+/// Number of call time buckets.
 const BUCKETS: u16 = 16;
 
 /// Labels of a call; one series per service, outcome and cause.
@@ -275,6 +277,7 @@
         self.evaluated_calls.get_or_create(&label).inc();
     }
 
+    /// Registers all metrics with their names and help texts.
     fn register(&mut self) {
         let registry = &mut self.registry;
         registry.register(
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -154,6 +154,7 @@
         }
     }
 
+    /// Serves the requests of callers until the node stops.
     fn serve_callers(&self, listener: TcpListener, entry: Arc<Entry>) {
         let server = Server {
             limits: self.caller_limits(),
@@ -187,6 +188,7 @@
         })
     }
 
+    /// Serves the requests of other nodes until the node stops.
     fn serve_peers(&self, listener: TcpListener, service: Arc<PeerService>) {
         let limits = ServerLimits {
             max_connections: MAX_PEER_CONNECTIONS,
@@ -306,6 +308,8 @@
     response
 }
 
+/// Checks for changed backend endpoints, and updates limits, load reports and gauges, until
+/// the node stops.
 async fn watch_endpoint_changes(
     control: Arc<Control>,
     entry: Arc<Entry>,
@@ -330,6 +334,7 @@
     }
 }
 
+/// Binds a listener; the error names the key path of its address.
 fn bind_for(purpose: &'static str, address: SocketAddr) -> Result<TcpListener, NodeError> {
     bind(address).map_err(|source| NodeError::Bind {
         purpose,
@@ -348,6 +353,7 @@
 }
 
 impl Listeners {
+    /// Binds all listeners for which the settings have an address.
     fn bind(settings: &NodeSettings) -> Result<Self, NodeError> {
         let listen = &settings.listen;
         let optional = |purpose, address: Option<SocketAddr>| {
@@ -505,6 +511,7 @@
     })
 }
 
+/// Options for a configuration that comes from a change log.
 fn change_log_source(settings: &NodeSettings) -> SourceParts {
     let platform = &settings.platform;
     let client = |address| {
--- a/crates/rampthread-node/src/settings/collect.rs
+++ b/crates/rampthread-node/src/settings/collect.rs
@@ -64,6 +64,7 @@
     None
 }
 
+/// Formats the location of a finding, such as `node.toml: limits.slots`.
 fn locate(place: &str, path: &[String]) -> String {
     let mut text = String::new();
     for part in path {
@@ -83,6 +84,7 @@
     }
 }
 
+/// Texts for a deserialization error: what was found, and what is accepted.
 fn describe(kind: &Kind) -> (String, String) {
     match kind {
         Kind::InvalidType(found, allowed) | Kind::InvalidValue(found, allowed) => {
@@ -100,6 +102,7 @@
     }
 }
 
+/// Finds the dictionary or array that contains the last key of `path`.
 fn parent<'a>(value: &'a mut Value, path: &[String]) -> Option<&'a mut Value> {
     let mut current = value;
     for part in path.iter().take(path.len().saturating_sub(1)) {
@@ -112,6 +115,7 @@
     Some(current)
 }
 
+/// Removes the key at `path`; returns false if there is none.
 fn remove(value: &mut Value, path: &[String]) -> bool {
     let Some(last) = path.last() else {
         return false;
@@ -130,6 +134,7 @@
     }
 }
 
+/// Inserts `placeholder` for the missing key at `path`.
 fn insert(value: &mut Value, path: &[String], placeholder: Value) {
     if let (Some(last), Some(Value::Dict(_, dict))) = (path.last(), parent(value, path)) {
         dict.insert(last.clone(), placeholder);
--- a/crates/rampthread-node/src/settings/load.rs
+++ b/crates/rampthread-node/src/settings/load.rs
@@ -54,6 +54,7 @@
     read(name, text, None, overrides)
 }
 
+/// Merges the settings from all sources, deserializes and validates them.
 fn read(
     name: &str,
     text: &str,
@@ -113,6 +114,7 @@
     })
 }
 
+/// Validates settings that deserialized without errors.
 fn check(settings: &NodeSettings, name: &str, findings: &mut Findings) {
     check_keys(settings, name, findings);
     check_retries(settings, name, findings);
@@ -162,6 +164,7 @@
     }
 }
 
+/// Raw value of a key in a section of the settings.
 fn entry<'a>(keys: &'a Dict, section: &str, key: &str) -> Option<&'a Value> {
     match keys.get(section)? {
         Value::Dict(_, section) => section.get(key),
@@ -169,6 +172,7 @@
     }
 }
 
+/// Checks that all fleet keys have the right format.
 fn check_keys(settings: &NodeSettings, name: &str, findings: &mut Findings) {
     let Some(keys) = &settings.keys else { return };
     check_key(keys.current.expose_secret(), "keys.current", name, findings);
@@ -178,6 +182,7 @@
     }
 }
 
+/// Checks that the retry limit is not negative and its window not zero.
 fn check_retries(settings: &NodeSettings, name: &str, findings: &mut Findings) {
     let Some(retries) = &settings.retries else {
         return;
@@ -190,6 +195,7 @@
     }
 }
 
+/// Checks that the tolerances of tenant limits are not negative and their window not zero.
 fn check_quota(settings: &NodeSettings, name: &str, findings: &mut Findings) {
     let quota = &settings.quota;
     for (place, value) in [("overage", quota.overage), ("slack", quota.slack)] {
@@ -200,6 +206,7 @@
     }
 }
 
+/// Checks the bounds of rollouts, if they are set.
 fn check_rollouts(settings: &NodeSettings, name: &str, findings: &mut Findings) {
     let Some(roll_outs) = &settings.roll_outs else {
         return;
@@ -221,12 +228,14 @@
     }
 }
 
+/// Adds a finding if `value` is negative or not finite.
 fn check_not_negative(value: f64, place: &str, findings: &mut Findings) {
     if !value.is_finite() || value < 0.0 {
         findings.push(place, value.to_string(), "a number from 0");
     }
 }
 
+/// Adds a finding if `text` is not a fleet key. The finding does not show the text.
 fn check_key(text: &str, place: &str, name: &str, findings: &mut Findings) {
     if FleetKey::from_base64(text).is_err() {
         findings.push(
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -202,14 +202,17 @@
     Document,
 }
 
+/// Maximum rate of store requests, unless the settings file sets one.
 fn default_store_rate() -> NonZeroU32 {
     NonZeroU32::new(50).expect("50 is not 0")
 }
 
+/// Timeout of requests to the platform, unless the settings file sets one.
 fn default_platform_wait() -> Duration {
     Duration::from_secs(2)
 }
 
+/// Interval between reads of the machine list, unless the settings file sets one.
 fn default_machine_interval() -> Duration {
     Duration::from_secs(2)
 }
@@ -286,6 +289,7 @@
         self.apply_to(FleetSettings::default())
     }
 
+    /// Replaces those agent settings that the settings file can change.
     fn apply_to(&self, settings: FleetSettings) -> FleetSettings {
         FleetSettings {
             probe_interval: self.probe_interval,
--- a/crates/rampthread-node/src/settings/resource_file.rs
+++ b/crates/rampthread-node/src/settings/resource_file.rs
@@ -60,6 +60,7 @@
     }
 }
 
+/// Digests of a list of plaintext keys; `None` if it is not a list of strings.
 fn read_key_digests(keys: &Value) -> Option<Vec<KeyDigest>> {
     let digest = |key: &Value| key.as_str().map(KeyDigest::of);
     keys.as_array()?.iter().map(digest).collect()
@@ -121,6 +122,7 @@
     }
 }
 
+/// Reads all resources of a parsed file, and reports unknown kinds and duplicates.
 fn read_resources(dict: Dict, place: &str) -> Result<ResourceFile, Findings> {
     let mut findings = Findings::new();
     let mut file = ResourceFile::default();
@@ -150,6 +152,7 @@
     findings.into_result(file)
 }
 
+/// Reads and validates one resource of the given kind.
 fn read_resource(
     kind: ResourceKind,
     item: Value,
@@ -190,6 +193,7 @@
     }
 }
 
+/// Checks that no two resources of one kind have the same name.
 fn check_duplicates(file: &ResourceFile, place: &str, findings: &mut Findings) {
     let mut seen = BTreeSet::new();
     for key in file.keys() {
--- a/crates/rampthread-node/src/task_group.rs
+++ b/crates/rampthread-node/src/task_group.rs
@@ -10,6 +10,7 @@
 }
 
 impl TaskGroup {
+    /// Handles of the running tasks.
     fn tasks(&self) -> MutexGuard<'_, Vec<JoinHandle<()>>> {
         self.tasks
             .lock()
--- a/crates/rampthread-node/tests/log_volume.rs
+++ b/crates/rampthread-node/tests/log_volume.rs
@@ -11,6 +11,7 @@
 /// Lines that the rate limiter allows at once for each member status.
 const BURST: usize = 20;
 
+/// Log output collected in memory.
 #[derive(Clone, Default)]
 struct Captured(Arc<Mutex<Vec<u8>>>);
 
--- a/crates/rampthread-node/tests/settings_properties.rs
+++ b/crates/rampthread-node/tests/settings_properties.rs
@@ -4,6 +4,7 @@
 use proptest::prelude::*;
 use rampthread_node::settings::{load_text, read_resource_json, read_resource_toml};
 
+/// Smallest valid settings file for a change log.
 const GOOD: &str = r#"
 [node]
 id = "node-1"
