--- a/crates/rampthread-core/tests/fence_properties.rs
+++ b/crates/rampthread-core/tests/fence_properties.rs
@@ -245,10 +245,9 @@
         }
     }
 
-    /// A gate process that has existed for clearly longer than the request, and has not
-    /// started the call, is trusted: the entry node concludes that the call never starts,
-    /// so that the caller can retry. In the test the process is 1.5 times as old as the
-    /// request, and a millisecond more.
+    /// A gate process that started well before the request, and has not started the call, is
+    /// trusted: the entry node concludes that the call never starts, so that the caller can
+    /// retry. Here the process started 1.5 times the age of the request before it.
     #[test]
     fn a_gate_older_than_the_request_is_trusted(
         older in 1_u64..100_000,
