--- a/crates/rampthread-node/src/calls/gate/admission.rs
+++ b/crates/rampthread-node/src/calls/gate/admission.rs
@@ -151,8 +151,8 @@
         hop.caller.clone()
     }
 
-    /// Records the start of the call in the call fence table, which records the calls that must
-    /// not start. From here on, a fence no longer stops the call.
+    /// Records the start of the call in the call fence table. From here on, a fence no longer
+    /// stops the call.
     pub(super) fn start(&self, hop: &Hop) -> Result<(), CallError> {
         let now = self.control.clock.now();
         self.check_deadline(hop)?;
