--- a/crates/rampthread-core/src/fleet/document_history.rs
+++ b/crates/rampthread-core/src/fleet/document_history.rs
@@ -11,7 +11,8 @@
 /// them.
 const KEPT_STATES: usize = 16;
 
-/// The newest states of the document, oldest first.
+/// The newest states of the configuration document, from which replies to lagging peers are
+/// made.
 #[derive(Debug, Default)]
 pub struct DocumentHistory {
     states: VecDeque<Arc<ConfigState>>,
--- a/crates/rampthread-core/src/fleet/member.rs
+++ b/crates/rampthread-core/src/fleet/member.rs
@@ -9,7 +9,7 @@
 /// announce changes.
 pub type Incarnation = u64;
 
-/// Result of failure detection for a member.
+/// State of a member according to the failure detector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
@@ -17,7 +17,7 @@
     Alive,
     /// The member answered neither direct nor indirect probes.
     Suspect,
-    /// The member stayed suspect until the timeout.
+    /// The member stayed suspect until the suspicion timeout, and counts as failed.
     Dead,
     /// The member announced its departure.
     Left,
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -39,7 +39,7 @@
     Snapshot,
 }
 
-/// Request to the store without an answer so far.
+/// Request to the store that has no answer yet.
 #[derive(Debug)]
 struct PendingRequest {
     id: RequestId,
@@ -74,7 +74,7 @@
 pub enum ReaderEvent {
     /// New entries of the log.
     Entries {
-        /// Version of the first entry.
+        /// Version of the first entry in the list.
         first: Version,
         /// Encoded log entries, without gaps.
         entries: Vec<super::message::SharedBytes>,
--- a/crates/rampthread-core/src/fleet/writer.rs
+++ b/crates/rampthread-core/src/fleet/writer.rs
@@ -37,7 +37,7 @@
     pub submission: u64,
 }
 
-/// Proposal without a decision in the log so far.
+/// Operator's proposal whose outcome is not in the log yet.
 #[derive(Debug)]
 struct QueuedProposal {
     operation_id: OperationId,
@@ -48,7 +48,7 @@
     maybe_written: bool,
 }
 
-/// Write to the log without an answer of the store so far.
+/// Request to append an entry to the log that the store has not answered yet.
 #[derive(Debug)]
 struct PendingWrite {
     request: RequestId,
@@ -229,7 +229,8 @@
         None
     }
 
-    /// Discards the pending write as if it was never sent. Incorrect; only for tests.
+    /// Discards the pending write as if it was never sent. This is a deliberate defect for
+    /// tests, since the write may still take effect.
     #[doc(hidden)]
     pub fn discard_pending_write(&mut self) {
         self.pending = None;
--- a/crates/rampthread-core/tests/backend_departures.rs
+++ b/crates/rampthread-core/tests/backend_departures.rs
@@ -17,6 +17,7 @@
 
 const START: Moment = Moment(3_600_000_000);
 
+/// Returns the name of the backend incarnation with this start time.
 fn name(started_at: Option<u64>) -> String {
     let incarnation = BackendIncarnation::new("i-1", started_at.map(StartedAt)).unwrap();
     incarnation.name().as_str().to_string()
--- a/crates/rampthread-core/tests/backend_incarnations.rs
+++ b/crates/rampthread-core/tests/backend_incarnations.rs
@@ -22,10 +22,12 @@
 /// Interval between reports of a backend.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
+/// Returns the incarnation of a backend with this id and start time.
 fn incarnation(id: &str, started_at: Option<u64>) -> BackendIncarnation {
     BackendIncarnation::new(id, started_at.map(StartedAt)).unwrap()
 }
 
+/// Returns the state that this backend incarnation reports in a heartbeat.
 fn record(of: &BackendIncarnation, sequence: u64, draining: bool) -> EndpointRecord {
     endpoint_record(of.name().as_str(), sequence, draining)
 }
@@ -34,7 +36,8 @@
     BackendReport::Heartbeat(record(of, sequence, draining))
 }
 
-/// A tracker, and the latest state that it has announced.
+/// Backend tracker of a node, with the latest backend state that it has announced to other
+/// nodes.
 struct TrackerFixture {
     tracker: BackendTracker,
     announced: Option<EndpointRecord>,
@@ -50,6 +53,7 @@
         }
     }
 
+    /// Applies a report now and keeps the state that the tracker announces.
     fn apply(&mut self, report: BackendReport) -> ReportStatus {
         let status = self.tracker.apply_report(report, self.now);
         if let ReportStatus::Changed(record) = &status {
@@ -105,6 +109,7 @@
     LateReport { index: usize },
 }
 
+/// Generates a random step of a backend or of the network.
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => prop::bool::weighted(0.15).prop_map(|draining| Step::Heartbeat { draining }),
@@ -266,7 +271,8 @@
     assert_eq!((incarnation.id(), incarnation.started_at()), (&name, None));
 }
 
-/// The start times are the only difference between the incarnations, and they do not increase.
+/// The two incarnations differ only in their start times, and the second start time is not later
+/// than the first.
 #[rstest]
 #[case::earlier(Some(5_000), Some(4_000))]
 #[case::equal(Some(5_000), Some(5_000))]
--- a/crates/rampthread-core/tests/fleet_properties.rs
+++ b/crates/rampthread-core/tests/fleet_properties.rs
@@ -59,10 +59,12 @@
     ExpireLeases,
 }
 
+/// Generates the index of a random node.
 fn node() -> impl Strategy<Value = usize> {
     0..NODES
 }
 
+/// Generates a random step of the simulation.
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => (50_u64..4_000).prop_map(Step::Advance),
@@ -142,7 +144,7 @@
     entry(&format!("operation-{number}"), operations)
 }
 
-/// Gives each node a backend, so that each node has witnesses.
+/// Returns the change that gives each node a backend, so that each node has witness nodes.
 fn first_change() -> LogEntry {
     let mut operations = vec![put(service("shop"))];
     operations.extend((0..NODES).map(|index| put(backend(index, "shop", ZONES))));
--- a/crates/rampthread-core/tests/simulation/mod.rs
+++ b/crates/rampthread-core/tests/simulation/mod.rs
@@ -59,6 +59,7 @@
     })
 }
 
+/// Returns a configured backend on the node `index`, for the service `to`.
 pub fn backend(index: usize, to: &str, zones: usize) -> Resource {
     Resource::Backend(Backend {
         name: name(&format!("backend-{index}")),
@@ -72,6 +73,7 @@
     })
 }
 
+/// Returns the operation that creates or replaces a resource.
 pub fn put(resource: Resource) -> Operation {
     Operation::Put {
         resource: Box::new(resource),
@@ -89,6 +91,7 @@
     }
 }
 
+/// Returns a log entry with the changes of one operator request.
 pub fn entry(operation: &str, operations: Vec<Operation>) -> LogEntry {
     LogEntry {
         author: node_id(0),
--- a/crates/rampthread-core/tests/simulation/store.rs
+++ b/crates/rampthread-core/tests/simulation/store.rs
@@ -7,6 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Faults injected into the simulated store.
 #[derive(Debug, Default, Clone)]
 pub struct StoreFaults {
     pub outage: bool,
@@ -49,6 +50,7 @@
         }
     }
 
+    /// Returns the newest version in the log.
     pub fn head(&self) -> Version {
         Version(self.full_log.len() as u64)
     }
@@ -139,6 +141,7 @@
         })
     }
 
+    /// Appends an entry to the log if `version` is its next slot.
     fn append(&mut self, version: Version, entry: &SharedBytes) -> StoreAnswer {
         if version <= self.head() {
             return StoreAnswer::SlotTaken;
@@ -155,6 +158,7 @@
         StoreAnswer::Appended
     }
 
+    /// Returns the log entries after a version, or that they were truncated.
     fn entries(&self, after: Version) -> StoreAnswer {
         if after < self.head() && !self.log.contains_key(&after.next()) {
             return StoreAnswer::Truncated;
@@ -170,6 +174,7 @@
         }
     }
 
+    /// Ends all reader leases, as if none was renewed in time.
     pub fn expire_leases(&mut self) {
         self.leases.clear();
     }
--- a/crates/rampthread-core/tests/simulation/world.rs
+++ b/crates/rampthread-core/tests/simulation/world.rs
@@ -21,6 +21,7 @@
 const EPOCH_BASE: u64 = 1_700_000_000_000_000;
 pub const ZONES: usize = 4;
 
+/// Event that the simulation has scheduled for a later time.
 #[derive(Debug)]
 enum Event {
     Tick {
@@ -54,13 +55,15 @@
     agent: Option<Agent>,
     process_epoch: u64,
     suspended: bool,
-    /// Side of the network partition. Nodes on different sides cannot communicate.
+    /// Side of the network partition. Nodes on different sides of the partition cannot
+    /// communicate.
     partition_side: u8,
     deferred_events: Vec<Event>,
     /// Highest version that any run of this node has activated.
     highest_version: Version,
 }
 
+/// Shares of messages that the simulated network loses, copies or delays, in percent.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NetworkFaults {
     pub loss_percent: u32,
@@ -68,6 +71,7 @@
     pub late_percent: u32,
 }
 
+/// Simulated fleet with its network, store and clock.
 pub struct World {
     pub now: Moment,
     simulated_nodes: Vec<SimulatedNode>,
@@ -82,7 +86,7 @@
     defect: Option<Defect>,
     next_ticket: Ticket,
     open: BTreeMap<Ticket, OperationId>,
-    /// Latest answer for each operation.
+    /// Latest answer that an operator got for each submitted operation.
     pub answers: BTreeMap<OperationId, ProposalReply>,
     /// Operations with a submission of unknown outcome. A later answer `NotRun` applies only to
     /// its own submission.
@@ -181,6 +185,7 @@
         self.simulated_nodes[node].deferred_events.clear();
     }
 
+    /// Suspends the process of a node, as an operating system or a hypervisor may.
     pub fn suspend(&mut self, node: usize) {
         self.simulated_nodes[node].suspended = self.simulated_nodes[node].agent.is_some();
     }
@@ -192,12 +197,14 @@
         }
     }
 
+    /// Divides the nodes into two sides that cannot communicate, by the bits of the argument.
     pub fn partition(&mut self, partition_sides: u64) {
         for (index, node) in self.simulated_nodes.iter_mut().enumerate() {
             node.partition_side = ((partition_sides >> index) & 1) as u8;
         }
     }
 
+    /// Ends all faults of the network and the store, and starts or resumes all nodes.
     pub fn end_faults(&mut self) {
         self.network = NetworkFaults::default();
         self.store.faults = Default::default();
@@ -222,6 +229,7 @@
 
     // ---- proposals of operators ----
 
+    /// Submits a change at a node, as an operator does.
     pub fn propose(&mut self, node: usize, entry: &LogEntry) {
         if self.simulated_nodes[node].suspended || self.simulated_nodes[node].agent.is_none() {
             return;
@@ -243,6 +251,7 @@
 
     // ---- time ----
 
+    /// Queues an event that happens after the given delay.
     fn schedule(&mut self, after: Duration, event: Event) {
         self.next_event += 1;
         let at = (self.now + after).0;
@@ -250,6 +259,7 @@
         self.events.insert(self.next_event, event);
     }
 
+    /// Handles all events of the next `duration`.
     pub fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
@@ -400,6 +410,7 @@
         }
     }
 
+    /// Returns a random delay of a message between a node and the store.
     fn store_delay(&mut self) -> Duration {
         self.store.faults.slow + Duration::from_micros(self.rng.random_range(300..2_000))
     }
@@ -447,6 +458,7 @@
         }
     }
 
+    /// Sends a message through the simulated network, subject to its faults.
     fn send(&mut self, from: usize, to: &str, envelope: Envelope) {
         self.messages += 1;
         let to: usize = to.trim_start_matches("node-").parse().unwrap();
--- a/crates/rampthread-core/tests/zone_directory_restored.rs
+++ b/crates/rampthread-core/tests/zone_directory_restored.rs
@@ -36,6 +36,7 @@
 }
 
 impl StoreContent {
+    /// Creates a lease and returns its id.
     fn grant(&mut self, owner: Owner) -> u64 {
         let lease = self.leases.len() as u64 + 1;
         self.leases.insert(lease, owner);
@@ -72,7 +73,7 @@
     Restore,
     RestoreEmpty,
     LoseAnswers,
-    /// Another client of the store takes a lease and writes.
+    /// Another client of the store acquires a lease and writes to the store.
     Other,
 }
 
@@ -87,6 +88,7 @@
     ]
 }
 
+/// Zone directories of a few nodes, and the simulated store in which they keep the snapshot.
 struct RestoreSimulation {
     mesh: Mesh,
     directories: Vec<ZoneDirectory>,
@@ -116,6 +118,7 @@
         }
     }
 
+    /// Applies a fault to the simulated store.
     fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Copy => self.copy = self.store.clone(),
@@ -136,6 +139,7 @@
         self.era += 1;
     }
 
+    /// Advances the simulation by one step, in which each node may call the store.
     fn step(&mut self, number: usize, answer_lost: bool) {
         self.mesh.run(STEP);
         let now = self.mesh.now;
