--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -1,6 +1,6 @@
 //! Dissemination of crash reports. A crash report says that a backend crashed while it ran
 //! a certain request; a request that has crashed several backends is a poison request and
-//! is quarantine_decision.
+//! is quarantined.
 //!
 //! A node sends a new report at once to its whole zone and to some members of each other
 //! zone, which forward it within their zones. The report is repeated for a few gossip
@@ -443,7 +443,7 @@
 fn is_same_report(left: &CrashReport, right: &CrashReport) -> bool {
     left.on_trial == right.on_trial && left.key() == right.key()
 }
-/// Log entry for a request that has been quarantine_decision.
+/// Log entry for a request that has been quarantined.
 fn quarantine_decision(
     identity: RequestIdentity,
     against: &[CrashReport],
