--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -34,6 +34,7 @@
             self.set_endpoint(None, outbox);
         }
     }
+
     /// Replaces the announced endpoint of the local backend and logs the change.
     fn set_endpoint(&mut self, endpoint: Option<EndpointRecord>, outbox: &mut Outbox) {
         let endpoint = endpoint.map(|endpoint| self.with_known_speed(endpoint));
@@ -75,6 +76,7 @@
         };
         self.announce_endpoint(Some(endpoint), now)
     }
+
     /// Handles a heartbeat or departure report that the local backend sent to this node.
     pub fn on_backend_report(&mut self, report: BackendReport, now: Moment) -> HandledReport {
         let (actions, acknowledge) = match self.reported.apply_report(report, now) {
@@ -138,6 +140,7 @@
             None => Vec::new(),
         }
     }
+
     /// Handles the denial of the backend at the local address to be `instance`: removes the
     /// endpoint if it is of that instance.
     pub fn on_misdirected(&mut self, instance: &InstanceId, now: Moment) -> Vec<Action> {
@@ -146,6 +149,7 @@
         }
         Vec::new()
     }
+
     /// Replaces the announced endpoint of the local backend and sends the change to peers
     /// at once.
     fn announce_endpoint(&mut self, endpoint: Option<EndpointRecord>, now: Moment) -> Vec<Action> {
--- a/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
+++ b/crates/rampthread-core/src/fleet/agent/crash_gossip.rs
@@ -54,6 +54,7 @@
 /// after its start or a suspension. One might reach a peer that has just stopped, and the
 /// next probe comes a second later.
 const COMPARISONS_AT_START: u32 = 4;
+
 /// Remaining gossip rounds of a crash report.
 #[derive(Debug, Clone, Copy)]
 struct PendingCrashReport {
@@ -62,6 +63,7 @@
     /// Whether the report is also sent to other zones.
     other_zones: bool,
 }
+
 /// Crash table of a node, and the reports that it still has to send.
 #[derive(Debug)]
 pub(super) struct CrashGossip {
@@ -103,6 +105,7 @@
     pub(super) fn schedule_comparisons(&mut self) {
         self.comparisons_left = COMPARISONS_AT_START;
     }
+
     /// Digest of the crash reports that nodes compare: those about poison requests, and
     /// those of the last seconds. Each probe carries it.
     fn digest(&mut self) -> u64 {
@@ -140,6 +143,7 @@
         self.merge_reports(reports, now, &mut outbox);
         self.collect_actions(outbox)
     }
+
     /// Stores all crashes of each poison request in `new`. Only the node that observed the
     /// last crash does so.
     fn persist_poison_crashes(&self, new: &[CrashReport], now: Moment, outbox: &mut Outbox) {
@@ -155,6 +159,7 @@
             }
         }
     }
+
     /// Makes the crashes of a request up to `until` count no more, because a backend
     /// answered the request then or an operator lifted its quarantine.
     pub fn clear_request(
@@ -404,6 +409,7 @@
     fn zone_of_member(&self, node: &NodeId) -> Option<&Zone> {
         self.membership.record(node).map(|record| &record.zone)
     }
+
     /// Schedules crash reports to be sent in the next `left` gossip rounds.
     fn schedule_repeats(
         &mut self,
@@ -426,6 +432,7 @@
         }
     }
 }
+
 /// Removes withdrawn crashes of poison requests from the store, where the crashes may be
 /// recorded.
 fn retract_recorded_crashes(recorded: &[CrashReport], new: &[CrashReport], outbox: &mut Outbox) {
@@ -439,10 +446,12 @@
         outbox.actions.push(Action::ForgetCrashes(withdrawn));
     }
 }
+
 /// True when two reports are about the same crash under the same conditions.
 fn is_same_report(left: &CrashReport, right: &CrashReport) -> bool {
     left.on_trial == right.on_trial && left.key() == right.key()
 }
+
 /// Log entry for a request that has been quarantined.
 fn quarantine_decision(
     identity: RequestIdentity,
--- a/crates/rampthread-core/src/fleet/agent/dispatch.rs
+++ b/crates/rampthread-core/src/fleet/agent/dispatch.rs
@@ -7,6 +7,7 @@
 use crate::fleet::writer::Requester;
 use crate::ids::{NodeId, Version};
 use crate::time::Moment;
+
 impl Agent {
     /// Passes a message from a peer to the component that handles messages of this kind.
     pub(super) fn dispatch_message(
@@ -209,6 +210,7 @@
             Message::Drain => self.start_drain("machine list, told by a reader", outbox),
         }
     }
+
     /// Handles a probe of a peer: compares crash tables, acknowledges the probe and notes
     /// which version the peer holds.
     pub(super) fn on_ping(
--- a/crates/rampthread-core/src/fleet/agent/document.rs
+++ b/crates/rampthread-core/src/fleet/agent/document.rs
@@ -16,6 +16,7 @@
 use rand::Rng;
 use std::sync::Arc;
 use std::time::Duration;
+
 /// Interval between document reads while this node lags and peers do not help.
 const STORE_READ_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout for a peer's reply with the document, as a fraction of the time that this node
@@ -71,6 +72,7 @@
         self.announce(now);
         self.collect_actions(outbox)
     }
+
     /// Replaces the replica with `state` if that is newer, announces it to peers and stages
     /// it for activation.
     fn apply_document(
@@ -175,6 +177,7 @@
             }),
         }
     }
+
     /// Handles a peer's reply that it cannot supply the changes: reads the store now, and
     /// requests the full state from the next peer.
     pub(super) fn on_document_pull_refused(
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -37,6 +37,7 @@
             outbox,
         );
     }
+
     /// Queries all log readers for the head of the change log.
     pub(super) fn request_head(&mut self, outbox: &mut Outbox) {
         let nonce = self.head_nonce;
@@ -49,6 +50,7 @@
             outbox.send(&reader.id, Message::HeadQuery { nonce });
         }
     }
+
     /// Handles a log reader's reply with the head of the change log. Replies to queries of
     /// an earlier process are ignored by their nonce.
     pub(super) fn on_head(&mut self, nonce: u64, head: Version, now: Moment, outbox: &mut Outbox) {
@@ -58,6 +60,7 @@
         self.replica.observe_version(head);
         self.apply_head(head, now, outbox);
     }
+
     /// Sets the restart floor to the head of the change log once this node has received all
     /// entries up to it. The head is at or above every version that this node id ever held.
     pub(super) fn apply_head(&mut self, head: Version, now: Moment, outbox: &mut Outbox) {
@@ -67,6 +70,7 @@
             self.target_head = Some(head);
         }
     }
+
     /// Sets the restart floor once this node has caught up with the head of the change log
     /// that a log reader replied earlier.
     pub(super) fn recheck_floor(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -74,6 +78,7 @@
             self.apply_head(head, now, outbox);
         }
     }
+
     /// Sets the restart floor once enough witness nodes have replied which version they
     /// have recorded for this node.
     pub(super) fn evaluate_witnesses(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -89,6 +94,7 @@
             }
         }
     }
+
     /// Sets the restart floor. From then on versions at or above it may become active.
     pub(super) fn confirm_floor(
         &mut self,
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -37,6 +37,7 @@
                 .pull_from(peer, &self.replica, now, outbox);
         }
     }
+
     /// Adds a log entry to the replica and stages the resulting states for activation.
     pub(super) fn ingest_entry(
         &mut self,
@@ -63,6 +64,7 @@
             self.adoption.stage(state, now, &self.settings, outbox);
         }
     }
+
     /// Adds consecutive log entries, of which `first` is the version of the first.
     pub(super) fn ingest_entries(
         &mut self,
@@ -77,6 +79,7 @@
             version = version.next();
         }
     }
+
     /// Replaces the replica with a newer snapshot; a snapshot that cannot be decoded is
     /// logged.
     pub(super) fn restore_snapshot(&mut self, snapshot: &[u8], now: Moment, outbox: &mut Outbox) {
@@ -126,6 +129,7 @@
             outbox,
         );
     }
+
     /// Makes `state` the active configuration for new calls, and logs where it came from.
     pub(super) fn activate(&mut self, state: Arc<ConfigState>, now: Moment, outbox: &mut Outbox) {
         let version = state.version();
@@ -151,6 +155,7 @@
         }
     }
 }
+
 /// Logs why the entry of the newest version changed nothing, unless it was accepted.
 fn report_rejected_version(state: &ConfigState, outbox: &mut Outbox) {
     let version = state.version();
--- a/crates/rampthread-core/src/fleet/agent/machines.rs
+++ b/crates/rampthread-core/src/fleet/agent/machines.rs
@@ -66,6 +66,7 @@
     pub fn set_backend_up(&mut self, up: bool) {
         self.backend_up = up;
     }
+
     /// Releases the reader lease and announces the departure of this node, which is about
     /// to stop.
     pub fn leave(&mut self) -> Vec<Action> {
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -49,18 +49,21 @@
 use crate::ids::{NodeId, OperationId, Region, Version, Zone};
 use crate::time::Moment;
 pub use backend::HandledReport;
+
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
+
 /// Number of rejected submissions of proposals that a log reader remembers, so that a
 /// delayed duplicate of one is not executed later.
 const MAX_REJECTED_SUBMISSIONS: usize = 4_096;
 /// Number of log entries kept behind the newest snapshot when this node, as a log reader,
 /// truncates the change log.
 const RETAINED_LOG_ENTRIES: u64 = 128;
+
 /// Id, address and location of the node that an [`Agent`] controls.
 #[derive(Debug, Clone)]
 pub struct AgentIdentity {
@@ -75,6 +78,7 @@
     /// Wall-clock time at which the process started, in microseconds since the Unix epoch.
     pub process_epoch: ProcessEpoch,
 }
+
 /// Fault that a test injects into an agent to prove that a property test detects it.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,6 +91,7 @@
     /// The agent reports a write whose store response was lost as "not run".
     LostAnswerIsRefusal,
 }
+
 /// A decided proposal whose reply waits until enough other nodes hold its version.
 #[derive(Debug)]
 struct PendingReplication {
@@ -96,6 +101,7 @@
     requesters: Vec<Requester>,
     since: Moment,
 }
+
 /// An operator's propagation query that was sent to a log reader.
 #[derive(Debug)]
 struct PropagationQuery {
--- a/crates/rampthread-core/src/fleet/agent/operators.rs
+++ b/crates/rampthread-core/src/fleet/agent/operators.rs
@@ -31,6 +31,7 @@
             self.on_propose(requester, process_epoch, proposal.entry, now, outbox);
         }
     }
+
     /// Handles a proposed change set as a log reader: replies if the change set is decided
     /// or cannot be written, else queues its write to the change log.
     pub(super) fn on_propose(
@@ -76,6 +77,7 @@
         }
         self.tick_reader(now, outbox);
     }
+
     /// Sends the result of a proposed change set to the node that submitted it, and
     /// remembers rejected submissions.
     pub(super) fn answer_proposer(
@@ -107,6 +109,7 @@
         };
         outbox.send(&requester.node, message);
     }
+
     /// Moves proposals whose log slot is decided to the list of those that wait for
     /// replication.
     pub(super) fn collect_decided_proposals(&mut self, now: Moment) {
@@ -192,6 +195,7 @@
             .actions
             .push(Action::AnswerPropagation { ticket, status });
     }
+
     /// Answers propagation queries without a result when no log reader replied in time.
     pub(super) fn expire_propagation_queries(&mut self, now: Moment, outbox: &mut Outbox) {
         let wait = self.settings.query_retry_interval;
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -63,6 +63,7 @@
 const FAST_QUERY_COUNT: u32 = 8;
 /// Rendezvous key of the order in which document watchers take over as rollout decider.
 const DECIDERS_KEY: &str = "roll-out deciders";
+
 /// Rollouts on one node: known rollout states, response evidence from its callers' calls,
 /// and its role as decider.
 #[derive(Debug)]
@@ -150,6 +151,7 @@
         self.tick_rollouts(now, &mut outbox);
         self.collect_actions(outbox)
     }
+
     /// Invalidates a decision lease that the store granted before it was restored from an
     /// older copy.
     pub(super) fn invalidate_decision_lease(&mut self, now: Moment) {
@@ -157,6 +159,7 @@
             rollouts.decider.on_store_restored(&rollouts.table, now);
         }
     }
+
     /// Records the response evidence for versions in rollout from calls of this node's
     /// callers. It is reported to the decider later.
     pub fn record_version_evidence(&mut self, evidence: Vec<VersionEvidence>) {
@@ -303,6 +306,7 @@
         }
         false
     }
+
     /// Number of document watchers that precede this node in the order of takeover as
     /// decider.
     fn decider_rank(&self) -> u32 {
@@ -313,6 +317,7 @@
             .filter(|peer| *peer != me && rendezvous::weight(DECIDERS_KEY, peer) > mine)
             .count() as u32
     }
+
     /// Logs the decisions of one step of the decision logic, sends its store request and
     /// distributes the changed rollout states.
     fn apply_decider_step(&mut self, step: DeciderOutput, now: Moment, outbox: &mut Outbox) {
@@ -348,6 +353,7 @@
             outbox.send(peer, Message::Rollouts(states.clone()));
         }
     }
+
     /// Schedules rollout states for the next gossip rounds.
     fn queue_gossip(&mut self, states: &[RolloutState], rounds: u32, now: Moment) {
         let Some(rollouts) = &mut self.rollouts else {
@@ -362,6 +368,7 @@
             rollouts.next_gossip = now;
         }
     }
+
     /// Sends the scheduled rollout states to some members when a gossip round is due.
     fn gossip_states(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(rollouts) = &mut self.rollouts else {
@@ -458,6 +465,7 @@
             rollouts.decider.on_evidence(from, process_epoch, evidence);
         }
     }
+
     /// Sends response evidence to the deciders of the rollouts when a report is due.
     fn report_evidence(&mut self, now: Moment, outbox: &mut Outbox) {
         let Some(rollouts) = &mut self.rollouts else {
@@ -510,6 +518,7 @@
 fn report_interval(members: usize) -> Duration {
     MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_MEMBER * members as u32)
 }
+
 /// Builds the decision about a rollout that is written to the log.
 fn decision(state: &RolloutState, reason: &str) -> Decision {
     Decision::Rollout {
--- a/crates/rampthread-core/src/fleet/agent/store.rs
+++ b/crates/rampthread-core/src/fleet/agent/store.rs
@@ -7,6 +7,7 @@
 use crate::fleet::reader::ReaderEvent;
 use crate::ids::Version;
 use crate::time::Moment;
+
 impl Agent {
     /// Advances the log reader: renews its lease, watches the change log, writes pending
     /// proposals and due snapshots.
@@ -30,6 +31,7 @@
             self.write_snapshot(outbox);
         }
     }
+
     /// Rejects proposals whose write was not attempted, while this node cannot write to the
     /// change log.
     pub(super) fn reject_unstarted_writes(&mut self, now: Moment, outbox: &mut Outbox) {
@@ -41,6 +43,7 @@
             }
         }
     }
+
     /// Writes a snapshot to the store when enough versions have passed since the last one,
     /// and truncates the change log behind it.
     pub(super) fn write_snapshot(&mut self, outbox: &mut Outbox) {
@@ -62,6 +65,7 @@
             request,
         });
     }
+
     /// Handles the response of the store to a write to the change log.
     pub(super) fn on_write_answer(
         &mut self,
@@ -86,6 +90,7 @@
             self.ingest_entry(version, entry, now, outbox);
         }
     }
+
     /// Handles what the log reader has read from the store: log entries, a snapshot or the
     /// head of the log.
     pub(super) fn on_reader_news(&mut self, news: ReaderEvent, now: Moment, outbox: &mut Outbox) {
