--- a/crates/rampthread-node/src/control/actions.rs
+++ b/crates/rampthread-node/src/control/actions.rs
@@ -46,17 +46,17 @@
                 }
                 Action::Adopt(state) => {
                     let version = state.version().0 as i64;
-                    if self.in_force.adopt(state) {
+                    if self.active_config.adopt(state) {
                         self.metrics.version.set(version);
                     }
                     self.refresh_endpoints();
                 }
                 Action::Ready(_) => self.show_ready(),
                 Action::AnswerProposal { ticket, answer } => {
-                    self.waiting.answer_proposal(ticket, answer);
+                    self.pending_requests.answer_proposal(ticket, answer);
                 }
                 Action::AnswerPropagation { ticket, status } => {
-                    self.waiting.answer_spread(ticket, status);
+                    self.pending_requests.answer_spread(ticket, status);
                 }
                 Action::StartDrain => self.draining.store(true, Ordering::Release),
                 Action::AskDeciderStore(call) => self.ask_decider_store(call),
--- a/crates/rampthread-node/src/control/active.rs
+++ b/crates/rampthread-node/src/control/active.rs
@@ -37,11 +37,11 @@
 /// the threads that brought them. One that derives the routes of a large version may
 /// come to its end after another has put a newer, smaller one in force.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct ActiveConfigCell {
     active: ArcSwap<ActiveConfig>,
 }
 
-impl InForce {
+impl ActiveConfigCell {
     /// The version in force.
     pub fn load(&self) -> Arc<ActiveConfig> {
         self.active.load_full()
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -1,13 +1,13 @@
 //! One node's control side: feeds the agent events, and shows calls what it holds.
 
-use super::active::{ActiveConfig, InForce};
+use super::active::{ActiveConfig, ActiveConfigCell};
 use super::crash_records::CrashRecorder;
 use super::directory::DirectoryKeeper;
 use super::document_watch::DocumentWatch;
 use super::endpoints::{EndpointMap, EndpointSource, LocalBackend};
 use super::large_messages::LargeMessages;
 use super::parts::{ControlError, ControlParts, SourceParts};
-use super::requests::Waiting;
+use super::requests::PendingRequests;
 use super::rollouts::VersionRules;
 use crate::call_log::CallLog;
 use crate::clock::Clock;
@@ -93,7 +93,7 @@
     pub(super) version_rules: ArcSwap<VersionRules>,
     /// Wakes the reader of the document.
     pub(super) document_wake: async_channel::Sender<()>,
-    pub(super) in_force: InForce,
+    pub(super) active_config: ActiveConfigCell,
     endpoints: ArcSwap<EndpointMap>,
     /// Loads of zones, as of the last tick.
     zone_loads: ArcSwap<ZoneLoads>,
@@ -111,7 +111,7 @@
     stopping: AtomicBool,
     /// Peers that this node is cut off from; for experiments.
     pub(super) cut_off: ArcSwap<HashSet<NodeId>>,
-    pub(super) waiting: Waiting,
+    pub(super) pending_requests: PendingRequests,
     tasks: TaskGroup,
 }
 
@@ -183,7 +183,7 @@
             },
             version_rules: ArcSwap::default(),
             document_wake,
-            in_force: InForce::default(),
+            active_config: ActiveConfigCell::default(),
             endpoints: ArcSwap::default(),
             zone_loads: ArcSwap::default(),
             crash_table: ArcSwap::default(),
@@ -194,7 +194,7 @@
             draining: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             cut_off: ArcSwap::default(),
-            waiting: Waiting::default(),
+            pending_requests: PendingRequests::default(),
             tasks: TaskGroup::default(),
         });
         control.tasks.spawn(control.clone().receive(receiver));
@@ -411,7 +411,7 @@
 
     /// The configuration in force.
     pub fn active(&self) -> Arc<ActiveConfig> {
-        self.in_force.load()
+        self.active_config.load()
     }
 
     /// Who may get calls now.
--- a/crates/rampthread-node/src/control/mod.rs
+++ b/crates/rampthread-node/src/control/mod.rs
@@ -21,7 +21,7 @@
 mod store_era;
 mod transport;
 
-pub use active::{ActiveConfig, InForce};
+pub use active::{ActiveConfig, ActiveConfigCell};
 pub use backend_reports::{ReportService, answer_readiness};
 pub use driver::{Control, ZoneLoads};
 pub use endpoints::{EndpointMap, LocalBackend, ServiceEndpoints, Target};
--- a/crates/rampthread-node/src/control/operators.rs
+++ b/crates/rampthread-node/src/control/operators.rs
@@ -14,7 +14,7 @@
             author: self.id.clone(),
             change,
         };
-        let (ticket, answer) = self.waiting.proposal();
+        let (ticket, answer) = self.pending_requests.proposal();
         let now = self.clock.now();
         let actions = self.agent().propose(ticket, entry.encode().into(), now);
         self.perform(actions);
@@ -26,7 +26,7 @@
 
     /// Asks how far the newest version has got.
     pub async fn spread(self: &Arc<Self>) -> Option<PropagationStatus> {
-        let (ticket, answer) = self.waiting.spread();
+        let (ticket, answer) = self.pending_requests.spread();
         let now = self.clock.now();
         let actions = self.agent().query_propagation(ticket, now);
         self.perform(actions);
--- a/crates/rampthread-node/src/control/requests.rs
+++ b/crates/rampthread-node/src/control/requests.rs
@@ -17,7 +17,7 @@
 
 /// Requests by ticket.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct PendingRequests {
     next: AtomicU64,
     proposals: Mutex<HashMap<Ticket, async_channel::Sender<ProposalReply>>>,
     spreads: Mutex<HashMap<Ticket, async_channel::Sender<Option<PropagationStatus>>>>,
@@ -40,7 +40,7 @@
     }
 }
 
-impl Waiting {
+impl PendingRequests {
     fn ticket(&self) -> Ticket {
         self.next.fetch_add(1, Ordering::Relaxed)
     }
--- a/crates/rampthread-node/tests/versions_in_force.rs
+++ b/crates/rampthread-node/tests/versions_in_force.rs
@@ -18,7 +18,7 @@
     default_secret_header,
 };
 use rampthread_core::ids::{ResourceName, Version};
-use rampthread_node::control::InForce;
+use rampthread_node::control::ActiveConfigCell;
 use std::sync::{Arc, Barrier};
 
 /// Routes of a large version: a thread takes milliseconds to derive them.
@@ -63,13 +63,13 @@
     Arc::new(state.unwrap())
 }
 
-fn version_of(in_force: &InForce) -> u64 {
+fn version_of(in_force: &ActiveConfigCell) -> u64 {
     in_force.load().state.version().0
 }
 
 #[test]
 fn an_older_version_that_comes_last_is_not_put_in_force() {
-    let in_force = InForce::default();
+    let in_force = ActiveConfigCell::default();
     assert!(in_force.adopt(state(26, 1)));
     assert!(!in_force.adopt(state(19, MANY_ROUTES)));
     assert_eq!(version_of(&in_force), 26);
@@ -78,7 +78,7 @@
 #[test]
 fn of_threads_that_put_versions_in_force_at_once_the_newest_prevails() {
     for round in 1..=ROUNDS {
-        let in_force = InForce::default();
+        let in_force = ActiveConfigCell::default();
         let together = Barrier::new(2);
         let (older, newer) = (state(round, MANY_ROUTES), state(round + 1, 1));
         std::thread::scope(|scope| {
