--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -6,7 +6,7 @@
 use super::document_watch::DocumentWatch;
 use super::endpoints::{EndpointMap, EndpointSource, LocalBackend};
 use super::large_messages::LargeMessages;
-use super::parts::{ControlError, ControlParts, SourceParts};
+use super::options::{ControlError, ControlOptions, SourceOptions};
 use super::requests::PendingRequests;
 use super::rollouts::VersionRules;
 use crate::call_log::CallLog;
@@ -117,29 +117,29 @@
 
 impl Control {
     /// Binds the datagram socket and starts the timers.
-    pub fn start(parts: ControlParts) -> Result<Arc<Self>, ControlError> {
-        let address = parts.identity.address;
+    pub fn start(options: ControlOptions) -> Result<Arc<Self>, ControlError> {
+        let address = options.identity.address;
         let bind_error = |source| ControlError::Bind { address, source };
         let socket = std::net::UdpSocket::bind(address).map_err(bind_error)?;
         socket.set_nonblocking(true).map_err(bind_error)?;
         let receiver = UdpSocket::from(socket.try_clone().map_err(bind_error)?);
         let clock = Clock::start();
-        let id = parts.identity.id.clone();
-        let zone = parts.identity.zone.clone();
+        let id = options.identity.id.clone();
+        let zone = options.identity.zone.clone();
         let agent = Agent::new(
-            parts.identity,
-            parts.fleet,
-            &parts.seeds,
-            parts.seed,
+            options.identity,
+            options.fleet,
+            &options.seeds,
+            options.seed,
             clock.now(),
         );
-        let log_store = match &parts.source {
-            SourceParts::ChangeLog { log_store, .. } => Some(log_store.clone()),
-            SourceParts::Document { .. } => None,
+        let log_store = match &options.source {
+            SourceOptions::ChangeLog { log_store, .. } => Some(log_store.clone()),
+            SourceOptions::Document { .. } => None,
         };
-        let eras = match &parts.source {
-            SourceParts::ChangeLog { .. } => Arc::default(),
-            SourceParts::Document { eras, .. } => eras.clone(),
+        let eras = match &options.source {
+            SourceOptions::ChangeLog { .. } => Arc::default(),
+            SourceOptions::Document { eras, .. } => eras.clone(),
         };
         let (document_wake, wake) = async_channel::bounded(1);
         let metrics: Arc<Metrics> = Arc::default();
@@ -149,15 +149,15 @@
             metrics: metrics.clone(),
             decision_log: Arc::new(DecisionLog::new(clock)),
             call_log: CallLog::new(clock, metrics),
-            identity_key: parts.identity_key,
+            identity_key: options.identity_key,
             agent: Mutex::new(agent),
-            codec: parts.codec,
+            codec: options.codec,
             socket: ArcSwapOption::from_pointee(socket),
             large_messages: LargeMessages::start(),
             log_store,
-            directory: match &parts.source {
-                SourceParts::ChangeLog { .. } => None,
-                SourceParts::Document { directory, .. } => {
+            directory: match &options.source {
+                SourceOptions::ChangeLog { .. } => None,
+                SourceOptions::Document { directory, .. } => {
                     let directory = directory.clone();
                     let keeper = DirectoryKeeper::new(
                         control.clone(),
@@ -169,17 +169,17 @@
                     Some(Arc::new(keeper))
                 }
             },
-            crash_recorder: match &parts.source {
-                SourceParts::ChangeLog { .. } => None,
-                SourceParts::Document { directory, .. } => Some(Arc::new(CrashRecorder::new(
+            crash_recorder: match &options.source {
+                SourceOptions::ChangeLog { .. } => None,
+                SourceOptions::Document { directory, .. } => Some(Arc::new(CrashRecorder::new(
                     control.clone(),
                     directory.clone(),
                 ))),
             },
             eras: eras.clone(),
-            roll_out_store: match &parts.source {
-                SourceParts::ChangeLog { .. } => None,
-                SourceParts::Document { roll_outs, .. } => roll_outs.clone(),
+            roll_out_store: match &options.source {
+                SourceOptions::ChangeLog { .. } => None,
+                SourceOptions::Document { roll_outs, .. } => roll_outs.clone(),
             },
             version_rules: ArcSwap::default(),
             document_wake,
@@ -199,14 +199,14 @@
         });
         control.tasks.spawn(control.clone().receive(receiver));
         control.tasks.spawn(control.clone().tick());
-        control.follow(parts.source, wake);
+        control.follow(options.source, wake);
         Ok(control)
     }
 
     /// Starts the loops that follow the configuration and the other nodes.
-    fn follow(self: &Arc<Self>, source: SourceParts, wake: async_channel::Receiver<()>) {
+    fn follow(self: &Arc<Self>, source: SourceOptions, wake: async_channel::Receiver<()>) {
         match source {
-            SourceParts::ChangeLog {
+            SourceOptions::ChangeLog {
                 machines,
                 machine_interval,
                 ..
@@ -214,7 +214,7 @@
                 let listing = self.clone().watch_machines(machines, machine_interval);
                 self.tasks.spawn(listing);
             }
-            SourceParts::Document { documents, .. } => {
+            SourceOptions::Document { documents, .. } => {
                 self.tasks
                     .spawn(self.clone().follow_eras(self.eras.listen()));
                 let watch = DocumentWatch::new(self.clone(), documents, wake);
--- a/crates/rampthread-node/src/control/parts.rs
+++ b/crates/rampthread-node/src/control/options.rs
@@ -24,7 +24,7 @@
 }
 
 /// What a control side is made of.
-pub struct ControlParts {
+pub struct ControlOptions {
     /// Who the node is; `address` is where it listens.
     pub identity: AgentIdentity,
     /// Intervals of the protocol.
@@ -36,13 +36,13 @@
     /// Encodes messages.
     pub codec: Codec,
     /// Where the configuration and the other nodes are found.
-    pub source: SourceParts,
+    pub source: SourceOptions,
     /// Seed of the agent's random choices.
     pub seed: u64,
 }
 
 /// Where the configuration and the other nodes are found.
-pub enum SourceParts {
+pub enum SourceOptions {
     /// The product's change log and a machine list.
     ChangeLog {
         /// Carries out store requests.
--- a/crates/rampthread-node/src/node.rs
+++ b/crates/rampthread-node/src/node.rs
@@ -9,7 +9,7 @@
 use crate::calls::tenant_limits::TenantLimits;
 use crate::clock::wall_clock_micros;
 use crate::control::{
-    Control, ControlError, ControlParts, ReportService, SourceParts, answer_readiness,
+    Control, ControlError, ControlOptions, ReportService, SourceOptions, answer_readiness,
 };
 use crate::settings::{NodeSettings, ReloadableSettings, RolloutSettings};
 use crate::task_group::TaskGroup;
@@ -464,7 +464,7 @@
 pub fn control_parts(
     settings: &NodeSettings,
     adapter: Option<&PlatformAdapter>,
-) -> Result<ControlParts, NodeError> {
+) -> Result<ControlOptions, NodeError> {
     let id: NodeId = settings.node.id.clone();
     let keyring = keyring(settings)?;
     let identity_key = keyring
@@ -482,7 +482,7 @@
                 roll_outs: settings.roll_outs.map(RolloutSettings::to_bounds),
                 ..settings.fleet.to_document_settings()
             },
-            SourceParts::Document {
+            SourceOptions::Document {
                 documents: adapter.documents.clone(),
                 directory: adapter.directory.clone(),
                 roll_outs: adapter.roll_outs.clone(),
@@ -494,7 +494,7 @@
             change_log_source(settings),
         ),
     };
-    Ok(ControlParts {
+    Ok(ControlOptions {
         identity: AgentIdentity {
             id,
             address: settings.listen.peers,
@@ -512,7 +512,7 @@
 }
 
 /// Options for a configuration that comes from a change log.
-fn change_log_source(settings: &NodeSettings) -> SourceParts {
+fn change_log_source(settings: &NodeSettings) -> SourceOptions {
     let platform = &settings.platform;
     let client = |address| {
         let rate = platform.store_requests_per_second;
@@ -521,7 +521,7 @@
     let store = Arc::new(HttpStore::new(client(platform.store)));
     // The settings are validated: with a change log, `machines` is set.
     let machines = platform.machines.unwrap_or(platform.store);
-    SourceParts::ChangeLog {
+    SourceOptions::ChangeLog {
         log_store: LogStore::new(store, settings.node.id.clone()),
         machines: Arc::new(HttpMachineList::new(client(machines))),
         machine_interval: platform.machine_interval,
--- a/crates/rampthread-node/tests/control_support/mod.rs
+++ b/crates/rampthread-node/tests/control_support/mod.rs
@@ -12,7 +12,7 @@
     AgentIdentity, Envelope, FleetSettings, LeaseId, Machine, Message, ZoneSnapshot, ZoneWrite,
 };
 use rampthread_core::ids::{NodeId, Region, ResourceName, Version, Zone};
-use rampthread_node::control::{Control, ControlParts, SourceParts};
+use rampthread_node::control::{Control, ControlOptions, SourceOptions};
 use rampthread_platform::{
     Directory, DirectoryRead, DocumentNews, DocumentRead, DocumentSource, OrdersRead,
     PlatformError, ReadAge, RecordedCrash, RecordedLeave, Revision, Transfer, ZoneWritten,
@@ -236,7 +236,7 @@
             lease: 1,
         },
     };
-    let control = Control::start(ControlParts {
+    let control = Control::start(ControlOptions {
         identity: AgentIdentity {
             id,
             address,
@@ -248,7 +248,7 @@
         seeds: Vec::new(),
         identity_key: IdentityKey::from_secret(b"secret"),
         codec: Codec::Plain,
-        source: SourceParts::Document {
+        source: SourceOptions::Document {
             documents: Arc::new(documents),
             directory: Arc::new(directory),
             roll_outs: None,
