--- a/crates/rampthread-node/src/control/actions.rs
+++ b/crates/rampthread-node/src/control/actions.rs
@@ -1,6 +1,8 @@
-//! Carries out what the agent has decided. The agent's lock is not held meanwhile, and
-//! several threads may do so at once: what must not go back is taken from the agent
-//! under its lock, or compared with what is there.
+//! Executes the agent's actions.
+//!
+//! The agent's lock is not held meanwhile, and several threads may execute actions at once.
+//! State that must not be overwritten by an older value is therefore read from the agent
+//! under its lock, or compared with the current value.
 
 use super::Control;
 use rampthread_core::fleet::{Action, Decision, RequestId, StoreRequest};
@@ -8,6 +10,7 @@
 use std::sync::atomic::Ordering;
 
 impl Control {
+    /// Executes the agent's actions in order; does nothing after the control side has stopped.
     pub(super) fn perform(self: &Arc<Self>, actions: Vec<Action>) {
         if self.socket.load().is_none() {
             return;
@@ -23,10 +26,10 @@
                 Action::Store {
                     request_id,
                     request,
-                } => self.ask_store(request_id, request),
+                } => self.execute_log_request(request_id, request),
                 Action::RecordDeparture(endpoint) => {
                     if let Some(directory) = &self.directory {
-                        directory.record_leave(endpoint);
+                        directory.record_departure(endpoint);
                     }
                 }
                 Action::RecordCrashes(reports) => {
@@ -39,9 +42,9 @@
                         recorder.forget(&reports);
                     }
                 }
-                Action::VerifyStoreEra(era) => self.ask_for_era(era),
+                Action::VerifyStoreEra(era) => self.verify_store_era(era),
                 Action::ReadDocument => {
-                    // Full: a wake-up waits already.
+                    // If the channel is full, a wake-up is pending already.
                     let _ = self.document_wake.try_send(());
                 }
                 Action::Adopt(state) => {
@@ -51,23 +54,24 @@
                     }
                     self.refresh_endpoints();
                 }
-                Action::Ready(_) => self.show_ready(),
+                Action::Ready(_) => self.publish_readiness(),
                 Action::AnswerProposal { ticket, answer } => {
-                    self.pending_requests.answer_proposal(ticket, answer);
+                    self.pending_requests.reply_to_proposal(ticket, answer);
                 }
                 Action::AnswerPropagation { ticket, status } => {
-                    self.pending_requests.answer_spread(ticket, status);
+                    self.pending_requests
+                        .reply_to_propagation_query(ticket, status);
                 }
                 Action::StartDrain => self.draining.store(true, Ordering::Release),
-                Action::AskDeciderStore(call) => self.ask_decider_store(call),
+                Action::AskDeciderStore(call) => self.execute_decider_request(call),
                 Action::RolloutsChanged => self.refresh_version_rules(),
-                Action::LogDecision(decision) => self.explain(decision),
+                Action::LogDecision(decision) => self.log_decision(decision),
             }
         }
     }
 
-    /// Notes a decision for operators.
-    pub(super) fn explain(&self, decision: Decision) {
+    /// Logs a decision for operators and counts it in the metrics.
+    pub(super) fn log_decision(&self, decision: Decision) {
         if matches!(decision, Decision::VersionRefused { .. }) {
             self.metrics.documents_refused.inc();
         }
@@ -77,9 +81,11 @@
         self.decision_log.record(decision);
     }
 
-    fn ask_store(self: &Arc<Self>, request_id: RequestId, request: StoreRequest) {
+    /// Sends a request to the change log's store, and passes the result to the agent.
+    fn execute_log_request(self: &Arc<Self>, request_id: RequestId, request: StoreRequest) {
         self.metrics.count_store_request("change-log");
-        // A watch may take long; it must not keep a stopped node alive.
+        // A watch may take long, so the task holds only a weak reference to the control
+        // side.
         let Some(log_store) = self.log_store.clone() else {
             return;
         };
@@ -95,9 +101,9 @@
         });
     }
 
-    /// Takes readiness from the agent under its lock: another thread may carry out an
-    /// earlier decision after a later one.
-    fn show_ready(&self) {
+    /// Publishes readiness as read under the agent's lock, since another thread may execute
+    /// an earlier action after a later one.
+    fn publish_readiness(&self) {
         self.with_agent(|agent| {
             let ready = agent.is_ready();
             self.metrics.ready.set(i64::from(ready));
--- a/crates/rampthread-node/src/control/active.rs
+++ b/crates/rampthread-node/src/control/active.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, with what calls derive from it.
+//! The active configuration version and the tables that calls use from it.
 
 use arc_swap::ArcSwap;
 use rampthread_core::call::route_table::RouteTable;
@@ -6,20 +6,20 @@
 use rampthread_core::config::ConfigState;
 use std::sync::Arc;
 
-/// One version, swapped in by a single pointer store. A call keeps the version
-/// that it began with.
+/// One configuration version with its derived tables. It is replaced by a single pointer
+/// store; a call keeps the version that it began with.
 #[derive(Debug, Default)]
 pub struct ActiveConfig {
-    /// The state.
+    /// The configuration that the tables are derived from.
     pub state: Arc<ConfigState>,
-    /// Its routes in order of precedence.
+    /// Routes of the configuration in order of precedence.
     pub routes: RouteTable,
-    /// Its tenants by their keys.
+    /// Tenants of the configuration, indexed by their keys.
     pub tenants: TenantTable,
 }
 
 impl ActiveConfig {
-    /// Derives the routes and tenants of `state`.
+    /// Derives the tables of routes and tenants from `state`.
     pub fn new(state: Arc<ConfigState>) -> Self {
         let routes = RouteTable::new(&state);
         let tenants = TenantTable::new(&state);
@@ -31,23 +31,23 @@
     }
 }
 
-/// Where calls find the version in force.
+/// Holder of the active configuration version, shared with the call path.
 ///
-/// The agent decides on versions in their order, but its decisions are carried out by
-/// the threads that brought them. One that derives the routes of a large version may
-/// come to its end after another has put a newer, smaller one in force.
+/// The agent decides on versions in their order, but its actions are executed by the
+/// threads that triggered them. A thread that derives the tables of a large version may
+/// finish after another thread has activated a newer, smaller version.
 #[derive(Debug, Default)]
 pub struct ActiveConfigCell {
     active: ArcSwap<ActiveConfig>,
 }
 
 impl ActiveConfigCell {
-    /// The version in force.
+    /// Returns the active configuration version.
     pub fn load(&self) -> Arc<ActiveConfig> {
         self.active.load_full()
     }
 
-    /// Puts `state` in force, unless a newer version is by now; true if it did.
+    /// Activates `state` unless a newer version is active; returns whether it did.
     pub fn adopt(&self, state: Arc<ConfigState>) -> bool {
         let next = Arc::new(ActiveConfig::new(state));
         let is_newer = |current: &ActiveConfig| next.state.version() > current.state.version();
--- a/crates/rampthread-node/src/control/backend_reports.rs
+++ b/crates/rampthread-node/src/control/backend_reports.rs
@@ -1,8 +1,8 @@
-//! The listener to which the back end beside this node reports.
+//! HTTP service for reports of the local backend.
 //!
-//! A report is acknowledged once this node acts on it: from then on its gate
-//! lets no new work through to a back end that leaves, whatever other nodes
-//! know.
+//! A report is acknowledged once this node acts on it. After the acknowledgement of a
+//! departure, this node's gate (which forwards calls to the backend) admits no new calls,
+//! whatever other nodes know.
 
 use super::Control;
 use http::{Request, Response, StatusCode};
@@ -12,38 +12,38 @@
 use rampthread_platform::{ReportError, ReportReader};
 use std::sync::{Arc, Mutex};
 
-/// Largest body of a report, in bytes.
+/// Maximum size of a report's body, in bytes.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
 
-/// Serves the reports.
+/// Handles the HTTP requests in which the local backend reports its state to the node.
 pub struct ReportService {
     control: Arc<Control>,
     reader: Arc<dyn ReportReader>,
-    log_budget: Mutex<LogRateLimiter>,
+    log_rate_limiter: Mutex<LogRateLimiter>,
 }
 
 impl ReportService {
-    /// Reads calls with `reader`.
+    /// Creates the service; `reader` parses the platform's report format.
     pub fn new(control: Arc<Control>, reader: Arc<dyn ReportReader>) -> Self {
         Self {
             control,
             reader,
-            log_budget: Mutex::default(),
+            log_rate_limiter: Mutex::default(),
         }
     }
 
-    /// Handles one report.
+    /// Handles one report and returns the HTTP response for the backend.
     pub async fn handle(self: Arc<Self>, request: Request<RequestBody>) -> Response<Body> {
         let (parts, body) = request.into_parts();
         let body = match read_limited(body, MAX_REPORT_BYTES).await {
             Ok(body) => body,
-            Err(error) => return answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         match self.reader.read(&parts.method, parts.uri.path(), &body) {
             Ok(report) => {
                 let sender = report.incarnation();
                 if !self.control.on_backend_report(report) {
-                    return self.refuse_doubtful(&sender);
+                    return self.reject_stale_report(&sender);
                 }
                 let mut response = Response::new(full("{}"));
                 let json = http::HeaderValue::from_static("application/json");
@@ -52,21 +52,21 @@
                     .insert(http::header::CONTENT_TYPE, json);
                 response
             }
-            Err(ReportError::NoSuchCall) => answer(StatusCode::NOT_FOUND, "no such call"),
+            Err(ReportError::NoSuchCall) => text_response(StatusCode::NOT_FOUND, "no such call"),
             Err(ReportError::Invalid(findings)) => {
                 self.control.metrics.unusable_reports.inc();
-                if self.may_log("report that cannot be read") {
+                if self.may_log("unusable backend report") {
                     let path = parts.uri.path();
-                    tracing::warn!(%path, %findings, "a report of a back end cannot be used");
+                    tracing::warn!(%path, %findings, "unusable report of the local backend");
                 }
-                answer(StatusCode::BAD_REQUEST, &findings.to_string())
+                text_response(StatusCode::BAD_REQUEST, &findings.to_string())
             }
         }
     }
 
-    /// The report seems to be of an incarnation that has ended. Its sender has ended with
-    /// it, or reports again.
-    fn refuse_doubtful(&self, sender: &InstanceId) -> Response<Body> {
+    /// Rejects a report that seems to be from an incarnation (run of the backend's process)
+    /// that has ended. The sender has ended too, or it will report again.
+    fn reject_stale_report(&self, sender: &InstanceId) -> Response<Body> {
         self.control.metrics.doubtful_reports.inc();
         if self.may_log("report of another incarnation") {
             let present = self.control.local_backend();
@@ -78,44 +78,46 @@
                 "a report of another incarnation than the present one"
             );
         }
-        answer(StatusCode::CONFLICT, "of an earlier start, as it seems")
+        text_response(StatusCode::CONFLICT, "of an earlier start, as it seems")
     }
 
-    /// Anybody may send reports: their lines are bounded.
+    /// Returns whether a line about `cause` may be logged. Any process may send reports, so
+    /// the number of log lines is limited.
     fn may_log(&self, cause: &'static str) -> bool {
         let now = self.control.clock.now();
-        let mut budget = self
-            .log_budget
+        let mut limiter = self
+            .log_rate_limiter
             .lock()
             .unwrap_or_else(|broken| broken.into_inner());
-        for left_out in budget.summary(now) {
+        for suppressed in limiter.summary(now) {
             tracing::warn!(
-                cause = left_out.cause,
-                lines = left_out.lines,
+                cause = suppressed.cause,
+                lines = suppressed.lines,
                 "lines left out"
             );
         }
-        budget.allow(cause, now)
+        limiter.allow(cause, now)
     }
 }
 
-/// Answers whether this node takes callers.
+/// Answers a readiness probe on `path` with whether callers may use this node.
 pub async fn answer_readiness(
     control: Arc<Control>,
     path: &'static str,
     request: Request<RequestBody>,
 ) -> Response<Body> {
     if request.uri().path() != path {
-        return answer(StatusCode::NOT_FOUND, "no such call");
+        return text_response(StatusCode::NOT_FOUND, "no such call");
     }
     if control.takes_callers() {
-        answer(StatusCode::OK, "ready")
+        text_response(StatusCode::OK, "ready")
     } else {
-        answer(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
 
-fn answer(status: StatusCode, text: &str) -> Response<Body> {
+/// Builds a plain-text response.
+fn text_response(status: StatusCode, text: &str) -> Response<Body> {
     let mut response = Response::new(full(format!("{text}\n")));
     *response.status_mut() = status;
     response
--- a/crates/rampthread-node/src/control/backoff.rs
+++ b/crates/rampthread-node/src/control/backoff.rs
@@ -1,65 +1,66 @@
-//! Pauses between failed calls of the platform.
+//! Delays after failed requests to the platform.
 
 use rampthread_platform::PlatformError;
 use std::time::Duration;
 
-/// First pause after a failed call; doubles with full jitter.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause after a failed call.
-pub(super) const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// Delay after the first failure; doubles with each failure, with jitter.
+const INITIAL_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay between retries of a request that something waits for.
+pub(super) const MAX_DELAY: Duration = Duration::from_millis(800);
 
-/// Longest pause where nobody waits for the call: each one is paid for, and a
-/// store that refuses some of a large fleet is not asked again by all at once.
-const LONGEST_PATIENT_PAUSE: Duration = Duration::from_secs(6);
-/// Doublings of the first pause.
+/// Maximum delay between retries of background requests. Requests cost money, and a store
+/// that rejects some of a large fleet shouldn't be retried by all nodes at once.
+const MAX_BACKGROUND_DELAY: Duration = Duration::from_secs(6);
+/// Maximum number of doublings of the first delay.
 const MAX_DOUBLINGS: u32 = 7;
 
-/// Pauses between failed calls: exponential with full jitter, so that a herd of
-/// nodes does not come back in step.
+/// Exponential backoff with jitter, so that many nodes don't retry in step.
 #[derive(Debug)]
 pub(super) struct Backoff {
     failures: u32,
-    longest: Duration,
+    max_delay: Duration,
 }
 
 impl Default for Backoff {
     fn default() -> Self {
         Self {
             failures: 0,
-            longest: LONGEST_PAUSE,
+            max_delay: MAX_DELAY,
         }
     }
 }
 
 impl Backoff {
-    /// For calls that nobody waits for.
-    pub(super) fn patient() -> Self {
+    /// Creates the backoff for background requests, which nothing waits for.
+    pub(super) fn for_background() -> Self {
         Self {
-            longest: LONGEST_PATIENT_PAUSE,
+            max_delay: MAX_BACKGROUND_DELAY,
             ..Self::default()
         }
     }
 
-    /// True while no call has failed since the last one that succeeded.
-    pub(super) fn is_first(&self) -> bool {
+    /// Returns whether no request has failed since the last success.
+    pub(super) fn has_no_failure(&self) -> bool {
         self.failures == 0
     }
 
-    pub(super) fn succeeded(&mut self) {
+    /// Restarts the delays after a successful request.
+    pub(super) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    pub(super) fn next_pause(&mut self, error: &PlatformError) -> Duration {
-        let doubled = FIRST_PAUSE * (1 << self.failures.min(MAX_DOUBLINGS));
+    /// Returns the delay after another failure, at least what the platform asks for.
+    pub(super) fn next_delay(&mut self, error: &PlatformError) -> Duration {
+        let doubled = INITIAL_DELAY * (1 << self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
         let jittered = doubled
-            .min(self.longest)
+            .min(self.max_delay)
             .mul_f64(rand::random_range(0.5..1.5));
         match error {
             PlatformError::NotRun {
-                retry_after: Some(asked),
+                retry_after: Some(requested),
                 ..
-            } => jittered.max((*asked).min(self.longest)),
+            } => jittered.max((*requested).min(self.max_delay)),
             _ => jittered,
         }
     }
--- a/crates/rampthread-node/src/control/crash_records.rs
+++ b/crates/rampthread-node/src/control/crash_records.rs
@@ -1,5 +1,5 @@
-//! Keeps crashes of back ends in the directory, where they outlast the end of all
-//! nodes, and takes them up again with each read of it.
+//! Persists backend crashes in the directory in the store, where they survive a restart of
+//! all nodes, and reads them back with each read of the directory.
 
 use super::Control;
 use super::backoff::Backoff;
@@ -11,82 +11,83 @@
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::time::Duration;
 
-/// Life of a record: the longest that the platform grants. It covers the first
-/// long quarantine; what lasts longer is lost only if all nodes end at once.
-const RECORD_LIFE: Duration = Duration::from_secs(600);
-/// Changes that wait for the store, at most. There are a few a minute.
-const MAX_WAITING: usize = 64;
-/// Crashes that are recorded again after the store was restored, at most: they have to fit
-/// into one transaction, which takes 32 rows on the platform.
-const MAX_RECENT: usize = 30;
-/// Tries of one change: with the pauses between them about 20 s, longer than the
-/// users' store is away on their days.
-const MAX_TRIES: u32 = 32;
-
-/// A change of what is on record.
-enum Change {
+/// TTL of a crash record: the maximum that the platform grants. It covers the first long
+/// quarantine of a request; longer quarantines are lost only if all nodes end at once.
+const RECORD_TTL: Duration = Duration::from_secs(600);
+/// Maximum number of changes queued for the store. A few changes a minute are usual.
+const MAX_QUEUED_CHANGES: usize = 64;
+/// Maximum number of crashes that are persisted again after a restore of the store. They
+/// must fit into one transaction, which the platform limits to 32 rows.
+const MAX_RECENT_CRASHES: usize = 30;
+/// Maximum attempts to write one change. With the delays between them they last about 20 s,
+/// longer than the store is usually unavailable.
+const MAX_WRITE_ATTEMPTS: u32 = 32;
+
+/// A change of the crash records in the store.
+enum RecordChange {
     Record(Vec<RecordedCrash>),
     Forget(Vec<RecordedCrash>),
 }
 
-/// Crashes that were put on record lately, or taken off it since.
+/// Crashes that this node has recently persisted in the store or removed from it.
 #[derive(Default)]
 struct RecentCrashes {
-    /// Each with whether it stands; the newest last.
+    /// Each crash with whether it is persisted (true) or removed, the newest last.
     crashes: VecDeque<(RecordedCrash, bool)>,
 }
 
 impl RecentCrashes {
     fn record(&mut self, crashes: &[RecordedCrash]) {
-        self.note(crashes, true);
+        self.set_persisted(crashes, true);
     }
 
     fn forget(&mut self, crashes: &[RecordedCrash]) {
-        self.note(crashes, false);
+        self.set_persisted(crashes, false);
     }
 
-    fn note(&mut self, crashes: &[RecordedCrash], stands: bool) {
+    /// Marks crashes as persisted or removed, and drops the oldest entries.
+    fn set_persisted(&mut self, crashes: &[RecordedCrash], persisted: bool) {
         for crash in crashes {
             self.crashes.retain(|(known, _)| {
                 (known.identity, &known.instance) != (crash.identity, &crash.instance)
             });
-            self.crashes.push_back((crash.clone(), stands));
+            self.crashes.push_back((crash.clone(), persisted));
         }
-        while self.crashes.len() > MAX_RECENT {
+        while self.crashes.len() > MAX_RECENT_CRASHES {
             self.crashes.pop_front();
         }
     }
 
-    /// Those that stand, and those taken off the record, each within the life of a record.
+    /// Returns the crashes persisted and those removed, both within the TTL of a record.
     fn changes(&mut self, now_ms: u64) -> (Vec<RecordedCrash>, Vec<RecordedCrash>) {
-        let life_ms = RECORD_LIFE.as_millis() as u64;
+        let ttl_ms = RECORD_TTL.as_millis() as u64;
         self.crashes
-            .retain(|(crash, _)| now_ms.saturating_sub(crash.at_ms) < life_ms);
-        let (stand, gone): (Vec<_>, Vec<_>) = self
+            .retain(|(crash, _)| now_ms.saturating_sub(crash.at_ms) < ttl_ms);
+        let (persisted, removed): (Vec<_>, Vec<_>) = self
             .crashes
             .iter()
             .cloned()
-            .partition(|(_, stands)| *stands);
-        let plain = |crashes: Vec<(RecordedCrash, bool)>| {
+            .partition(|(_, persisted)| *persisted);
+        let without_flag = |crashes: Vec<(RecordedCrash, bool)>| {
             crashes.into_iter().map(|(crash, _)| crash).collect()
         };
-        (plain(stand), plain(gone))
+        (without_flag(persisted), without_flag(removed))
     }
 }
 
-/// Writes changes in their order.
+/// Writes changes of crash records to the store in order.
 pub(super) struct CrashRecorder {
     control: Weak<Control>,
     directory: Arc<dyn Directory>,
-    sender: async_channel::Sender<Change>,
-    changes: async_channel::Receiver<Change>,
-    /// What this node has put on record or taken off it, for the life of a record.
+    sender: async_channel::Sender<RecordChange>,
+    changes: async_channel::Receiver<RecordChange>,
+    /// Crashes that this node has persisted or removed within the TTL of a record.
     recent: Mutex<RecentCrashes>,
 }
 
 impl CrashRecorder {
     pub(super) fn new(control: Weak<Control>, directory: Arc<dyn Directory>) -> Self {
-        let (sender, changes) = async_channel::bounded(MAX_WAITING);
+        let (sender, changes) = async_channel::bounded(MAX_QUEUED_CHANGES);
         Self {
             control,
             directory,
@@ -97,25 +98,25 @@
     }
 
     pub(super) fn record(&self, reports: &[CrashReport]) {
-        let crashes = recorded(reports);
+        let crashes = to_records(reports);
         self.recent().record(&crashes);
-        self.queue(Change::Record(crashes));
+        self.queue(RecordChange::Record(crashes));
     }
 
     pub(super) fn forget(&self, reports: &[CrashReport]) {
-        let crashes = recorded(reports);
+        let crashes = to_records(reports);
         self.recent().forget(&crashes);
-        self.queue(Change::Forget(crashes));
+        self.queue(RecordChange::Forget(crashes));
     }
 
-    /// The store came back from an older copy: recent changes are made again.
+    /// Repeats recent changes after the store was restored from an older backup.
     pub(super) fn on_store_restored(&self) {
         let (recorded, forgotten) = self.recent().changes(now_ms());
         if !recorded.is_empty() {
-            self.queue(Change::Record(recorded));
+            self.queue(RecordChange::Record(recorded));
         }
         if !forgotten.is_empty() {
-            self.queue(Change::Forget(forgotten));
+            self.queue(RecordChange::Forget(forgotten));
         }
     }
 
@@ -125,45 +126,53 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    fn queue(&self, change: Change) {
+    /// Queues a change for the store; drops the change if the queue is full.
+    fn queue(&self, change: RecordChange) {
         if self.sender.try_send(change).is_err() {
-            tracing::warn!("crashes not put on record: too many changes wait for the store");
+            tracing::warn!("crashes not persisted: too many changes are queued for the store");
         }
     }
 
+    /// Writes queued changes until the task is canceled.
     pub(super) async fn run(self: Arc<Self>) {
         while let Ok(change) = self.changes.recv().await {
             self.write(&change).await;
         }
     }
 
-    async fn write(&self, change: &Change) {
+    /// Writes one change, with retries.
+    async fn write(&self, change: &RecordChange) {
         let mut backoff = Backoff::default();
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             match self.write_once(change).await {
                 Ok(()) => return,
-                Err(error) => sleep(backoff.next_pause(&error)).await,
+                Err(error) => sleep(backoff.next_delay(&error)).await,
             }
         }
-        tracing::warn!("crashes not put on record: the store does not take them");
+        tracing::warn!("crashes not persisted: the store failed all attempts");
     }
 
-    async fn write_once(&self, change: &Change) -> Result<(), PlatformError> {
+    /// Makes one attempt to write a change.
+    async fn write_once(&self, change: &RecordChange) -> Result<(), PlatformError> {
         if let Some(control) = self.control.upgrade() {
             control.metrics.count_store_request("crash-record");
         }
         match change {
-            Change::Record(crashes) => self.directory.record_crashes(crashes, RECORD_LIFE).await,
-            Change::Forget(crashes) => self.directory.forget_crashes(crashes).await,
+            RecordChange::Record(crashes) => {
+                self.directory.record_crashes(crashes, RECORD_TTL).await
+            }
+            RecordChange::Forget(crashes) => self.directory.forget_crashes(crashes).await,
         }
     }
 }
 
+/// Wall clock, in milliseconds since the Unix epoch.
 fn now_ms() -> u64 {
     wall_clock_micros() / 1_000
 }
 
-fn recorded(reports: &[CrashReport]) -> Vec<RecordedCrash> {
+/// Converts crash reports to records with absolute times.
+fn to_records(reports: &[CrashReport]) -> Vec<RecordedCrash> {
     let now = now_ms();
     reports
         .iter()
@@ -177,19 +186,19 @@
 }
 
 impl Control {
-    /// Takes up what the directory has on record. A wall clock that was set back
-    /// makes a crash newer, at most by that.
+    /// Merges the crash records read from the directory. A wall clock that was set back
+    /// makes a crash newer, at most by that time.
     pub(super) fn on_recorded_crashes(self: &Arc<Self>, crashes: &[RecordedCrash]) {
         if crashes.is_empty() {
             return;
         }
-        let wall = now_ms();
+        let wall_ms = now_ms();
         let reports: Vec<CrashReport> = crashes
             .iter()
             .map(|crash| CrashReport {
                 identity: crash.identity,
                 instance: crash.instance.clone(),
-                age: Duration::from_millis(wall.saturating_sub(crash.at_ms)),
+                age: Duration::from_millis(wall_ms.saturating_sub(crash.at_ms)),
                 on_trial: crash.on_trial,
                 cleared: false,
             })
--- a/crates/rampthread-node/src/control/crashes.rs
+++ b/crates/rampthread-node/src/control/crashes.rs
@@ -1,4 +1,4 @@
-//! Reports of crashes, between the call path and the agent.
+//! Crash reports between the call path and the agent.
 
 use super::Control;
 use rampthread_core::call::crash_detector::CrashSuspect;
@@ -10,14 +10,14 @@
 use std::sync::{Arc, MutexGuard};
 
 impl Control {
-    /// What this node knows of crashes. The call path reads it without the
-    /// agent's lock; mostly it is empty.
+    /// Returns the crashes known to this node. The call path reads the table without the
+    /// agent's lock; usually it is empty.
     pub fn crash_table(&self) -> Arc<CrashTable> {
         self.crash_table.load_full()
     }
 
-    /// What becomes of a request now. `identity` is made only where some request
-    /// is suspected.
+    /// Returns whether a request may run, given the crashes while running it. `identity` is
+    /// computed only if any request is suspected.
     pub fn standing(&self, identity: impl FnOnce() -> RequestIdentity) -> QuarantineState {
         let table = self.crash_table.load();
         if table.is_empty() {
@@ -26,17 +26,17 @@
         table.standing(&identity(), self.clock.now())
     }
 
-    /// Back ends have crashed under requests, as this node has seen; or they live, and
-    /// what was reported of them is withdrawn.
-    pub fn report_suspicions(self: &Arc<Self>, suspicions: &[CrashSuspect], withdrawn: bool) {
+    /// Reports that backends crashed while running requests, as observed by this node. With
+    /// `withdrawn`, the backends turned out to be alive and earlier reports are withdrawn.
+    pub fn report_suspicions(self: &Arc<Self>, suspects: &[CrashSuspect], withdrawn: bool) {
         let now = self.clock.now();
-        let reports: Vec<CrashReport> = suspicions
+        let reports: Vec<CrashReport> = suspects
             .iter()
-            .map(|suspicion| CrashReport {
-                identity: suspicion.identity,
-                instance: suspicion.instance.clone(),
-                age: now.since(suspicion.at),
-                on_trial: suspicion.on_trial,
+            .map(|suspect| CrashReport {
+                identity: suspect.identity,
+                instance: suspect.instance.clone(),
+                age: now.since(suspect.at),
+                on_trial: suspect.on_trial,
                 cleared: withdrawn,
             })
             .collect();
@@ -46,7 +46,7 @@
         self.report_crashes(&reports);
     }
 
-    /// This node has seen crashes, or that they were none: tells the others.
+    /// Sends crash reports observed by this node, or their withdrawal, to the other nodes.
     fn report_crashes(self: &Arc<Self>, reports: &[CrashReport]) {
         if reports.is_empty() {
             return;
@@ -57,7 +57,8 @@
         self.refresh_crash_table();
     }
 
-    /// A gate told of a crash with its answer, and tells the others itself.
+    /// Merges the crash report that a gate (the node of the crashed backend) sent with its
+    /// response. The gate informs the other nodes itself.
     pub fn note_crash(self: &Arc<Self>, report: &CrashReport) {
         let now = self.clock.now();
         let actions = self
@@ -67,10 +68,11 @@
         self.refresh_crash_table();
     }
 
-    /// A back end has answered a request whole: it is innocent of crashes so far.
+    /// Records that a backend has completed the request, which clears the request of
+    /// earlier crashes.
     pub fn note_answer(self: &Arc<Self>, identity: RequestIdentity) {
         let now = self.clock.now();
-        self.answers().note(identity, now);
+        self.recent_responses().note(identity, now);
         let suspected = {
             let table = self.crash_table.load();
             !table.is_empty() && table.standing(&identity, now) != QuarantineState::Unsuspected
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Clears a request of crashes up to `until`; `origin` says who or what did.
+    /// Clears a request of crashes up to `until`; `origin` names the person or cause for
+    /// operators.
     pub fn clear_request(
         self: &Arc<Self>,
         identity: &RequestIdentity,
@@ -90,40 +93,41 @@
         let now = self.clock.now();
         let actions = self.agent().clear_request(identity, until, origin, now);
         self.perform(actions);
-        self.store_crash_table();
+        self.publish_crash_table();
     }
 
-    /// Hands a changed table to the call path, and clears requests that were
-    /// answered here after the crashes that the table now holds against them.
+    /// Publishes a changed crash table to the call path, and clears requests that were
+    /// completed here after the crashes that the table has for them.
     pub(super) fn refresh_crash_table(self: &Arc<Self>) {
-        if !self.store_crash_table() {
+        if !self.publish_crash_table() {
             return;
         }
         let table = self.crash_table();
-        let answered: Vec<(RequestIdentity, Moment)> = {
-            let answers = self.answers();
+        let completed: Vec<(RequestIdentity, Moment)> = {
+            let responses = self.recent_responses();
             table
                 .suspects()
                 .filter_map(|(identity, crashed)| {
-                    let last = answers.last(identity)?;
+                    let last = responses.last(identity)?;
                     (last >= crashed).then_some((*identity, last))
                 })
                 .collect()
         };
-        for (identity, at) in answered {
+        for (identity, at) in completed {
             self.clear_request(&identity, at, "answered since");
         }
     }
 
-    fn answers(&self) -> MutexGuard<'_, RecentResponses> {
-        self.answers
+    /// Locks the list of recently completed requests.
+    fn recent_responses(&self) -> MutexGuard<'_, RecentResponses> {
+        self.recent_responses
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// True when the table had changed. Under the agent's lock to the end: an earlier
-    /// copy must not take the place of a later one.
-    fn store_crash_table(&self) -> bool {
+    /// Publishes the crash table and returns whether it has changed. Holds the agent's lock
+    /// to the end, so that an older copy can't replace a newer one.
+    fn publish_crash_table(&self) -> bool {
         self.with_agent(|agent| {
             let table = agent.crash_table();
             if table.revision() == self.crash_table.load().revision() {
--- a/crates/rampthread-node/src/control/directory.rs
+++ b/crates/rampthread-node/src/control/directory.rs
@@ -1,8 +1,8 @@
-//! Reads the directory, and does this node's part in keeping it.
+//! Reads the directory of nodes in the store, and maintains this node's part of it.
 //!
-//! The directory only introduces nodes to each other: who is alive is the
-//! membership's to say. What must be written, by whom and when, is decided by
-//! [`ZoneDirectory`]; this module makes the calls.
+//! The directory only introduces nodes to each other; which nodes are alive is decided by
+//! the membership. [`ZoneDirectory`] decides what has to be written, by which node and
+//! when; this module sends the store requests.
 
 use super::Control;
 use super::backoff::Backoff;
@@ -21,27 +21,28 @@
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::time::Duration;
 
-/// Life of a snapshot without renewal: the longest that the platform grants. It
-/// outlasts a restart of all, and a renewal costs the store a call.
-const SNAPSHOT_LIFE: Duration = Duration::from_secs(600);
-/// Time between two looks whether this node must do something at the store.
+/// TTL of a zone's snapshot without renewal: the maximum that the platform grants. It
+/// outlasts a restart of all nodes, and each renewal costs a store request.
+const SNAPSHOT_TTL: Duration = Duration::from_secs(600);
+/// Time between two checks whether this node has to read or write the zone's snapshot.
 const STEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Time from the first write of a zone's snapshot to a look at the other zones'.
-const FIRST_LOOK_PAUSE: Duration = Duration::from_secs(1);
-/// Time between two reads of the whole directory.
-const LIST_INTERVAL: Duration = Duration::from_secs(6);
-/// For each so many nodes, the reads are one interval further apart.
+/// Delay from the first write of a zone's snapshot to a read of the other zones' snapshots.
+const FIRST_READ_DELAY: Duration = Duration::from_secs(1);
+/// Time between two reads of the whole directory in a small fleet.
+const READ_INTERVAL: Duration = Duration::from_secs(6);
+/// The time between reads grows by one interval per this many nodes.
 const NODES_PER_INTERVAL: u32 = 50;
-/// Characters of the findings that a line shows: a key has 200 bytes at most, so that the
-/// first ten or more are named.
-const FINDINGS_SHOWN: usize = 4_096;
-/// Leaves that wait for the store, at most. A back end leaves once in its life.
-const MAX_WAITING_LEAVES: usize = 16;
-/// Tries to put a leave on record: with the pauses between them about 20 s, longer than
-/// the users' store is away on their days.
-const MAX_LEAVE_TRIES: u32 = 32;
+/// Maximum characters of findings in a log line. Keys have at most 200 bytes, so that the
+/// line shows at least the first ten findings.
+const MAX_FINDINGS_CHARS: usize = 4_096;
+/// Maximum number of backend departures queued for the store. An incarnation of a backend
+/// departs once.
+const MAX_QUEUED_DEPARTURES: usize = 16;
+/// Maximum attempts to persist a departure. With the delays between them they last about 20
+/// s, longer than the store is usually unavailable.
+const MAX_DEPARTURE_ATTEMPTS: u32 = 32;
 
-/// The loops that keep and read the directory.
+/// Tasks that read the directory and maintain this node's part of it.
 pub(super) struct DirectoryKeeper {
     control: Weak<Control>,
     directory: Arc<dyn Directory>,
@@ -49,14 +50,14 @@
     id: NodeId,
     zone: Zone,
     zone_directory: Mutex<ZoneDirectory>,
-    /// The directory was read at least once.
+    /// Whether the directory was read at least once.
     listed: AtomicBool,
-    /// The items that could not be used at the last read.
-    told_unusable: Mutex<Findings>,
-    leave_sender: async_channel::Sender<EndpointRecord>,
-    leaves: async_channel::Receiver<EndpointRecord>,
-    /// The leave that was to be put on record last.
-    last_leave: Mutex<Option<EndpointRecord>>,
+    /// Unusable items of the last read, to log them only once.
+    logged_unusable: Mutex<Findings>,
+    departure_sender: async_channel::Sender<EndpointRecord>,
+    departures: async_channel::Receiver<EndpointRecord>,
+    /// The last departure of the local backend that this node had to persist.
+    last_departure: Mutex<Option<EndpointRecord>>,
 }
 
 impl DirectoryKeeper {
@@ -67,7 +68,7 @@
         id: NodeId,
         zone: Zone,
     ) -> Self {
-        let (leave_sender, leaves) = async_channel::bounded(MAX_WAITING_LEAVES);
+        let (departure_sender, departures) = async_channel::bounded(MAX_QUEUED_DEPARTURES);
         Self {
             control,
             directory,
@@ -76,126 +77,132 @@
             zone_directory: Mutex::new(ZoneDirectory::new(zone.clone())),
             zone,
             listed: AtomicBool::new(false),
-            told_unusable: Mutex::default(),
-            leave_sender,
-            leaves,
-            last_leave: Mutex::default(),
+            logged_unusable: Mutex::default(),
+            departure_sender,
+            departures,
+            last_departure: Mutex::default(),
         }
     }
 
-    /// The back end beside this node leaves, and that was acknowledged.
-    pub(super) fn record_leave(&self, endpoint: EndpointRecord) {
-        *lock(&self.last_leave) = Some(endpoint.clone());
-        self.queue_leave(endpoint);
+    /// Persists the departure of the local backend, which this node has acknowledged.
+    pub(super) fn record_departure(&self, endpoint: EndpointRecord) {
+        *lock(&self.last_departure) = Some(endpoint.clone());
+        self.queue_departure(endpoint);
     }
 
-    /// The store came back from an older copy: what stands there is looked at again, and
-    /// a leave that still holds is put on record again.
+    /// Handles a restore of the store from an older backup: the zone's snapshot is read
+    /// again, and a departure that still holds is persisted again.
     pub(super) fn on_store_restored(&self, now: Moment) {
         self.zone_directory().on_store_restored(now);
         let Some(control) = self.control.upgrade() else {
             return;
         };
-        let Some(left) = lock(&self.last_leave).clone() else {
+        let Some(departed) = lock(&self.last_departure).clone() else {
             return;
         };
-        let holds = control.with_agent(|agent| {
+        let still_holds = control.with_agent(|agent| {
             let endpoint = agent.endpoint();
-            endpoint.is_some_and(|now| now.draining && now.instance == left.instance)
+            endpoint.is_some_and(|now| now.draining && now.instance == departed.instance)
         });
-        if holds {
-            self.queue_leave(left);
+        if still_holds {
+            self.queue_departure(departed);
         }
     }
 
-    /// The store is said to have come back from an older copy.
-    pub(super) fn on_restore_told(&self) {
+    /// Handles a peer's notice that the store was restored from an older backup.
+    pub(super) fn on_restore_notice(&self) {
         if let Some(control) = self.control.upgrade() {
             control.with_agent(|agent| self.zone_directory().on_restore_notice(agent.membership()));
         }
     }
 
-    fn queue_leave(&self, endpoint: EndpointRecord) {
-        if self.leave_sender.try_send(endpoint).is_err() {
-            tracing::warn!("leave not put on record: too many wait for the store");
+    /// Queues a departure for the store; drops the departure if the queue is full.
+    fn queue_departure(&self, endpoint: EndpointRecord) {
+        if self.departure_sender.try_send(endpoint).is_err() {
+            tracing::warn!("departure not persisted: too many are queued for the store");
         }
     }
 
-    /// True once the directory was read.
+    /// Returns whether the directory was read at least once.
     pub(super) fn is_listed(&self) -> bool {
         self.listed.load(Ordering::Acquire)
     }
 
-    /// Reads the directory, then keeps it for ever.
+    /// Reads the directory, then maintains it until the task is canceled.
     pub(super) async fn run(self: Arc<Self>) {
-        self.list(ReadAge::MayBeOld).await;
-        let keeping = futures_lite::future::zip(self.keep_zone(), self.keep_leaves());
-        futures_lite::future::zip(keeping, self.keep_listed()).await;
+        self.read_with_retries(ReadAge::MayBeOld).await;
+        let maintaining =
+            futures_lite::future::zip(self.maintain_zone_snapshot(), self.write_departures());
+        futures_lite::future::zip(maintaining, self.read_periodically()).await;
     }
 
-    /// Reads the directory now and then. A node that others know hears from
-    /// them who comes and goes: it reads seldom, for those whom a cut hides.
-    async fn keep_listed(&self) {
+    /// Reads the directory periodically. A node that others know learns from them of joins
+    /// and departures. It reads the directory only to find nodes that a partition hides.
+    async fn read_periodically(&self) {
         loop {
-            sleep(jittered(self.list_interval())).await;
-            self.list(ReadAge::MayBeOld).await;
+            sleep(jittered(self.read_interval())).await;
+            self.read_with_retries(ReadAge::MayBeOld).await;
         }
     }
 
-    /// A large fleet reads a long list: it does so less often.
-    fn list_interval(&self) -> Duration {
+    /// Time between two reads of the directory; longer in a large fleet, whose list is
+    /// longer.
+    fn read_interval(&self) -> Duration {
         let alive = self.control.upgrade().map_or(0, |control| {
             control.with_agent(|agent| agent.membership().reachable_peers().count() + 1)
         });
-        LIST_INTERVAL * (1 + alive as u32 / NODES_PER_INTERVAL)
+        READ_INTERVAL * (1 + alive as u32 / NODES_PER_INTERVAL)
     }
 
-    /// Does what this node must do for the snapshot of its zone.
-    async fn keep_zone(&self) {
-        let mut backoff = Backoff::patient();
+    /// Executes the steps that the zone's snapshot requires from this node.
+    async fn maintain_zone_snapshot(&self) {
+        let mut backoff = Backoff::for_background();
         loop {
             sleep(jittered(STEP_INTERVAL)).await;
             let done = match self.next_step() {
                 None => continue,
-                Some(ZoneStep::Read { consistent }) => self.look(consistent).await,
+                Some(ZoneStep::Read { consistent }) => self.read_zones(consistent).await,
                 Some(ZoneStep::Write(write)) => self.write(&write).await,
                 Some(ZoneStep::Renew(lease)) => self.renew(lease).await,
             };
             match done {
-                Ok(()) => backoff.succeeded(),
-                Err(error) => self.pause(&mut backoff, &error).await,
+                Ok(()) => backoff.reset(),
+                Err(error) => self.delay(&mut backoff, &error).await,
             }
         }
     }
 
-    /// Waits after a failed call; the first failure of a series is told.
-    async fn pause(&self, backoff: &mut Backoff, error: &PlatformError) {
-        if backoff.is_first() {
-            tracing::warn!(zone = %self.zone, %error, "the directory cannot be kept or read");
+    /// Delays after a failed request; only the first failure of a series is logged.
+    async fn delay(&self, backoff: &mut Backoff, error: &PlatformError) {
+        if backoff.has_no_failure() {
+            tracing::warn!(zone = %self.zone, %error, "a request to the directory failed; retrying");
         }
-        sleep(backoff.next_pause(error)).await;
+        sleep(backoff.next_delay(error)).await;
     }
 
+    /// The next step for the zone's snapshot, or `None` if nothing is due.
     fn next_step(&self) -> Option<ZoneStep> {
         let control = self.control.upgrade()?;
         let now = control.clock.now();
         control.with_agent(|agent| self.zone_directory().next_step(now, agent.membership()))
     }
 
-    async fn look(&self, current: bool) -> Result<(), PlatformError> {
+    /// Reads the directory once, for a step of the zone's snapshot.
+    async fn read_zones(&self, current: bool) -> Result<(), PlatformError> {
         let age = match current {
             true => ReadAge::Current,
             false => ReadAge::MayBeOld,
         };
         let read = self.read(age).await?;
-        self.take(read);
+        self.apply(read);
         Ok(())
     }
 
+    /// Writes the snapshot of the zone.
     async fn write(&self, write: &ZoneWrite) -> Result<(), PlatformError> {
         let first = self.zone_directory().is_first();
-        self.count("zone-write");
-        let writing = self.directory.write_zone(&self.zone, write, SNAPSHOT_LIFE);
+        self.count_request("zone-write");
+        let writing = self.directory.write_zone(&self.zone, write, SNAPSHOT_TTL);
         let written = within_era(&self.eras, writing).await.inspect_err(|error| {
             if !matches!(error, PlatformError::NotRun { .. }) {
                 self.zone_directory().on_write_unknown();
@@ -221,63 +228,68 @@
             }
         }
         if first {
-            sleep(FIRST_LOOK_PAUSE).await;
-            return self.look(true).await;
+            sleep(FIRST_READ_DELAY).await;
+            return self.read_zones(true).await;
         }
         Ok(())
     }
 
+    /// Renews the lease that keeps the snapshot of the zone.
     async fn renew(&self, lease: LeaseId) -> Result<(), PlatformError> {
-        self.count("lease-renewal");
-        let stands = within_era(&self.eras, self.directory.renew(lease)).await?;
+        self.count_request("lease-renewal");
+        let is_valid = within_era(&self.eras, self.directory.renew(lease)).await?;
         if let Some(control) = self.control.upgrade() {
             let now = control.clock.now();
-            self.zone_directory().on_renewed(stands, now);
+            self.zone_directory().on_renewed(is_valid, now);
         }
         Ok(())
     }
 
-    /// Puts leaves on record as they come: a snapshot tells them seconds later.
-    async fn keep_leaves(&self) {
-        while let Ok(endpoint) = self.leaves.recv().await {
-            let leave = RecordedLeave {
+    /// Persists queued departures one by one. The zone's snapshot contains them only
+    /// seconds later.
+    async fn write_departures(&self) {
+        while let Ok(endpoint) = self.departures.recv().await {
+            let departure = RecordedLeave {
                 node: self.id.clone(),
                 endpoint,
             };
-            self.write_leave(&leave).await;
+            self.write_departure(&departure).await;
         }
     }
 
-    async fn write_leave(&self, leave: &RecordedLeave) {
+    /// Persists a departure, with retries.
+    async fn write_departure(&self, departure: &RecordedLeave) {
         let mut backoff = Backoff::default();
-        for _ in 0..MAX_LEAVE_TRIES {
-            self.count("leave-record");
-            match self.directory.record_leave(leave).await {
+        for _ in 0..MAX_DEPARTURE_ATTEMPTS {
+            self.count_request("leave-record");
+            match self.directory.record_leave(departure).await {
                 Ok(()) => return,
-                Err(error) => self.pause(&mut backoff, &error).await,
+                Err(error) => self.delay(&mut backoff, &error).await,
             }
         }
-        tracing::warn!("leave not put on record: the store does not take it");
+        tracing::warn!("departure not persisted: the store failed all attempts");
     }
 
-    /// Reads the directory until it answers. What is some seconds old will do:
-    /// peers know the rest.
-    async fn list(&self, age: ReadAge) {
+    /// Reads the directory, with retries until the store responds. The result may be some
+    /// seconds old, since peers know the rest.
+    async fn read_with_retries(&self, age: ReadAge) {
         let mut backoff = Backoff::default();
         loop {
             match self.read(age).await {
-                Ok(read) => return self.take(read),
-                Err(error) => self.pause(&mut backoff, &error).await,
+                Ok(read) => return self.apply(read),
+                Err(error) => self.delay(&mut backoff, &error).await,
             }
         }
     }
 
+    /// Reads the directory; `age` says whether the result may be some seconds old.
     async fn read(&self, age: ReadAge) -> Result<DirectoryRead, PlatformError> {
-        self.count("directory-read");
+        self.count_request("directory-read");
         within_era(&self.eras, self.directory.read(age)).await
     }
 
-    fn take(&self, read: DirectoryRead) {
+    /// Applies the content of the directory.
+    fn apply(&self, read: DirectoryRead) {
         let Some(control) = self.control.upgrade() else {
             return;
         };
@@ -285,54 +297,61 @@
         let machines: Vec<Machine> = read.machines().cloned().collect();
         control.on_machines(&machines);
         if first {
-            self.take_up(&control, &read);
+            self.restore_local_backend(&control, &read);
         }
         control.on_recorded_crashes(&read.crashes);
-        let leaves = read.leaves.iter().map(RecordedLeave::id);
+        let departures = read.leaves.iter().map(RecordedLeave::id);
         self.zone_directory().on_read(
             read.zones.get(&self.zone),
-            leaves,
+            departures,
             control.clock.now(),
             &mut rand::rng(),
         );
-        self.tell_unusable(&control, read.unusable);
+        self.log_unusable(&control, read.unusable);
         if first {
-            // Full: a wake-up waits already.
+            // If the channel is full, a wake-up is pending already.
             let _ = control.document_wake.try_send(());
         }
     }
 
-    /// Takes up what the last life of this node knew of the back end beside it.
-    fn take_up(&self, control: &Arc<Control>, read: &DirectoryRead) {
+    /// Restores what an earlier process of this node knew of the local backend.
+    fn restore_local_backend(&self, control: &Arc<Control>, read: &DirectoryRead) {
         let mine = read.machines().find(|machine| machine.id == self.id);
         let snapshot = mine.and_then(|machine| machine.endpoint.clone());
-        let leaves = read.leaves.iter().filter(|leave| leave.node == self.id);
-        let leaves = leaves.map(|leave| leave.endpoint.clone());
-        if let Some(endpoint) = recorded_backend(snapshot, leaves) {
+        let departures = read
+            .leaves
+            .iter()
+            .filter(|departure| departure.node == self.id);
+        let departures = departures.map(|departure| departure.endpoint.clone());
+        if let Some(endpoint) = recorded_backend(snapshot, departures) {
             control.restore_backend(endpoint);
         }
     }
 
-    /// Counts items that could not be used, and tells of them once as long as they stay
-    /// the same.
-    fn tell_unusable(&self, control: &Control, unusable: Findings) {
+    /// Counts unusable items of the directory, and logs them when they change.
+    fn log_unusable(&self, control: &Control, unusable: Findings) {
         control
             .metrics
             .unusable_entries
             .inc_by(unusable.len() as u64);
-        let mut told = lock(&self.told_unusable);
-        if *told == unusable {
+        let mut logged = lock(&self.logged_unusable);
+        if *logged == unusable {
             return;
         }
         if !unusable.is_empty() {
             let items = unusable.len();
-            let text: String = unusable.to_string().chars().take(FINDINGS_SHOWN).collect();
-            tracing::warn!(items, findings = %text, "items of the directory cannot be used");
+            let text: String = unusable
+                .to_string()
+                .chars()
+                .take(MAX_FINDINGS_CHARS)
+                .collect();
+            tracing::warn!(items, findings = %text, "unusable items in the directory");
         }
-        *told = unusable;
+        *logged = unusable;
     }
 
-    fn count(&self, kind: &'static str) {
+    /// Counts a store request by its kind.
+    fn count_request(&self, kind: &'static str) {
         if let Some(control) = self.control.upgrade() {
             control.metrics.count_store_request(kind);
         }
@@ -347,6 +366,7 @@
     held.lock().unwrap_or_else(|broken| broken.into_inner())
 }
 
+/// Varies an interval by 20 %, so that nodes don't act in step.
 fn jittered(interval: Duration) -> Duration {
     interval.mul_f64(rand::random_range(0.8..1.2))
 }
--- a/crates/rampthread-node/src/control/document_watch.rs
+++ b/crates/rampthread-node/src/control/document_watch.rs
@@ -1,10 +1,10 @@
-//! Keeps up with the operators' document: reads it whole, then waits for
-//! changes, and reads again whenever the store has forgotten or lost something.
+//! Follows the operators' configuration document: reads it in full, then watches for
+//! changes, and reads it again whenever the store has lost the history of changes.
 //!
-//! Only a few nodes wait at the store (`Agent::is_document_watcher`); the others
-//! hear of a new version from their peers, get what has changed from them, and
-//! read the store where peers cannot help. How long a call may take is the agent's
-//! to say, so that a silent store is noticed and told in time.
+//! Only a few nodes watch the store (`Agent::is_document_watcher`). The other nodes learn
+//! of a new version from their peers, get the changes from them, and read the store if
+//! peers can't provide them. The agent determines the timeout of store calls, so that an
+//! unresponsive store is detected and reported in time.
 
 use super::Control;
 use super::backoff::Backoff;
@@ -19,38 +19,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for the directory at the start: twice what a store that is slow by the
-/// users' measures takes to answer.
-const LIST_WAIT: Duration = Duration::from_millis(800);
-/// Reads of the document that may be some seconds old, at the start.
-const FIRST_READS: u32 = 6;
-/// Pause after the first of them; it doubles. All of them together last longer than
-/// nodes that start together take to find each other.
-const FIRST_READ_PAUSE: Duration = Duration::from_millis(700);
-/// Longest pause between two of them.
-const LONGEST_FIRST_READ_PAUSE: Duration = Duration::from_millis(2_800);
-/// Longest wait for peers at the start: longer than nodes that start together
-/// take to find each other.
-const PEERS_WAIT: Duration = Duration::from_secs(5);
-/// Longest wait for news of peers that are known from the directory. With the
-/// 0.25 s of a look it leaves a version that is written meanwhile in time.
-const ROLE_WAIT: Duration = Duration::from_millis(1_500);
-/// Time between two looks whether this node must watch the document.
-const ROLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two looks whether peers have given what the store is read for.
-const HELP_INTERVAL: Duration = Duration::from_millis(100);
-/// Changes that come closer together than this are a storm.
-const STORM_GAP: Duration = Duration::from_secs(1);
-/// Pause between two reads in a storm: several versions cost one read.
-const STORM_PAUSE: Duration = Duration::from_millis(400);
-/// Findings of a refused document in its line.
-const SHOWN_FINDINGS: usize = 20;
-/// Calls in a row that failed in another way than by silence, after which the store
-/// counts as not answering.
-const LOST_AFTER: u32 = 2;
+/// Maximum wait for the directory at startup: twice the response time of a slow store.
+const DIRECTORY_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum number of reads at startup that accept a document some seconds old.
+const MAX_INITIAL_READS: u32 = 6;
+/// Delay after the first of these reads; it doubles with each read. All delays together
+/// last longer than nodes that start together need to find each other.
+const INITIAL_READ_DELAY: Duration = Duration::from_millis(700);
+/// Maximum delay between two of these reads.
+const MAX_INITIAL_READ_DELAY: Duration = Duration::from_millis(2_800);
+/// Maximum wait for peers at startup: longer than nodes that start together need to find
+/// each other.
+const PEERS_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum wait for messages of peers that are known from the directory. With a check
+/// interval of 0.25 s it leaves enough time for a version that is written meanwhile.
+const ROLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time between two checks whether this node is a document watcher.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Time between two checks whether peers have provided the document that is being read.
+const PEER_HELP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Changes that follow each other within this time count as a burst.
+const BURST_GAP: Duration = Duration::from_secs(1);
+/// Delay between two reads during a burst, so that several versions cost one read.
+const BURST_DELAY: Duration = Duration::from_millis(400);
+/// Maximum number of findings of a rejected document in a log line.
+const MAX_LOGGED_FINDINGS: usize = 20;
+/// Number of consecutive failed store calls after which the store counts as unavailable. An
+/// unresponsive store counts as unavailable after the first one.
+const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
 
-/// What `work` leads to; none when `ended` comes first.
-async fn unless<T>(ended: impl Future<Output = ()>, work: impl Future<Output = T>) -> Option<T> {
+/// Returns the result of `work`, or `None` if `ended` completes first.
+async fn run_until<T>(ended: impl Future<Output = ()>, work: impl Future<Output = T>) -> Option<T> {
     let ended = async {
         ended.await;
         None
@@ -58,19 +57,20 @@
     futures_lite::future::or(async { Some(work.await) }, ended).await
 }
 
-/// The loop that follows the document.
+/// Task that follows the configuration document in the store.
 pub(super) struct DocumentWatch {
     control: Arc<Control>,
     source: Arc<dyn DocumentSource>,
-    /// Filled when this node lags and its peers do not help.
+    /// Receives a wake-up when this node lacks a version and its peers don't provide it.
     wake: async_channel::Receiver<()>,
-    /// Rises of the store's era.
-    rises: async_channel::Receiver<EraRise>,
+    /// Receives increases of the store era, a number that the store raises each time it is
+    /// restored from an older backup.
+    era_rises: async_channel::Receiver<EraRise>,
     backoff: Backoff,
-    /// Failed calls in a row.
+    /// Number of consecutive failed store calls.
     failures: u32,
-    /// It was told that the store does not answer.
-    told_lost: bool,
+    /// Whether the store was reported as unavailable.
+    reported_unavailable: bool,
     /// When the store last had a newer version.
     changed_at: Option<BootInstant>,
 }
@@ -81,19 +81,20 @@
         source: Arc<dyn DocumentSource>,
         wake: async_channel::Receiver<()>,
     ) -> Self {
-        let rises = control.eras.listen();
+        let era_rises = control.eras.listen();
         Self {
             control,
             source,
             wake,
-            rises,
+            era_rises,
             backoff: Backoff::default(),
             failures: 0,
-            told_lost: false,
+            reported_unavailable: false,
             changed_at: None,
         }
     }
 
+    /// Follows the document until the task is canceled.
     pub(super) async fn run(mut self) {
         let mut known = self.read_first().await;
         if known.is_some() && self.wait_for_role().await {
@@ -105,8 +106,8 @@
                 Some(at) => Some(at),
                 None => self.read_if_needed().await,
             };
-            if self.in_storm(before) {
-                sleep(STORM_PAUSE).await;
+            if self.is_burst(before) {
+                sleep(BURST_DELAY).await;
                 continue;
             }
             match read {
@@ -116,79 +117,79 @@
         }
     }
 
-    /// Gets the first document: from peers where somebody is known who may hold it, else
-    /// from the store as it was up to some seconds ago, which costs that little; peers
-    /// tell what is newer. Before the first document is written, and until this node can
-    /// tell whether it is one of those that wait for it, it looks again now and then.
+    /// Gets the first document: from peers if any known peer may hold it, else from the
+    /// store. The store's document may be some seconds old, which makes the read cheap;
+    /// peers provide newer versions. Reads repeatedly before the first document is written,
+    /// and until this node knows whether it is a document watcher.
     async fn read_first(&mut self) -> Option<Revision> {
-        self.wait_for_list().await;
-        let turn = self.control.with_agent(Agent::initial_read_delay);
-        let _ = timeout(turn, self.helped_to_first()).await;
-        let mut pause = FIRST_READ_PAUSE;
-        for _ in 0..FIRST_READS {
+        self.wait_for_directory().await;
+        let delay = self.control.with_agent(Agent::initial_read_delay);
+        let _ = timeout(delay, self.peers_provided_first()).await;
+        let mut delay = INITIAL_READ_DELAY;
+        for _ in 0..MAX_INITIAL_READS {
             self.control.metrics.count_store_request("document-read");
-            let reading = self.timed_read(ReadAge::MayBeOld);
-            // A peer's document comes compressed, and sooner over a narrow link.
-            match unless(self.helped_to_first(), reading).await? {
+            let reading = self.read_with_metrics(ReadAge::MayBeOld);
+            // A peer's document is compressed and arrives sooner over a slow link.
+            match run_until(self.peers_provided_first(), reading).await? {
                 Ok(read) => {
-                    self.answered();
-                    self.take_orders(read.orders, OrderSource::Existing);
+                    self.on_success();
+                    self.apply_orders(read.orders, OrderSource::Existing);
                     if let Some(document) = read.document {
-                        self.take(document);
+                        self.apply_document(document);
                         return Some(read.at);
                     }
                 }
                 Err(error) => {
-                    self.pause(&error).await;
+                    self.on_failure(&error).await;
                     return None;
                 }
             }
-            // A peer that holds a document ends the pause.
-            let jittered = pause.mul_f64(rand::random_range(0.8..1.2));
+            // A wake-up means that a peer holds a document, and ends the delay.
+            let jittered = delay.mul_f64(rand::random_range(0.8..1.2));
             let _ = timeout(jittered, self.wake.recv()).await;
-            pause = (pause * 2).min(LONGEST_FIRST_READ_PAUSE);
-            let helped = !self.control.needs_document();
-            if helped || self.control.watcher_selection_known() {
+            delay = (delay * 2).min(MAX_INITIAL_READ_DELAY);
+            let provided = !self.control.needs_document();
+            if provided || self.control.watcher_selection_known() {
                 return None;
             }
         }
         None
     }
 
-    /// Who the peers are tells the directory: it is read first, unless the store does not
-    /// answer.
-    async fn wait_for_list(&self) {
+    /// Waits until the directory is read, since it introduces the peers; not for long if
+    /// the store doesn't respond.
+    async fn wait_for_directory(&self) {
         let listed = async {
             while !self.control.is_listed() {
                 let _ = self.wake.recv().await;
             }
         };
-        let _ = timeout(LIST_WAIT, listed).await;
+        let _ = timeout(DIRECTORY_TIMEOUT, listed).await;
     }
 
-    /// Ends when a peer has given the first document.
-    async fn helped_to_first(&self) {
+    /// Completes when a peer has provided the first document.
+    async fn peers_provided_first(&self) {
         while self.control.lacks_current_document() {
-            sleep(HELP_INTERVAL).await;
+            sleep(PEER_HELP_CHECK_INTERVAL).await;
         }
     }
 
-    /// Until this node has heard from others it cannot tell whether it is one of
-    /// the few that wait at the store, and all of a fleet that starts would. A
-    /// node alone waits at the store after all, and so does one whose peers stay
-    /// silent. True when it is woken, since it lacks a version that peers do not give
-    /// it: the store must be read.
+    /// Waits until this node knows whether it is a document watcher. Before it has heard
+    /// from others it can't tell, and all nodes of a starting fleet would watch the store.
+    /// A single node becomes a watcher in the end, as does one whose peers don't respond.
+    /// Returns whether the node was woken because it lacks a version that peers don't
+    /// provide, so that it must read the store.
     async fn wait_for_role(&self) -> bool {
-        let begun = BootInstant::now();
+        let started = BootInstant::now();
         let mut peers_known = None;
-        while begun.elapsed() < PEERS_WAIT && !self.control.watcher_selection_known() {
+        while started.elapsed() < PEERS_TIMEOUT && !self.control.watcher_selection_known() {
             if self.control.knows_peers() {
                 let known: &BootInstant = peers_known.get_or_insert_with(BootInstant::now);
-                if known.elapsed() >= ROLE_WAIT {
+                if known.elapsed() >= ROLE_TIMEOUT {
                     return false;
                 }
             }
-            let woken = timeout(ROLE_INTERVAL, self.wake.recv()).await.is_ok();
+            let woken = timeout(ROLE_CHECK_INTERVAL, self.wake.recv()).await.is_ok();
             if woken && self.control.lacks_current_document() {
                 return true;
             }
@@ -196,17 +197,17 @@
         false
     }
 
-    /// Notes a version newer than `before`; true when the last one came only a
-    /// moment earlier, so that more are likely.
-    fn in_storm(&mut self, before: Version) -> bool {
+    /// Records a version newer than `before`. Returns whether the previous one arrived only
+    /// a moment earlier, so that more are likely.
+    fn is_burst(&mut self, before: Version) -> bool {
         if self.control.version() <= before {
             return false;
         }
         let last = self.changed_at.replace(BootInstant::now());
-        last.is_some_and(|last| last.elapsed() < STORM_GAP)
+        last.is_some_and(|last| last.elapsed() < BURST_GAP)
     }
 
-    /// Waits for changes after `at`, until the document must be read again.
+    /// Watches for changes after `at`, until the document must be read in full again.
     async fn follow(&mut self, mut at: Revision) {
         loop {
             if !self.control.is_document_watcher() {
@@ -218,23 +219,25 @@
                 return;
             };
             at = next;
-            if self.in_storm(before) {
-                sleep(STORM_PAUSE).await;
+            if self.is_burst(before) {
+                sleep(BURST_DELAY).await;
                 return;
             }
         }
     }
 
-    /// Ends when this node lags without help, or must watch the document.
+    /// Completes when this node lacks a version that peers don't provide, or becomes a
+    /// document watcher.
     async fn wait_for_role_or_wake(&self) {
         loop {
-            let woken = timeout(ROLE_INTERVAL, self.wake.recv()).await.is_ok();
+            let woken = timeout(ROLE_CHECK_INTERVAL, self.wake.recv()).await.is_ok();
             if woken || self.control.is_document_watcher() {
                 return;
             }
         }
     }
 
+    /// Reads the document if this node must, and returns its revision.
     async fn read_if_needed(&mut self) -> Option<Revision> {
         if !self.control.needs_document() {
             return None;
@@ -242,23 +245,23 @@
         self.read().await
     }
 
-    /// Reads the document until the store answers; none when there is no need
-    /// to any more, since peers have helped.
+    /// Reads the document, with retries until the store responds. Returns `None` if the
+    /// read is no longer needed because peers have provided the document.
     async fn read(&mut self) -> Option<Revision> {
         loop {
             while self.wake.try_recv().is_ok() {}
             self.control.metrics.count_store_request("document-read");
-            let reading = self.timed_read(ReadAge::Current);
-            match unless(self.helped(), reading).await? {
+            let reading = self.read_with_metrics(ReadAge::Current);
+            match run_until(self.peers_provided_document(), reading).await? {
                 Ok(read) => {
-                    self.answered();
-                    self.take_orders(read.orders, OrderSource::Existing);
+                    self.on_success();
+                    self.apply_orders(read.orders, OrderSource::Existing);
                     if let Some(document) = read.document {
-                        self.take(document);
+                        self.apply_document(document);
                     }
                     return Some(read.at);
                 }
-                Err(error) => self.pause(&error).await,
+                Err(error) => self.on_failure(&error).await,
             }
             if !self.control.needs_document() {
                 return None;
@@ -266,13 +269,13 @@
         }
     }
 
-    /// Reads the document; how long its bytes took tells whether this node can
-    /// watch it.
-    async fn timed_read(&self, age: ReadAge) -> Result<DocumentRead, PlatformError> {
-        let patience = self.control.with_agent(Agent::store_call_timeout);
-        let begun = BootInstant::now();
-        let read = self.source.read(age, patience).await?;
-        let took = begun.elapsed().saturating_sub(read.transfer.time);
+    /// Reads the document and records the transfer time, which decides whether this node's
+    /// link is fast enough for a document watcher.
+    async fn read_with_metrics(&self, age: ReadAge) -> Result<DocumentRead, PlatformError> {
+        let call_timeout = self.control.with_agent(Agent::store_call_timeout);
+        let started = BootInstant::now();
+        let read = self.source.read(age, call_timeout).await?;
+        let took = started.elapsed().saturating_sub(read.transfer.time);
         self.control.record_store_latency(took);
         if read.document.is_some() {
             self.control.record_document_transfer(read.transfer);
@@ -280,40 +283,41 @@
         Ok(read)
     }
 
-    /// Ends when the document need not be read any more: peers have helped.
-    async fn helped(&self) {
+    /// Completes when peers have provided the document, so that the read is no longer
+    /// needed.
+    async fn peers_provided_document(&self) {
         while self.control.needs_document() {
-            sleep(HELP_INTERVAL).await;
+            sleep(PEER_HELP_CHECK_INTERVAL).await;
         }
     }
 
-    /// Ends when the store has come back from an older copy since `after`.
-    async fn era_ended(&self, after: Revision) {
+    /// Completes when the store was restored from an older backup since `after`.
+    async fn store_restored_since(&self, after: Revision) {
         while self.control.store_era() <= after.era {
-            if self.rises.recv().await.is_err() {
+            if self.era_rises.recv().await.is_err() {
                 return std::future::pending().await;
             }
         }
     }
 
-    /// One wait for a change; none: read the document whole.
+    /// Waits once for a change. Returns `None` if the document must be read in full.
     async fn watch(&mut self, after: Revision) -> Option<Revision> {
         self.control.metrics.count_store_request("document-watch");
-        let (wait, patience) = self.control.watch_terms();
-        let begun = BootInstant::now();
-        let watching = self.source.watch(after, wait, patience);
+        let (wait, call_timeout) = self.control.watch_timeouts();
+        let started = BootInstant::now();
+        let watching = self.source.watch(after, wait, call_timeout);
         let woken = async {
             let _ = self.wake.recv().await;
         };
-        let ended = futures_lite::future::or(woken, self.era_ended(after));
-        let news = unless(ended, watching).await?;
-        if let Ok(DocumentNews::Unchanged { orders, .. }) = &news
+        let ended = futures_lite::future::or(woken, self.store_restored_since(after));
+        let result = run_until(ended, watching).await?;
+        if let Ok(DocumentNews::Unchanged { orders, .. }) = &result
             && orders.orders.is_empty()
         {
-            let took = begun.elapsed().saturating_sub(wait);
+            let took = started.elapsed().saturating_sub(wait);
             self.control.record_store_latency(took);
         }
-        match news {
+        match result {
             Ok(DocumentNews::Changed {
                 document,
                 orders,
@@ -321,71 +325,77 @@
                 transfer,
             }) => {
                 self.control.record_document_transfer(transfer);
-                self.answered();
-                self.take_orders(orders, OrderSource::NewWrite);
-                self.take(document);
+                self.on_success();
+                self.apply_orders(orders, OrderSource::NewWrite);
+                self.apply_document(document);
                 Some(at)
             }
             Ok(DocumentNews::Unchanged { orders, at }) => {
-                self.answered();
-                self.take_orders(orders, OrderSource::NewWrite);
+                self.on_success();
+                self.apply_orders(orders, OrderSource::NewWrite);
                 Some(at)
             }
             Ok(DocumentNews::HistoryGone) => {
-                self.answered();
+                self.on_success();
                 None
             }
             Err(error) => {
-                self.pause(&error).await;
+                self.on_failure(&error).await;
                 None
             }
         }
     }
 
-    fn take(&self, document: Document) {
+    /// Passes a document to the agent, or logs why the document is invalid.
+    fn apply_document(&self, document: Document) {
         match document {
             Ok(state) => self.control.on_document(Arc::new(state)),
-            Err(findings) => self.control.explain(Decision::VersionRefused {
+            Err(findings) => self.control.log_decision(Decision::VersionRefused {
                 version: self.control.version(),
-                reason: findings.first(SHOWN_FINDINGS),
+                reason: findings.first(MAX_LOGGED_FINDINGS),
             }),
         }
     }
 
-    fn take_orders(&self, read: OrdersRead, source: OrderSource) {
+    /// Passes rollout orders that were read with the document to the agent.
+    fn apply_orders(&self, read: OrdersRead, source: OrderSource) {
         if !read.unusable.is_empty() {
-            let findings = read.unusable.first(SHOWN_FINDINGS).replace('\n', "; ");
-            tracing::warn!(%findings, "orders to roll out cannot be carried out");
+            let findings = read.unusable.first(MAX_LOGGED_FINDINGS).replace('\n', "; ");
+            tracing::warn!(%findings, "unusable rollout orders in the store");
         }
         if !read.orders.is_empty() {
             self.control.on_rollout_orders(&read.orders, source);
         }
     }
 
-    fn answered(&mut self) {
-        self.backoff.succeeded();
+    /// Records a successful store call.
+    fn on_success(&mut self) {
+        self.backoff.reset();
         self.failures = 0;
-        if std::mem::take(&mut self.told_lost) {
+        if std::mem::take(&mut self.reported_unavailable) {
             self.control.decision_log.record(Decision::StoreAvailable);
         }
         self.control.store_answers(true);
     }
 
-    async fn pause(&mut self, error: &PlatformError) {
+    /// Records a failed store call, and delays the next one.
+    async fn on_failure(&mut self, error: &PlatformError) {
         self.failures += 1;
-        // A silent store is told at once: others wait for what this node hears.
-        let silent = matches!(error, PlatformError::Silent { .. });
-        if silent || self.failures >= LOST_AFTER {
-            self.lost(error);
+        // An unresponsive store is reported at once, since other nodes rely on this one to
+        // watch it.
+        let unresponsive = matches!(error, PlatformError::Silent { .. });
+        if unresponsive || self.failures >= UNAVAILABLE_AFTER_FAILURES {
+            self.report_unavailable(error);
         }
-        let pause = self.backoff.next_pause(error);
-        // A peer with news ends the pause.
-        let _ = timeout(pause, self.wake.recv()).await;
+        let delay = self.backoff.next_delay(error);
+        // A wake-up means that a peer has a newer version, and ends the delay.
+        let _ = timeout(delay, self.wake.recv()).await;
     }
 
-    fn lost(&mut self, error: &PlatformError) {
-        let told = std::mem::replace(&mut self.told_lost, true);
-        if !told {
+    /// Reports the store as unavailable, once until the store responds again.
+    fn report_unavailable(&mut self, error: &PlatformError) {
+        let was_reported = std::mem::replace(&mut self.reported_unavailable, true);
+        if !was_reported {
             let reason = error.to_string();
             self.control
                 .decision_log
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -1,4 +1,5 @@
-//! One node's control side: feeds the agent events, and shows calls what it holds.
+//! The control side of one node: passes events to the agent and provides the results to the
+//! call path.
 
 use super::active::{ActiveConfig, ActiveConfigCell};
 use super::crash_records::CrashRecorder;
@@ -33,90 +34,90 @@
 use std::time::Duration;
 
 /// Time between two ticks of the agent.
-const TICK: Duration = Duration::from_millis(100);
-/// Least time between two joins of the endpoints because of messages.
-const LEAST_JOIN_INTERVAL: Duration = Duration::from_millis(20);
-/// Readers look at the machine list this many times as often as others.
-const READER_MACHINE_RATIO: u32 = 15;
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum time between two updates of the endpoints that messages trigger.
+const MIN_ENDPOINT_UPDATE_INTERVAL: Duration = Duration::from_millis(20);
+/// Log readers read the machine list this many times as often as other nodes.
+const READER_INTERVAL_RATIO: u32 = 15;
 
-/// Loads of all zones that are known.
+/// The latest load reports of all zones.
 #[derive(Debug, Default)]
 pub struct ZoneLoads {
-    /// When their ages were told.
+    /// Time that the ages of the reports refer to.
     pub as_of: Moment,
-    /// The loads.
+    /// Load report of each zone that has sent one.
     pub zones: Vec<ZoneLoad>,
 }
 
 impl ZoneLoads {
-    /// The loads with their ages at `now`.
+    /// Returns the load reports with their ages as of `now`.
     pub fn at(&self, now: Moment) -> Vec<ZoneLoad> {
         let since = now.since(self.as_of);
-        let older = |load: &ZoneLoad| ZoneLoad {
+        let with_age = |load: &ZoneLoad| ZoneLoad {
             age: load.age + since,
             ..load.clone()
         };
-        self.zones.iter().map(older).collect()
+        self.zones.iter().map(with_age).collect()
     }
 }
 
-/// One node's control side, running.
+/// The running control side of one node.
 pub struct Control {
-    /// The node's id.
+    /// Id of this node in the fleet.
     pub id: NodeId,
-    /// The process's clock.
+    /// Clock of this process, the same for agent and calls.
     pub clock: Clock,
-    /// What is counted.
+    /// Metrics of the whole node, also those of calls.
     pub metrics: Arc<Metrics>,
-    /// What was decided.
+    /// Recent decisions of the agent, for operators.
     pub decision_log: Arc<DecisionLog>,
-    /// Lines about calls.
+    /// Writes log lines about calls.
     pub call_log: CallLog,
-    /// Names requests by what they ask for.
+    /// Secret key that hashes requests to their identities.
     pub identity_key: IdentityKey,
     agent: Mutex<Agent>,
     pub(super) codec: Codec,
-    /// None once the control side has stopped.
+    /// Socket for datagrams; `None` after the control side has stopped.
     pub(super) socket: ArcSwapOption<std::net::UdpSocket>,
     pub(super) large_messages: LargeMessages,
-    /// None where the configuration is a document.
+    /// Store of the change log; `None` if the configuration is a document.
     pub(super) log_store: Option<LogStore>,
-    /// None where the configuration is a change log.
+    /// Directory of nodes; `None` if the configuration is a change log.
     pub(super) directory: Option<Arc<DirectoryKeeper>>,
-    /// None where the configuration is a change log.
+    /// Writer of crash records; `None` if the configuration is a change log.
     pub(super) crash_recorder: Option<Arc<CrashRecorder>>,
-    /// None where orders to roll out are not carried out.
+    /// Store of rollouts; `None` if rollouts are disabled.
     pub(super) roll_out_store: Option<Arc<dyn RolloutStore>>,
-    /// The eras of the platform's store; never any where the configuration is a change log.
+    /// Store eras seen by this node; none if the configuration is a change log.
     pub(super) eras: Arc<StoreEras>,
-    /// What entries may do with the versions of services.
+    /// Routing rules for the versions of services, from rollouts.
     pub(super) version_rules: ArcSwap<VersionRules>,
-    /// Wakes the reader of the document.
+    /// Wakes the task that reads the configuration document.
     pub(super) document_wake: async_channel::Sender<()>,
     pub(super) active_config: ActiveConfigCell,
     endpoints: ArcSwap<EndpointMap>,
-    /// Loads of zones, as of the last tick.
+    /// Load reports of zones, as of the last tick.
     zone_loads: ArcSwap<ZoneLoads>,
-    /// The agent's reports of crashes, as of their last change.
+    /// The agent's crash table, as of its last change.
     pub(super) crash_table: ArcSwap<CrashTable>,
-    /// Requests of this node's callers that were answered lately.
-    pub(super) answers: Mutex<RecentResponses>,
-    /// When the endpoints were joined last, as a [`Moment`].
-    endpoints_joined: AtomicU64,
-    /// A join is due.
-    join_waits: AtomicBool,
+    /// Requests of this node's callers that were completed recently.
+    pub(super) recent_responses: Mutex<RecentResponses>,
+    /// When the endpoints were last updated, as a [`Moment`].
+    endpoints_updated_at: AtomicU64,
+    /// Whether a delayed update of the endpoints is scheduled.
+    endpoint_update_scheduled: AtomicBool,
     pub(super) ready: AtomicBool,
     pub(super) draining: AtomicBool,
-    /// A planned stop has begun.
+    /// Whether a planned stop has begun.
     stopping: AtomicBool,
-    /// Peers that this node is cut off from; for experiments.
+    /// Peers whose messages are dropped, to simulate a network partition in experiments.
     pub(super) cut_off: ArcSwap<HashSet<NodeId>>,
     pub(super) pending_requests: PendingRequests,
     tasks: TaskGroup,
 }
 
 impl Control {
-    /// Binds the datagram socket and starts the timers.
+    /// Binds the datagram socket and starts the control side's tasks.
     pub fn start(options: ControlOptions) -> Result<Arc<Self>, ControlError> {
         let address = options.identity.address;
         let bind_error = |source| ControlError::Bind { address, source };
@@ -187,9 +188,9 @@
             endpoints: ArcSwap::default(),
             zone_loads: ArcSwap::default(),
             crash_table: ArcSwap::default(),
-            answers: Mutex::default(),
-            endpoints_joined: AtomicU64::new(0),
-            join_waits: AtomicBool::new(false),
+            recent_responses: Mutex::default(),
+            endpoints_updated_at: AtomicU64::new(0),
+            endpoint_update_scheduled: AtomicBool::new(false),
             ready: AtomicBool::new(false),
             draining: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
@@ -199,20 +200,20 @@
         });
         control.tasks.spawn(control.clone().receive(receiver));
         control.tasks.spawn(control.clone().tick());
-        control.follow(options.source, wake);
+        control.start_tasks(options.source, wake);
         Ok(control)
     }
 
-    /// Starts the loops that follow the configuration and the other nodes.
-    fn follow(self: &Arc<Self>, source: SourceOptions, wake: async_channel::Receiver<()>) {
+    /// Starts the tasks that follow the configuration and the other nodes.
+    fn start_tasks(self: &Arc<Self>, source: SourceOptions, wake: async_channel::Receiver<()>) {
         match source {
             SourceOptions::ChangeLog {
                 machines,
                 machine_interval,
                 ..
             } => {
-                let listing = self.clone().watch_machines(machines, machine_interval);
-                self.tasks.spawn(listing);
+                let watching = self.clone().watch_machines(machines, machine_interval);
+                self.tasks.spawn(watching);
             }
             SourceOptions::Document { documents, .. } => {
                 self.tasks
@@ -229,95 +230,98 @@
         }
     }
 
-    /// Ends all timers and sockets at once, as the end of the process would.
+    /// Cancels all tasks and closes the socket at once, like the end of the process.
     pub async fn stop(&self) {
         self.socket.store(None);
         self.tasks.cancel().await;
     }
 
+    /// Locks the agent.
     pub(super) fn agent(&self) -> MutexGuard<'_, Agent> {
         self.agent
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Looks at the agent.
+    /// Calls `look` with the agent, under its lock.
     pub fn with_agent<T>(&self, look: impl FnOnce(&Agent) -> T) -> T {
         look(&self.agent())
     }
 
-    /// Takes the document that the store holds.
+    /// Passes a document read from the store to the agent.
     pub fn on_document(self: &Arc<Self>, state: Arc<ConfigState>) {
         let now = self.clock.now();
         let actions = self.agent().on_document(state, now);
         self.perform(actions);
     }
 
-    /// Notes whether the store answers this node.
+    /// Records whether the store is reachable from this node.
     pub fn store_answers(self: &Arc<Self>, answers: bool) {
         let now = self.clock.now();
         let actions = self.agent().record_store_reachability(answers, now);
         self.perform(actions);
     }
 
-    /// How long the next watch at the store may wait, and how long its answer may
+    /// Returns how long the next watch at the store may wait, and how long its response may
     /// take after that.
-    pub(super) fn watch_terms(&self) -> (Duration, Duration) {
+    pub(super) fn watch_timeouts(&self) -> (Duration, Duration) {
         let mut agent = self.agent();
         (agent.next_watch_wait(), agent.store_call_timeout())
     }
 
-    /// Notes how long the store took to answer.
+    /// Records the latency of a store call.
     pub(super) fn record_store_latency(&self, time: Duration) {
         self.agent().record_store_latency(time);
     }
 
-    /// Notes how long the whole document took over this node's link.
+    /// Records how long a full document took over this node's link.
     pub(super) fn record_document_transfer(&self, transfer: Transfer) {
         self.agent()
             .record_document_transfer(transfer.bytes, transfer.time);
     }
 
-    /// True when this node waits at the store for a new document.
+    /// Returns whether this node is a document watcher, i.e. watches the store for new
+    /// documents.
     pub fn is_document_watcher(&self) -> bool {
         self.with_agent(Agent::is_document_watcher)
     }
 
-    /// True once this node can tell whether it must watch the document.
+    /// Returns whether this node knows enough of the fleet to tell whether it is a document
+    /// watcher.
     pub fn watcher_selection_known(&self) -> bool {
         self.with_agent(Agent::watcher_selection_known)
     }
 
-    /// True when this node knows another one that may be reached.
+    /// Returns whether any other node is known and seems reachable.
     pub fn knows_peers(&self) -> bool {
         self.with_agent(|agent| agent.membership().reachable_peers().next().is_some())
     }
 
-    /// True when this node must read the document: it watches it, or lacks a
-    /// version that others hold.
+    /// Returns whether this node must read the document, because it is a document watcher
+    /// or lacks a version that others hold.
     pub fn needs_document(&self) -> bool {
         self.with_agent(|agent| agent.is_document_watcher() || agent.lacks_current_document())
     }
 
-    /// Takes what the back end beside this node reports; true when all of it is in force
+    /// Applies a report of the local backend. Returns whether the whole report is in effect
     /// here, so that it may be acknowledged.
     pub fn on_backend_report(self: &Arc<Self>, report: BackendReport) -> bool {
         let now = self.clock.now();
-        let taken = self.agent().on_backend_report(report, now);
-        self.perform(taken.actions);
+        let handled = self.agent().on_backend_report(report, now);
+        self.perform(handled.actions);
         self.refresh_endpoints();
-        taken.acknowledge
+        handled.acknowledge
     }
 
-    /// The incarnation of the back end beside this node that reported last, and when.
+    /// The incarnation of the local backend that reported last, and when.
     pub fn last_backend_report(&self) -> Option<(InstanceId, Moment)> {
         self.with_agent(|agent| {
-            let (instance, heard) = agent.last_backend_report()?;
-            Some((instance.clone(), heard))
+            let (instance, reported_at) = agent.last_backend_report()?;
+            Some((instance.clone(), reported_at))
         })
     }
 
-    /// Takes up what an earlier life of this node knew of its back end.
+    /// Restores what an earlier process of this node knew of the local backend.
     pub fn restore_backend(self: &Arc<Self>, endpoint: EndpointRecord) {
         let now = self.clock.now();
         let actions = self.agent().restore_backend(endpoint, now);
@@ -325,7 +329,8 @@
         self.refresh_endpoints();
     }
 
-    /// The back end at the address says that it is not `instance`.
+    /// Handles a response of the local backend's address from another incarnation than
+    /// `instance`.
     pub fn on_misdirected(self: &Arc<Self>, instance: &InstanceId) {
         let now = self.clock.now();
         let actions = self.agent().on_misdirected(instance, now);
@@ -333,38 +338,39 @@
         self.refresh_endpoints();
     }
 
-    /// Takes a list of nodes that exist.
+    /// Replaces the list of the fleet's nodes.
     pub fn on_machines(self: &Arc<Self>, machines: &[Machine]) {
         let now = self.clock.now();
         let actions = self.agent().set_machines(machines, now);
         self.perform(actions);
     }
 
-    /// Takes nodes that exist besides those that are known.
+    /// Adds nodes to the list of the fleet's nodes.
     pub fn on_further_machines(self: &Arc<Self>, machines: &[Machine]) {
         let now = self.clock.now();
         let actions = self.agent().add_machines(machines, now);
         self.perform(actions);
     }
 
-    /// True once the directory was read, or where there is none.
+    /// Returns whether the directory was read at least once, or is not used.
     pub fn is_listed(&self) -> bool {
         let directory = self.directory.as_ref();
         directory.is_none_or(|directory| directory.is_listed())
     }
 
-    /// True when this node holds no document, or an older one than a peer.
+    /// Returns whether this node holds no document, or an older version than a peer.
     pub fn lacks_current_document(&self) -> bool {
         self.with_agent(Agent::lacks_current_document)
     }
 
-    /// Takes what this node has to report of its load.
+    /// Records this node's load for its zone's load report.
     pub fn record_load(&self, report: LoadReport) {
         let now = self.clock.now();
         self.agent().record_load(report, now);
     }
 
-    /// The gate beside the back end has measured its standing speed.
+    /// Records the speed of the local backend, as measured by this node's gate (which
+    /// forwards calls to the backend).
     pub fn record_backend_speed(self: &Arc<Self>, instance: &InstanceId, speed_percent: u16) {
         let known = self.with_agent(|agent| {
             agent.endpoint().map_or(USUAL_PERCENT, |endpoint| {
@@ -382,55 +388,56 @@
         tracing::info!(%instance, speed_percent, "speed of the back end");
     }
 
-    /// What is known of the load of each zone, as of the last tick.
+    /// Returns the load reports of all zones, as of the last tick.
     pub fn zone_loads(&self) -> Arc<ZoneLoads> {
         self.zone_loads.load_full()
     }
 
-    /// The back end beside this node, if there is one.
+    /// Returns the local backend, if this node has one.
     pub fn local_backend(&self) -> Option<LocalBackend> {
         let endpoints = self.endpoints();
         endpoints.local.clone()
     }
 
-    /// True while callers should come to this node.
+    /// Returns whether callers should use this node, for readiness probes.
     pub fn takes_callers(&self) -> bool {
         self.is_ready() && !self.stopping.load(Ordering::Acquire)
     }
 
-    /// A planned stop begins: callers should go elsewhere.
+    /// Begins a planned stop, so that callers move to other nodes.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Cuts this node off from `peers`: nothing is sent to them or taken from
-    /// them. For experiments; an empty set heals the cut.
+    /// Drops all messages to and from `peers`, to simulate a network partition in
+    /// experiments. An empty set ends the partition.
     pub fn cut_off(&self, peers: HashSet<NodeId>) {
         self.cut_off.store(Arc::new(peers));
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration version with its tables.
     pub fn active(&self) -> Arc<ActiveConfig> {
         self.active_config.load()
     }
 
-    /// Who may get calls now.
+    /// Returns the backends that may get calls now.
     pub fn endpoints(&self) -> Arc<EndpointMap> {
         self.endpoints.load_full()
     }
 
-    /// True while calls may be served.
+    /// Returns whether this node can serve calls.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 
-    /// True while the back end takes no new work.
+    /// Returns whether the local backend takes no new calls.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
     // ---- events ----
 
+    /// Runs the agent's timers, and publishes what has changed.
     async fn tick(self: Arc<Self>) {
         loop {
             let now = self.clock.now();
@@ -440,12 +447,13 @@
             self.refresh_crash_table();
             self.refresh_zone_loads(now);
             self.refresh_version_rules();
-            self.show_store_watch(now);
+            self.publish_store_metrics(now);
             self.decision_log.report_suppressed();
-            async_std::task::sleep(TICK).await;
+            async_std::task::sleep(TICK_INTERVAL).await;
         }
     }
 
+    /// Reads the machine list periodically; log readers read it more often.
     async fn watch_machines(self: Arc<Self>, list: Arc<dyn MachineList>, interval: Duration) {
         let mut known = false;
         loop {
@@ -458,54 +466,58 @@
             let base = if frequent {
                 interval
             } else {
-                interval * READER_MACHINE_RATIO
+                interval * READER_INTERVAL_RATIO
             };
             let jitter = rand::random_range(0.7..1.3);
             async_std::task::sleep(base.mul_f64(jitter)).await;
         }
     }
 
-    /// In a storm of news the endpoints are joined once for many messages.
-    pub(super) fn join_endpoints_soon(self: &Arc<Self>, now: Moment) {
-        let last = self.endpoints_joined.load(Ordering::Relaxed);
-        if now.since(Moment(last)) >= LEAST_JOIN_INTERVAL {
+    /// Updates the endpoints after a message, once for many messages in a short time.
+    pub(super) fn update_endpoints_soon(self: &Arc<Self>, now: Moment) {
+        let last = self.endpoints_updated_at.load(Ordering::Relaxed);
+        if now.since(Moment(last)) >= MIN_ENDPOINT_UPDATE_INTERVAL {
             self.refresh_endpoints();
             return;
         }
-        if self.join_waits.swap(true, Ordering::AcqRel) {
+        if self.endpoint_update_scheduled.swap(true, Ordering::AcqRel) {
             return;
         }
         let control = Arc::downgrade(self);
         async_std::task::spawn(async move {
-            async_std::task::sleep(LEAST_JOIN_INTERVAL).await;
+            async_std::task::sleep(MIN_ENDPOINT_UPDATE_INTERVAL).await;
             if let Some(control) = control.upgrade() {
-                control.join_waits.store(false, Ordering::Release);
+                control
+                    .endpoint_update_scheduled
+                    .store(false, Ordering::Release);
                 control.refresh_endpoints();
             }
         });
     }
 
-    /// Joins configuration and membership again if either has changed.
+    /// Computes the endpoints again if the configuration or the membership has changed.
     pub(super) fn refresh_endpoints(&self) {
-        // Under the agent's lock to the end: what an earlier look found must not take
-        // the place of what a later one has.
+        // Holds the agent's lock to the end, so that an older result can't replace a newer
+        // one.
         self.with_agent(|agent| {
             let active = self.active();
             let source = EndpointSource::of(&active.state, agent);
             if source != self.endpoints().source {
-                self.join_endpoints(EndpointMap::new(source, &active.state, agent));
+                self.publish_endpoints(EndpointMap::new(source, &active.state, agent));
             }
         });
     }
 
-    fn join_endpoints(&self, map: EndpointMap) {
+    /// Publishes newly computed endpoints to the call path.
+    fn publish_endpoints(&self, map: EndpointMap) {
         let now = self.clock.now();
-        self.endpoints_joined.store(now.0, Ordering::Relaxed);
+        self.endpoints_updated_at.store(now.0, Ordering::Relaxed);
         self.metrics.members_alive.set(map.alive as i64);
         self.metrics.endpoints.set(map.count() as i64);
         self.endpoints.store(Arc::new(map));
     }
 
+    /// Publishes the load reports of zones to the call path.
     fn refresh_zone_loads(&self, now: Moment) {
         let zones = self.with_agent(|agent| agent.zone_loads(now));
         if zones.is_empty() && self.zone_loads.load().zones.is_empty() {
@@ -515,8 +527,8 @@
         self.zone_loads.store(Arc::new(loads));
     }
 
-    /// Shows how old the store's last answer is, and who watches.
-    fn show_store_watch(&self, now: Moment) {
+    /// Publishes the age of the store's last response and the watcher role as metrics.
+    fn publish_store_metrics(&self, now: Moment) {
         let (age, watches) =
             self.with_agent(|agent| (agent.store_answer_age(now), agent.is_document_watcher()));
         let age = age.map_or(-1, |age| age.as_millis() as i64);
@@ -526,7 +538,7 @@
         self.metrics.store_era.set(era);
     }
 
-    /// Version in force.
+    /// Returns the active configuration version's number.
     pub fn version(&self) -> Version {
         self.active().state.version()
     }
--- a/crates/rampthread-node/src/control/endpoints.rs
+++ b/crates/rampthread-node/src/control/endpoints.rs
@@ -1,6 +1,5 @@
-//! Which back ends may get calls now: what the configuration or the back ends'
-//! own reports name, less what the membership knows to be dead, draining or
-//! not ready.
+//! Backends that may get calls: those named by the configuration or by their own reports,
+//! without those that the membership knows as failed, draining or not ready.
 
 use rampthread_core::call::backend_speed::USUAL_PERCENT;
 use rampthread_core::call::balance::Endpoint;
@@ -12,63 +11,69 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An endpoint and where its node is reached.
+/// How calls reach a backend of a service.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Address of the node beside the back end.
+    /// Address of the backend's node, which forwards calls to the backend.
     pub address: SocketAddr,
-    /// The back end's name, or its incarnation where it names itself.
+    /// The configured name of the backend, or the incarnation of a backend that reports
+    /// itself.
     pub backend: ResourceName,
-    /// The version of its software, where it names it.
+    /// Software version of the backend, if the backend reports one.
     pub version: Option<SoftwareVersion>,
-    /// Time for which it stays slow after it came into service.
+    /// Time for which the backend is slow after its start.
     pub cold: Duration,
 }
 
-/// The back end beside this node, as its gate sees it.
+/// The local backend of this node, as used by its gate (which forwards calls to the
+/// backend).
 #[derive(Debug, Clone)]
 pub struct LocalBackend {
-    /// The back end's name, or its incarnation where it names itself.
+    /// The configured name of the backend, or the incarnation of a backend that reports
+    /// itself.
     pub name: ResourceName,
-    /// Its incarnation, where it names itself.
+    /// Incarnation of the backend's process, if the backend reports itself.
     pub instance: Option<InstanceId>,
-    /// The service that it answers for.
+    /// The service that the backend implements.
     pub service: ResourceName,
-    /// Where it is reached.
+    /// Address at which the backend serves calls.
     pub address: SocketAddr,
-    /// Calls that it can run at once.
+    /// Number of calls that the backend can run at once.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Maximum number of connections that the backend accepts.
     pub connections: u32,
-    /// Time for which it stays slow after its start.
+    /// Time for which the backend is slow after its start.
     pub cold: Duration,
-    /// It takes no new work.
+    /// Whether the backend takes no new calls.
     pub draining: bool,
 }
 
-/// The endpoints of one service.
+/// The backends of one service that may get calls.
 #[derive(Debug, Default)]
 pub struct ServiceEndpoints {
-    /// For the balancer.
+    /// Backends as the balancer selects among them.
     pub endpoints: Vec<Endpoint>,
-    /// For the call, by node.
+    /// Addresses and versions of the same backends, by their nodes.
     pub targets: HashMap<NodeId, Target>,
-    /// The present one of several versions; none where all are of one.
+    /// The version that counts as present without a known rollout; `None` if all backends
+    /// have the same version.
     presumed_version: Option<SoftwareVersion>,
 }
 
 impl ServiceEndpoints {
-    /// The version of the back end beside `node`.
+    /// Software version of the backend at `node`, if the backend reports one.
     pub fn version(&self, node: &NodeId) -> Option<&SoftwareVersion> {
         self.targets.get(node)?.version.as_ref()
     }
 
-    /// The one that counts as the present one where there are several versions.
+    /// The version that counts as present without a known rollout; `None` if all backends
+    /// have the same version.
     pub fn presumed_version(&self) -> Option<&SoftwareVersion> {
         self.presumed_version.as_ref()
     }
 
-    fn compare_versions(&mut self) {
+    /// Computes the version that counts as present.
+    fn update_presumed_version(&mut self) {
         let versions = self
             .targets
             .values()
@@ -78,26 +83,26 @@
 }
 
 impl ServiceEndpoints {
-    /// Slots by zone.
+    /// Sums the backends' slots (calls at a time) by zone.
     pub fn slots_by_zone(&self) -> Vec<(Zone, f64)> {
         let mut slots: Vec<(Zone, f64)> = Vec::new();
         for endpoint in &self.endpoints {
-            let more = f64::from(endpoint.slots);
+            let added = f64::from(endpoint.slots);
             match slots.iter_mut().find(|(zone, _)| *zone == endpoint.zone) {
-                Some((_, sum)) => *sum += more,
-                None => slots.push((endpoint.zone.clone(), more)),
+                Some((_, sum)) => *sum += added,
+                None => slots.push((endpoint.zone.clone(), added)),
             }
         }
         slots
     }
 
-    /// True where another zone than `zone` could take calls.
+    /// Returns whether another zone than `zone` has backends of the service.
     pub fn is_beyond(&self, zone: &Zone) -> bool {
         self.endpoints.iter().any(|endpoint| endpoint.zone != *zone)
     }
 }
 
-/// What an endpoint map was made from.
+/// Configuration version and membership revision that an endpoint map was computed from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EndpointSource {
     version: Version,
@@ -105,7 +110,7 @@
 }
 
 impl EndpointSource {
-    /// The present configuration and membership.
+    /// The present configuration version and membership revision.
     pub fn of(state: &ConfigState, agent: &Agent) -> Self {
         Self {
             version: state.version(),
@@ -114,22 +119,22 @@
     }
 }
 
-/// The endpoints of every service.
+/// The backends of all services that may get calls, and the reachable nodes.
 #[derive(Debug, Default)]
 pub struct EndpointMap {
-    /// What it was made from.
+    /// What this map was computed from, to detect changes.
     pub source: EndpointSource,
     services: HashMap<ResourceName, ServiceEndpoints>,
-    /// Addresses of all nodes that are reachable, in service or not.
+    /// Addresses of all reachable nodes that have a backend, also while it gets no calls.
     pub nodes: HashMap<NodeId, SocketAddr>,
-    /// The back end beside this node.
+    /// The local backend of this node, if any.
     pub local: Option<LocalBackend>,
-    /// Nodes that are alive, this one included.
+    /// Number of reachable nodes, including this one.
     pub alive: usize,
 }
 
 impl EndpointMap {
-    /// Joins the configuration with the membership.
+    /// Combines the configuration with the membership.
     pub fn new(source: EndpointSource, state: &ConfigState, agent: &Agent) -> Self {
         let mut map = EndpointMap {
             source,
@@ -143,13 +148,13 @@
         }
         map.add_configured(state, agent);
         for service in map.services.values_mut() {
-            service.compare_versions();
+            service.update_presumed_version();
         }
         map.local = local_backend(state, agent);
         map
     }
 
-    /// Back ends that the configuration names.
+    /// Adds the backends that the configuration names.
     fn add_configured(&mut self, state: &ConfigState, agent: &Agent) {
         for backend in state.backends() {
             let Some(record) = agent.membership().record(&backend.node) else {
@@ -172,11 +177,11 @@
                 slow_start: Duration::from_millis(slow_start),
                 speed_percent: USUAL_PERCENT,
             };
-            self.add(&backend.service, endpoint, record, &backend.name);
+            self.add_backend(&backend.service, endpoint, record, &backend.name);
         }
     }
 
-    /// A back end that names itself.
+    /// Adds a backend that reports itself.
     fn add_reported(&mut self, record: &MemberRecord) {
         let Some(reported) = &record.endpoint else {
             return;
@@ -195,10 +200,11 @@
             slow_start: Duration::from_millis(reported.cold_ms),
             speed_percent: reported.speed_percent.unwrap_or(USUAL_PERCENT),
         };
-        self.add(&reported.service, endpoint, record, &name);
+        self.add_backend(&reported.service, endpoint, record, &name);
     }
 
-    fn add(
+    /// Adds a backend that may get calls.
+    fn add_backend(
         &mut self,
         service: &ResourceName,
         endpoint: Endpoint,
@@ -206,23 +212,25 @@
         backend: &ResourceName,
     ) {
         let reported = record.endpoint.as_ref();
-        let entry = self.services.entry(service.clone()).or_default();
+        let service_endpoints = self.services.entry(service.clone()).or_default();
         let target = Target {
             address: record.address,
             backend: backend.clone(),
             version: reported.and_then(|reported| reported.version.clone()),
             cold: Duration::from_millis(reported.map_or(0, |reported| reported.cold_ms)),
         };
-        entry.targets.insert(endpoint.node.clone(), target);
-        entry.endpoints.push(endpoint);
+        service_endpoints
+            .targets
+            .insert(endpoint.node.clone(), target);
+        service_endpoints.endpoints.push(endpoint);
     }
 
-    /// The endpoints of `service`, if any may get calls.
+    /// The backends of `service`, or `None` if none may get calls.
     pub fn service(&self, service: &ResourceName) -> Option<&ServiceEndpoints> {
         self.services.get(service)
     }
 
-    /// Back ends that may get calls.
+    /// Number of backends that may get calls, over all services.
     pub fn count(&self) -> usize {
         self.services
             .values()
@@ -230,7 +238,7 @@
             .sum()
     }
 
-    /// Every node that may get calls, with the back end beside it.
+    /// Nodes whose backends may get calls, with the names of the backends.
     pub fn serving(&self) -> HashMap<NodeId, ResourceName> {
         self.services
             .values()
@@ -240,10 +248,12 @@
     }
 }
 
+/// Name of a backend that reports itself: its incarnation.
 fn name_of(reported: &EndpointRecord) -> Option<ResourceName> {
     ResourceName::new(reported.instance.as_str()).ok()
 }
 
+/// Finds the local backend, in its own report or in the configuration.
 fn local_backend(state: &ConfigState, agent: &Agent) -> Option<LocalBackend> {
     let me = agent.membership().me();
     if let Some(reported) = agent.endpoint() {
--- a/crates/rampthread-node/src/control/large_messages.rs
+++ b/crates/rampthread-node/src/control/large_messages.rs
@@ -1,7 +1,8 @@
-//! Control messages too large for a datagram: a few at a time, each once, in
-//! the order in which they were asked for. All at once they would share a narrow
-//! link and none would arrive in time; one that waits for a silent peer does not stop
-//! the others.
+//! Sends control messages that are too large for a datagram: a few at a time and each once,
+//! in the order in which they were requested.
+//!
+//! If all were sent at once, they would share a slow link and none would arrive in time. A
+//! message to an unresponsive peer doesn't delay messages to other peers for long.
 
 use super::transport::CONTROL_PATH;
 use http::{Method, Request};
@@ -15,25 +16,27 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Messages that are sent at the same time.
-const SENT_AT_ONCE: usize = 3;
-/// Time for which a message occupies one of these places. One that takes longer is still
-/// sent, beside the next one, so that a silent peer does not stop the others.
-const PLACE_HELD: Duration = Duration::from_millis(300);
-/// Messages under way, those that have left their place included, from which on a sender
-/// waits for its own to end: it bounds the memory and the connections that silent peers hold.
-const MOST_UNDER_WAY: usize = 24;
-/// Messages that wait; more are dropped, and asked for again where that matters.
-const MAX_WAITING: usize = 64;
-/// Time after which bytes that a peer does not acknowledge end its connection:
-/// longer than a full queue of a narrow link takes, shorter than a node without
-/// power is missed.
-const PEER_SILENCE: Duration = Duration::from_secs(3);
-/// Longest time for one message: the largest document, over half of a link of
+/// Number of sender tasks, each of which sends one message at a time.
+const SENDER_TASKS: usize = 3;
+/// Time for which a message occupies a sender task. Afterwards the message is sent in the
+/// background beside the next message, so that an unresponsive peer doesn't block other
+/// peers.
+const SENDER_OCCUPANCY: Duration = Duration::from_millis(300);
+/// Number of unfinished messages, including those sent in the background, from which on a
+/// sender task waits for its message to finish. Bounds the memory and connections that
+/// unresponsive peers occupy.
+const MAX_UNFINISHED: usize = 24;
+/// Maximum number of queued messages. Further messages are dropped, and requested again by
+/// the peer if needed.
+const MAX_QUEUED: usize = 64;
+/// Time after which unacknowledged bytes close the connection to a peer: longer than a full
+/// queue of a slow link takes, shorter than the detection of a failed node.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum time to send one message: enough for the largest document over half of a link of
 /// 1 Mbit/s.
-const LONGEST_SEND: Duration = Duration::from_secs(30);
+const SEND_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One message on its way.
+/// A message queued for a peer.
 struct LargeMessage {
     to: NodeId,
     kind: &'static str,
@@ -41,34 +44,34 @@
     bytes: Vec<u8>,
 }
 
-/// Sends large messages to peers.
+/// Queue and sender tasks for large control messages to peers.
 pub(super) struct LargeMessages {
     queue: async_channel::Sender<LargeMessage>,
-    /// Receivers and kinds that wait or are being sent.
-    under_way: Arc<Mutex<HashSet<(NodeId, &'static str)>>>,
+    /// Receivers and kinds of messages that are queued or being sent.
+    in_progress: Arc<Mutex<HashSet<(NodeId, &'static str)>>>,
 }
 
 impl LargeMessages {
-    /// Starts the senders; they end with the value that is returned.
+    /// Starts the sender tasks, which end when the returned value is dropped.
     pub(super) fn start() -> Self {
-        let (queue, waiting) = async_channel::bounded(MAX_WAITING);
-        let under_way: Arc<Mutex<HashSet<_>>> = Arc::default();
+        let (queue, queued) = async_channel::bounded(MAX_QUEUED);
+        let in_progress: Arc<Mutex<HashSet<_>>> = Arc::default();
         let pool = Pool::new(PoolSettings {
             max_idle_per_address: 2,
-            tcp_user_timeout: Some(PEER_SILENCE),
+            tcp_user_timeout: Some(UNACKNOWLEDGED_TIMEOUT),
             ..PoolSettings::default()
         });
         let unfinished: Arc<AtomicUsize> = Arc::default();
-        for _ in 0..SENT_AT_ONCE {
-            let (waiting, pool) = (waiting.clone(), pool.clone());
-            let sending = send_all(waiting, pool, under_way.clone(), unfinished.clone());
+        for _ in 0..SENDER_TASKS {
+            let (queued, pool) = (queued.clone(), pool.clone());
+            let sending = run_sender(queued, pool, in_progress.clone(), unfinished.clone());
             async_std::task::spawn(sending);
         }
-        Self { queue, under_way }
+        Self { queue, in_progress }
     }
 
-    /// Takes a message for `to`. A peer that is being sent one of the same kind
-    /// gets no second one: it asks again if it needs to.
+    /// Queues a message for `to`. Drops the message if one of the same kind is queued or
+    /// being sent for that peer; the peer requests it again if needed.
     pub(super) fn send(
         &self,
         to: &NodeId,
@@ -77,8 +80,8 @@
         bytes: Vec<u8>,
     ) {
         let key = (to.clone(), kind);
-        if !locked(&self.under_way).insert(key.clone()) {
-            tracing::debug!(%to, kind, "large control message left out, one is under way");
+        if !lock(&self.in_progress).insert(key.clone()) {
+            tracing::debug!(%to, kind, "large control message dropped: one is already in progress");
             return;
         }
         let message = LargeMessage {
@@ -88,34 +91,40 @@
             bytes,
         };
         if self.queue.try_send(message).is_err() {
-            locked(&self.under_way).remove(&key);
-            tracing::debug!(%to, kind, "large control message left out, too many wait");
+            lock(&self.in_progress).remove(&key);
+            tracing::debug!(%to, kind, "large control message dropped: the queue is full");
         }
     }
 }
 
-/// Sends what waits, one message after the other.
-async fn send_all(
-    waiting: async_channel::Receiver<LargeMessage>,
+/// Runs one sender task, which sends queued messages one after the other.
+async fn run_sender(
+    queued: async_channel::Receiver<LargeMessage>,
     pool: Pool,
-    under_way: Arc<Mutex<HashSet<(NodeId, &'static str)>>>,
+    in_progress: Arc<Mutex<HashSet<(NodeId, &'static str)>>>,
     unfinished: Arc<AtomicUsize>,
 ) {
-    while let Ok(message) = waiting.recv().await {
+    while let Ok(message) = queued.recv().await {
         unfinished.fetch_add(1, Ordering::AcqRel);
-        let sending = send_one(message, pool.clone(), under_way.clone(), unfinished.clone());
+        let sending = send_one(
+            message,
+            pool.clone(),
+            in_progress.clone(),
+            unfinished.clone(),
+        );
         let mut sending = async_std::task::spawn(sending);
-        let ended = timeout(PLACE_HELD, &mut sending).await.is_ok();
-        if !ended && unfinished.load(Ordering::Acquire) >= MOST_UNDER_WAY {
+        let ended = timeout(SENDER_OCCUPANCY, &mut sending).await.is_ok();
+        if !ended && unfinished.load(Ordering::Acquire) >= MAX_UNFINISHED {
             sending.await;
         }
     }
 }
 
+/// Sends one message and logs a failure.
 async fn send_one(
     message: LargeMessage,
     pool: Pool,
-    under_way: Arc<Mutex<HashSet<(NodeId, &'static str)>>>,
+    in_progress: Arc<Mutex<HashSet<(NodeId, &'static str)>>>,
     unfinished: Arc<AtomicUsize>,
 ) {
     let LargeMessage {
@@ -124,8 +133,8 @@
         address,
         bytes,
     } = message;
-    let posted = timeout(LONGEST_SEND, post(&pool, address, bytes)).await;
-    locked(&under_way).remove(&(to, kind));
+    let posted = timeout(SEND_TIMEOUT, post_message(&pool, address, bytes)).await;
+    lock(&in_progress).remove(&(to, kind));
     unfinished.fetch_sub(1, Ordering::AcqRel);
     match posted {
         Ok(Ok(())) => {}
@@ -134,7 +143,8 @@
     }
 }
 
-async fn post(
+/// Sends a message in an HTTP request.
+async fn post_message(
     pool: &Pool,
     address: SocketAddr,
     bytes: Vec<u8>,
@@ -151,6 +161,6 @@
     Ok(())
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|broken| broken.into_inner())
 }
--- a/crates/rampthread-node/src/control/mod.rs
+++ b/crates/rampthread-node/src/control/mod.rs
@@ -1,6 +1,6 @@
 //! Drives one [`Agent`](rampthread_core::fleet::Agent) with sockets and timers.
 //!
-//! [`Control`] is whole without a call path, so hollow nodes in experiments run
+//! [`Control`] works without a call path, so that nodes without calls in experiments run
 //! the same code over real sockets.
 
 mod actions;
--- a/crates/rampthread-node/src/control/operators.rs
+++ b/crates/rampthread-node/src/control/operators.rs
@@ -1,4 +1,4 @@
-//! What operators and the node itself ask of the control side.
+//! Requests of operators, and of the node itself, to the control side.
 
 use super::Control;
 use super::requests::ChangeResult;
@@ -7,46 +7,47 @@
 use std::sync::Arc;
 
 impl Control {
-    /// Proposes a change and waits for what becomes of it.
+    /// Proposes a configuration change and waits for the result.
     pub async fn propose(self: &Arc<Self>, change: ChangeSet) -> ChangeResult {
         let operation_id = change.operation_id.clone();
         let entry = LogEntry {
             author: self.id.clone(),
             change,
         };
-        let (ticket, answer) = self.pending_requests.proposal();
+        let (ticket, reply) = self.pending_requests.proposal();
         let now = self.clock.now();
         let actions = self.agent().propose(ticket, entry.encode().into(), now);
         self.perform(actions);
         ChangeResult {
             operation_id,
-            answer: answer.recv().await.unwrap_or(ProposalReply::Unknown),
+            answer: reply.recv().await.unwrap_or(ProposalReply::Unknown),
         }
     }
 
-    /// Asks how far the newest version has got.
+    /// Queries to how many nodes the newest version has propagated; `None` if this node
+    /// doesn't know.
     pub async fn spread(self: &Arc<Self>) -> Option<PropagationStatus> {
-        let (ticket, answer) = self.pending_requests.spread();
+        let (ticket, reply) = self.pending_requests.propagation_query();
         let now = self.clock.now();
         let actions = self.agent().query_propagation(ticket, now);
         self.perform(actions);
-        answer.recv().await.ok().flatten()
+        reply.recv().await.ok().flatten()
     }
 
-    /// Stops new work for the back end.
+    /// Stops new calls to the local backend; `origin` names the cause for operators.
     pub fn drain(self: &Arc<Self>, origin: &str) {
         let actions = self.agent().drain(origin);
         self.perform(actions);
     }
 
-    /// Gives leases back and says goodbye. What the directory says of this node stays
-    /// there, for its next life.
+    /// Releases leases and announces the departure of this node to its peers. The directory
+    /// keeps its record of this node for the next process.
     pub fn leave(self: &Arc<Self>) {
         let actions = self.agent().leave();
         self.perform(actions);
     }
 
-    /// Notes whether the back end answers.
+    /// Records the result of a health probe of the local backend.
     pub fn set_backend_up(&self, up: bool) {
         self.agent().set_backend_up(up);
     }
--- a/crates/rampthread-node/src/control/options.rs
+++ b/crates/rampthread-node/src/control/options.rs
@@ -1,4 +1,4 @@
-//! What a control side is made of.
+//! Options and dependencies of the control side.
 
 use rampthread_core::call::identity::IdentityKey;
 use rampthread_core::fleet::{AgentIdentity, FleetSettings, Machine};
@@ -10,57 +10,58 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why the control side cannot start.
+/// Error at the start of the control side.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
     /// The datagram socket cannot be bound.
     #[error("cannot bind UDP {address}: {source}")]
     Bind {
-        /// Where.
+        /// UDP address that was tried.
         address: SocketAddr,
-        /// The system's reason.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What a control side is made of.
+/// Options and dependencies of [`Control`](super::Control).
 pub struct ControlOptions {
-    /// Who the node is; `address` is where it listens.
+    /// Id and location of the node; `address` is the address to listen on.
     pub identity: AgentIdentity,
-    /// Intervals of the protocol.
+    /// Timing and limits of the protocols between nodes.
     pub fleet: FleetSettings,
-    /// Nodes to begin with.
+    /// Nodes that are known at startup.
     pub seeds: Vec<Machine>,
-    /// Names requests by what they ask for.
+    /// Secret key that hashes requests to their identities.
     pub identity_key: IdentityKey,
-    /// Encodes messages.
+    /// Encodes and authenticates control messages.
     pub codec: Codec,
-    /// Where the configuration and the other nodes are found.
+    /// Sources of the configuration and of the list of nodes.
     pub source: SourceOptions,
-    /// Seed of the agent's random choices.
+    /// Seed of the agent's random choices; tests set it to a fixed value.
     pub seed: u64,
 }
 
-/// Where the configuration and the other nodes are found.
+/// Sources of the configuration and of the list of nodes.
 pub enum SourceOptions {
-    /// The product's change log and a machine list.
+    /// The built-in change log and a list of machines.
     ChangeLog {
-        /// Carries out store requests.
+        /// Executes requests to the change log.
         log_store: LogStore,
-        /// The platform's machine list.
+        /// The platform's list of the machines that run nodes.
         machines: Arc<dyn MachineList>,
-        /// Time between two looks of a reader at the machine list.
+        /// Time between two reads of the machine list by a log reader.
         machine_interval: Duration,
     },
-    /// A document and a directory, both in the platform's store.
+    /// A configuration document and a directory of nodes, both in the platform's store.
     Document {
-        /// The operators' document.
+        /// Source of the operators' configuration document.
         documents: Arc<dyn DocumentSource>,
-        /// Where nodes find each other.
+        /// Directory in which nodes find each other.
         directory: Arc<dyn Directory>,
-        /// Decisions on roll-outs; none where orders are not carried out.
+        /// Store of rollouts; `None` if rollouts are disabled.
         roll_outs: Option<Arc<dyn RolloutStore>>,
-        /// The eras of the store behind all of these.
+        /// Eras of the store, a number that the store raises each time it is restored from
+        /// an older backup.
         eras: Arc<StoreEras>,
     },
 }
--- a/crates/rampthread-node/src/control/requests.rs
+++ b/crates/rampthread-node/src/control/requests.rs
@@ -1,4 +1,4 @@
-//! Operators' requests that wait for the agent.
+//! Pending requests of operators that the agent will reply to.
 
 use rampthread_core::fleet::{PropagationStatus, ProposalReply, Ticket};
 use rampthread_core::ids::OperationId;
@@ -6,24 +6,25 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What became of a change that was proposed here.
+/// Result of a configuration change that was proposed at this node.
 #[derive(Debug, Clone)]
 pub struct ChangeResult {
-    /// Names the change; to be looked up later if the outcome is unknown.
+    /// Id of the change, to look the change up later if the result is unknown.
     pub operation_id: OperationId,
-    /// What became of it.
+    /// The agent's reply to the proposal.
     pub answer: ProposalReply,
 }
 
-/// Requests by ticket.
+/// Pending requests to the agent, by ticket (a number that identifies the request).
 #[derive(Debug, Default)]
 pub struct PendingRequests {
     next: AtomicU64,
     proposals: Mutex<HashMap<Ticket, async_channel::Sender<ProposalReply>>>,
-    spreads: Mutex<HashMap<Ticket, async_channel::Sender<Option<PropagationStatus>>>>,
+    propagation_queries: Mutex<HashMap<Ticket, async_channel::Sender<Option<PropagationStatus>>>>,
 }
 
-fn register<T>(
+/// Adds a pending request and returns the receiver of its reply.
+fn register_request<T>(
     map: &Mutex<HashMap<Ticket, async_channel::Sender<T>>>,
     ticket: Ticket,
 ) -> async_channel::Receiver<T> {
@@ -33,7 +34,8 @@
     receiver
 }
 
-fn resolve<T>(map: &Mutex<HashMap<Ticket, async_channel::Sender<T>>>, ticket: Ticket, value: T) {
+/// Passes a reply to the pending request, if the request still waits.
+fn send_reply<T>(map: &Mutex<HashMap<Ticket, async_channel::Sender<T>>>, ticket: Ticket, value: T) {
     let mut map = map.lock().unwrap_or_else(|broken| broken.into_inner());
     if let Some(sender) = map.remove(&ticket) {
         let _ = sender.try_send(value);
@@ -41,29 +43,32 @@
 }
 
 impl PendingRequests {
-    fn ticket(&self) -> Ticket {
+    /// Returns an unused ticket.
+    fn next_ticket(&self) -> Ticket {
         self.next.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Registers a proposal.
+    /// Registers a proposal and returns the receiver of the agent's reply.
     pub fn proposal(&self) -> (Ticket, async_channel::Receiver<ProposalReply>) {
-        let ticket = self.ticket();
-        (ticket, register(&self.proposals, ticket))
+        let ticket = self.next_ticket();
+        (ticket, register_request(&self.proposals, ticket))
     }
 
-    /// Registers a question for the spread.
-    pub fn spread(&self) -> (Ticket, async_channel::Receiver<Option<PropagationStatus>>) {
-        let ticket = self.ticket();
-        (ticket, register(&self.spreads, ticket))
+    /// Registers a propagation query and returns the receiver of the agent's reply.
+    pub fn propagation_query(
+        &self,
+    ) -> (Ticket, async_channel::Receiver<Option<PropagationStatus>>) {
+        let ticket = self.next_ticket();
+        (ticket, register_request(&self.propagation_queries, ticket))
     }
 
-    /// The agent answered a proposal.
-    pub fn answer_proposal(&self, ticket: Ticket, answer: ProposalReply) {
-        resolve(&self.proposals, ticket, answer);
+    /// Passes the agent's reply to the request that waits for it.
+    pub fn reply_to_proposal(&self, ticket: Ticket, reply: ProposalReply) {
+        send_reply(&self.proposals, ticket, reply);
     }
 
-    /// The agent answered a question for the spread.
-    pub fn answer_spread(&self, ticket: Ticket, spread: Option<PropagationStatus>) {
-        resolve(&self.spreads, ticket, spread);
+    /// Passes the agent's reply to the propagation query that waits for it.
+    pub fn reply_to_propagation_query(&self, ticket: Ticket, status: Option<PropagationStatus>) {
+        send_reply(&self.propagation_queries, ticket, status);
     }
 }
--- a/crates/rampthread-node/src/control/rollouts.rs
+++ b/crates/rampthread-node/src/control/rollouts.rs
@@ -1,5 +1,5 @@
-//! Roll-outs at this node: orders in, the decider's calls to the store out, and what
-//! entries may do with versions.
+//! Rollouts at this node: passes orders to the agent and the decider's requests to the
+//! store, and publishes the routing rules for versions.
 
 use super::Control;
 use super::store_era::within_era;
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What entries may do with the versions of each service that is or was rolled out.
+/// Routing rules for the versions of each service that is or was rolled out.
 pub type VersionRules = BTreeMap<ResourceName, VersionRule>;
 
 impl Control {
-    /// Takes orders to roll out that stand in the store.
+    /// Passes rollout orders that were read from the store to the agent.
     pub(super) fn on_rollout_orders(
         self: &Arc<Self>,
         orders: &[RolloutOrder],
@@ -28,29 +28,30 @@
         self.perform(actions);
     }
 
-    /// Takes what callers of this node got from versions that are being brought in.
+    /// Passes the response counts of versions in a rollout to the agent.
     pub fn record_version_evidence(&self, evidence: Vec<VersionEvidence>) {
         self.agent().record_version_evidence(evidence);
     }
 
-    /// What entries may do with versions.
+    /// Returns the routing rules for the versions of services, as of the last change.
     pub fn version_rules(&self) -> Arc<VersionRules> {
         self.version_rules.load_full()
     }
 
-    /// All roll-outs that this node knows.
+    /// Returns the states of all rollouts known to this node.
     pub fn rollouts(&self) -> Vec<RolloutState> {
         let now = self.clock.now();
         self.with_agent(|agent| agent.rollouts(now))
     }
 
+    /// Publishes the routing rules for versions to the call path.
     pub(super) fn refresh_version_rules(&self) {
-        // Under the agent's lock to the end, so that an earlier look does not take the
-        // place of a later one.
+        // Holds the agent's lock to the end, so that an older result can't replace a newer
+        // one.
         self.with_agent(|agent| {
             let now = self.clock.now();
-            let decides = agent.is_rollout_decider(now);
-            self.metrics.roll_out_decider.set(i64::from(decides));
+            let is_decider = agent.is_rollout_decider(now);
+            self.metrics.roll_out_decider.set(i64::from(is_decider));
             let rules = agent.version_rules(now);
             if **self.version_rules.load() != rules {
                 self.version_rules.store(Arc::new(rules));
@@ -58,8 +59,9 @@
         });
     }
 
-    /// Asks the store for the decider; its answer leads to further decisions.
-    pub(super) fn ask_decider_store(self: &Arc<Self>, call: DeciderRequest) {
+    /// Sends a request of the rollout decider to the store, and passes the response to the
+    /// agent.
+    pub(super) fn execute_decider_request(self: &Arc<Self>, request: DeciderRequest) {
         let Some(store) = self.roll_out_store.clone() else {
             return;
         };
@@ -67,36 +69,37 @@
         let control = Arc::downgrade(self);
         let eras = self.eras.clone();
         async_std::task::spawn(async move {
-            let result = within_era(&eras, store.execute(&call, wall_clock_ms())).await;
+            let result = within_era(&eras, store.execute(&request, wall_clock_ms())).await;
             let Some(control) = control.upgrade() else {
                 return;
             };
-            let answer = result.map(with_time_since).unwrap_or_else(|error| {
-                tracing::warn!(%error, "a call to the store for a roll-out failed");
+            let response = result.map(with_elapsed_time).unwrap_or_else(|error| {
+                tracing::warn!(%error, "a store request of the rollout decider failed");
                 DeciderResponse::Failed
             });
             let now = control.clock.now();
-            let actions = control.agent().on_decider_response(answer, now);
+            let actions = control.agent().on_decider_response(response, now);
             control.perform(actions);
             control.refresh_version_rules();
         });
     }
 }
 
+/// Wall clock, in milliseconds since the Unix epoch.
 fn wall_clock_ms() -> u64 {
     wall_clock_micros() / 1_000
 }
 
-/// Adds the time since states were put on record, by the wall clocks of two nodes. One
-/// that was set back makes a roll-out younger, at most by that.
-fn with_time_since(answer: DeciderResponse) -> DeciderResponse {
+/// Adds the time since states were persisted, by the wall clocks of the writer and this
+/// node. A wall clock that was set back makes a rollout younger, at most by that time.
+fn with_elapsed_time(response: DeciderResponse) -> DeciderResponse {
     let DeciderResponse::Records {
         fence,
         term,
         mut states,
-    } = answer
+    } = response
     else {
-        return answer;
+        return response;
     };
     let now = wall_clock_ms();
     for stored in &mut states {
--- a/crates/rampthread-node/src/control/store_era.rs
+++ b/crates/rampthread-node/src/control/store_era.rs
@@ -1,18 +1,20 @@
-//! What this node does when the store comes back from an older copy of itself: what it has
-//! written there is looked at, or written, again.
+//! Reaction of this node to a restore of the store from an older backup: what this node has
+//! written to the store is checked or written again.
 
 use super::Control;
 use rampthread_platform::{EraRise, PlatformError, StoreEras};
 use std::sync::Arc;
 
 impl Control {
-    /// Acts upon each rise of the store's era.
+    /// Handles each increase of the store era, a number that the store raises each time it
+    /// is restored.
     pub(super) async fn follow_eras(self: Arc<Self>, rises: async_channel::Receiver<EraRise>) {
         while let Ok(rise) = rises.recv().await {
             self.on_store_restored(rise);
         }
     }
 
+    /// Informs all parts of the control side that rely on the store.
     fn on_store_restored(self: &Arc<Self>, rise: EraRise) {
         let EraRise { from, to } = rise;
         tracing::warn!(
@@ -32,26 +34,27 @@
         }
     }
 
-    /// A peer has seen the store in `era`: whoever relies on the store asks it now.
-    pub(super) fn ask_for_era(&self, era: u64) {
+    /// Handles a peer's notice that the store has the era `era`: the tasks that rely on the
+    /// store check it now.
+    pub(super) fn verify_store_era(&self, era: u64) {
         if era <= self.store_era() {
             return;
         }
-        // Full: a wake-up waits already.
+        // If the channel is full, a wake-up is pending already.
         let _ = self.document_wake.try_send(());
         if let Some(directory) = &self.directory {
-            directory.on_restore_told();
+            directory.on_restore_notice();
         }
     }
 
-    /// The newest era of the store that this node has seen.
+    /// Returns the newest store era seen by this node.
     pub fn store_era(&self) -> u64 {
         self.eras.newest()
     }
 }
 
-/// What `call` came to, if the store stayed in one era meanwhile: what several answers of
-/// two eras tell together holds in neither.
+/// Returns the result of `call`, or an error if the store era has risen meanwhile: a result
+/// combined from responses of two eras holds in neither.
 pub(super) async fn within_era<T>(
     eras: &StoreEras,
     call: impl Future<Output = Result<T, PlatformError>>,
--- a/crates/rampthread-node/src/control/transport.rs
+++ b/crates/rampthread-node/src/control/transport.rs
@@ -1,4 +1,4 @@
-//! Control messages between nodes: datagrams, and streams for large ones.
+//! Control messages between nodes: datagrams, and HTTP requests for large messages.
 
 use super::Control;
 use crate::metrics::MessageLabel;
@@ -10,12 +10,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Path on a peer's listener that takes messages too large for a datagram.
+/// HTTP path on a node's listener for messages too large for a datagram.
 pub const CONTROL_PATH: &str = "/rampthread/control";
-/// Largest datagram that UDP carries.
+/// Size of the receive buffer: the maximum size of a UDP datagram.
 const MAX_UDP_BYTES: usize = 65_536;
 
 impl Control {
+    /// Receives datagrams until the task is canceled.
     pub(super) async fn receive(self: Arc<Self>, socket: UdpSocket) {
         let mut buffer = vec![0; MAX_UDP_BYTES];
         loop {
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Takes a sealed message, from a datagram or from a stream.
+    /// Handles an encoded message, received in a datagram or an HTTP request.
     pub fn on_sealed(self: &Arc<Self>, sealed: &[u8]) {
         self.metrics
             .control_bytes_received
@@ -44,17 +45,19 @@
         }
     }
 
+    /// Passes a message to the agent.
     fn on_envelope(self: &Arc<Self>, envelope: Envelope) {
         let now = self.clock.now();
         let concerns_crashes = matches!(envelope.message, Message::CrashReports { .. });
         let actions = self.agent().on_message(envelope, now);
         self.perform(actions);
-        self.join_endpoints_soon(now);
+        self.update_endpoints_soon(now);
         if concerns_crashes {
             self.refresh_crash_table();
         }
     }
 
+    /// Sends a message to a node: as a datagram, or queued for an HTTP request if too large.
     pub(super) fn send(
         &self,
         to: &NodeId,
@@ -87,8 +90,8 @@
             .get_or_create(&label)
             .inc();
         if sealed.len() <= MAX_DATAGRAM_BYTES {
-            // A datagram that cannot be sent now counts as lost; all messages
-            // are repeated where that matters.
+            // A datagram that can't be sent now counts as lost; messages are repeated where
+            // needed.
             if let Some(socket) = &*self.socket.load() {
                 let _ = socket.send_to(&sealed, address);
             }
--- a/crates/rampthread-node/tests/control_support/mod.rs
+++ b/crates/rampthread-node/tests/control_support/mod.rs
@@ -1,4 +1,4 @@
-//! One node's control side beside a store and peers that a test plays.
+//! Runs the control side of one node with a simulated store and simulated peers.
 
 #![allow(dead_code)]
 
@@ -22,9 +22,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest time that a test waits for anything.
-pub const PATIENCE: Duration = Duration::from_secs(10);
-const LIFE: u64 = 1_700_000_000_000_000;
+/// Maximum time that a test waits for a condition.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
+const PROCESS_EPOCH: u64 = 1_700_000_000_000_000;
 
 fn name(text: &str) -> ResourceName {
     ResourceName::new(text).unwrap()
@@ -52,7 +52,7 @@
     })
 }
 
-/// A version with so many routes.
+/// A configuration version with the given number of routes.
 pub fn document(version: u64, routes: u32) -> ConfigState {
     let shop = Resource::Service(rampthread_core::config::Service {
         name: name("shop"),
@@ -72,14 +72,15 @@
     }
 }
 
-/// A store whose old reads show one version and whose current ones a newer one.
+/// A store whose reads of old data return one version and whose current reads return a
+/// newer version.
 pub struct Documents {
     pub old: ConfigState,
     pub current: ConfigState,
 }
 
 impl Documents {
-    fn answer(document: &ConfigState) -> DocumentRead {
+    fn read_result(document: &ConfigState) -> DocumentRead {
         DocumentRead {
             document: Some(Ok(document.clone())),
             orders: OrdersRead::default(),
@@ -91,8 +92,8 @@
 
 #[async_trait]
 impl DocumentSource for Documents {
-    async fn read(&self, age: ReadAge, _patience: Duration) -> Result<DocumentRead, PlatformError> {
-        Ok(Self::answer(match age {
+    async fn read(&self, age: ReadAge, _timeout: Duration) -> Result<DocumentRead, PlatformError> {
+        Ok(Self::read_result(match age {
             ReadAge::Current => &self.current,
             ReadAge::MayBeOld => &self.old,
         }))
@@ -102,7 +103,7 @@
         &self,
         after: Revision,
         wait: Duration,
-        _patience: Duration,
+        _timeout: Duration,
     ) -> Result<DocumentNews, PlatformError> {
         let at = revision(&self.current);
         if after < at {
@@ -121,7 +122,7 @@
     }
 }
 
-/// A directory that names the same machines to all that read it.
+/// A directory that always contains the same machines.
 struct FixedDirectory {
     zone: Zone,
     snapshot: ZoneSnapshot,
@@ -140,7 +141,7 @@
         &self,
         _zone: &Zone,
         _write: &ZoneWrite,
-        _life: Duration,
+        _ttl: Duration,
     ) -> Result<ZoneWritten, PlatformError> {
         Ok(ZoneWritten::Conflict(Some(self.snapshot.clone())))
     }
@@ -156,7 +157,7 @@
     async fn record_crashes(
         &self,
         _crashes: &[RecordedCrash],
-        _life: Duration,
+        _ttl: Duration,
     ) -> Result<(), PlatformError> {
         Ok(())
     }
@@ -166,7 +167,7 @@
     }
 }
 
-/// A peer that a test plays: it has an address, and says what the test says.
+/// A simulated peer, which has an address and sends what the test tells it to.
 pub struct Peer {
     id: NodeId,
     socket: UdpSocket,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Where it hears datagrams, and streams if a test listens there.
+    /// Where the peer receives datagrams, and HTTP requests if a test listens there.
     pub fn address(&self) -> SocketAddr {
         self.socket.local_addr().unwrap()
     }
@@ -189,11 +190,11 @@
         machine(self.id.clone(), self.address())
     }
 
-    /// Says something to a node, as a datagram.
-    pub fn say(&self, node: SocketAddr, message: Message) {
+    /// Sends a message to a node as a datagram.
+    pub fn send(&self, node: SocketAddr, message: Message) {
         let envelope = Envelope {
             from: self.id.clone(),
-            process_epoch: LIFE,
+            process_epoch: PROCESS_EPOCH,
             message,
         };
         self.socket.send_to(&encode(&envelope), node).unwrap();
@@ -219,7 +220,7 @@
     }
 }
 
-/// Starts a node's control side that finds `peers` in the directory.
+/// Starts the control side of a node that finds `peers` in the directory.
 pub fn start(documents: Documents, peers: &[Peer]) -> (Arc<Control>, SocketAddr) {
     let free = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = free.local_addr().unwrap();
@@ -242,7 +243,7 @@
             address,
             zone: zone(),
             region: region(),
-            process_epoch: LIFE,
+            process_epoch: PROCESS_EPOCH,
         },
         fleet: FleetSettings::for_documents(),
         seeds: Vec::new(),
@@ -259,12 +260,12 @@
     (control.unwrap(), address)
 }
 
-/// Waits until `holds`; how long that took.
+/// Waits until `holds` returns true, and returns how long that took.
 pub fn wait_until(mut holds: impl FnMut() -> bool) -> Duration {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "not within {PATIENCE:?}");
+        assert!(started.elapsed() < TIMEOUT, "not within {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(10));
     }
-    begun.elapsed()
+    started.elapsed()
 }
--- a/crates/rampthread-node/tests/first_versions.rs
+++ b/crates/rampthread-node/tests/first_versions.rs
@@ -1,15 +1,7 @@
-//! A node that has just started keeps up with versions though no peer gives it any.
+//! A node that has just started activates a new version in time if no peer provides it.
 //!
-//! What users saw: in a storm of versions, beside peers that were killed or cut off, a
-//! node that had restarted seconds before refused a route 2.04 s after the version with
-//! it was acknowledged (2 s allowed).
-//!
-//! Order of events: the node reads a document that is some seconds old; a peer names a
-//! newer version and gives it not; the node is due to read the store 0.6 s later.
-//!
-//! Cause: it waits up to 1.5 s to hear whether it must watch the document, and drops
-//! what would wake it meanwhile; the next wake comes a second later. Evidence: read, and
-//! this test; the play that showed it was not traced.
+//! Regression test: a restarted node waited up to 1.5 s to learn whether it is a document
+//! watcher, and dropped wake-ups meanwhile, so that it read the store too late.
 
 mod control_support;
 
@@ -18,11 +10,11 @@
 use rampthread_core::ids::Version;
 use std::time::Duration;
 
-/// The time that is left to peers, 0.6 s, and as much again for a machine that is busy.
-const IN_FORCE_WITHIN: Duration = Duration::from_millis(1_200);
+/// The 0.6 s that peers have to provide the version, and as much again for a busy machine.
+const ACTIVE_WITHIN: Duration = Duration::from_millis(1_200);
 
 #[test]
-fn a_version_that_no_peer_gives_comes_from_the_store_in_time() {
+fn version_that_no_peer_provides_is_read_from_the_store_in_time() {
     let peers = [Peer::new(0), Peer::new(1)];
     let documents = Documents {
         old: document(1, 4),
@@ -34,7 +26,7 @@
         version: Version(2),
         entry: None,
     };
-    peers[0].say(address, notice);
+    peers[0].send(address, notice);
     let took = wait_until(|| control.version() == Version(2));
-    assert!(took <= IN_FORCE_WITHIN, "{took:?}");
+    assert!(took <= ACTIVE_WITHIN, "{took:?}");
 }
--- a/crates/rampthread-node/tests/store_calls.rs
+++ b/crates/rampthread-node/tests/store_calls.rs
@@ -1,4 +1,4 @@
-//! Each call to the store is counted with its kind: which kind grows tells why calls do.
+//! Each store request is counted by its kind, so that operators see which kind grows.
 
 mod control_support;
 
@@ -7,7 +7,7 @@
 const ALL: &str = "rampthread_store_requests_total ";
 const BY_KIND: &str = "rampthread_store_requests_by_kind_total{kind=\"";
 
-/// The counts of metrics whose lines begin so.
+/// Values of the metrics whose lines start with `begin`.
 fn counts(text: &str, begin: &str) -> Vec<u64> {
     let lines = text.lines().filter(|line| line.starts_with(begin));
     let count = |line: &str| line.rsplit_once(' ')?.1.parse().ok();
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn calls_to_the_store_are_counted_by_kind() {
+fn store_requests_are_counted_by_kind() {
     let documents = Documents {
         old: document(1, 4),
         current: document(1, 4),
     };
     let (control, _) = start(documents, &[]);
     let kinds = ["document-read", "document-watch", "directory-read"];
-    // The two counts of one call are not made at the same moment.
+    // The two counters of one request are not incremented at the same moment.
     wait_until(|| {
         let text = control.metrics.to_text();
         let by_kind: u64 = counts(&text, BY_KIND).iter().sum();
--- a/crates/rampthread-node/tests/versions_in_force.rs
+++ b/crates/rampthread-node/tests/versions_in_force.rs
@@ -1,17 +1,8 @@
-//! A version in force gives way to newer ones only, whichever thread comes last.
+//! An older version must not replace a newer active version, whatever the order of threads.
 //!
-//! What users saw: a version that had been in force came back older: at four of eight
-//! nodes the routes of version 26 were answered 404 until the next version, though the
-//! log of each said "version adopted" for 26.
-//!
-//! Order of events: a version with 2,000 routes comes from the store, and its thread
-//! derives its routes; meanwhile a peer's answer brings a newer version of few routes,
-//! which another thread puts in force; then the first thread comes to its end and puts
-//! its older one there.
-//!
-//! Cause: decisions are made in order under a lock, and carried out behind it in any
-//! order. Evidence: the logs of a soak (`no_limits` of its kept schedules, once in
-//! three plays) have "version adopted" for 26 and 11 to 20 ms later for 19.
+//! Regression test: the agent decides on versions under a lock, but its actions are
+//! executed afterwards by several threads. A thread that derived the tables of a large
+//! version activated that version after another thread had activated a newer version.
 
 use rampthread_core::config::{
     ConfigState, Destination, PathMatch, Repeatability, Resource, Route, Service, default_priority,
@@ -21,7 +12,7 @@
 use rampthread_node::control::ActiveConfigCell;
 use std::sync::{Arc, Barrier};
 
-/// Routes of a large version: a thread takes milliseconds to derive them.
+/// Number of routes of a large version, whose tables take milliseconds to derive.
 const MANY_ROUTES: u32 = 2_000;
 const ROUNDS: u64 = 50;
 
@@ -63,33 +54,33 @@
     Arc::new(state.unwrap())
 }
 
-fn version_of(in_force: &ActiveConfigCell) -> u64 {
-    in_force.load().state.version().0
+fn version_of(active_config: &ActiveConfigCell) -> u64 {
+    active_config.load().state.version().0
 }
 
 #[test]
-fn an_older_version_that_comes_last_is_not_put_in_force() {
-    let in_force = ActiveConfigCell::default();
-    assert!(in_force.adopt(state(26, 1)));
-    assert!(!in_force.adopt(state(19, MANY_ROUTES)));
-    assert_eq!(version_of(&in_force), 26);
+fn older_version_does_not_replace_a_newer_one() {
+    let active_config = ActiveConfigCell::default();
+    assert!(active_config.adopt(state(26, 1)));
+    assert!(!active_config.adopt(state(19, MANY_ROUTES)));
+    assert_eq!(version_of(&active_config), 26);
 }
 
 #[test]
-fn of_threads_that_put_versions_in_force_at_once_the_newest_prevails() {
+fn newest_of_concurrently_adopted_versions_is_active() {
     for round in 1..=ROUNDS {
-        let in_force = ActiveConfigCell::default();
-        let together = Barrier::new(2);
+        let active_config = ActiveConfigCell::default();
+        let barrier = Barrier::new(2);
         let (older, newer) = (state(round, MANY_ROUTES), state(round + 1, 1));
         std::thread::scope(|scope| {
             for version in [older, newer] {
-                let (in_force, together) = (&in_force, &together);
+                let (active_config, barrier) = (&active_config, &barrier);
                 scope.spawn(move || {
-                    together.wait();
-                    in_force.adopt(version);
+                    barrier.wait();
+                    active_config.adopt(version);
                 });
             }
         });
-        assert_eq!(version_of(&in_force), round + 1);
+        assert_eq!(version_of(&active_config), round + 1);
     }
 }
