--- a/crates/rampthread-node/src/api/reads.rs
+++ b/crates/rampthread-node/src/api/reads.rs
@@ -97,7 +97,7 @@
 /// known members.
 pub async fn status(request: Request<ApiState>) -> tide::Result {
     let control = &request.state().control;
-    let spread = control.spread().await;
+    let spread = control.propagation_status().await;
     let view = control.with_agent(|agent| StatusView {
         node: control.id.clone(),
         ready: agent.is_ready(),
--- a/crates/rampthread-node/src/api/watch.rs
+++ b/crates/rampthread-node/src/api/watch.rs
@@ -32,7 +32,7 @@
                 send(&sender, "decided", &serde_json::to_string(&view)?).await?;
             }
         }
-        if let Some(spread) = control.spread().await {
+        if let Some(spread) = control.propagation_status().await {
             let text = serde_json::to_string(&SpreadView::from(&spread))?;
             if text != last_spread {
                 send(&sender, "spread", &text).await?;
--- a/crates/rampthread-node/src/calls/entry/quarantine.rs
+++ b/crates/rampthread-node/src/calls/entry/quarantine.rs
@@ -25,7 +25,7 @@
 
     /// Whether the request is suspected, on trial or quarantined, by the crashes known here.
     pub(super) fn quarantine_state(&self, call: &Call) -> QuarantineState {
-        self.control().standing(|| self.identity(call))
+        self.control().quarantine_state(|| self.identity(call))
     }
 
     /// Rejects a quarantined request before any resources are spent on it.
@@ -75,7 +75,7 @@
         let Some(instance) = &call_error.crashed else {
             return;
         };
-        self.control().note_crash(&CrashReport {
+        self.control().record_crash(&CrashReport {
             identity: self.identity(call),
             instance: instance.clone(),
             age: Duration::ZERO,
@@ -94,7 +94,7 @@
         selected: &SelectedBackend,
         started_at: Moment,
     ) {
-        self.control().note_answer(self.identity(call));
+        self.control().record_response(self.identity(call));
         let mut state = self.state();
         if !state.lost_responses.is_empty()
             && let Some(instance) = incarnation(selected)
--- a/crates/rampthread-node/src/calls/gate/trial.rs
+++ b/crates/rampthread-node/src/calls/gate/trial.rs
@@ -31,7 +31,7 @@
     /// Rejects a quarantined request before it is queued.
     pub(super) fn check_quarantine(&self, content: &CallContent) -> Result<(), CallError> {
         let identity = || content.identity(&self.control.identity_key);
-        match self.control.standing(identity) {
+        match self.control.quarantine_state(identity) {
             QuarantineState::Quarantined { crashes, left } => Err(quarantine_error(crashes, left)),
             _ => Ok(()),
         }
@@ -45,7 +45,7 @@
         backend: &LocalBackend,
     ) -> Result<Option<Trial>, CallError> {
         let identity = || content.identity(&self.control.identity_key);
-        match self.control.standing(identity) {
+        match self.control.quarantine_state(identity) {
             QuarantineState::Quarantined { crashes, left } => Err(quarantine_error(crashes, left)),
             QuarantineState::OnTrial { .. } => self.start_trial(identity(), backend).map(Some),
             QuarantineState::Unsuspected | QuarantineState::Suspected => Ok(None),
--- a/crates/rampthread-node/src/control/crashes.rs
+++ b/crates/rampthread-node/src/control/crashes.rs
@@ -18,7 +18,7 @@
 
     /// Returns whether a request may run, given the crashes while running it. `identity` is
     /// computed only if any request is suspected.
-    pub fn standing(&self, identity: impl FnOnce() -> RequestIdentity) -> QuarantineState {
+    pub fn quarantine_state(&self, identity: impl FnOnce() -> RequestIdentity) -> QuarantineState {
         let table = self.crash_table.load();
         if table.is_empty() {
             return QuarantineState::Unsuspected;
@@ -59,7 +59,7 @@
 
     /// Merges the crash report that a gate (the node of the crashed backend) sent with its
     /// response. The gate informs the other nodes itself.
-    pub fn note_crash(self: &Arc<Self>, report: &CrashReport) {
+    pub fn record_crash(self: &Arc<Self>, report: &CrashReport) {
         let now = self.clock.now();
         let actions = self
             .agent()
@@ -70,7 +70,7 @@
 
     /// Records that a backend has completed the request, which clears the request of
     /// earlier crashes.
-    pub fn note_answer(self: &Arc<Self>, identity: RequestIdentity) {
+    pub fn record_response(self: &Arc<Self>, identity: RequestIdentity) {
         let now = self.clock.now();
         self.recent_responses().note(identity, now);
         let suspected = {
--- a/crates/rampthread-node/src/control/document_watch.rs
+++ b/crates/rampthread-node/src/control/document_watch.rs
@@ -375,7 +375,7 @@
         if std::mem::take(&mut self.reported_unavailable) {
             self.control.decision_log.record(Decision::StoreAvailable);
         }
-        self.control.store_answers(true);
+        self.control.record_store_reachability(true);
     }
 
     /// Records a failed store call, and delays the next one.
@@ -401,6 +401,6 @@
                 .decision_log
                 .record(Decision::StoreUnavailable { reason });
         }
-        self.control.store_answers(false);
+        self.control.record_store_reachability(false);
     }
 }
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -111,7 +111,7 @@
     /// Whether a planned stop has begun.
     stopping: AtomicBool,
     /// Peers whose messages are dropped, to simulate a network partition in experiments.
-    pub(super) cut_off: ArcSwap<HashSet<NodeId>>,
+    pub(super) blocked_peers: ArcSwap<HashSet<NodeId>>,
     pub(super) pending_requests: PendingRequests,
     tasks: TaskGroup,
 }
@@ -194,7 +194,7 @@
             ready: AtomicBool::new(false),
             draining: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
-            cut_off: ArcSwap::default(),
+            blocked_peers: ArcSwap::default(),
             pending_requests: PendingRequests::default(),
             tasks: TaskGroup::default(),
         });
@@ -256,9 +256,9 @@
     }
 
     /// Records whether the store is reachable from this node.
-    pub fn store_answers(self: &Arc<Self>, answers: bool) {
+    pub fn record_store_reachability(self: &Arc<Self>, reachable: bool) {
         let now = self.clock.now();
-        let actions = self.agent().record_store_reachability(answers, now);
+        let actions = self.agent().record_store_reachability(reachable, now);
         self.perform(actions);
     }
 
@@ -411,8 +411,8 @@
 
     /// Drops all messages to and from `peers`, to simulate a network partition in
     /// experiments. An empty set ends the partition.
-    pub fn cut_off(&self, peers: HashSet<NodeId>) {
-        self.cut_off.store(Arc::new(peers));
+    pub fn block_peers(&self, peers: HashSet<NodeId>) {
+        self.blocked_peers.store(Arc::new(peers));
     }
 
     /// Returns the active configuration version with its tables.
--- a/crates/rampthread-node/src/control/operators.rs
+++ b/crates/rampthread-node/src/control/operators.rs
@@ -26,7 +26,7 @@
 
     /// Queries to how many nodes the newest version has propagated; `None` if this node
     /// doesn't know.
-    pub async fn spread(self: &Arc<Self>) -> Option<PropagationStatus> {
+    pub async fn propagation_status(self: &Arc<Self>) -> Option<PropagationStatus> {
         let (ticket, reply) = self.pending_requests.propagation_query();
         let now = self.clock.now();
         let actions = self.agent().query_propagation(ticket, now);
--- a/crates/rampthread-node/src/control/transport.rs
+++ b/crates/rampthread-node/src/control/transport.rs
@@ -36,7 +36,7 @@
             .control_bytes_received
             .inc_by(sealed.len() as u64);
         match self.codec.read(sealed) {
-            Ok(envelope) if self.cut_off.load().contains(&envelope.from) => {}
+            Ok(envelope) if self.blocked_peers.load().contains(&envelope.from) => {}
             Ok(envelope) => self.on_envelope(envelope),
             Err(error) => {
                 self.metrics.control_messages_dropped.inc();
@@ -65,7 +65,7 @@
         crosses_zones: bool,
         envelope: &Envelope,
     ) {
-        if self.cut_off.load().contains(to) {
+        if self.blocked_peers.load().contains(to) {
             return;
         }
         let sealed = self.codec.write(to, envelope);
