--- a/crates/rampthread-node/src/control/backend_reports.rs
+++ b/crates/rampthread-node/src/control/backend_reports.rs
@@ -55,7 +55,7 @@
             Err(ReportError::NoSuchCall) => text_response(StatusCode::NOT_FOUND, "no such call"),
             Err(ReportError::Invalid(findings)) => {
                 self.control.metrics.unusable_reports.inc();
-                if self.may_log("unusable backend report") {
+                if self.may_log("report that cannot be read") {
                     let path = parts.uri.path();
                     tracing::warn!(%path, %findings, "unusable report of the local backend");
                 }
