--- a/crates/rampthread-core/src/call/quota/bucket.rs
+++ b/crates/rampthread-core/src/call/quota/bucket.rs
@@ -33,7 +33,7 @@
         self.level = self.level.clamp(-max_deficit, limit.burst);
     }
 
-    /// Adds the tokens of the time since the last change.
+    /// Adds the tokens for the time since the last update.
     fn refill(&mut self, now: Moment) {
         let passed = now.since(self.updated_at).as_secs_f64();
         self.level = (self.level + self.limit.rate * passed).min(self.limit.burst);
--- a/crates/rampthread-core/src/call/quota/decaying_rate.rs
+++ b/crates/rampthread-core/src/call/quota/decaying_rate.rs
@@ -18,6 +18,7 @@
 }
 
 impl DecayingRate {
+    /// Creates a rate of zero.
     pub(super) fn new(time_constant: Duration, now: Moment) -> Self {
         Self {
             time_constant: time_constant.as_secs_f64(),
--- a/crates/rampthread-core/src/call/quota/fleet_load.rs
+++ b/crates/rampthread-core/src/call/quota/fleet_load.rs
@@ -91,6 +91,7 @@
 }
 
 impl<'a> LoadByTenant<'a> {
+    /// Indexes the load reports in `snapshot` by tenant.
     pub(super) fn new(snapshot: &'a FleetLoadSnapshot<'a>) -> Self {
         let mut loads: HashMap<TenantHash, Vec<_>> = HashMap::new();
         for zone in snapshot.zones {
--- a/crates/rampthread-core/src/call/quota/limit_fraction.rs
+++ b/crates/rampthread-core/src/call/quota/limit_fraction.rs
@@ -8,14 +8,15 @@
 
 use super::fleet_load::ReportCoverage;
 
-/// Weight of the node count when a limit is divided between partitions; the rest goes by
-/// past demand. Allows for requests that move to another partition during the partition.
+/// Weight of the node count when a limit is divided between partitions of the network; the
+/// rest is divided by past demand. Allows for requests that move from one partition to
+/// another.
 const NODE_COUNT_WEIGHT: f64 = 0.25;
 /// Fraction of the nodes that may be missing in the load reports without any effect on the
 /// limit.
 const TOLERATED_MISSING_RATIO: f64 = 0.05;
-/// Fraction of its zone that must be covered by reports for a node to use more than its own
-/// fraction.
+/// Fraction of a zone's nodes that the load reports must include, so that a node of the
+/// zone may use more than its own fraction of a limit.
 const MIN_REPORTED_RATIO: f64 = 0.4;
 
 /// Fraction of a tenant's limit for the reachable zones: `reachable_demand` is the tenant's
@@ -33,8 +34,8 @@
     !coverage.own_zone_reporting || coverage.own_zone_reported_ratio < MIN_REPORTED_RATIO
 }
 
-/// Factor for the limit fraction by the nodes that the load reports include. Nodes missing
-/// in the reports may be partitioned and admit requests as well.
+/// Factor that reduces a limit fraction for nodes that the load reports lack. Such nodes
+/// may be partitioned from this node and admit requests as well.
 pub(super) fn reported_ratio(coverage: &ReportCoverage) -> f64 {
     if coverage.reported_ratio + TOLERATED_MISSING_RATIO >= 1.0 {
         return 1.0;
@@ -52,7 +53,8 @@
     )
 }
 
-/// Blends the fractions by past demand and by node count.
+/// Combines the fraction by past demand with the fraction by node count, with fixed
+/// weights.
 fn blend(demand: f64, total_demand: f64, by_node_count: f64) -> f64 {
     if total_demand <= 0.0 {
         return by_node_count;
--- a/crates/rampthread-core/src/call/quota/mod.rs
+++ b/crates/rampthread-core/src/call/quota/mod.rs
@@ -73,7 +73,8 @@
     pub admission_probability: f64,
     /// Requests of the tenant rejected by this node since it began to track the tenant.
     pub refused: u64,
-    /// Reports or fallback from which the admission probability was computed.
+    /// Whether the admission probability is based on load reports of the fleet or on this
+    /// node alone.
     pub basis: QuotaBasis,
 }
 
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -30,15 +30,16 @@
 /// Ratio of the policy's slack that is added to the burst, for random variation of low
 /// rates.
 const USED_SLACK_RATIO: f64 = 0.2;
-/// Ratio of a node's even fraction of the limit below which the node leaves the tenant out
-/// of its load report.
+/// Ratio of the limit divided by the number of nodes. A node with a lower rate of requests
+/// leaves the tenant out of its load report.
 const REPORT_THRESHOLD_RATIO: f64 = 0.1;
 /// Ratio of the fleet's requests for the tenant from which on a node decides by its own
 /// token bucket alone, without an estimate of the other nodes.
 const SOLE_RECEIVER_RATIO: f64 = 0.9;
-/// Time constant and minimum of the executed ratio, the ratio of admitted requests that
+/// Time constant of the executed ratio, i.e. the ratio of a tenant's admitted requests that
 /// run.
 const EXECUTED_RATIO_TIME_CONSTANT: Duration = Duration::from_secs(2);
+/// Minimum that is assumed for the executed ratio, however few admitted requests run.
 const MIN_EXECUTED_RATIO: f64 = 0.25;
 /// Time after which a tenant that this node reports, but its zone's load report lacks,
 /// counts as truncated from that report.
@@ -52,7 +53,8 @@
 /// Minimum and maximum of the retry delay that rejected callers are told, in seconds.
 const RETRY_DELAY_RANGE_SECS: (f64, f64) = (0.1, 5.0);
 
-/// What the decision on a request was based on.
+/// Data that a quota decision is based on: load reports of the fleet, or this node's
+/// requests alone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QuotaBasis {
     /// The decision was based on load reports of the fleet.
@@ -81,7 +83,7 @@
     /// Requests per second of the tenant that the fleet receives, as far as this node
     /// knows.
     pub fleet_demand_rps: f64,
-    /// What the rejection was based on.
+    /// Whether the rejection is based on load reports of the fleet or on this node alone.
     pub basis: QuotaBasis,
 }
 
@@ -104,8 +106,8 @@
     /// Demand and token balance of each zone that has reported the tenant.
     zones: Vec<ZoneBalance>,
     last_request_at: Moment,
-    /// Rates of the tenant's requests that this node has reported, with the time of each
-    /// report.
+    /// Rates of requests that this node has put into its load reports, with the time of
+    /// each report.
     reported: VecDeque<(Moment, f64)>,
     /// Since when this node has included the tenant in all of its load reports.
     reporting_since: Option<Moment>,
@@ -197,6 +199,7 @@
         quota
     }
 
+    /// Applies the tenant's limit of a new configuration version.
     pub(super) fn set_limit(&mut self, limit: RateLimit) {
         self.limit = limit;
     }
@@ -256,7 +259,8 @@
         (self.fleet_load.demand_rps + since_report.max(0.0)).max(own)
     }
 
-    /// Rate that this node's own reports contributed to the present sum of reports.
+    /// Rate of the tenant's requests at this node that the present sum of load reports
+    /// includes.
     fn own_reported_rps(&self, now: Moment) -> f64 {
         let until = now - self.fleet_load.report_age;
         let report = self.reported.iter().rev().find(|(at, _)| *at <= until);
@@ -294,7 +298,7 @@
         Duration::from_secs_f64(wait.clamp(RETRY_DELAY_RANGE_SECS.0, RETRY_DELAY_RANGE_SECS.1))
     }
 
-    /// What a decision on a request is based on now.
+    /// Returns which data a quota decision is based on now.
     fn basis(&self) -> QuotaBasis {
         match self.isolated {
             true => QuotaBasis::LocalOnly {
@@ -542,6 +546,7 @@
         }
     }
 
+    /// Returns the state of the tenant's limit for the operators' API.
     pub(super) fn view(&self, now: Moment) -> QuotaView {
         QuotaView {
             limit: self.limit,
--- a/crates/rampthread-core/src/call/quota/zone_balance.rs
+++ b/crates/rampthread-core/src/call/quota/zone_balance.rs
@@ -23,6 +23,7 @@
 }
 
 impl ZoneBalance {
+    /// Creates the balance of a zone that reports the tenant for the first time.
     pub(super) fn new(zone: Zone, demand: f64, updated_at: Moment) -> Self {
         Self {
             zone,
--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -182,12 +182,12 @@
     /// Response counts received since the last evaluation.
     round: Vec<VersionEvidence>,
     rate: f64,
-    /// Since when this decider collects evidence about the rollout.
+    /// Since when this decider collects response evidence for the rollout.
     since: Moment,
     /// When the shift of traffic was first seen, and the target version's responses by
     /// then.
     shifting_since: Option<(Moment, u64)>,
-    /// Whether the rollout has succeeded and that is still to be persisted.
+    /// Whether the rollout has succeeded, while the success is still to be persisted.
     has_succeeded: bool,
 }
 
@@ -336,7 +336,7 @@
         self.records_uncertain = false;
     }
 
-    /// The next store request that the node's role requires.
+    /// Returns the next store request that this node's role requires.
     fn next_request(
         &mut self,
         table: &RolloutTable,
@@ -578,7 +578,7 @@
         }
     }
 
-    /// Applies the success of a write of a rollout state.
+    /// Records that a rollout state was written to the store.
     fn on_written(
         &mut self,
         state: RolloutState,
@@ -728,7 +728,7 @@
 }
 
 impl Evaluation {
-    /// Evaluates the counts received since the last evaluation.
+    /// Evaluates the response counts received since the last evaluation.
     fn take_round(&mut self, passed: Duration) {
         let round = std::mem::take(&mut self.round);
         let responses = round
--- a/crates/rampthread-core/src/rollout/evaluation.rs
+++ b/crates/rampthread-core/src/rollout/evaluation.rs
@@ -35,21 +35,25 @@
 const GROUPS_PER_OUTLIER: usize = 4;
 /// Minimum number of bad responses for a group of backends to be excluded.
 const MIN_OUTLIER_RESPONSES: f64 = 1.5;
-/// Prior failure rate of the baseline: these failures in this many responses.
+/// Failures that a baseline counts in addition to those observed, so that its failure ratio
+/// is never zero.
 const PRIOR_FAILURES: f64 = 0.4;
+/// Responses that a baseline counts in addition to those observed.
 const PRIOR_RESPONSES: f64 = 40.0;
 /// Minimum increase of the failure ratio over the baseline in a bad version.
 const MIN_FAILURE_INCREASE: f64 = 0.1;
 /// Minimum factor between the failure ratios of a bad version and the baseline.
 const MIN_FAILURE_FACTOR: f64 = 2.0;
-/// Quantiles of the baseline's latency that are compared, as ratios of slower responses.
+/// Latency quantiles of the baseline that are compared, each as the ratio of the baseline's
+/// responses that are slower.
 const TAIL_RATIOS: [f64; 3] = [0.5, 0.2, 0.05];
-/// Minimum increase of the ratio of responses beyond each of these quantiles in a bad
-/// version.
+/// Minimum increase, in a bad version, of the ratio of responses that are slower than each
+/// latency quantile of `TAIL_RATIOS`.
 const MIN_TAIL_INCREASES: [f64; 3] = [0.2, 0.15, 0.08];
 /// Index of the quantile that the fewest responses of the baseline exceed.
 const LAST_TAIL: usize = TAIL_RATIOS.len() - 1;
-/// Ratio of each tail that a good version may have beyond the tolerated latency.
+/// Ratio of the responses in a tail that may exceed the tolerated latency in a good
+/// version: a quarter.
 const TOLERATED_TAIL_RATIO: f64 = 0.25;
 /// Histogram buckets by which a good version may be slower, since the speed of backends
 /// varies and the target's get few calls. Two buckets are a factor of two.
@@ -122,6 +126,7 @@
         }
     }
 
+    /// Adds the counts of newly reported responses.
     fn add(&mut self, counts: &ResponseCounts) {
         self.responses += f64::from(counts.responses);
         self.failures += f64::from(counts.failures);
@@ -130,6 +135,7 @@
         }
     }
 
+    /// Adds the response counts of another group or round.
     fn merge(&mut self, other: &Self) {
         self.responses += other.responses;
         self.failures += other.failures;
@@ -150,8 +156,8 @@
         }
     }
 
-    /// Returns the first histogram bucket that at most a ratio `tail` of the responses
-    /// reach.
+    /// Returns the first histogram bucket whose lower bound is reached by at most a ratio
+    /// `tail` of the responses.
     fn tail_start_bucket(&self, tail: f64) -> usize {
         let total: f64 = self.latencies.iter().sum();
         let mut above = total;
@@ -170,12 +176,12 @@
 struct CountsByGroup([DecayingCounts; BACKEND_GROUPS as usize]);
 
 impl CountsByGroup {
-    /// Counts of one group of backends.
+    /// Response counts of one group of backends.
     fn group_counts(&mut self, group: u8) -> &mut DecayingCounts {
         &mut self.0[usize::from(group % BACKEND_GROUPS)]
     }
 
-    /// Sums the counts of all groups.
+    /// Sums the response counts of all groups of backends.
     fn total(&self) -> DecayingCounts {
         let mut sum = DecayingCounts::default();
         for group in &self.0 {
@@ -254,6 +260,7 @@
         }
     }
 
+    /// Adds the response counts of one group of backends to the current round.
     fn add(&mut self, group: u8, counts: &ResponseCounts, of_target: bool) {
         if of_target {
             self.responses = self.responses.saturating_add(counts.responses);
--- a/crates/rampthread-core/src/rollout/evidence.rs
+++ b/crates/rampthread-core/src/rollout/evidence.rs
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Adds the counts of `other`; they saturate.
+    /// Adds the counts of `other`. A sum that would overflow stays at the maximum.
     pub fn add(&mut self, other: &Self) {
         self.responses = self.responses.saturating_add(other.responses);
         self.failures = self.failures.saturating_add(other.failures);
--- a/crates/rampthread-core/src/rollout/exposure.rs
+++ b/crates/rampthread-core/src/rollout/exposure.rs
@@ -55,7 +55,7 @@
     LastResort,
     /// The target version gets calls up to a ratio of the service's responses.
     Limited {
-        /// Maximum ratio, in thousandths.
+        /// Maximum share of the target version in the service's responses, in thousandths.
         permille: u16,
         /// Sequence number of the decider's evaluation; backends take turns by it.
         round: u64,
--- a/crates/rampthread-core/src/rollout/state.rs
+++ b/crates/rampthread-core/src/rollout/state.rs
@@ -79,8 +79,8 @@
     pub elapsed: Duration,
     /// Time from the order to the rollout's deadline.
     pub duration: Duration,
-    /// The node that decides and receives the response evidence; `None` before the first
-    /// one.
+    /// The node that decides about the rollout and receives the response evidence; `None`
+    /// before a node has become the decider.
     pub decider: Option<NodeId>,
 }
 
--- a/crates/rampthread-core/src/rollout/table.rs
+++ b/crates/rampthread-core/src/rollout/table.rs
@@ -12,9 +12,9 @@
 /// that no longer receives updates must not keep sending calls to a version that may have
 /// been rolled back.
 const CONFIRMATION_RATIO: f64 = 0.3;
-/// Time for which the new version is preferred after success. Its predecessor's backends
-/// are gone by then; versions that appear later without an order get the same treatment as
-/// any other.
+/// Time for which the target version is preferred after a successful rollout. The backends
+/// of the previous version are gone by then. Versions that appear later without an order
+/// get the same treatment as any other.
 const PREFERENCE_TIME: Duration = Duration::from_secs(30);
 
 /// How a node learned of a rollout order.
@@ -36,7 +36,7 @@
 }
 
 impl ReceivedState {
-    /// Time since the order, as of `now`.
+    /// Time since the rollout order, as of `now`.
     fn elapsed(&self, now: Moment) -> Duration {
         self.state.elapsed + now.since(self.received_at)
     }
--- a/crates/rampthread-node/src/control/active.rs
+++ b/crates/rampthread-node/src/control/active.rs
@@ -42,7 +42,7 @@
 }
 
 impl ActiveConfigCell {
-    /// Returns the active configuration version.
+    /// Returns the active configuration version with its tables.
     pub fn load(&self) -> Arc<ActiveConfig> {
         self.active.load_full()
     }
--- a/crates/rampthread-node/src/control/backoff.rs
+++ b/crates/rampthread-node/src/control/backoff.rs
@@ -11,7 +11,7 @@
 /// Maximum delay between retries of background requests. Requests cost money, and a store
 /// that rejects some of a large fleet shouldn't be retried by all nodes at once.
 const MAX_BACKGROUND_DELAY: Duration = Duration::from_secs(6);
-/// Maximum number of doublings of the first delay.
+/// Maximum number of times that the initial delay is doubled.
 const MAX_DOUBLINGS: u32 = 7;
 
 /// Exponential backoff with jitter, so that many nodes don't retry in step.
@@ -44,7 +44,7 @@
         self.failures == 0
     }
 
-    /// Restarts the delays after a successful request.
+    /// Starts again with the initial delay, after a successful request.
     pub(super) fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/rampthread-node/src/control/crash_records.rs
+++ b/crates/rampthread-node/src/control/crash_records.rs
@@ -45,7 +45,7 @@
         self.set_persisted(crashes, false);
     }
 
-    /// Marks crashes as persisted or removed, and drops the oldest entries.
+    /// Notes whether `crashes` are now persisted, and drops the oldest entries.
     fn set_persisted(&mut self, crashes: &[RecordedCrash], persisted: bool) {
         for crash in crashes {
             self.crashes.retain(|(known, _)| {
@@ -86,6 +86,7 @@
 }
 
 impl CrashRecorder {
+    /// Creates the recorder; its writes start with [`Self::run`].
     pub(super) fn new(control: Weak<Control>, directory: Arc<dyn Directory>) -> Self {
         let (sender, changes) = async_channel::bounded(MAX_QUEUED_CHANGES);
         Self {
@@ -97,12 +98,14 @@
         }
     }
 
+    /// Persists newly reported crashes in the store, in the background.
     pub(super) fn record(&self, reports: &[CrashReport]) {
         let crashes = to_records(reports);
         self.recent().record(&crashes);
         self.queue(RecordChange::Record(crashes));
     }
 
+    /// Removes crashes from the store, in the background.
     pub(super) fn forget(&self, reports: &[CrashReport]) {
         let crashes = to_records(reports);
         self.recent().forget(&crashes);
@@ -120,13 +123,14 @@
         }
     }
 
+    /// Locks the list of recently changed crash records.
     fn recent(&self) -> MutexGuard<'_, RecentCrashes> {
         self.recent
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Queues a change for the store; drops the change if the queue is full.
+    /// Queues a change of the crash records; drops the change if the queue is full.
     fn queue(&self, change: RecordChange) {
         if self.sender.try_send(change).is_err() {
             tracing::warn!("crashes not persisted: too many changes are queued for the store");
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Writes one change, with retries.
+    /// Writes one change of the crash records to the store, with retries.
     async fn write(&self, change: &RecordChange) {
         let mut backoff = Backoff::default();
         for _ in 0..MAX_WRITE_ATTEMPTS {
@@ -152,7 +156,7 @@
         tracing::warn!("crashes not persisted: the store failed all attempts");
     }
 
-    /// Makes one attempt to write a change.
+    /// Makes one attempt to write a change of the crash records to the store.
     async fn write_once(&self, change: &RecordChange) -> Result<(), PlatformError> {
         if let Some(control) = self.control.upgrade() {
             control.metrics.count_store_request("crash-record");
--- a/crates/rampthread-node/src/control/crashes.rs
+++ b/crates/rampthread-node/src/control/crashes.rs
@@ -16,8 +16,8 @@
         self.crash_table.load_full()
     }
 
-    /// Returns whether a request may run, given the crashes while running it. `identity` is
-    /// computed only if any request is suspected.
+    /// Returns whether a request may run, given earlier crashes of backends that ran it.
+    /// `identity` is computed only if any request is suspected.
     pub fn quarantine_state(&self, identity: impl FnOnce() -> RequestIdentity) -> QuarantineState {
         let table = self.crash_table.load();
         if table.is_empty() {
--- a/crates/rampthread-node/src/control/directory.rs
+++ b/crates/rampthread-node/src/control/directory.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Queues a departure for the store; drops the departure if the queue is full.
+    /// Queues a departure of the local backend; drops the departure if the queue is full.
     fn queue_departure(&self, endpoint: EndpointRecord) {
         if self.departure_sender.try_send(endpoint).is_err() {
             tracing::warn!("departure not persisted: too many are queued for the store");
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Delays after a failed request; only the first failure of a series is logged.
+    /// Waits after a failed store request; only the first failure of a series is logged.
     async fn delay(&self, backoff: &mut Backoff, error: &PlatformError) {
         if backoff.has_no_failure() {
             tracing::warn!(zone = %self.zone, %error, "a request to the directory failed; retrying");
@@ -180,7 +180,8 @@
         sleep(backoff.next_delay(error)).await;
     }
 
-    /// The next step for the zone's snapshot, or `None` if nothing is due.
+    /// Returns the next read or write that the zone's snapshot requires from this node, if
+    /// any.
     fn next_step(&self) -> Option<ZoneStep> {
         let control = self.control.upgrade()?;
         let now = control.clock.now();
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Persists a departure, with retries.
+    /// Persists one departure of the local backend, with retries.
     async fn write_departure(&self, departure: &RecordedLeave) {
         let mut backoff = Backoff::default();
         for _ in 0..MAX_DEPARTURE_ATTEMPTS {
@@ -288,7 +289,7 @@
         within_era(&self.eras, self.directory.read(age)).await
     }
 
-    /// Applies the content of the directory.
+    /// Applies the directory's nodes, departures and crashes that were read.
     fn apply(&self, read: DirectoryRead) {
         let Some(control) = self.control.upgrade() else {
             return;
@@ -357,11 +358,13 @@
         }
     }
 
+    /// Locks the decisions about the zone's snapshot.
     fn zone_directory(&self) -> MutexGuard<'_, ZoneDirectory> {
         lock(&self.zone_directory)
     }
 }
 
+/// Locks a mutex, also after a panic of another thread.
 fn lock<T>(held: &Mutex<T>) -> MutexGuard<'_, T> {
     held.lock().unwrap_or_else(|broken| broken.into_inner())
 }
--- a/crates/rampthread-node/src/control/document_watch.rs
+++ b/crates/rampthread-node/src/control/document_watch.rs
@@ -23,10 +23,10 @@
 const DIRECTORY_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum number of reads at startup that accept a document some seconds old.
 const MAX_INITIAL_READS: u32 = 6;
-/// Delay after the first of these reads; it doubles with each read. All delays together
-/// last longer than nodes that start together need to find each other.
+/// Delay after the first read of the document at startup; it doubles with each read. All
+/// delays together last longer than nodes that start together need to find each other.
 const INITIAL_READ_DELAY: Duration = Duration::from_millis(700);
-/// Maximum delay between two of these reads.
+/// Maximum delay between two reads of the document at startup.
 const MAX_INITIAL_READ_DELAY: Duration = Duration::from_millis(2_800);
 /// Maximum wait for peers at startup: longer than nodes that start together need to find
 /// each other.
@@ -38,9 +38,10 @@
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two checks whether peers have provided the document that is being read.
 const PEER_HELP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Changes that follow each other within this time count as a burst.
+/// Changes of the document that follow each other within this time count as a burst.
 const BURST_GAP: Duration = Duration::from_secs(1);
-/// Delay between two reads during a burst, so that several versions cost one read.
+/// Delay between two reads of the document during a burst of changes, so that several
+/// versions cost one read.
 const BURST_DELAY: Duration = Duration::from_millis(400);
 /// Maximum number of findings of a rejected document in a log line.
 const MAX_LOGGED_FINDINGS: usize = 20;
@@ -71,7 +72,7 @@
     failures: u32,
     /// Whether the store was reported as unavailable.
     reported_unavailable: bool,
-    /// When the store last had a newer version.
+    /// When a newer version of the document was last seen.
     changed_at: Option<BootInstant>,
 }
 
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Follows the document until the task is canceled.
+    /// Reads and watches the document until the task is canceled.
     pub(super) async fn run(mut self) {
         let mut known = self.read_first().await;
         if known.is_some() && self.wait_for_role().await {
@@ -197,8 +198,8 @@
         false
     }
 
-    /// Records a version newer than `before`. Returns whether the previous one arrived only
-    /// a moment earlier, so that more are likely.
+    /// Records the time if the active version is newer than `before`. Returns whether the
+    /// previous new version arrived only a moment earlier, so that more are likely.
     fn is_burst(&mut self, before: Version) -> bool {
         if self.control.version() <= before {
             return false;
@@ -300,7 +301,8 @@
         }
     }
 
-    /// Waits once for a change. Returns `None` if the document must be read in full.
+    /// Waits once for a change of the document after `after`. Returns the new revision, or
+    /// `None` if the document must be read in full.
     async fn watch(&mut self, after: Revision) -> Option<Revision> {
         self.control.metrics.count_store_request("document-watch");
         let (wait, call_timeout) = self.control.watch_timeouts();
@@ -368,7 +370,7 @@
         }
     }
 
-    /// Records a successful store call.
+    /// Records that the store responded.
     fn on_success(&mut self) {
         self.backoff.reset();
         self.failures = 0;
@@ -378,7 +380,7 @@
         self.control.record_store_reachability(true);
     }
 
-    /// Records a failed store call, and delays the next one.
+    /// Records a failed store call, and waits before the next one.
     async fn on_failure(&mut self, error: &PlatformError) {
         self.failures += 1;
         // An unresponsive store is reported at once, since other nodes rely on this one to
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -63,7 +63,7 @@
 
 /// The running control side of one node.
 pub struct Control {
-    /// Id of this node in the fleet.
+    /// Id of this node, unique in the fleet.
     pub id: NodeId,
     /// Clock of this process, the same for agent and calls.
     pub clock: Clock,
@@ -108,7 +108,7 @@
     endpoint_update_scheduled: AtomicBool,
     pub(super) ready: AtomicBool,
     pub(super) draining: AtomicBool,
-    /// Whether a planned stop has begun.
+    /// Whether a planned stop of this node has begun.
     stopping: AtomicBool,
     /// Peers whose messages are dropped, to simulate a network partition in experiments.
     pub(super) blocked_peers: ArcSwap<HashSet<NodeId>>,
@@ -437,7 +437,8 @@
 
     // ---- events ----
 
-    /// Runs the agent's timers, and publishes what has changed.
+    /// Ticks the agent periodically, and publishes what has changed to the call path and
+    /// the metrics.
     async fn tick(self: Arc<Self>) {
         loop {
             let now = self.clock.now();
@@ -538,7 +539,7 @@
         self.metrics.store_era.set(era);
     }
 
-    /// Returns the active configuration version's number.
+    /// Returns the number of the active configuration version; 0 before the first one.
     pub fn version(&self) -> Version {
         self.active().state.version()
     }
--- a/crates/rampthread-node/src/control/large_messages.rs
+++ b/crates/rampthread-node/src/control/large_messages.rs
@@ -120,7 +120,7 @@
     }
 }
 
-/// Sends one message and logs a failure.
+/// Sends one large message and logs a failure.
 async fn send_one(
     message: LargeMessage,
     pool: Pool,
@@ -143,7 +143,7 @@
     }
 }
 
-/// Sends a message in an HTTP request.
+/// Sends a large message to a peer in an HTTP request.
 async fn post_message(
     pool: &Pool,
     address: SocketAddr,
@@ -161,6 +161,7 @@
     Ok(())
 }
 
+/// Locks a mutex, also after a panic of another thread.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|broken| broken.into_inner())
 }
--- a/crates/rampthread-node/src/control/options.rs
+++ b/crates/rampthread-node/src/control/options.rs
@@ -13,12 +13,12 @@
 /// Error at the start of the control side.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The datagram socket cannot be bound.
+    /// The UDP socket for messages between nodes cannot be bound.
     #[error("cannot bind UDP {address}: {source}")]
     Bind {
         /// UDP address that was tried.
         address: SocketAddr,
-        /// Error of the operating system.
+        /// Error of the operating system, e.g. that the address is in use.
         source: std::io::Error,
     },
 }
--- a/crates/rampthread-node/src/control/requests.rs
+++ b/crates/rampthread-node/src/control/requests.rs
@@ -11,7 +11,7 @@
 pub struct ChangeResult {
     /// Id of the change, to look the change up later if the result is unknown.
     pub operation_id: OperationId,
-    /// The agent's reply to the proposal.
+    /// Whether the change was accepted, rejected, or its result is unknown.
     pub answer: ProposalReply,
 }
 
@@ -62,12 +62,12 @@
         (ticket, register_request(&self.propagation_queries, ticket))
     }
 
-    /// Passes the agent's reply to the request that waits for it.
+    /// Passes the agent's reply to the proposal with this ticket.
     pub fn reply_to_proposal(&self, ticket: Ticket, reply: ProposalReply) {
         send_reply(&self.proposals, ticket, reply);
     }
 
-    /// Passes the agent's reply to the propagation query that waits for it.
+    /// Passes the agent's reply to the propagation query with this ticket.
     pub fn reply_to_propagation_query(&self, ticket: Ticket, status: Option<PropagationStatus>) {
         send_reply(&self.propagation_queries, ticket, status);
     }
--- a/crates/rampthread-node/src/control/transport.rs
+++ b/crates/rampthread-node/src/control/transport.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Passes a message to the agent.
+    /// Passes a decoded message to the agent and executes the resulting actions.
     fn on_envelope(self: &Arc<Self>, envelope: Envelope) {
         let now = self.clock.now();
         let concerns_crashes = matches!(envelope.message, Message::CrashReports { .. });
