--- a/crates/rampthread-http/src/pool.rs
+++ b/crates/rampthread-http/src/pool.rs
@@ -105,12 +105,14 @@
 struct IdleConnection {
     sender: SendRequest<Body>,
     since: BootInstant,
-    /// Time for which the connection is reused: the peer's announced keep-alive timeout, less a
-    /// margin.
+    /// Maximum idle time at which the connection is reused: the keep-alive timeout that the peer
+    /// announced, less a margin; `None` if it announced none.
     keep_alive: Option<Duration>,
 }
 
 impl IdleConnection {
+    /// Whether the connection is open and has been idle for less than `limit` and less than its
+    /// keep-alive time.
     fn usable(&self, limit: Duration) -> bool {
         let limit = self.keep_alive.map_or(limit, |kept| limit.min(kept));
         self.since.elapsed() < limit && !self.sender.is_closed()
@@ -251,7 +253,7 @@
     }
 }
 
-/// Failed attempt to send a request on one connection.
+/// Why sending a request on one connection failed.
 enum Attempt {
     /// The request never reached the connection and can be sent on another one.
     Unsent(Box<Request<Body>>),
@@ -270,7 +272,8 @@
     Some(Duration::from_secs(seconds).mul_f64(KEEP_ALIVE_RATIO))
 }
 
-/// Returns a connection to its pool when the response body has ended.
+/// A connection that receives a response body, with the pool that it returns to when the body
+/// has ended.
 struct PoolSlot {
     sender: SendRequest<Body>,
     address: SocketAddr,
--- a/crates/rampthread-http/src/server/connection.rs
+++ b/crates/rampthread-http/src/server/connection.rs
@@ -38,12 +38,13 @@
 /// Time for which input is still read after the response side was closed. Closing with unread
 /// input would send a reset, which can destroy the response before the client reads it.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Maximum number of bytes discarded during that time.
+/// Maximum input discarded during [`LINGER_TIMEOUT`], in bytes.
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
-/// Data up to this size is collected and written together with the head, in bytes.
+/// Size up to which data of a response body is written together with the response head, in
+/// bytes.
 const COALESCED_BYTES: usize = 16 * 1024;
 
-/// Why the reader of a connection ended.
+/// Why the reader of a connection stopped reading requests.
 enum ReaderEnd {
     /// The client disconnected; responses are no longer needed.
     Disconnected(ReadEnd),
--- a/crates/rampthread-http/src/server/framing.rs
+++ b/crates/rampthread-http/src/server/framing.rs
@@ -35,7 +35,7 @@
 #[error("malformed chunked coding in the request body")]
 pub struct MalformedChunks;
 
-/// What the decoder expects next in the input.
+/// What a [`BodyDecoder`] expects next in its input; numbers are bytes left to read.
 #[derive(Debug, Clone, Copy)]
 enum DecoderState {
     Data(u64),
--- a/crates/rampthread-http/src/server/head.rs
+++ b/crates/rampthread-http/src/server/head.rs
@@ -75,7 +75,8 @@
     Ok(Some(head))
 }
 
-/// Some clients send an empty line after a body (RFC 9112, section 2.2).
+/// Skips empty lines before a request, which some clients send after a body (RFC 9112, section
+/// 2.2).
 pub(super) fn skip_empty_lines(buffer: &mut BytesMut) {
     let empty = buffer
         .iter()
--- a/crates/rampthread-http/src/server/mod.rs
+++ b/crates/rampthread-http/src/server/mod.rs
@@ -120,8 +120,8 @@
     }
 }
 
-/// Returns the limits in force; called for every connection and request, so that changes apply
-/// at once.
+/// Function that returns the current server limits. It is called for every connection and
+/// request, so that changed limits apply at once.
 pub type LimitsProvider = Arc<dyn Fn() -> ServerLimits + Send + Sync>;
 
 /// Accepts connections and serves HTTP/1.1 on them.
--- a/crates/rampthread-http/src/server/pipeline.rs
+++ b/crates/rampthread-http/src/server/pipeline.rs
@@ -23,7 +23,7 @@
     pub(super) unread: UnreadBody,
 }
 
-/// A handler that is still running, or the response that it has returned.
+/// State of the handler of one request: running, or completed with a response.
 enum HandlerState {
     Running(BoxFuture<'static, Response<Body>>),
     Responded(Response<Body>),
@@ -56,6 +56,7 @@
     Finished,
 }
 
+/// State of one connection's pipeline.
 #[derive(Default)]
 struct State {
     started: VecDeque<PipelinedRequest>,
@@ -193,7 +194,7 @@
             state.writing = false;
             state.last_response_at = Some(BootInstant::now());
             state.started.pop_front();
-            // The reader may be waiting for the pipeline to have room.
+            // The reader may be waiting until another request may start.
             context.waker().wake_by_ref();
             Poll::Ready(())
         })
--- a/crates/rampthread-http/src/server/request_body.rs
+++ b/crates/rampthread-http/src/server/request_body.rs
@@ -13,7 +13,7 @@
 /// the previous piece.
 const MAX_BUFFERED_PIECES: usize = 1;
 
-/// Stands for an unknown number of unread bytes.
+/// Value of [`UnreadBody`] if the number of unread bytes is unknown.
 const UNKNOWN_BYTES: u64 = u64::MAX;
 
 /// Error of a request body that ended early.
@@ -101,6 +101,7 @@
 pub(super) struct UnreadBody(Arc<AtomicU64>);
 
 impl UnreadBody {
+    /// Creates the count of a request without an unread body.
     pub(super) fn none() -> Self {
         Self(Arc::new(AtomicU64::new(0)))
     }
--- a/crates/rampthread-http/src/time.rs
+++ b/crates/rampthread-http/src/time.rs
@@ -40,6 +40,7 @@
         self.0.saturating_sub(Self::now().0)
     }
 
+    /// The instant that lies `wait` in the future.
     fn after(wait: Duration) -> Self {
         Self(Self::now().0.saturating_add(wait))
     }
--- a/crates/rampthread-http/tests/connections.rs
+++ b/crates/rampthread-http/tests/connections.rs
@@ -17,7 +17,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for a state of the server before it fails.
+/// Maximum time that a test waits for an expected observation or for input from the server.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What the handlers of one test observed, and the responses that the test has released.
@@ -37,7 +37,7 @@
     released: Arc<event::Event>,
 }
 
-/// Wakes all waiting handlers.
+/// Event that wakes all tasks that wait for it.
 mod event {
     use std::sync::Mutex;
 
@@ -70,13 +70,11 @@
 }
 
 impl ControlledService {
-    fn update_observations<T>(
-        &self,
-        update_observations: impl FnOnce(&mut Observations) -> T,
-    ) -> T {
-        let changed = update_observations(&mut self.observations.0.lock().unwrap());
+    /// Applies `update` to the observations and wakes the test that waits for them.
+    fn update_observations<T>(&self, update: impl FnOnce(&mut Observations) -> T) -> T {
+        let result = update(&mut self.observations.0.lock().unwrap());
         self.observations.1.notify_all();
-        changed
+        result
     }
 
     /// Lets the handler of `path` respond with `body`.
@@ -88,6 +86,7 @@
         self.released.notify();
     }
 
+    /// Waits until the observations meet the condition `done`; `what` names it in the failure.
     fn wait(&self, what: &str, done: impl Fn(&Observations) -> bool) {
         let (lock, changed) = &*self.observations;
         let guard = lock.lock().unwrap();
@@ -100,12 +99,14 @@
         );
     }
 
+    /// Waits until the handler of the request for `path` has started.
     fn wait_started(&self, path: &str) {
         self.wait(path, |observations| {
             observations.started.iter().any(|one| one == path)
         });
     }
 
+    /// Paths of the requests whose handlers have started, in order.
     fn started(&self) -> Vec<String> {
         self.update_observations(|observations| observations.started.clone())
     }
@@ -156,6 +157,7 @@
     }
 }
 
+/// Starts a server with a [`ControlledService`] on a free port.
 fn serve(limits: ServerLimits) -> (SocketAddr, ControlledService, ShutdownHandle) {
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
@@ -170,6 +172,7 @@
     stream
 }
 
+/// Text of a GET request for `path`, to be written to a socket.
 fn get_request_text(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: a\r\n\r\n")
 }
@@ -191,6 +194,7 @@
     responses
 }
 
+/// Splits the first complete response from `bytes`; `None` if it is incomplete.
 fn parse_first_response(bytes: &[u8]) -> Option<(String, Vec<u8>)> {
     let text = String::from_utf8_lossy(bytes).to_string();
     let (head, _) = text.split_once("\r\n\r\n")?;
--- a/crates/rampthread-http/tests/one_clock.rs
+++ b/crates/rampthread-http/tests/one_clock.rs
@@ -18,12 +18,14 @@
     "rampthread-http/src/time.rs",
     "rampthread-http/src/server/connection.rs",
 ];
+/// Source text that uses a clock or timer which stops during a suspension.
 const FORBIDDEN_PATTERNS: &[&str] = &[
     "std::time::Instant",
     "{Duration, Instant",
     "async_std::future::timeout",
 ];
 
+/// Adds all Rust files below `folder` to `found`.
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
--- a/crates/rampthread-http/tests/pipeline_properties.rs
+++ b/crates/rampthread-http/tests/pipeline_properties.rs
@@ -25,6 +25,7 @@
     closes: bool,
 }
 
+/// Strategy for one request with a random kind, duration and response size.
 fn planned() -> impl Strategy<Value = PlannedRequest> {
     (any::<bool>(), 0_u64..12, 0_usize..40_000, 0_u8..12).prop_map(
         |(overlaps, work_ms, response_bytes, closes)| PlannedRequest {
@@ -36,13 +37,13 @@
     )
 }
 
-/// Responds to `/overlap|alone/NUMBER/WORK_MS/BYTES` with the number and padding of the given
-/// size. Requests of the kind `overlap` may run beside others, those of the kind `alone` may
-/// not.
+/// Responds to `/KIND/NUMBER/WORK_MS/BYTES` after WORK_MS milliseconds, with NUMBER and BYTES
+/// bytes of padding. KIND is `overlap` if the request may run concurrently with others on its
+/// connection, or else `alone`.
 #[derive(Clone, Default)]
 struct NumberedService {
     running: Arc<AtomicUsize>,
-    /// Number of requests that ran beside others although their path forbids that.
+    /// Number of `alone` requests that started while another request was running.
     overlap_violations: Arc<AtomicUsize>,
 }
 
--- a/crates/rampthread-http/tests/suspension.rs
+++ b/crates/rampthread-http/tests/suspension.rs
@@ -13,9 +13,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// Duration of the simulated suspension.
 const SUSPENSION: Duration = Duration::from_secs(30);
-/// Maximum real time of a wait that spans the suspension: much shorter than the wait, longer
-/// than one timer slice.
+/// Maximum real time that a wait across the suspension may take: much shorter than the wait
+/// itself, and longer than a single runtime timer.
 const MAX_WAKE_DELAY: Duration = Duration::from_secs(2);
 
 /// Simulates a suspension 50 ms from now.
@@ -56,6 +57,7 @@
     assert_eq!(completed, Ok(7));
 }
 
+/// Sends one request through `pool` and reads the whole response.
 async fn send_request(pool: &Pool, address: SocketAddr) {
     let request = Request::builder()
         .uri("/")
--- a/crates/rampthread-node/src/calls/entry/attempt_loop.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt_loop.rs
@@ -50,7 +50,7 @@
 /// itself is probably long then, and would be as long at another backend.
 const HEDGE_EXTENSION_FACTOR: u32 = 2;
 
-/// What a call waits for next.
+/// Event that the attempt loop handles next.
 enum Event {
     Finished(Box<FinishedAttempt>),
     /// The only attempt in progress takes longer than expected and is to be hedged.
@@ -191,7 +191,8 @@
         let now = self.entry.now();
         let route = &self.call.route.name;
         let wait = self.entry.state().balancer.hedge_delay(route)?;
-        // The hedged attempt needs as much time again before the deadline.
+        // Hedges only if the deadline leaves the hedged attempt as much time as the first
+        // attempt had.
         (wait * 2 < self.call.deadline.since(now)).then_some(HedgeTimer {
             started_at: now,
             at: now + wait,
@@ -254,7 +255,8 @@
             .call_log
             .hedged(&call.id, selected.node.as_str());
         self.start_attempt(SelectedBackend {
-            // Makes the gate node run the hedged attempt immediately or reject it.
+            // Forbids the gate node to queue the hedged attempt: while another backend appears
+            // to have a free slot, the gate node runs a call immediately or rejects it.
             others_have_free_slot: true,
             ..selected
         });
--- a/crates/rampthread-node/src/calls/entry/call_setup.rs
+++ b/crates/rampthread-node/src/calls/entry/call_setup.rs
@@ -160,8 +160,8 @@
     ) -> Option<String> {
         self.options.claims.as_ref()?;
         let key = header_filter::header_str(from, headers::IDEMPOTENCY_KEY)?;
-        // Idempotency keys are scoped by route and tenant. No route name starts with `@`, so a
-        // key with a tenant never equals a key without one.
+        // Equal keys of different routes or tenants must not collide. The `@` marks a key with
+        // a tenant, since no route name starts with `@`.
         let of_route = format!("{}/{key}", route.name);
         Some(match tenant {
             Some(tenant) => format!("@{}/{of_route}", tenant.name),
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -60,8 +60,8 @@
 
 /// Retry delay advised when no backend can take a call.
 const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Fraction of the fleet-wide retry slack that the known nodes divide among themselves. The
-/// rest is for nodes that have not yet discovered each other.
+/// Fraction of the fleet-wide retry limit that the known nodes use. The rest is for nodes that
+/// have not yet discovered each other.
 const USED_SLACK_RATIO: f64 = 0.7;
 
 /// Minimum admission probability, estimated from this entry node's recent attempts, at which a
@@ -118,7 +118,7 @@
     pub mode: EntryMode,
 }
 
-/// What an entry node has learned; changes with every call.
+/// State of an entry node: balancing, retry budgets, lost responses, zones and versions.
 struct EntryState {
     balancer: Balancer,
     budgets: HashMap<ResourceName, RetryBudget>,
@@ -139,7 +139,7 @@
     state: Mutex<EntryState>,
 }
 
-/// A call, with what all its attempts share.
+/// A call that has been prepared to run, with the data that all its attempts share.
 struct Call {
     id: String,
     caller: String,
--- a/crates/rampthread-node/src/calls/entry/nested.rs
+++ b/crates/rampthread-node/src/calls/entry/nested.rs
@@ -13,7 +13,7 @@
         self.precedence == Precedence::Nested
     }
 
-    /// Class that the retry budget counts the call's retries under.
+    /// Class of the call in the retry budget, which counts retries of nested calls separately.
     pub(super) fn retry_class(&self) -> RetryClass {
         match self.is_nested() {
             true => RetryClass::Nested,
@@ -23,8 +23,8 @@
 }
 
 impl Entry {
-    /// Records from a response whether the route carries nested calls, which only the gate node
-    /// can see.
+    /// Records whether the call's route carries nested calls. Only the gate node can see this;
+    /// it adds a header to its response.
     pub(super) fn record_nested_route(&self, call: &Call, response_headers: &HeaderMap) {
         let value = header_filter::header_str(response_headers, headers::PRECEDENCE);
         if value == Some(Precedence::Nested.as_str()) {
--- a/crates/rampthread-node/src/calls/entry/progress.rs
+++ b/crates/rampthread-node/src/calls/entry/progress.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Borrows these attributes for the final log line of the call.
-    fn line(&self) -> CallPriorityFields<'_> {
+    /// Converts the priority to fields of the call's final log line.
+    fn log_fields(&self) -> CallPriorityFields<'_> {
         CallPriorityFields {
             tenant: self.tenant.as_ref().map(ResourceName::as_str),
             rank: self.rank,
@@ -57,7 +57,7 @@
 }
 
 impl Progress {
-    /// Records what the preparation of the call has determined.
+    /// Records the route, service, priority and time limit of a call that is ready to run.
     pub(super) fn planned(&mut self, call: &Call, started_at: Moment) {
         self.route = Some(call.route.clone());
         self.service = Some(call.service.clone());
@@ -66,14 +66,14 @@
         self.allowed = Some(call.deadline.since(started_at));
     }
 
-    /// Data of the final log line.
+    /// Returns the fields of the final log line, for a call that took `elapsed`.
     pub(super) fn ended<'a>(&'a self, request_id: &'a str, elapsed: Duration) -> CompletedCall<'a> {
         let route = self.route.as_ref();
         CompletedCall {
             request_id,
             route: route.map(|route| route.name.as_str()),
             service: self.service.as_ref().map(ResourceName::as_str),
-            priority: self.priority.as_ref().map(CallPriority::line),
+            priority: self.priority.as_ref().map(CallPriority::log_fields),
             version: self.version,
             tries: self.attempts,
             zone: self.zone.as_ref().map(Zone::as_str),
--- a/crates/rampthread-node/src/calls/entry/quarantine.rs
+++ b/crates/rampthread-node/src/calls/entry/quarantine.rs
@@ -41,11 +41,11 @@
         Err(quarantine_error(crashes, left))
     }
 
-    /// Records a response that the gate node reports as lost. If the gate node already knows
-    /// that the backend crashed, the crash is reported to all nodes at once. Otherwise this
-    /// entry node keeps the loss as well, because the gate node may stop before the backend's
-    /// next incarnation shows the crash. Nothing is recorded if the gate node goes down with
-    /// the call: a power failure would put all calls in progress under suspicion.
+    /// Handles a lost response: the gate node (the node of the selected backend) got none. If
+    /// the gate node names a crash of the backend, the crash is reported to all nodes. Otherwise
+    /// the loss is recorded, because a restart of the backend may still show a crash, and the
+    /// gate node may stop before it sees the restart. If the gate node itself does not respond,
+    /// nothing is recorded: a power failure would put all calls in progress under suspicion.
     pub(super) fn record_lost_response(
         &self,
         call: &Call,
@@ -79,7 +79,7 @@
             identity: self.identity(call),
             instance: instance.clone(),
             age: Duration::ZERO,
-            // The gate node's own crash report carries this flag.
+            // Only the gate node's own crash report says whether the request was on trial.
             on_trial: false,
             cleared: false,
         });
--- a/crates/rampthread-node/src/calls/entry/retry_advice.rs
+++ b/crates/rampthread-node/src/calls/entry/retry_advice.rs
@@ -16,8 +16,8 @@
         Some(target.saturating_sub(used))
     }
 
-    /// Sets the retry delay of a call that a backend has shed; other errors are returned
-    /// unchanged.
+    /// Sets the retry delay advised to the caller if a backend has shed the call. Other errors
+    /// are returned unchanged.
     pub(super) fn add_retry_advice(&self, call: &Call, call_error: CallError) -> CallError {
         let shed = call_error.cause == Cause::Shed && call_error.outcome == Outcome::NotRun;
         if !shed {
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -19,7 +19,7 @@
 /// may still wait for a peer's message.
 const UNKNOWN_VERSION_HOLD: Duration = Duration::from_secs(3);
 
-/// Rollout state of one entry.
+/// What one entry node knows about software versions and their rollouts.
 #[derive(Default)]
 pub(super) struct Versions {
     limiters: HashMap<ResourceName, ExposureLimiter>,
@@ -44,7 +44,8 @@
     }
 }
 
-/// Endpoints that an attempt may use; copied only if they are restricted.
+/// Endpoints of a service that an attempt may use. The list is copied only if some of them are
+/// excluded.
 type Candidates<'a> = Cow<'a, Vec<Endpoint>>;
 
 impl Entry {
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -26,7 +26,7 @@
     spill_probabilities: HashMap<ResourceName, f64>,
 }
 
-/// Demand of this node and zone plans by service.
+/// Zone routing of this node: the measured demand of its calls, and a zone plan per service.
 #[derive(Default)]
 pub(super) struct ZoneRouting {
     pub(super) demand: DemandMeter,
@@ -34,7 +34,7 @@
     pub(super) publication_windows: HashMap<ResourceName, ReportingHold>,
     trends: ZoneTrends,
     plans: HashMap<ResourceName, Arc<ZonePlan>>,
-    /// Spilled fraction that was logged last, and when.
+    /// Spilled fraction of the calls that was logged last, and when, by service.
     logged: HashMap<ResourceName, (f64, Moment)>,
 }
 
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -49,8 +49,8 @@
 use std::time::Duration;
 pub use trial::quarantine_error;
 
-/// Retry delay advised when the configuration at this node is older than that of the call's
-/// entry, or the backend is draining.
+/// Retry delay advised when the configuration at this node is older than at the entry node that
+/// sent the call, or when the backend is draining.
 const CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// `TCP_USER_TIMEOUT` of connections to the backend. A connection that vanished without a reset
@@ -60,7 +60,7 @@
 /// Separates the request id from the attempt number in a call id.
 pub const ATTEMPT_SEPARATOR: char = '~';
 
-/// What a gate node keeps in memory about its backend and the calls at the backend.
+/// State of a gate node: admission, crash detection and speed of its backend.
 struct GateState {
     admission: AdmissionController,
     fences: FenceTable,
@@ -141,7 +141,7 @@
     /// Priority of the tenant, or else of the route; calls with a lower number are served
     /// first.
     pub rank: u32,
-    /// Order among calls of the same priority.
+    /// Class of the call, such as nested or retry; orders calls of the same priority.
     pub precedence: Precedence,
     /// Whether, and for how long, the gate node may queue the call for a slot.
     pub queueing_limit: QueueingLimit,
@@ -216,7 +216,8 @@
         backend.draining || self.control.is_draining()
     }
 
-    /// Load sent to entries; [`UNAVAILABLE_LOAD`] while the gate node takes no calls.
+    /// Load of the backend as sent to entry nodes; [`UNAVAILABLE_LOAD`] while the gate node
+    /// takes no calls.
     fn reported_load(&self) -> u32 {
         match self.control.local_backend() {
             Some(backend) if self.control.is_ready() && !self.is_draining(&backend) => self.load(),
@@ -236,8 +237,8 @@
         self.state().fences.expire(now);
     }
 
-    /// Number of calls whose start or fence the gate node remembers; bounded by the retention
-    /// of the call fence table.
+    /// Number of started and fenced calls in the call fence table. Entries are dropped when
+    /// their retention has passed.
     pub fn fence_table_len(&self) -> usize {
         self.state().fences.len()
     }
--- a/crates/rampthread-node/src/calls/gate/admission.rs
+++ b/crates/rampthread-node/src/calls/gate/admission.rs
@@ -1,6 +1,6 @@
-//! Checks at the gate node (the node that forwards calls to its local backend) before the call
-//! of a hop starts: the backend check, the deadline, admission to a slot, and the call fence
-//! table, which records the started and fenced calls.
+//! Checks at the gate node (the node that forwards calls to its local backend) before a call
+//! starts: the node has the named backend, the deadline has not passed, a slot is free, and the
+//! call is not fenced, that is, its entry node has not forbidden the start.
 
 use super::slot::Slot;
 use super::{CONFIG_RETRY_AFTER, Gate, GateState, Hop};
@@ -24,8 +24,8 @@
 pub(super) const OVERTAKEN_WAIT_RATIO: f64 = 1.5;
 
 impl Gate {
-    /// Checks that the backend that the hop names is local and in service, and applies the
-    /// backend's present limits.
+    /// Checks that this node has the backend that the hop names and that the backend is in
+    /// service. Applies the backend's configured limits to admission.
     pub(super) fn check_backend(&self, hop: &Hop) -> Result<LocalBackend, CallError> {
         let unavailable = |cause: Cause, reason: &str| {
             CallError::not_run(cause, reason).retry_after(CONFIG_RETRY_AFTER)
--- a/crates/rampthread-node/src/calls/gate/lost_response.rs
+++ b/crates/rampthread-node/src/calls/gate/lost_response.rs
@@ -187,7 +187,7 @@
     loss: Option<LossContext>,
 }
 
-/// What the gate node needs to investigate a lost response.
+/// What the gate node needs to check whether a lost response means a crash of the backend.
 struct LossContext {
     gate: Arc<Gate>,
     backend: LocalBackend,
--- a/crates/rampthread-node/src/calls/gate/reservation.rs
+++ b/crates/rampthread-node/src/calls/gate/reservation.rs
@@ -25,7 +25,8 @@
 /// 13 ms on a 10 Mbit/s link, longer than the reservation itself.
 pub const LARGE_BODY_BYTES: usize = 16 * 1024;
 
-/// Call number for asking whether a call would be admitted; numbers of real calls are lower.
+/// Placeholder for the call number in an admission request that only asks whether a call would
+/// be admitted now; numbers of calls are lower.
 const NO_CALL_NUMBER: CallNumber = CallNumber::MAX;
 
 /// Permit to send one large request body to this gate node. Released when the body has arrived
@@ -58,7 +59,8 @@
     }
 }
 
-/// Place of a large request body in the queue for transfer permits; given up on drop.
+/// Place of a large request body in the queue for transfer permits. Dropping it withdraws the
+/// body from the queue.
 struct PermitQueueEntry {
     gate: Arc<Gate>,
     number: CallNumber,
@@ -84,7 +86,8 @@
 }
 
 impl Gate {
-    /// The permit for the body with this number, which has been granted.
+    /// Wraps a granted transfer permit, so that dropping it releases the permit. `number` is the
+    /// number of the request body.
     fn permit(self: &Arc<Self>, number: CallNumber) -> TransferPermit {
         TransferPermit {
             gate: self.clone(),
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Waits in the queue for a transfer permit.
+    /// Queues a large request body until a transfer permit is granted.
     async fn wait_for_permit(
         self: &Arc<Self>,
         hop: &Hop,
--- a/crates/rampthread-node/src/calls/gate/slot.rs
+++ b/crates/rampthread-node/src/calls/gate/slot.rs
@@ -107,8 +107,8 @@
             .run
             .and_then(|next| state.queued_calls.remove(&next))
         {
-            // Sending cannot fail: `QueueEntry` removes the sender from `queued_calls` when it
-            // drops the receiver.
+            // The result is ignored because sending cannot fail: `queued_calls` holds senders
+            // only of calls that still wait for the signal.
             let _ = sender.try_send(QueueSignal::Run);
         }
     }
--- a/crates/rampthread-node/src/calls/gate/trial.rs
+++ b/crates/rampthread-node/src/calls/gate/trial.rs
@@ -12,11 +12,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Retry delay advised while no quarantine trial can start: about one service time, and a
-/// fraction of the time that a backend takes to restart.
+/// Retry delay advised for a suspected request while no quarantine trial can start at this
+/// backend. About one service time; shorter than the restart of a backend.
 const TRIAL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The quarantine trial of a suspected request; ends on drop.
+/// Guard of a quarantine trial, that is, of a suspected request that runs alone to see whether
+/// it crashes the backend. The trial ends on drop.
 pub(super) struct Trial {
     gate: Arc<Gate>,
 }
--- a/crates/rampthread-node/src/calls/idempotency_claims.rs
+++ b/crates/rampthread-node/src/calls/idempotency_claims.rs
@@ -16,8 +16,8 @@
 
 /// Timeout of a request to one claim holder.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Header with the time after which a claim holder knows its older claims for certain and can
-/// decide on a claim request, in milliseconds.
+/// Header of a reply in which a claim holder does not know whether the key is taken: time in
+/// milliseconds after which it can decide on a claim request.
 const RETRY_AFTER_MS: &str = "rampthread-retry-after-ms";
 
 /// What an entry node asks of a claim holder.
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Claims `key` for `call_id` at all its claim holders and returns the result of their
-    /// vote. If the call may not run, its claims are released.
+    /// Asks all claim holders of `key` to grant a claim to `call_id`, and returns whether the
+    /// call may run. If it may not, the claims that were granted are released.
     pub async fn claim(&self, key: &str, call_id: &str) -> ClaimDecision {
         let holders = self.holders(key);
         let mut vote = ClaimVote::new(holders.len());
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -25,8 +25,8 @@
 
 /// Path of a fence request, which forbids the gate node to start an abandoned call.
 pub const FENCE_PATH: &str = "/rampthread/fence";
-/// Path of a reservation: the question of an entry node whether it may send a request body to
-/// this gate node.
+/// Path of a reservation request, which asks a gate node whether the body of a call may be sent
+/// to it.
 pub const RESERVE_PATH: &str = "/rampthread/reserve";
 /// Path of a claim request for an idempotency key.
 pub const CLAIM_PATH: &str = "/rampthread/claim";
@@ -194,8 +194,8 @@
         let querying = self.query_at(address, node, FENCE_PATH, call_id, &[]);
         let reply = rampthread_http::timeout(wait, querying).await.ok()??;
         let by = header_filter::header_str(&reply, FENCING_NODE_HEADER);
-        // Older nodes do not report how far back their call fence table reaches; zero claims
-        // nothing.
+        // Older nodes do not report how far back their call fence table reaches. Zero means
+        // that nothing is known about earlier calls.
         let memory_ms = header_filter::parse_header(&reply, FENCE_RETENTION_MS_HEADER).unwrap_or(0);
         Some(FenceReply {
             by: by.and_then(|name| NodeId::new(name).ok()),
@@ -312,7 +312,7 @@
         response
     }
 
-    /// Applies a claim action at this node as a holder.
+    /// Handles a claim request: applies its action to the claims that this node holds.
     fn handle_claim(&self, call_id: &str, query: &HeaderMap) -> Response<Body> {
         let key = header_filter::header_str(query, headers::IDEMPOTENCY_KEY);
         let action =
--- a/crates/rampthread-node/src/calls/request_content.rs
+++ b/crates/rampthread-node/src/calls/request_content.rs
@@ -7,7 +7,7 @@
 use rampthread_core::call::identity::{IdentityKey, RequestContent, RequestIdentity};
 use std::sync::{Arc, OnceLock};
 
-/// The parts of a request that its identity is derived from; cheap to clone.
+/// The parts of a request that its identity is derived from. Clones share the data.
 #[derive(Debug, Clone, Default)]
 pub(super) struct CallContent(Arc<Parts>);
 
--- a/crates/rampthread-node/src/calls/tenant_limits.rs
+++ b/crates/rampthread-node/src/calls/tenant_limits.rs
@@ -34,7 +34,7 @@
     control: Arc<Control>,
     zone: Zone,
     quotas: Mutex<TenantQuotas>,
-    /// When to update the metrics next, as a [`Moment`].
+    /// When to update the tenant metrics next, as a [`Moment`].
     next_metrics_update: AtomicU64,
 }
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the token of a request that has provably not run.
+    /// Gives back the rate limit token of a request that has provably not run.
     pub fn refund(&self, tenant: TenantHash) {
         let now = self.control.clock.now();
         self.quotas().refund(tenant, now);
