--- a/crates/rampthread-http/src/pool.rs
+++ b/crates/rampthread-http/src/pool.rs
@@ -113,7 +113,7 @@
 impl IdleConnection {
     /// Whether the connection is open and has been idle for less than `limit` and less than its
     /// keep-alive time.
-    fn usable(&self, limit: Duration) -> bool {
+    fn is_usable(&self, limit: Duration) -> bool {
         let limit = self.keep_alive.map_or(limit, |kept| limit.min(kept));
         self.since.elapsed() < limit && !self.sender.is_closed()
     }
@@ -152,18 +152,18 @@
         while let Some(idle) = self.take_idle(address, reuse) {
             match self.send_on(idle, address, request).await {
                 Ok(response) => return Ok(response),
-                Err(Attempt::Unsent(unsent)) => request = *unsent,
-                Err(Attempt::Failed(error)) => return Err(error),
+                Err(FailedSend::Unsent(unsent)) => request = *unsent,
+                Err(FailedSend::Failed(error)) => return Err(error),
             }
         }
         let sender = self.open(address).await?;
         match self.send_on(sender, address, request).await {
             Ok(response) => Ok(response),
-            Err(Attempt::Unsent(_)) => Err(SendError::NotSent {
+            Err(FailedSend::Unsent(_)) => Err(SendError::NotSent {
                 reason: "the connection closed before the request was sent".to_string(),
                 unreachable: false,
             }),
-            Err(Attempt::Failed(error)) => Err(error),
+            Err(FailedSend::Failed(error)) => Err(error),
         }
     }
 
@@ -196,16 +196,16 @@
         mut sender: SendRequest<Body>,
         address: SocketAddr,
         request: Request<Body>,
-    ) -> Result<PooledResponse, Attempt> {
+    ) -> Result<PooledResponse, FailedSend> {
         if sender.ready().await.is_err() {
-            return Err(Attempt::Unsent(Box::new(request)));
+            return Err(FailedSend::Unsent(Box::new(request)));
         }
         match sender.try_send_request(request).await {
             Ok(response) => {
                 let keep_alive = keep_alive(response.headers());
                 Ok(response.map(|inner| PooledBody {
                     inner,
-                    pool_slot: Some(PoolSlot {
+                    pool_slot: Some(ActiveConnection {
                         sender,
                         address,
                         idle: self.idle.clone(),
@@ -215,9 +215,9 @@
                 }))
             }
             Err(mut error) => match error.take_message() {
-                Some(request) => Err(Attempt::Unsent(Box::new(request))),
-                None => Err(Attempt::Failed(SendError::ResponseLost {
-                    reason: describe(&error.into_error()),
+                Some(request) => Err(FailedSend::Unsent(Box::new(request))),
+                None => Err(FailedSend::Failed(SendError::ResponseLost {
+                    reason: error_text(&error.into_error()),
                 })),
             },
         }
@@ -236,7 +236,7 @@
             .unwrap_or_else(|broken| broken.into_inner());
         let connections = idle.get_mut(&address)?;
         while let Some(candidate) = connections.pop() {
-            if candidate.usable(limit) {
+            if candidate.is_usable(limit) {
                 return Some(candidate.sender);
             }
         }
@@ -245,7 +245,7 @@
 }
 
 /// Text of a hyper error with its source, which hyper's own text omits.
-fn describe(error: &hyper::Error) -> String {
+fn error_text(error: &hyper::Error) -> String {
     use std::error::Error;
     match error.source() {
         Some(source) => format!("{error}: {source}"),
@@ -254,7 +254,7 @@
 }
 
 /// Why sending a request on one connection failed.
-enum Attempt {
+enum FailedSend {
     /// The request never reached the connection and can be sent on another one.
     Unsent(Box<Request<Body>>),
     /// The request may have been sent.
@@ -274,7 +274,7 @@
 
 /// A connection that receives a response body, with the pool that it returns to when the body
 /// has ended.
-struct PoolSlot {
+struct ActiveConnection {
     sender: SendRequest<Body>,
     address: SocketAddr,
     idle: IdleConnections,
@@ -282,7 +282,7 @@
     keep_alive: Option<Duration>,
 }
 
-impl PoolSlot {
+impl ActiveConnection {
     fn return_connection(self) {
         let mut idle = self
             .idle
@@ -303,7 +303,7 @@
 /// that no stale bytes reach another request.
 pub struct PooledBody {
     inner: Incoming,
-    pool_slot: Option<PoolSlot>,
+    pool_slot: Option<ActiveConnection>,
 }
 
 impl PooledBody {
--- a/crates/rampthread-http/src/server/connection.rs
+++ b/crates/rampthread-http/src/server/connection.rs
@@ -5,9 +5,9 @@
 //! their handlers, and the writer writes the responses. A disconnect of the client ends all
 //! three and drops the handlers.
 
-use super::framing::{BodyDecoder, Framing, Piece};
-use super::head::{Head, Rejection, parse_head, skip_empty_lines};
-use super::pipeline::{ConcurrencyLimits, Output, Pipeline, RequestInfo};
+use super::framing::{BodyDecoder, BodyPiece, Framing};
+use super::head::{Rejection, RequestHead, parse_head, skip_empty_lines};
+use super::pipeline::{ConcurrencyLimits, Pipeline, RequestInfo, WriterOutput};
 use super::request_body::{BodySender, RequestBody, UnreadBody};
 use super::response_head::{BodyFraming, CONTINUE, LAST_CHUNK, body_framing, encode};
 use super::socket::{Input, ReadEnd, shutdown_write, write};
@@ -161,7 +161,7 @@
         &self,
         input: &mut Input<'_>,
         limits: &ServerLimits,
-    ) -> Result<Result<Head, Rejection>, ReaderEnd> {
+    ) -> Result<Result<RequestHead, Rejection>, ReaderEnd> {
         let reading = async {
             loop {
                 match parse_head(&mut input.buffer, limits.max_head_bytes) {
@@ -206,7 +206,7 @@
     async fn start(
         &self,
         input: &mut Input<'_>,
-        head: Head,
+        head: RequestHead,
         received: BootInstant,
     ) -> Result<(), ReaderEnd> {
         let mut decoder = BodyDecoder::new(head.framing);
@@ -266,18 +266,18 @@
             };
             sender.set_unread(decoder.remaining());
             match piece {
-                Piece::End => {
+                BodyPiece::End => {
                     sender.send_piece(Ok(None)).await;
                     return Ok(());
                 }
-                Piece::Data(bytes) => {
+                BodyPiece::Data(bytes) => {
                     let sending = sender.send_piece(Ok(Some(bytes)));
                     let taken = unless_disconnected(input, COALESCED_BYTES, sending).await?;
                     if !taken && !discards_unread(decoder.remaining()) {
                         return Err(ReaderEnd::Finished);
                     }
                 }
-                Piece::Incomplete => input.fill().await.map_err(ReaderEnd::Disconnected)?,
+                BodyPiece::Incomplete => input.fill().await.map_err(ReaderEnd::Disconnected)?,
             }
         }
     }
@@ -298,8 +298,8 @@
     async fn write_responses(&self) -> io::Result<()> {
         loop {
             match self.pipeline.output().await {
-                Output::Continue => write(&self.stream, CONTINUE).await?,
-                Output::Response {
+                WriterOutput::Continue => write(&self.stream, CONTINUE).await?,
+                WriterOutput::Response {
                     info,
                     response,
                     last,
@@ -316,7 +316,7 @@
                     }
                     self.pipeline.mark_written().await;
                 }
-                Output::Finished => return Ok(()),
+                WriterOutput::Finished => return Ok(()),
             }
         }
     }
@@ -406,8 +406,8 @@
     }
 }
 
-/// Waits for `wait`, unless the client disconnects first. While waiting, reads ahead up to
-/// `limit` bytes.
+/// Awaits the future `wait`, unless the client disconnects first. Meanwhile, reads up to `limit`
+/// bytes ahead.
 async fn unless_disconnected<T>(
     input: &mut Input<'_>,
     limit: usize,
--- a/crates/rampthread-http/src/server/framing.rs
+++ b/crates/rampthread-http/src/server/framing.rs
@@ -21,7 +21,7 @@
 
 /// Next part of a request body.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Piece {
+pub(super) enum BodyPiece {
     /// Body bytes, without the chunk framing.
     Data(Bytes),
     /// The buffer holds no complete part; more input is needed.
@@ -73,23 +73,23 @@
     }
 
     /// Decodes the next part of the body and removes it from the front of `buffer`.
-    pub(super) fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, MalformedChunks> {
+    pub(super) fn next(&mut self, buffer: &mut BytesMut) -> Result<BodyPiece, MalformedChunks> {
         loop {
             match self.state {
                 DecoderState::Nothing | DecoderState::Data(0) => {
                     self.state = DecoderState::Nothing;
-                    return Ok(Piece::End);
+                    return Ok(BodyPiece::End);
                 }
                 DecoderState::Data(left) => {
                     let Some((data, left)) = take_data(buffer, left) else {
-                        return Ok(Piece::Incomplete);
+                        return Ok(BodyPiece::Incomplete);
                     };
                     self.state = DecoderState::Data(left);
-                    return Ok(Piece::Data(data));
+                    return Ok(BodyPiece::Data(data));
                 }
                 DecoderState::ChunkSize => {
                     let Some(size) = take_chunk_size(buffer)? else {
-                        return Ok(Piece::Incomplete);
+                        return Ok(BodyPiece::Incomplete);
                     };
                     self.state = match size {
                         0 => DecoderState::Trailers { read: 0 },
@@ -99,14 +99,14 @@
                 DecoderState::ChunkData(0) => self.state = DecoderState::ChunkEnd,
                 DecoderState::ChunkData(left) => {
                     let Some((data, left)) = take_data(buffer, left) else {
-                        return Ok(Piece::Incomplete);
+                        return Ok(BodyPiece::Incomplete);
                     };
                     self.state = DecoderState::ChunkData(left);
-                    return Ok(Piece::Data(data));
+                    return Ok(BodyPiece::Data(data));
                 }
                 DecoderState::ChunkEnd => {
                     if buffer.len() < 2 {
-                        return Ok(Piece::Incomplete);
+                        return Ok(BodyPiece::Incomplete);
                     }
                     if !buffer.starts_with(b"\r\n") {
                         return Err(MalformedChunks);
@@ -116,7 +116,7 @@
                 }
                 DecoderState::Trailers { read } => {
                     match skip_line(buffer, MAX_TRAILER_BYTES - read)? {
-                        None => return Ok(Piece::Incomplete),
+                        None => return Ok(BodyPiece::Incomplete),
                         Some(0) => self.state = DecoderState::Nothing,
                         Some(length) => {
                             let read = read + length;
--- a/crates/rampthread-http/src/server/head.rs
+++ b/crates/rampthread-http/src/server/head.rs
@@ -41,13 +41,14 @@
     }
 }
 
+/// Rejection of a request head that is not valid HTTP/1.x.
 fn malformed(reason: impl Into<String>) -> Rejection {
     Rejection::Malformed(reason.into())
 }
 
 /// A parsed request head, with what it says about the request body and the connection.
 #[derive(Debug)]
-pub(super) struct Head {
+pub(super) struct RequestHead {
     pub(super) parts: Parts,
     pub(super) framing: Framing,
     /// The client allows another request on the connection after this one.
@@ -58,7 +59,10 @@
 
 /// Parses a request head and removes it from the front of `buffer`; `None` if the head is
 /// incomplete. `limit` is the maximum size in bytes.
-pub(super) fn parse_head(buffer: &mut BytesMut, limit: usize) -> Result<Option<Head>, Rejection> {
+pub(super) fn parse_head(
+    buffer: &mut BytesMut,
+    limit: usize,
+) -> Result<Option<RequestHead>, Rejection> {
     skip_empty_lines(buffer);
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut raw = httparse::Request::new(&mut headers);
@@ -86,7 +90,7 @@
 }
 
 /// Converts and validates a head that `httparse` has parsed.
-fn build_head(raw: &httparse::Request) -> Result<Head, Rejection> {
+fn build_head(raw: &httparse::Request) -> Result<RequestHead, Rejection> {
     let mut request = Request::new(());
     let method = raw.method.unwrap_or_default().as_bytes();
     *request.method_mut() =
@@ -109,7 +113,7 @@
     }
     let (parts, ()) = request.into_parts();
     check_host(&parts)?;
-    Ok(Head {
+    Ok(RequestHead {
         framing: framing_of(&parts)?,
         keeps_connection: keeps_connection(&parts),
         expects_continue: expects_continue(&parts),
@@ -165,6 +169,7 @@
     }
 }
 
+/// Whether the client allows another request on the connection.
 fn keeps_connection(parts: &Parts) -> bool {
     if parts.version == Version::HTTP_10 {
         return connection_lists(&parts.headers, "keep-alive");
@@ -182,6 +187,7 @@
         .any(|part| part.trim().eq_ignore_ascii_case(option))
 }
 
+/// Whether the client waits for a 100 (Continue) response before it sends the body.
 fn expects_continue(parts: &Parts) -> bool {
     parts.version == Version::HTTP_11
         && parts
--- a/crates/rampthread-http/src/server/pipeline.rs
+++ b/crates/rampthread-http/src/server/pipeline.rs
@@ -36,13 +36,14 @@
 }
 
 impl PipelinedRequest {
+    /// Whether the handler has returned its response.
     fn has_response(&self) -> bool {
         matches!(self.handler_state, HandlerState::Responded(_))
     }
 }
 
-/// What the writer writes next.
-pub(super) enum Output {
+/// What the writer of a connection writes next.
+pub(super) enum WriterOutput {
     /// The interim response 100 (Continue), which asks the client for the request body.
     Continue,
     /// The response to the oldest request; `last` if no other response follows on the
@@ -58,7 +59,7 @@
 
 /// State of one connection's pipeline.
 #[derive(Default)]
-struct State {
+struct PipelineState {
     started: VecDeque<PipelinedRequest>,
     /// The writer is writing the response to the oldest request.
     writing: bool,
@@ -82,11 +83,11 @@
 /// which is woken after each change that another part may wait for.
 #[derive(Default)]
 pub(super) struct Pipeline {
-    state: Mutex<State>,
+    state: Mutex<PipelineState>,
 }
 
 impl Pipeline {
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, PipelineState> {
         self.state
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
@@ -122,13 +123,13 @@
         state.started.is_empty() && responded.is_none_or(|rested| rested >= time)
     }
 
-    /// No further request is started on this connection.
+    /// Starts no further request on this connection; those in progress continue.
     pub(super) fn close(&self) {
         self.state().closing = true;
     }
 
-    /// The client disconnected: drops running handlers, and all responses behind the first of
-    /// them.
+    /// Handles a disconnect of the client: drops the first running handler and all requests
+    /// behind it. Responses that are ready before it are still written.
     pub(super) fn disconnect(&self) {
         let mut state = self.state();
         state.closing = true;
@@ -179,7 +180,7 @@
     }
 
     /// Waits until the writer has something to write.
-    pub(super) async fn output(&self) -> Output {
+    pub(super) async fn output(&self) -> WriterOutput {
         poll_fn(|_| {
             let mut state = self.state();
             state.take_output().map_or(Poll::Pending, Poll::Ready)
@@ -202,7 +203,7 @@
     }
 }
 
-impl State {
+impl PipelineState {
     /// Whether one more request may start beside those in progress.
     fn has_capacity(&self, limits: ConcurrencyLimits) -> bool {
         let waiting: u64 = self
@@ -231,16 +232,16 @@
     }
 
     /// Takes what the writer may write now; `None` if it has to wait.
-    fn take_output(&mut self) -> Option<Output> {
+    fn take_output(&mut self) -> Option<WriterOutput> {
         if self.writing {
             return None;
         }
         let last = self.closing && self.started.len() == 1;
         let Some(oldest) = self.started.front_mut() else {
-            return self.closing.then_some(Output::Finished);
+            return self.closing.then_some(WriterOutput::Finished);
         };
         if matches!(oldest.handler_state, HandlerState::Running(_)) {
-            return std::mem::take(&mut self.continue_requested).then_some(Output::Continue);
+            return std::mem::take(&mut self.continue_requested).then_some(WriterOutput::Continue);
         }
         self.continue_requested = false;
         let info = oldest.info.clone();
@@ -253,7 +254,7 @@
             return None;
         };
         self.writing = true;
-        Some(Output::Response {
+        Some(WriterOutput::Response {
             info,
             response,
             last,
--- a/crates/rampthread-http/src/server/request_body.rs
+++ b/crates/rampthread-http/src/server/request_body.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::task::{Context, Poll};
 
-/// Capacity of the channel, in pieces. The connection reads on only after the handler has taken
-/// the previous piece.
+/// Capacity of the channel, in pieces of the request body. The connection reads on only after
+/// the handler has taken the previous piece.
 const MAX_BUFFERED_PIECES: usize = 1;
 
 /// Value of [`UnreadBody`] if the number of unread bytes is unknown.
@@ -41,7 +41,7 @@
 }
 
 impl RequestBody {
-    /// Creates the body of a request without one.
+    /// Creates an empty request body.
     pub(super) fn empty() -> Self {
         Self {
             pieces: None,
@@ -111,6 +111,7 @@
         self.0.load(Ordering::Relaxed)
     }
 
+    /// Sets the number of unread bytes; `None` if it is unknown.
     pub(super) fn set(&self, bytes: Option<u64>) {
         self.0
             .store(bytes.unwrap_or(UNKNOWN_BYTES), Ordering::Relaxed);
--- a/crates/rampthread-http/src/server/response_head.rs
+++ b/crates/rampthread-http/src/server/response_head.rs
@@ -9,10 +9,10 @@
 use hyper::body::Body as _;
 use std::time::SystemTime;
 
-/// Initial capacity for a head, in bytes.
+/// Initial capacity of the buffer for a response head, in bytes.
 const HEAD_CAPACITY: usize = 512;
 
-/// Interim response that requests the body.
+/// Interim response that asks the client for the request body.
 pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// Last chunk of a chunked body.
 pub(super) const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
@@ -96,6 +96,7 @@
     head
 }
 
+/// Appends a header line to `head`.
 fn put_header(head: &mut BytesMut, name: &str, value: &[u8]) {
     head.put_slice(name.as_bytes());
     head.put_slice(b": ");
--- a/crates/rampthread-http/src/tide_server.rs
+++ b/crates/rampthread-http/src/tide_server.rs
@@ -40,6 +40,7 @@
     }
 }
 
+/// Serves the requests of one connection until it is closed.
 async fn serve_connection<State>(stream: TcpStream, app: tide::Server<State>)
 where
     State: Clone + Send + Sync + 'static,
--- a/crates/rampthread-http/tests/connections.rs
+++ b/crates/rampthread-http/tests/connections.rs
@@ -87,7 +87,7 @@
     }
 
     /// Waits until the observations meet the condition `done`; `what` names it in the failure.
-    fn wait(&self, what: &str, done: impl Fn(&Observations) -> bool) {
+    fn wait_until(&self, what: &str, done: impl Fn(&Observations) -> bool) {
         let (lock, changed) = &*self.observations;
         let guard = lock.lock().unwrap();
         let waited = changed
@@ -101,7 +101,7 @@
 
     /// Waits until the handler of the request for `path` has started.
     fn wait_started(&self, path: &str) {
-        self.wait(path, |observations| {
+        self.wait_until(path, |observations| {
             observations.started.iter().any(|one| one == path)
         });
     }
@@ -111,6 +111,8 @@
         self.update_observations(|observations| observations.started.clone())
     }
 
+    /// Handles one request. Reads the body if the path starts with `/read`, and truncates the
+    /// response if it starts with `/broken`.
     async fn respond(self, request: Request<RequestBody>) -> Response<Body> {
         let path = request.uri().path().to_string();
         let mut recorder = DropRecorder(self.clone(), Some(path.clone()));
@@ -166,6 +168,7 @@
     (address, service, shutdown)
 }
 
+/// Connects to the server. Reading from the stream fails after [`CONDITION_TIMEOUT`].
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(CONDITION_TIMEOUT)).unwrap();
@@ -207,9 +210,10 @@
     (bytes.len() >= end).then(|| (text[..end].to_string(), bytes[end..].to_vec()))
 }
 
+/// Reads until the server closes or resets the connection.
 fn read_to_end(mut stream: TcpStream) -> String {
     let mut response = Vec::new();
-    // A reset ends the response as well.
+    // The result is ignored, since a reset ends the response as well.
     let _ = stream.read_to_end(&mut response);
     String::from_utf8_lossy(&response).to_string()
 }
@@ -283,7 +287,7 @@
         .map(|number| get_request_text(&format!("/safe/{number}")))
         .collect();
     stream.write_all(pipeline.as_bytes()).unwrap();
-    service.wait("sixteen run", |observations| {
+    service.wait_until("sixteen run", |observations| {
         observations.started.len() == 16
     });
     std::thread::sleep(Duration::from_millis(100));
@@ -307,7 +311,7 @@
     stream.write_all(pipeline.as_bytes()).unwrap();
     service.wait_started("/safe/2");
     drop(stream);
-    service.wait("both are dropped", |observations| {
+    service.wait_until("both are dropped", |observations| {
         observations.dropped.len() == 2
     });
     assert_eq!(service.started().len(), 2);
@@ -469,7 +473,7 @@
     stream.write_all(request.as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(50));
     drop(stream);
-    service.wait("the handler is dropped", |observations| {
+    service.wait_until("the handler is dropped", |observations| {
         observations.dropped.len() == 1
     });
     assert!(service.started().is_empty());
--- a/crates/rampthread-http/tests/pipeline_properties.rs
+++ b/crates/rampthread-http/tests/pipeline_properties.rs
@@ -74,6 +74,7 @@
     }
 }
 
+/// Text of the requests, to be written to the connection at once.
 fn encode_pipeline(pipeline: &[PlannedRequest]) -> String {
     let text = |(number, planned): (usize, &PlannedRequest)| {
         let kind = if planned.overlaps { "overlap" } else { "alone" };
--- a/crates/rampthread-node/src/calls/entry/attempt.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt.rs
@@ -106,8 +106,8 @@
     }
 
     /// Whether to reserve at the gate node before sending the request body. A large body needs
-    /// a transfer permit; a smaller body would probably be sent in vain where gate nodes are
-    /// full.
+    /// a transfer permit. A smaller body is reserved for only if gate nodes are probably full,
+    /// so that it is not sent in vain.
     fn should_reserve(&self, call: &Call, selected: &SelectedBackend, bytes: usize) -> bool {
         let now = self.now();
         bytes >= LARGE_BODY_BYTES
@@ -254,7 +254,7 @@
         self.record_nested_route(call, response.headers());
         if outcome != Outcome::Completed {
             let call_error = error_from_response(&response, outcome);
-            // A backend that sheds load had a slot for the call.
+            // A call that the backend itself shed had been admitted to a slot.
             let had_capacity = call_error.cause == Cause::Shed;
             if had_capacity || call_error.cause.is_out_of_capacity() {
                 self.record_admission(call, selected, !had_capacity);
@@ -340,7 +340,7 @@
     started_at: Moment,
 }
 
-/// Counts a hop as in flight at its node until the response body ends.
+/// Guard that counts a hop as in flight at its gate node until the response body ends.
 struct InFlight {
     entry: Arc<Entry>,
     node: NodeId,
--- a/crates/rampthread-node/src/calls/entry/attempt_loop.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt_loop.rs
@@ -1,7 +1,7 @@
 //! Runs the attempts of one call until an attempt succeeds or none is left: retries after
 //! failures, and a hedged attempt beside one that takes too long.
 
-use super::progress::Progress;
+use super::progress::CallProgress;
 use super::{Call, Entry, SelectedBackend, no_backend_error};
 use crate::call_log::FailedAttempt;
 use crate::calls::gate::ATTEMPT_SEPARATOR;
@@ -37,7 +37,7 @@
     result: Result<Response<Body>, CallError>,
 }
 
-/// When to hedge the only attempt in progress.
+/// When to start a hedged attempt, that is, a second one beside the only attempt in progress.
 #[derive(Clone, Copy)]
 struct HedgeTimer {
     started_at: Moment,
@@ -51,13 +51,13 @@
 const HEDGE_EXTENSION_FACTOR: u32 = 2;
 
 /// Event that the attempt loop handles next.
-enum Event {
+enum AttemptEvent {
     Finished(Box<FinishedAttempt>),
     /// The only attempt in progress takes longer than expected and is to be hedged.
     HedgeDue,
 }
 
-/// Drives the attempts of one call.
+/// Runs and retries the attempts of one call.
 pub(super) struct AttemptLoop<'call> {
     entry: &'call Arc<Entry>,
     call: &'call Call,
@@ -65,7 +65,8 @@
     attempts: Attempts,
     tried_nodes: Vec<NodeId>,
     in_progress: FuturesUnordered<BoxFuture<'call, FinishedAttempt>>,
-    /// `None` if the attempt in progress is not to be hedged, or was hedged already.
+    /// When to hedge the attempt in progress; `None` if it is not to be hedged, or was hedged
+    /// already.
     hedge_timer: Option<HedgeTimer>,
     last_error: Option<CallError>,
     /// Zone of the last attempt, and whether the attempt was spilled to that zone.
@@ -97,7 +98,7 @@
     /// log.
     pub(super) async fn run(
         mut self,
-        progress: &mut Progress,
+        progress: &mut CallProgress,
     ) -> Result<Response<Body>, CallError> {
         let (entry, now) = (self.entry, self.entry.now());
         entry.with_budget(self.call, |budget| budget.call_made(now));
@@ -113,7 +114,7 @@
     /// follow.
     async fn run_until_response(
         &mut self,
-        progress: &mut Progress,
+        progress: &mut CallProgress,
     ) -> Result<Response<Body>, CallError> {
         self.start_next_attempt()?;
         loop {
@@ -123,8 +124,8 @@
                 progress.spilled = *spilled;
             }
             match self.next_event().await {
-                Event::HedgeDue => self.start_hedge(),
-                Event::Finished(finished) => match finished.result {
+                AttemptEvent::HedgeDue => self.start_hedge(),
+                AttemptEvent::Finished(finished) => match finished.result {
                     Ok(response) => return Ok(response),
                     Err(call_error) => {
                         progress.identity =
@@ -137,14 +138,14 @@
     }
 
     /// Waits for the end of an attempt, or for the time to hedge.
-    async fn next_event(&mut self) -> Event {
+    async fn next_event(&mut self) -> AttemptEvent {
         let Some(hedge_timer) = self.hedge_timer else {
             return finished(self.in_progress.next().await);
         };
         let wait = hedge_timer.at.since(self.entry.now());
         match timeout(wait, self.in_progress.next()).await {
             Ok(next) => finished(next),
-            Err(_) => Event::HedgeDue,
+            Err(_) => AttemptEvent::HedgeDue,
         }
     }
 
@@ -183,7 +184,8 @@
         }));
     }
 
-    /// When to hedge an attempt that starts now; `None` if it is not to be hedged.
+    /// When to start a hedged attempt beside an attempt that starts now; `None` if the latter is
+    /// not to be hedged.
     fn hedge_timer(&self) -> Option<HedgeTimer> {
         if !self.attempts.may_hedge() {
             return None;
@@ -264,7 +266,7 @@
 
     /// Decides what follows a failed attempt. An error ends the call.
     fn after_failure(&mut self, attempt: &Attempt, call_error: CallError) -> Result<(), CallError> {
-        self.log(attempt, &call_error);
+        self.log_failed_attempt(attempt, &call_error);
         let quarantined = matches!(
             self.entry.quarantine_state(self.call),
             QuarantineState::Quarantined { .. }
@@ -290,7 +292,7 @@
             {
                 Err(final_error(call_error, self.attempts.outcome()))
             }
-            // A retry would put another backend at risk.
+            // The request is suspected of crashing backends: a retry could crash another one.
             NextStep::Retry if quarantined => Err(final_error(call_error, self.attempts.outcome())),
             NextStep::Retry => {
                 self.count_retry();
@@ -317,7 +319,7 @@
     }
 
     /// Writes the log line of a failed attempt.
-    fn log(&self, attempt: &Attempt, call_error: &CallError) {
+    fn log_failed_attempt(&self, attempt: &Attempt, call_error: &CallError) {
         let (entry, selected) = (self.entry, &attempt.selected);
         entry.control().call_log.attempt_failed(&FailedAttempt {
             request_id: &self.call.id,
@@ -325,7 +327,7 @@
             node: selected.node.as_str(),
             backend: selected.target.backend.as_str(),
             seen_load: selected.seen_load,
-            room_percent: selected.room_percent,
+            room_percent: selected.admitted_percent,
             waiting: entry.queueing_limit(self.call, selected),
             took: entry.now().since(attempt.started_at),
             call_error,
@@ -334,10 +336,10 @@
     }
 }
 
-/// Wraps the next finished attempt. At least one attempt is in progress whenever the call waits
-/// for one.
-fn finished(next: Option<FinishedAttempt>) -> Event {
-    Event::Finished(Box::new(next.expect("an attempt is in progress")))
+/// Event for the attempt that has finished. `next` is never `None`, since a call waits only
+/// while an attempt is in progress.
+fn finished(next: Option<FinishedAttempt>) -> AttemptEvent {
+    AttemptEvent::Finished(Box::new(next.expect("an attempt is in progress")))
 }
 
 /// Returns the newer error with the shorter retry delay of both errors.
--- a/crates/rampthread-node/src/calls/entry/claim.rs
+++ b/crates/rampthread-node/src/calls/entry/claim.rs
@@ -1,4 +1,5 @@
-//! Claims the idempotency key of a call before the call runs, and settles the claim afterwards.
+//! Claims the idempotency key of a call before the call runs, and completes or releases the
+//! claim afterwards.
 
 use super::{Call, Entry, NO_BACKEND_RETRY_AFTER, outcome_of};
 use crate::calls::idempotency_claims::ClaimAction;
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -33,7 +33,7 @@
 
 use attempt_loop::AttemptLoop;
 use http::{Request, Response};
-use progress::Progress;
+use progress::CallProgress;
 use rampthread_core::call::acceptance::AcceptanceEstimator;
 use rampthread_core::call::attempt_age::AttemptAges;
 use rampthread_core::call::attempts::{RetryBudget, RetryLimit};
@@ -55,14 +55,14 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
-use versions::Versions;
+use versions::VersionTracker;
 use zones::ZoneRouting;
 
 /// Retry delay advised when no backend can take a call.
 const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Fraction of the fleet-wide retry limit that the known nodes use. The rest is for nodes that
 /// have not yet discovered each other.
-const USED_SLACK_RATIO: f64 = 0.7;
+const USED_RETRY_LIMIT_RATIO: f64 = 0.7;
 
 /// Minimum admission probability, estimated from this entry node's recent attempts, at which a
 /// call is spilled to the zone that the zone plan selects. Below it, that zone rejects more of
@@ -130,7 +130,7 @@
     /// shows that the backend has crashed.
     lost_responses: PeerCrashDetector,
     zones: ZoneRouting,
-    versions: Versions,
+    versions: VersionTracker,
 }
 
 /// Receives the calls that arrive at one node and routes them to backends.
@@ -181,7 +181,7 @@
     seen_load: u32,
     /// Percentage of this entry node's recent attempts in the backend's zone that were
     /// admitted.
-    room_percent: u32,
+    admitted_percent: u32,
     /// The request is on trial: it is suspected of crashing backends and must run alone at this
     /// one.
     on_trial: bool,
@@ -203,7 +203,7 @@
                 nested_routes: NestedRoutes::default(),
                 lost_responses,
                 zones: ZoneRouting::default(),
-                versions: Versions::default(),
+                versions: VersionTracker::default(),
             }),
         }
     }
@@ -238,7 +238,7 @@
         for node in new.iter().filter(|_| known_before) {
             state.balancer.became_ready(node, now);
             if self.options.roll_outs.is_some() {
-                state.versions.became_ready(node, now);
+                state.versions.record_service_start(node, now);
             }
         }
         state.versions.keep_serving(&serving);
@@ -252,9 +252,9 @@
     pub async fn handle(self: Arc<Self>, request: Request<RequestBody>) -> Response<Body> {
         let started_at = self.received_at(&request);
         let call_id = self.call_id(&request);
-        let mut progress = Progress::default();
+        let mut progress = CallProgress::default();
         let result = self.run(&call_id, request, started_at, &mut progress).await;
-        let ended = progress.ended(&call_id, self.now().since(started_at));
+        let ended = progress.completed_call(&call_id, self.now().since(started_at));
         let log = &self.control().call_log;
         let mut response = match result {
             Ok(response) => {
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Records a failed call among this node's decisions, for the operator API.
+    /// Records a failed call in this node's decision log, which the operator API shows.
     fn record_failed_call(&self, call_id: &str, call_error: &CallError) {
         self.control().decision_log.record(Decision::CallFailed {
             call_id: call_id.to_string(),
@@ -305,7 +305,7 @@
         call_id: &str,
         request: Request<RequestBody>,
         started_at: Moment,
-        progress: &mut Progress,
+        progress: &mut CallProgress,
     ) -> Result<Response<Body>, CallError> {
         if !self.control().is_ready() {
             let reason = "this node is not ready yet";
@@ -313,7 +313,7 @@
             return Err(call_error.retry_after(NO_BACKEND_RETRY_AFTER));
         }
         let call = self.prepare_call(call_id, &request, started_at)?;
-        progress.planned(&call, started_at);
+        progress.record_prepared_call(&call, started_at);
         let token_tenant = call.token_tenant;
         let result = self.run_admitted(call, request, progress).await;
         self.refund_token_if_not_run(token_tenant, &result);
@@ -325,7 +325,7 @@
         self: &Arc<Self>,
         mut call: Call,
         request: Request<RequestBody>,
-        progress: &mut Progress,
+        progress: &mut CallProgress,
     ) -> Result<Response<Body>, CallError> {
         let (mut parts, body) = request.into_parts();
         let body = self.read_body(&call, &parts.headers, body).await?;
@@ -345,7 +345,7 @@
         result.map_err(|call_error| self.add_retry_advice(&call, call_error))
     }
 
-    /// Accesses the retry budget of the call's service, with the present retry limit.
+    /// Calls `act` with the retry budget of the call's service, after updating its limit.
     fn with_budget<T>(&self, call: &Call, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let limit = self.retry_limit(call);
         let limit_retries = self.options.mode.limit_retries;
@@ -374,8 +374,8 @@
         };
         let nodes = self.control().endpoints().alive.max(1) as f64;
         RetryLimit {
-            slack: (fleet.slack * USED_SLACK_RATIO / nodes).max(1.0),
-            ratio: fleet.ratio * USED_SLACK_RATIO,
+            slack: (fleet.slack * USED_RETRY_LIMIT_RATIO / nodes).max(1.0),
+            ratio: fleet.ratio * USED_RETRY_LIMIT_RATIO,
             ..fleet
         }
     }
@@ -435,7 +435,7 @@
             target: service.targets.get(&chosen.node)?.clone(),
             others_have_free_slot,
             seen_load: state.balancer.seen_load(&chosen.node, now),
-            room_percent: (acceptance_estimate.probability(&chosen.zone, now) * 100.0) as u32,
+            admitted_percent: (acceptance_estimate.probability(&chosen.zone, now) * 100.0) as u32,
             on_trial,
         })
     }
--- a/crates/rampthread-node/src/calls/entry/progress.rs
+++ b/crates/rampthread-node/src/calls/entry/progress.rs
@@ -41,7 +41,7 @@
 
 /// What the log reports about a call; fields are unset until known.
 #[derive(Default)]
-pub(super) struct Progress {
+pub(super) struct CallProgress {
     route: Option<Arc<Route>>,
     service: Option<ResourceName>,
     priority: Option<CallPriority>,
@@ -56,9 +56,9 @@
     pub(super) identity: Option<RequestIdentity>,
 }
 
-impl Progress {
+impl CallProgress {
     /// Records the route, service, priority and time limit of a call that is ready to run.
-    pub(super) fn planned(&mut self, call: &Call, started_at: Moment) {
+    pub(super) fn record_prepared_call(&mut self, call: &Call, started_at: Moment) {
         self.route = Some(call.route.clone());
         self.service = Some(call.service.clone());
         self.priority = Some(CallPriority::of(call));
@@ -67,7 +67,11 @@
     }
 
     /// Returns the fields of the final log line, for a call that took `elapsed`.
-    pub(super) fn ended<'a>(&'a self, request_id: &'a str, elapsed: Duration) -> CompletedCall<'a> {
+    pub(super) fn completed_call<'a>(
+        &'a self,
+        request_id: &'a str,
+        elapsed: Duration,
+    ) -> CompletedCall<'a> {
         let route = self.route.as_ref();
         CompletedCall {
             request_id,
--- a/crates/rampthread-node/src/calls/entry/quarantine.rs
+++ b/crates/rampthread-node/src/calls/entry/quarantine.rs
@@ -2,7 +2,7 @@
 //! later put on trial (runs alone at one backend) or quarantined (rejected). The entry node
 //! applies these states and clears requests that get a response.
 
-use super::progress::Progress;
+use super::progress::CallProgress;
 use super::{Call, Entry, SelectedBackend};
 use crate::calls::gate::quarantine_error;
 use crate::calls::response::CallError;
@@ -23,7 +23,8 @@
         call.content.identity(&self.control().identity_key)
     }
 
-    /// Whether the request is suspected, on trial or quarantined, by the crashes known here.
+    /// Whether the request is suspected, on trial or quarantined, according to the crashes that
+    /// this node knows.
     pub(super) fn quarantine_state(&self, call: &Call) -> QuarantineState {
         self.control().quarantine_state(|| self.identity(call))
     }
@@ -32,7 +33,7 @@
     pub(super) fn check_quarantine(
         &self,
         call: &Call,
-        progress: &mut Progress,
+        progress: &mut CallProgress,
     ) -> Result<(), CallError> {
         let QuarantineState::Quarantined { crashes, left } = self.quarantine_state(call) else {
             return Ok(());
@@ -137,8 +138,8 @@
     InstanceId::new(selected.target.backend.as_str()).ok()
 }
 
-/// Incarnation of the backend that a member reports. A node that is draining leaves its backend
-/// running.
+/// The backend that a fleet member reports, with its incarnation. A draining node still has one,
+/// since its backend keeps running.
 fn current_backend(record: &MemberRecord) -> Option<CurrentBackend> {
     let endpoint = record.endpoint.as_ref()?;
     Some(CurrentBackend {
--- a/crates/rampthread-node/src/calls/entry/versions.rs
+++ b/crates/rampthread-node/src/calls/entry/versions.rs
@@ -21,7 +21,7 @@
 
 /// What one entry node knows about software versions and their rollouts.
 #[derive(Default)]
-pub(super) struct Versions {
+pub(super) struct VersionTracker {
     limiters: HashMap<ResourceName, ExposureLimiter>,
     evidence: EvidenceRecorder,
     /// When this entry node first saw each version of a service that has several versions.
@@ -30,10 +30,10 @@
     ready_since: HashMap<NodeId, Moment>,
 }
 
-impl Versions {
+impl VersionTracker {
     /// Records when the backend of `node` came into service. The backend is slow during its
     /// warm-up.
-    pub(super) fn became_ready(&mut self, node: &NodeId, now: Moment) {
+    pub(super) fn record_service_start(&mut self, node: &NodeId, now: Moment) {
         self.ready_since.insert(node.clone(), now);
     }
 
@@ -117,7 +117,8 @@
         Cow::Owned(known)
     }
 
-    /// Accesses the exposure limiter of the call's service; a new rollout order gets a new one.
+    /// Calls `act` with the limiter of how many calls of the service go to the version being
+    /// evaluated. A new rollout order gets a new limiter.
     fn with_limiter<T>(
         &self,
         call: &Call,
--- a/crates/rampthread-node/src/calls/entry/zones.rs
+++ b/crates/rampthread-node/src/calls/entry/zones.rs
@@ -63,7 +63,7 @@
 }
 
 impl Entry {
-    /// Records that a caller asks for a call, with the size of the request body.
+    /// Counts a call in the demand for its service; `bytes` is the size of the request body.
     pub(super) fn record_demand(&self, call: &Call, bytes: usize) {
         let now = self.now();
         let demand = &mut self.state().zones.demand;
@@ -123,7 +123,7 @@
             };
             zones.trends.forecast(&service, &mut zone_demands, now);
             let spill_plan = plan_spill(local_zone, &zone_demands);
-            zones.log(&service, local_zone, &spill_plan, &zone_demands, now);
+            zones.log_plan_change(&service, local_zone, &spill_plan, &zone_demands, now);
             let spill_probabilities =
                 zones
                     .demand
@@ -138,8 +138,9 @@
 }
 
 impl ZoneRouting {
-    /// Logs the causes when the spilled fraction has changed.
-    fn log(
+    /// Logs the spilled fraction of a service's calls, with demand and capacity, if the fraction
+    /// has changed.
+    fn log_plan_change(
         &mut self,
         service: &ResourceName,
         local_zone: &Zone,
--- a/crates/rampthread-node/src/calls/gate.rs
+++ b/crates/rampthread-node/src/calls/gate.rs
@@ -324,7 +324,8 @@
     ) -> Result<Response<Body>, CallError> {
         self.check_backend(&hop)?;
         self.check_deadline(&hop)?;
-        // The call may have arrived before the backend's latest report was processed.
+        // The backend's latest report may show a restart that was not processed before the
+        // call arrived.
         self.check_incarnation();
         self.check_quarantine(content)?;
         let slot = self.admit(&hop).await?;
--- a/crates/rampthread-node/src/calls/gate/lost_response.rs
+++ b/crates/rampthread-node/src/calls/gate/lost_response.rs
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Records that the incarnation `instance` has ended, and reports the requests it was
-    /// running.
+    /// Records that the backend's incarnation `instance` has ended, and reports the requests
+    /// that it was running as suspects.
     fn record_end(&self, backend: &LocalBackend, instance: &InstanceId) {
         let suspects = {
             let mut state = self.state();
--- a/crates/rampthread-node/src/calls/gate/reservation.rs
+++ b/crates/rampthread-node/src/calls/gate/reservation.rs
@@ -51,8 +51,8 @@
         let granted = state.transfers.ended(self.number, self.arrived, now);
         for number in granted {
             if let Some(sender) = state.queued_bodies.remove(&number) {
-                // If the receiver is gone, its owner withdraws from the queue or releases the
-                // permit.
+                // The result is ignored: if the body no longer waits for the permit, dropping
+                // its queue entry releases the permit.
                 let _ = sender.try_send(());
             }
         }
@@ -79,8 +79,8 @@
             state.transfers.cancel(self.number)
         };
         if !was_withdrawn {
-            // The permit was granted between the timeout and the withdrawal.
-            drop(self.gate.permit(self.number));
+            // The permit was granted after the wait for it had ended, so it is released.
+            drop(self.gate.wrap_permit(self.number));
         }
     }
 }
@@ -88,7 +88,7 @@
 impl Gate {
     /// Wraps a granted transfer permit, so that dropping it releases the permit. `number` is the
     /// number of the request body.
-    fn permit(self: &Arc<Self>, number: CallNumber) -> TransferPermit {
+    fn wrap_permit(self: &Arc<Self>, number: CallNumber) -> TransferPermit {
         TransferPermit {
             gate: self.clone(),
             number,
@@ -146,8 +146,8 @@
         self.state().permits.remove(call_id)
     }
 
-    /// A large body needs a transfer permit. A small body needs none and may be sent if its
-    /// call would be admitted at present.
+    /// Waits for a transfer permit if the body is large. A small body needs none and may be
+    /// sent if its call would be admitted at present.
     async fn decide(
         self: &Arc<Self>,
         hop: &Hop,
@@ -186,7 +186,7 @@
                 max_wait: state.max_body_wait(hop, bytes, hop.deadline.since(now)),
             };
             match state.transfers.offer(offer, now) {
-                OfferDecision::Granted => return Ok(self.permit(number)),
+                OfferDecision::Granted => return Ok(self.wrap_permit(number)),
                 OfferDecision::Refused { retry_after } => {
                     let load = state.transfers.load();
                     let reason = format!("{load} large bodies are in transfer or queued");
@@ -211,7 +211,7 @@
         match rampthread_http::timeout(longest, queue_entry.signal.recv()).await {
             Ok(Ok(())) => {
                 queue_entry.granted = true;
-                Ok(self.permit(number))
+                Ok(self.wrap_permit(number))
             }
             _ => {
                 let reason = "no transfer permit within the maximum queueing time";
--- a/crates/rampthread-node/src/calls/hop_headers.rs
+++ b/crates/rampthread-node/src/calls/hop_headers.rs
@@ -15,9 +15,10 @@
 use rampthread_core::ids::ResourceName;
 use rampthread_core::time::Moment;
 
-/// Attempt number; sent where the caller's request id is forwarded in its own header.
+/// Header with the attempt number of a hop; sent only where the request id is in the header
+/// that the caller has set, without the attempt number.
 const ATTEMPT_HEADER: &str = "rampthread-try";
-/// Whether the call may run more than once; if the header is absent, it may not.
+/// Header that says that the call may run more than once; if it is absent, the call may not.
 const REPEATABLE_HEADER: &str = "rampthread-repeatable";
 
 /// Writes `hop` into the headers of a request sent at `now`. `process_epoch` identifies the
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Fences a call at this node's gate.
+    /// Handles a fence request: forbids this node's gate to start `call_id`.
     fn handle_fence(&self, call_id: &str) -> Response<Body> {
         let answer = self.gate.fence(call_id);
         let memory_ms = answer.retention.as_millis().to_string();
@@ -328,7 +328,7 @@
         response
     }
 
-    /// Handles a reservation ahead of a request body.
+    /// Handles a reservation request, which asks whether a request body may be sent.
     async fn handle_reservation(
         &self,
         call_id: String,
--- a/crates/rampthread-node/src/calls/request_content.rs
+++ b/crates/rampthread-node/src/calls/request_content.rs
@@ -9,11 +9,11 @@
 
 /// The parts of a request that its identity is derived from. Clones share the data.
 #[derive(Debug, Clone, Default)]
-pub(super) struct CallContent(Arc<Parts>);
+pub(super) struct CallContent(Arc<RequestParts>);
 
 /// The parts that clones of a [`CallContent`] share.
 #[derive(Debug, Default)]
-struct Parts {
+struct RequestParts {
     method: Method,
     authority: Option<HeaderValue>,
     uri: Uri,
@@ -23,7 +23,7 @@
 
 impl CallContent {
     pub(super) fn of(request: &Request<Bytes>) -> Self {
-        Self(Arc::new(Parts {
+        Self(Arc::new(RequestParts {
             method: request.method().clone(),
             authority: request.headers().get(HOST).cloned(),
             uri: request.uri().clone(),
@@ -43,7 +43,7 @@
     }
 }
 
-impl Parts {
+impl RequestParts {
     fn identify(&self, key: &IdentityKey) -> RequestIdentity {
         let authority = self.authority.as_ref().and_then(|host| host.to_str().ok());
         let target = self.uri.path_and_query();
--- a/crates/rampthread-node/src/calls/response.rs
+++ b/crates/rampthread-node/src/calls/response.rs
@@ -32,7 +32,7 @@
 }
 
 impl CallError {
-    /// The request has not run, never will, and did not reach a backend.
+    /// Error of a request that has not run, never will, and did not reach a backend.
     pub fn not_run(cause: Cause, reason: impl Into<String>) -> Self {
         Self {
             status: cause.status(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The request reached a backend and may have run there.
+    /// Error of a request that reached a backend and may have run there.
     pub fn unknown(cause: Cause, reason: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::Unknown,
@@ -71,7 +71,7 @@
         let wait = self.retry_after;
         let mut response = self.base_response();
         if response.status() == StatusCode::UNAUTHORIZED {
-            // RFC 9110, section 15.5.2.
+            // A 401 response must name an authentication scheme (RFC 9110, section 15.5.2).
             set_response_header(&mut response, header::WWW_AUTHENTICATE.as_str(), "Bearer");
         }
         if let Some(wait) = wait {
