--- a/crates/rampthread-core/src/call/acceptance.rs
+++ b/crates/rampthread-core/src/call/acceptance.rs
@@ -3,11 +3,12 @@
 //! its local backend.
 //!
 //! An entry node knows the load of a gate node only from the gate node's last response, so
-//! a gate node that others have filled meanwhile looks free for long. Recent replies of the
-//! other gate nodes of the service are better evidence: where most reject calls, the next
-//! gate node most likely does too, and each query costs time and bytes, above all between
-//! zones. So each attempt is a sample of its zone, and a gate node is asked only while the
-//! probability that it accepts is worth the query.
+//! a gate node whose slots were taken by calls of other entry nodes looks free for long.
+//! Recent replies of the other gate nodes of the service are better evidence: where most of
+//! them reject calls, the next one most likely does too. Each query to a gate node costs
+//! time and bytes, above all between zones. So each attempt is a sample of the zone that it
+//! was sent to, and a gate node is asked only while the probability that it accepts is
+//! worth the query.
 
 use crate::ids::Zone;
 use crate::time::Moment;
@@ -16,17 +17,17 @@
 /// Weight of the newest attempt in the entry node's zone: about the last seven attempts
 /// count.
 const SAME_ZONE_WEIGHT: f64 = 0.15;
-/// Weight of the newest attempt in a zone other than the entry node's. Attempts there are
-/// few, and a rejection is expensive.
+/// Weight of the newest attempt in a zone other than the entry node's. Attempts in other
+/// zones are few, and a rejection there is expensive.
 const OTHER_ZONE_WEIGHT: f64 = 0.3;
-/// Time constant with which rejections lose weight, since calls run for some tenths of a
-/// second and then free their slots.
+/// Time constant with which recorded rejections lose weight, since running calls free their
+/// slots after some tenths of a second.
 const DECAY: Duration = Duration::from_secs(2);
 /// Probability of acceptance below which no further gate node of the entry node's zone is
 /// asked.
 const MIN_SAME_ZONE_PROBABILITY: f64 = 0.3;
 /// Probability of acceptance below which no gate node of another zone is asked: traffic
-/// between zones is expensive, and wasted if the gate node rejects the call.
+/// between zones is expensive, and is wasted if the gate node rejects the call.
 const MIN_OTHER_ZONE_PROBABILITY: f64 = 0.8;
 /// Probability of acceptance from which another gate node is expected to run a call at
 /// once. Below it the call waits in the queue of the present gate node: queues serve by
@@ -45,8 +46,9 @@
 }
 
 impl ZoneRejectionRate {
-    /// Share of rejected attempts in the zone. It decays since the last attempt.
-    fn share(&self, now: Moment) -> f64 {
+    /// Share of rejected attempts in the zone. The share decays exponentially with the time
+    /// since the last attempt.
+    fn rejected_share(&self, now: Moment) -> f64 {
         let age = now.since(self.at).as_secs_f64() / DECAY.as_secs_f64();
         self.share * (-age).exp()
     }
@@ -57,8 +59,8 @@
 pub struct AcceptanceEstimator {
     /// Zone of the entry node, which received the calls.
     own_zone: Zone,
-    /// One element per zone in which a call was attempted; few, so that a linear search is
-    /// cheap.
+    /// Rejection rate of each zone in which a call was attempted. A fleet has few zones, so
+    /// that a linear search is cheap.
     rejection_rates: Vec<ZoneRejectionRate>,
 }
 
@@ -86,7 +88,7 @@
             .find(|known| known.zone == *zone)
         {
             Some(known) => {
-                let share = known.share(now);
+                let share = known.rejected_share(now);
                 known.share = share + (newest - share) * weight;
                 known.at = now;
             }
@@ -98,14 +100,14 @@
         }
     }
 
-    /// Probability that a gate node of `zone` accepts a call, from 0 to 1; 1 without
-    /// samples.
+    /// Probability that a gate node of `zone` accepts a call, from 0 to 1; 1 before the
+    /// first attempt in the zone.
     pub fn probability(&self, zone: &Zone, now: Moment) -> f64 {
         let known = self
             .rejection_rates
             .iter()
             .find(|known| known.zone == *zone);
-        1.0 - known.map_or(0.0, |known| known.share(now))
+        1.0 - known.map_or(0.0, |known| known.rejected_share(now))
     }
 
     /// True while the probability of acceptance is worth the query to a gate node of
--- a/crates/rampthread-core/src/call/admission.rs
+++ b/crates/rampthread-core/src/call/admission.rs
@@ -16,8 +16,8 @@
 const MEAN_WEIGHT: f64 = 0.1;
 /// Mean service time that is assumed before the first measurement.
 const INITIAL_MEAN: Duration = Duration::from_millis(5);
-/// Minimum time after which a rejected caller is told to retry. A caller that retries while
-/// the slots are still in use is rejected again.
+/// Minimum time after which the caller of a rejected call is told to retry. A retry while
+/// all slots are still in use would be rejected again.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Limits for the calls that one backend's gate node accepts.
@@ -38,7 +38,7 @@
     Wait,
     /// The call is rejected: it was not run and never will be.
     Refused {
-        /// Time after which the caller should retry.
+        /// Time after which the caller should retry the call.
         retry_after: Duration,
     },
 }
@@ -59,14 +59,14 @@
     running: u32,
     /// Waiting calls by rank; the lowest rank is served first.
     ranks: BTreeMap<Rank, RankQueue>,
-    /// Moving average of the service times of all calls at the backend.
+    /// Moving average of the service times of the calls that ran at the backend.
     mean: Duration,
     /// True while the backend shuts down, so that all new calls are rejected.
     draining: bool,
 }
 
 impl AdmissionController {
-    /// Creates the controller of an idle backend.
+    /// Creates an admission controller for a backend that has no running or waiting calls.
     pub fn new(limits: AdmissionLimits) -> Self {
         Self {
             limits,
@@ -88,12 +88,12 @@
         self.draining = draining;
     }
 
-    /// How many slots are in use.
+    /// How many slots of the backend are in use, one for each running call.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// How many calls are in the queue.
+    /// How many calls wait in the queue for a slot of the backend.
     pub fn queued(&self) -> u32 {
         self.ranks.values().map(RankQueue::len).sum()
     }
@@ -103,7 +103,8 @@
         self.running + self.queued()
     }
 
-    /// Decides about an arriving call, and counts it as running or puts it into the queue.
+    /// Decides whether an arriving call runs, waits or is rejected. A call that runs is
+    /// counted, and a call that waits is put into the queue.
     pub fn arrive(&mut self, arrival: Arrival, now: Moment) -> AdmissionDecision {
         let admitted = self.decide(&arrival, now);
         match admitted {
@@ -114,22 +115,23 @@
         admitted
     }
 
-    /// What [`Self::arrive`] would decide about this call, without changing anything.
+    /// What [`Self::arrive`] would decide about this call. Neither the queue nor the count
+    /// of running calls changes.
     pub fn decide(&self, arrival: &Arrival, now: Moment) -> AdmissionDecision {
         if self.draining || arrival.deadline <= now {
-            return self.rejection(arrival);
+            return self.rejection_decision(arrival);
         }
         if self.running < self.limits.slots && self.queued() == 0 {
             return AdmissionDecision::Run;
         }
         if !self.may_wait(arrival, now) {
-            return self.rejection(arrival);
+            return self.rejection_decision(arrival);
         }
         AdmissionDecision::Wait
     }
 
     /// The decision to reject a call, with the time until a slot is expected to be free.
-    fn rejection(&self, arrival: &Arrival) -> AdmissionDecision {
+    fn rejection_decision(&self, arrival: &Arrival) -> AdmissionDecision {
         AdmissionDecision::Refused {
             retry_after: self.expected_wait(arrival).max(MIN_RETRY_AFTER),
         }
@@ -146,9 +148,9 @@
     }
 
     /// Checks the length of the queue. A caller with calls in the queue gets an equal share
-    /// of the queue limit. A caller without may exceed the limit, up to twice its value, so
-    /// that others cannot lock it out by filling the queue. Only calls that would go before
-    /// `arrival` count.
+    /// of the queue limit. A caller without waiting calls may exceed the queue limit, up to
+    /// twice its value, so that other callers cannot lock it out by filling the queue. Only
+    /// waiting calls that would be served before `arrival` count.
     fn fits_in_queue(&self, arrival: &Arrival) -> bool {
         let limit = self.limits.queue;
         let ahead = self.ahead_of(arrival).calls;
@@ -183,8 +185,9 @@
         ahead / self.limits.slots.max(1)
     }
 
-    /// Ends a running call and takes the next from the queue. `service_time` is `None` if
-    /// it must not count in the mean, since it does not show the speed of the backend.
+    /// Ends a running call and takes the next from the queue. `service_time` is the time
+    /// for which the call held its slot. It is `None` if this time does not show the speed
+    /// of the backend and must not change the mean.
     pub fn release(&mut self, service_time: Option<Duration>, now: Moment) -> Released {
         if let Some(service_time) = service_time {
             let newest = service_time.as_secs_f64() * MEAN_WEIGHT;
--- a/crates/rampthread-core/src/call/arrival.rs
+++ b/crates/rampthread-core/src/call/arrival.rs
@@ -15,17 +15,17 @@
 /// A call that asks a gate node for a slot of the local backend.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Identifies the call when it leaves the queue.
+    /// Number by which the gate node finds the call again when it leaves the queue.
     pub call: CallNumber,
     /// Name under which the call takes part in fair queueing: its tenant, else the service
     /// that makes it.
     pub caller: String,
     /// Time after which the call's response is useless.
     pub deadline: Moment,
-    /// Rank that the call's tenant, else its route, is configured with. Lower ranks go
-    /// first.
+    /// Rank that the call's tenant, else its route, is configured with. Calls of lower rank
+    /// are served first.
     pub rank: Rank,
-    /// Decides the order of calls of the same rank.
+    /// Order among calls of the same rank: nested calls, then first attempts, then retries.
     pub precedence: Precedence,
     /// Maximum time that the call may wait in the queue. Zero: the call runs now or is
     /// rejected, since another backend may have a free slot.
--- a/crates/rampthread-core/src/call/attempt_age.rs
+++ b/crates/rampthread-core/src/call/attempt_age.rs
@@ -1,9 +1,10 @@
 //! Estimates how long ago a caller made its first attempt at a request.
 //!
-//! Callers give a first attempt their whole time, and a retry what is left of it. The
-//! timeout of first attempts is learnt by route from the calls themselves. The time by
-//! which a call's timeout is shorter is the call's age. Where callers use all sorts of
-//! timeouts, nothing is learnt and every call counts as a first attempt.
+//! A caller sends its first attempt with its full timeout, and a retry with the part of the
+//! timeout that is left. The timeout of first attempts is learnt by route from the calls
+//! themselves. If a call has a shorter timeout, the difference is the time since its
+//! caller's first attempt, the age of the call. Where callers use all sorts of timeouts,
+//! nothing is learnt and every call counts as a first attempt.
 
 use crate::ids::ResourceName;
 use std::collections::HashMap;
@@ -11,16 +12,18 @@
 
 /// Number of different timeouts that are counted for one route.
 const MAX_TIMEOUTS: usize = 8;
-/// Ratio of the longer timeout up to which two timeouts count as equal, since some time
-/// passes before a call is read.
+/// Largest difference of two timeouts that count as equal, as a ratio of the longer one. A
+/// node reads a call some time after it was sent, so that equal timeouts differ a little.
 const SAME_TIMEOUT_RATIO: f64 = 0.02;
-/// Minimum share of a route's recent calls that must have a timeout for it to be that of
-/// first attempts. Retries spread over many timeouts, first attempts do not.
+/// Minimum share of a route's recent calls that must have a timeout before it counts as the
+/// timeout of first attempts. First attempts mostly have the same timeout, while the
+/// timeouts of retries vary.
 const MIN_FIRST_ATTEMPT_SHARE: f64 = 0.2;
 /// Factor by which the weight of older calls shrinks with each new one: about 100 calls
 /// count.
 const WEIGHT_DECAY: f64 = 0.99;
-/// Minimum weight of a route's calls before a timeout of first attempts is learnt.
+/// Minimum total weight of a route's recorded calls before a timeout of first attempts is
+/// derived from them.
 const MIN_WEIGHT: f64 = 10.0;
 
 /// A timeout that several recent calls of one route had.
@@ -46,7 +49,7 @@
 }
 
 impl RouteTimeoutCounts {
-    /// Counts a call with this timeout.
+    /// Counts a call of the route that has the timeout `time`.
     fn record(&mut self, time: Duration) {
         for known in &mut self.timeouts {
             known.weight *= WEIGHT_DECAY;
@@ -64,7 +67,8 @@
         }
     }
 
-    /// Starts counting a new timeout, in place of the rarest one if there are too many.
+    /// Starts to count calls with a timeout not seen before. At [`MAX_TIMEOUTS`] the
+    /// timeout with the least weight is dropped.
     fn add(&mut self, time: Duration) {
         let new = SeenTimeout { time, weight: 1.0 };
         if self.timeouts.len() < MAX_TIMEOUTS {
--- a/crates/rampthread-core/src/call/attempts.rs
+++ b/crates/rampthread-core/src/call/attempts.rs
@@ -2,10 +2,10 @@
 //!
 //! Only the entry node, the node that received the call, retries. A call that may not run
 //! twice is retried only if no attempt can have run at a backend ([`Outcome::NotRun`]). Any
-//! other call is also retried if an attempt may have run ([`Outcome::Unknown`]). Attempts
-//! that reach a backend beyond the first are a bounded share of a service's calls, over all
-//! nodes. An attempt that a backend's gate node rejected did not reach the backend and does
-//! not count.
+//! other call is also retried if an attempt may have run ([`Outcome::Unknown`]). The retry
+//! budget bounds the attempts that reach a backend beyond the first of each call, as a
+//! share of the service's calls over all nodes. An attempt that a backend's gate node
+//! rejected did not reach the backend and does not count.
 
 use super::headers::{Outcome, Reach};
 pub use super::retry_budget::{RetryBudget, RetryClass, RetryLimit};
@@ -40,15 +40,16 @@
     pub class: RetryClass,
     /// Maximum number of backends that may get the call.
     max_arrivals: u32,
-    /// How many ended attempts reached a backend, or may have.
+    /// How many ended attempts reached a backend, or may have reached one.
     arrivals: u32,
-    /// How many attempts have ended.
+    /// How many attempts of the call have ended; compared with [`MAX_ATTEMPTS`].
     attempts: u32,
-    /// When a retry was taken from the budget that has not reached a backend yet.
+    /// When the call took a retry from the budget, while that retry has not reached a
+    /// backend; else `None`.
     unsent_retry_at: Option<Moment>,
-    /// How many attempts wait for a response.
+    /// How many attempts of the call wait for a response: two with a hedged attempt.
     in_progress: u32,
-    /// True if some attempt may have run at a backend without a response.
+    /// True if some ended attempt may have run at a backend, though no response came.
     may_have_run: bool,
 }
 
@@ -75,7 +76,7 @@
     }
 
     /// Starts a hedged attempt beside a slow one (hedged request, Dean and Barroso 2013),
-    /// if that is safe and within the budget. Returns whether it did.
+    /// if that is safe and within the budget. Returns whether the hedged attempt may start.
     pub fn begin_hedge(&mut self, now: Moment, budget: &mut RetryBudget) -> bool {
         let allowed = self.may_hedge() && self.take_retry(now, budget);
         if allowed {
@@ -115,8 +116,8 @@
         NextStep::GiveUp(self.outcome())
     }
 
-    /// Takes a retry from the budget, and remembers it until an attempt reaches a backend.
-    /// False if the budget does not allow it.
+    /// Takes a retry from the budget, and remembers when, until an attempt reaches a
+    /// backend. Returns false if the budget does not allow a retry.
     fn take_retry(&mut self, now: Moment, budget: &mut RetryBudget) -> bool {
         let taken = budget.take(self.class, now);
         if taken {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Outcome that the caller must be told if the call ends now without a response.
+    /// Outcome that the caller must be told if the call ends without a response.
     pub fn outcome(&self) -> Outcome {
         if self.may_have_run {
             Outcome::Unknown
@@ -152,7 +153,7 @@
             && after_this < self.max_arrivals
     }
 
-    /// How many backends got the call, or may have.
+    /// How many backends got the call, or may have got it.
     pub fn arrivals(&self) -> u32 {
         self.arrivals
     }
--- a/crates/rampthread-core/src/call/backend_load.rs
+++ b/crates/rampthread-core/src/call/backend_load.rs
@@ -2,9 +2,10 @@
 
 use thiserror::Error;
 
-/// Maximum number of calls or slots that a report may contain.
+/// Maximum number of calls, and of slots, that a load report may contain.
 const MAX_CALLS: u32 = 1_000_000;
-/// Maximum service time that a report may contain, in percent of the usual one.
+/// Maximum current service time that a load report may contain, in percent of the backend's
+/// usual service time.
 const MAX_PERCENT: u16 = 10_000;
 
 /// Running calls, waiting calls and slots of a backend, as the backend reports them with
@@ -26,10 +27,11 @@
 /// Why the value of a load header is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum BackendLoadError {
-    /// The value has this number of fields instead of three or four.
+    /// The header value has this number of fields instead of three or four.
     #[error("expected 3 or 4 comma-separated fields, found {0}")]
     FieldCount(usize),
-    /// The field at this position, counted from 1, is not a number or is out of range.
+    /// The field of the header value at this position, counted from 1, is not a number or
+    /// is out of range.
     #[error("field {0} is not a number in its range")]
     Field(usize),
 }
--- a/crates/rampthread-core/src/call/balance.rs
+++ b/crates/rampthread-core/src/call/balance.rs
@@ -16,8 +16,8 @@
 use std::time::Duration;
 
 /// Load, in calls per slot, up to which a backend in the entry node's zone is chosen
-/// without considering other zones. Above 1, since reports of load are out of date, and
-/// asking a node of the same zone that seems full costs little.
+/// without considering other zones. The value is above 1, since load reports are out of
+/// date and a query to a full node of the same zone costs little.
 const MAX_SAME_ZONE_LOAD: f64 = 1.2;
 /// Load, in calls per slot, above which a call is expected to wait in the queue of the
 /// backend's gate node.
@@ -25,18 +25,21 @@
 /// Slowness, the ratio of a backend's service time to the usual one, up to which a backend
 /// in the entry node's zone is chosen without considering other zones.
 const MAX_SAME_ZONE_SLOWNESS: f64 = 2.0;
-/// Cost of each call per slot above [`QUEUEING_LOAD`].
+/// Additional cost of an endpoint for each call per slot by which its load exceeds
+/// [`QUEUEING_LOAD`], as a multiple of the backend's slowness.
 const QUEUEING_COST: f64 = 5.0;
-/// Cost of sending a call to another zone, where traffic is expensive.
+/// Additional cost of an endpoint in another zone, since traffic between zones is
+/// expensive. Unit: service time of a healthy, idle backend.
 const OTHER_ZONE_COST: f64 = 0.3;
-/// Number of backends compared for one call. Of a larger service, this many are sampled at
-/// random, so that entry nodes with the same outdated reports do not all choose the same
-/// backend.
+/// Number of backends whose costs are compared for one call. From a larger service this
+/// many backends are sampled at random, so that entry nodes with the same outdated reports
+/// do not all choose the same backend.
 const SAMPLE_COUNT: usize = 4;
 /// Upper limit of the random ratio by which each cost is raised, so that nodes with the
 /// same outdated reports do not all choose the same backend.
 const COST_JITTER_RATIO: f64 = 0.15;
-/// Share of its slots that a backend counts with when it has just become ready.
+/// Share of a backend's slots that are counted for balancing when the backend has just
+/// become ready (start of the slow start).
 const MIN_SLOW_START_SHARE: f64 = 0.1;
 /// Consecutive failed calls after which an endpoint is ejected.
 const EJECT_AFTER_FAILURES: u32 = 5;
@@ -45,9 +48,10 @@
 /// Duration of the first ejection of an endpoint whose node is unreachable; each further
 /// ejection lasts twice as long.
 const UNREACHABLE_EJECTION: Duration = Duration::from_secs(1);
-/// Number of ejections after which further ones do not last longer.
+/// Number of ejections of an endpoint after which the duration of further ejections no
+/// longer grows.
 const MAX_EJECTIONS: u32 = 10;
-/// Number of times that the ejection of an unreachable node doubles.
+/// Maximum number of times that the duration of an unreachable node's ejection doubles.
 const MAX_UNREACHABLE_DOUBLINGS: u32 = 2;
 /// Age from which the load that a backend's node reported is ignored.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
@@ -109,36 +113,38 @@
 #[derive(Debug, Default)]
 struct EndpointStats {
     in_flight: u32,
-    /// Load that the gate node reported last, and how many of this node's calls were in
-    /// flight to it when the report was made.
+    /// Load of the backend that its gate node reported last.
     reported: u32,
+    /// How many of this node's calls were in flight to the endpoint at that report.
     in_flight_at_report: u32,
     reported_at: Moment,
     /// When the endpoint became ready, from which its slow start counts.
     became_ready_at: Moment,
-    /// Calls in a row that got no response.
+    /// Number of consecutive calls to the endpoint that got no response.
     failures: u32,
-    /// Ejections since the endpoint became ready, up to the maximum.
+    /// Number of ejections since the endpoint became ready, at most [`MAX_EJECTIONS`].
     ejections: u32,
-    /// Attempts in a row that could not reach the node.
+    /// Number of consecutive attempts that could not reach the endpoint's node.
     unreachable: u32,
     ejected_until: Moment,
     /// Mean ratio of the backend's response times to the mean response time of their
     /// routes.
     slowness: Option<f64>,
-    /// Time of the last change of `slowness`.
+    /// When the measured slowness was last updated.
     slowness_at: Moment,
     /// Time of the backend's last response to this node.
     answered_at: Moment,
-    /// Speed that the gate node reported last.
+    /// Speed of the backend that its gate node reported last; `None` before the first
+    /// report.
     reported_speed: Option<BackendSpeed>,
     speed_reported_at: Moment,
 }
 
 impl EndpointStats {
     /// Estimate of the backend's slowness, the ratio of its service time to the usual one.
-    /// Measurements of this node lose weight with time in favour of the speed that is
-    /// reported for the backend, so that a recovered backend gets calls again.
+    /// The weight of this node's own measurements decays with time, and the reported speed
+    /// of the backend takes their place, so that a backend that has recovered gets calls
+    /// again.
     fn slowness(&self, speed_percent: u16, now: Moment) -> f64 {
         let age = now.since(self.slowness_at).as_secs_f64() / SLOWNESS_DECAY.as_secs_f64();
         let reported = self.reported_slowness(speed_percent, now);
@@ -184,8 +190,8 @@
 }
 
 /// Samples the endpoints to compare. Where speeds differ, the sampling weight is the square
-/// of the speed: fast backends fill first, and all entry nodes together do not overload one
-/// of them.
+/// of the speed: the slots of fast backends fill first, but no single fast backend is
+/// overloaded by all entry nodes together.
 fn sample_endpoints<'a>(endpoints: &[&'a Endpoint], rng: &mut impl Rng) -> Vec<&'a Endpoint> {
     let first = endpoints.first().map(|endpoint| endpoint.speed_percent);
     let even = endpoints
@@ -211,13 +217,14 @@
     endpoints: HashMap<NodeId, EndpointStats>,
     /// Mean response time of each route, in seconds.
     route_means: HashMap<ResourceName, f64>,
-    /// Number of choices by round robin.
+    /// Number of endpoints chosen so far in [`BalanceMode::RoundRobin`]; gives the next
+    /// one.
     round_robin_count: usize,
 }
 
 impl Balancer {
     /// Creates a balancer without measurements. Endpoints that are first seen right after
-    /// `now` get no slow start, since it is this process that is new.
+    /// `now` get no slow start, since most likely only this process has just started.
     pub fn new(mode: BalanceMode, now: Moment) -> Self {
         Self {
             mode,
@@ -228,8 +235,8 @@
         }
     }
 
-    /// Records that an endpoint became ready: its slow start begins, and measurements of
-    /// the backend that was there before are dropped.
+    /// Records that an endpoint became ready: its slow start begins, and the measurements
+    /// of the backend that the node had before are dropped.
     pub fn became_ready(&mut self, node: &NodeId, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         *stats = EndpointStats {
@@ -309,7 +316,8 @@
         self.load(endpoint, now) < MAX_SAME_ZONE_LOAD && slowness < MAX_SAME_ZONE_SLOWNESS
     }
 
-    /// Leaves out ejected endpoints, unless these are more than half; then all remain.
+    /// Returns the endpoints that are not ejected; all endpoints if more than half are
+    /// ejected.
     fn without_ejected<'a>(&self, endpoints: &[&'a Endpoint], now: Moment) -> Vec<&'a Endpoint> {
         let sound: Vec<&Endpoint> = endpoints
             .iter()
@@ -332,12 +340,13 @@
             .map_or(Moment::default(), |stats| stats.ejected_until)
     }
 
-    /// True while calls must avoid the endpoint because of failures.
+    /// True while the endpoint of `node` is ejected because of failures, so that calls go
+    /// to other endpoints.
     pub fn is_ejected(&self, node: &NodeId, now: Moment) -> bool {
         self.ejected_until(node) > now
     }
 
-    /// The endpoint of least cost in a random sample.
+    /// Returns the endpoint of least expected cost in a random sample of `endpoints`.
     fn cheapest<'a>(
         &self,
         endpoints: &[&'a Endpoint],
@@ -381,8 +390,8 @@
         }
     }
 
-    /// Calls per slot at the endpoint, including the call to be placed. Fewer slots count
-    /// during slow start.
+    /// Expected load of the endpoint in calls per slot, including the call that is being
+    /// placed. During slow start only a share of the slots is counted.
     fn load(&self, endpoint: &Endpoint, now: Moment) -> f64 {
         let slots = f64::from(endpoint.slots.max(1));
         let Some(stats) = self.endpoints.get(&endpoint.node) else {
@@ -392,7 +401,8 @@
         busy / (slots * self.effective_slot_share(stats, endpoint.slow_start, now))
     }
 
-    /// Share of its slots that an endpoint counts with during slow start; 1 afterwards.
+    /// Share of the endpoint's slots that are counted for balancing: it grows during slow
+    /// start, and is 1 afterwards.
     fn effective_slot_share(
         &self,
         stats: &EndpointStats,
@@ -424,7 +434,8 @@
         }
     }
 
-    /// Stores the load that `node` reported with a response, and clears its failures.
+    /// Stores the load that `node` reported with a response, and resets its counts of
+    /// failures, since the node responds.
     pub fn record_load(&mut self, node: &NodeId, load: u32, now: Moment) {
         let stats = self.endpoints.entry(node.clone()).or_default();
         stats.reported = load;
@@ -443,7 +454,7 @@
     }
 
     /// Updates the mean response time of `route` and the slowness of the backend at `node`,
-    /// which has responded after the time `time`.
+    /// which responded `time` after the call was sent.
     pub fn record_response(
         &mut self,
         node: &NodeId,
@@ -456,7 +467,7 @@
         let ratio = (seconds / mean.max(f64::EPSILON)).min(MAX_SLOWNESS);
         *mean += (seconds - *mean) * ROUTE_MEAN_WEIGHT;
         let stats = self.endpoints.entry(node.clone()).or_default();
-        // A single response says little, so even the first one is averaged with the usual
+        // Response times vary, so even the first one is averaged with 1, the usual
         // slowness.
         let previous = stats.slowness.map_or(1.0, |learnt| {
             let age = now.since(stats.slowness_at).as_secs_f64() / SLOWNESS_DECAY.as_secs_f64();
--- a/crates/rampthread-core/src/call/body_transfers.rs
+++ b/crates/rampthread-core/src/call/body_transfers.rs
@@ -5,30 +5,33 @@
 //! else, and is wasted if the gate node rejects the call. So the sending node offers the
 //! body first, and sends it when the gate node grants the transfer. A few bodies are
 //! transferred at a time, so that each arrives soon and small messages find the link nearly
-//! idle; the other offers wait, or are rejected at once if their turn would come too late.
+//! idle; the other offers wait for a grant, or are rejected at once if the grant would come
+//! too late for the call.
 
 use super::admission::CallNumber;
 use crate::time::Moment;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Maximum number of concurrent transfers. The second keeps the link busy while the end of
-/// the first and the next grant travel.
+/// Maximum number of concurrent body transfers to one gate node. A second transfer keeps
+/// the link busy in the round trip between the end of the first and the start of the next.
 const MAX_CONCURRENT: usize = 2;
-/// Divisor that gives the outstanding bytes of the transfers in progress: half are assumed
-/// to have arrived, since progress is not reported.
+/// Divisor that estimates the bytes still to be transferred from the lengths of the bodies
+/// in transfer. Senders do not report progress, so half of the bytes are assumed to have
+/// arrived.
 const OUTSTANDING_DIVISOR: u64 = 2;
-/// Weight of the newest measurement in the transfer rate.
+/// Weight of the newest measurement in the moving average of the transfer rate.
 const RATE_WEIGHT: f64 = 0.2;
 /// Transfer rate before the first measurement, in bytes per second: 100 Mbit/s.
 const INITIAL_RATE: f64 = 12.5e6;
-/// Multiple of its expected duration after which a granted transfer is given up: its sender
-/// is gone, or its path is much worse than others'.
+/// Multiple of a transfer's expected duration after which the granted transfer is given up.
+/// By then its sender has most likely ended, or its link is much slower than those of other
+/// senders.
 const EXPIRY_FACTOR: u32 = 8;
-/// Minimum time until a granted transfer is given up, since a path may stall for a lost
-/// packet.
+/// Minimum time until a granted transfer is given up, since the loss of a packet may delay
+/// the body.
 const MIN_EXPIRY: Duration = Duration::from_millis(500);
-/// Minimum time after which a rejected sender is told to retry.
+/// Minimum time after which the sender of a rejected offer is told to offer the body again.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Announcement of a large request body that a node wants to send to the backend's node.
@@ -52,7 +55,7 @@
     /// The body must not be sent, since the call could not wait until its transfer would
     /// start.
     Refused {
-        /// Time after which the sender should retry.
+        /// Time after which the sender should offer the body again.
         retry_after: Duration,
     },
 }
@@ -73,7 +76,7 @@
     waiting: VecDeque<BodyOffer>,
     /// Measured rate of all transfers to this gate node together, in bytes per second.
     rate: f64,
-    /// Start of the time over which the rate is measured next.
+    /// Start of the interval over which the transfer rate is measured next.
     measured_since: Moment,
 }
 
@@ -89,12 +92,13 @@
 }
 
 impl BodyTransfers {
-    /// How many bodies are in transfer or wait for permission.
+    /// How many bodies are in transfer or wait for a grant.
     pub fn load(&self) -> u32 {
         (self.in_progress.len() + self.waiting.len()) as u32
     }
 
-    /// Expected duration of a transfer of this many bytes, at the measured rate.
+    /// Expected duration of the transfer of a body of this many bytes, at the measured
+    /// rate.
     pub fn expected(&self, bytes: u64) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.rate)
     }
@@ -123,7 +127,8 @@
         OfferDecision::Queued
     }
 
-    /// Counts the offered body as in transfer.
+    /// Counts the offered body as in transfer, and sets the time at which the transfer
+    /// expires.
     fn grant(&mut self, offer: BodyOffer, now: Moment) {
         if self.in_progress.is_empty() {
             self.measured_since = now;
@@ -168,8 +173,8 @@
         }
     }
 
-    /// Grants waiting offers while transfers are allowed to start. Returns the calls whose
-    /// bodies may be sent now.
+    /// Grants waiting offers until [`MAX_CONCURRENT`] transfers are in progress. Returns
+    /// the calls whose bodies may be sent now.
     fn grant_next(&mut self, now: Moment) -> Vec<CallNumber> {
         self.remove_expired(now);
         let mut granted = Vec::new();
@@ -182,8 +187,8 @@
         granted
     }
 
-    /// Removes the waiting offer of `call`, whose sender has abandoned it. False if no such
-    /// offer waits: the body may already be in transfer.
+    /// Removes the waiting offer of `call`, whose sender has abandoned it. Returns false if
+    /// the call has no waiting offer; its body may already be in transfer.
     pub fn cancel(&mut self, call: CallNumber) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|offer| offer.call != call);
--- a/crates/rampthread-core/src/call/cause.rs
+++ b/crates/rampthread-core/src/call/cause.rs
@@ -7,7 +7,7 @@
 /// Declares [`Cause`] with the value and the HTTP status of each variant.
 macro_rules! causes {
     ($($(#[$documentation:meta])* $name:ident = $value:literal, $status:ident;)*) => {
-        /// Why there is no response of a backend.
+        /// Why a call, or an attempt to deliver it, has no response of a backend.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         pub enum Cause {
             $($(#[$documentation])* $name,)*
@@ -39,7 +39,7 @@
     KeyMissing = "key-missing", UNAUTHORIZED;
     /// The API key of the request belongs to no tenant.
     KeyUnknown = "key-unknown", UNAUTHORIZED;
-    /// The tenant sends more than its rate limit.
+    /// The tenant of the call has used up its rate limit.
     OverQuota = "over-quota", TOO_MANY_REQUESTS;
     /// The request cannot be parsed.
     BadRequest = "bad-request", BAD_REQUEST;
@@ -72,7 +72,7 @@
     /// The node that got the call has an older configuration, which lacks the service or
     /// backend that the call is for.
     ConfigurationBehind = "configuration-behind", SERVICE_UNAVAILABLE;
-    /// The backend reported that it did not run the call.
+    /// The backend refused the call (shed it), and reported that it did not run it.
     Shed = "shed", SERVICE_UNAVAILABLE;
     /// No connection could be made to the backend or to its gate node.
     Unreachable = "unreachable", SERVICE_UNAVAILABLE;
@@ -101,13 +101,13 @@
 }
 
 impl Cause {
-    /// True when no slot of the backend was free in time. A backend that sheds is not out
-    /// of capacity in this sense: its gate node had a slot for the call.
+    /// True when no slot of the backend was free in time. [`Cause::Shed`] does not count:
+    /// the gate node had a free slot for the call, and the backend refused to run it.
     pub fn is_out_of_capacity(self) -> bool {
         matches!(self, Cause::QueueFull | Cause::QueueDeadline)
     }
 
-    /// True when the call was at a backend and no complete response came back.
+    /// True when the call was sent to a backend and no complete response came back.
     pub fn is_lost_answer(self) -> bool {
         matches!(
             self,
@@ -115,7 +115,8 @@
         )
     }
 
-    /// The cause with this text; `None` for an unknown text, as from a newer version.
+    /// Returns the cause whose text is `value`; `None` for an unknown text, which a node
+    /// with a newer program may send.
     pub fn parse(value: &str) -> Option<Cause> {
         Self::ALL
             .iter()
--- a/crates/rampthread-core/src/call/claims.rs
+++ b/crates/rampthread-core/src/call/claims.rs
@@ -4,9 +4,9 @@
 //! holders, the nodes that store claims of this key, have granted it a claim. The claim
 //! holders are the first nodes in the rendezvous order of the key, among the nodes that the
 //! configuration names. A claim expires [`CLAIM_TTL`] after its last change. A claim holder
-//! that started less than [`CLAIM_TTL`] ago may have lost claims and grants none: after the
-//! loss of a majority of claim holders, requests are rejected for that long instead of
-//! running twice.
+//! that started less than [`CLAIM_TTL`] ago may have lost claims in its restart, so it
+//! grants none. After a restart of a majority of the claim holders, requests with an
+//! idempotency key are therefore rejected for [`CLAIM_TTL`], so that none runs twice.
 
 use super::fence::CallId;
 use crate::ids::NodeId;
@@ -40,12 +40,12 @@
     /// The claim holder stores the claim: the call may run the request, as far as this
     /// holder knows.
     Granted,
-    /// Another call claimed the idempotency key before; the state is that of its request.
+    /// Another call claimed the idempotency key before, and its request has this state.
     Taken(ClaimState),
     /// The claim holder does not know whether the key is claimed: it may have lost claims
     /// in a restart, or its table is full.
     CannotTell {
-        /// Time after which the claim holder may be able to grant claims.
+        /// Time after which the claim holder may be able to grant a claim of this key.
         retry_after: Duration,
     },
 }
@@ -56,7 +56,7 @@
 struct IdempotencyClaim {
     call: CallId,
     state: ClaimState,
-    /// Start of the claim's lifetime.
+    /// Time of the claim's last change, from which its lifetime counts.
     changed: Moment,
 }
 
@@ -67,7 +67,8 @@
     started: Moment,
     ttl: Duration,
     claims: HashMap<String, IdempotencyClaim>,
-    /// Keys of claims with the time of each change, oldest first, to find expired claims.
+    /// Idempotency keys with the times at which their claims changed, oldest first, by
+    /// which expired claims are found.
     order: VecDeque<(Moment, String)>,
 }
 
@@ -131,7 +132,7 @@
         self.order.push_back((now, key.to_string()));
     }
 
-    /// Drops claims at the end of their lifetime.
+    /// Drops the claims whose lifetime has ended.
     fn drop_expired(&mut self, now: Moment) {
         while let Some((since, _)) = self.order.front()
             && now.since(*since) > self.ttl
@@ -161,8 +162,8 @@
 pub struct ClaimVote {
     holders: usize,
     granted: usize,
-    /// State of the request of another call, if a claim holder reported that this call
-    /// holds the key.
+    /// State of another call's request with the same idempotency key, if a claim holder
+    /// reported a claim of that call.
     taken: Option<ClaimState>,
     retry_after: Duration,
 }
@@ -179,13 +180,13 @@
     InProgress,
     /// No majority of the claim holders granted the claim: the request was not run.
     NoMajority {
-        /// Time after which the caller should retry.
+        /// Time after which the caller should send the request again.
         retry_after: Duration,
     },
 }
 
 impl ClaimVote {
-    /// Starts a vote among this many claim holders.
+    /// Starts a vote among this many claim holders, before any of them has replied.
     pub fn new(holders: usize) -> Self {
         Self {
             holders,
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Counts the reply of one claim holder; holders that do not reply count as not
-    /// granting.
+    /// Counts the reply of one claim holder; a claim holder that does not reply counts as
+    /// not having granted the claim.
     pub fn add(&mut self, answer: ClaimReply) {
         match answer {
             ClaimReply::Granted => self.granted += 1,
@@ -210,7 +211,8 @@
         }
     }
 
-    /// Result of the vote. It is final once every claim holder has replied or timed out.
+    /// Whether the request may run, by the replies counted so far. The result is final once
+    /// every claim holder has replied or timed out.
     pub fn decision(&self) -> ClaimDecision {
         match self.taken {
             Some(ClaimState::Done) => ClaimDecision::AlreadyDone,
--- a/crates/rampthread-core/src/call/crash_detector.rs
+++ b/crates/rampthread-core/src/call/crash_detector.rs
@@ -6,12 +6,13 @@
 //! departure of the previous one.
 //!
 //! A response to a call that began after the loss shows that the backend is running, and
-//! withdraws the report of the crash. That holds where every incarnation has an id of its
-//! own, since a call names the id that it is for. A backend that reports its start time may
-//! keep its id: its next incarnation answers calls for the previous one until it has
-//! reported. There, only a report of the same incarnation, well after the loss, shows that
-//! it is running. A backend that reports neither is checked again: a port that stays closed
-//! belongs to no running process.
+//! withdraws the crash report. This holds where each incarnation has an id of its own,
+//! since a call names the id of the incarnation that it is for. A backend that reports its
+//! start time may keep its id: until the next incarnation has reported, it answers calls
+//! for the previous one. For such a backend, only a load report of the same incarnation,
+//! well after the loss, shows that the incarnation is running. For a backend that neither
+//! changes its id nor reports its start time, the port is checked again: a port that stays
+//! closed belongs to no running process.
 
 use crate::backend_incarnation::BackendIncarnation;
 use crate::call::identity::RequestIdentity;
@@ -22,20 +23,20 @@
 /// Maximum number of lost responses that are remembered for one backend: four times the
 /// slots of a large backend.
 const MAX_LOSSES: usize = 128;
-/// Time for which a lost response may turn out to be a crash; a crashed backend is back
-/// within seconds.
+/// Time for which a lost response may still be explained by a crash. A crashed backend is
+/// restarted within seconds, and its next incarnation then shows the crash.
 const LOSS_RETENTION: Duration = Duration::from_secs(10);
 
-/// Minimum time, after a later call was answered, for which a lost response may still turn
-/// out to be a crash. It applies to backends that report their start time, whose next
-/// incarnation answers before it reports.
+/// Minimum time for which a lost response may still be explained by a crash after a later
+/// call was answered. It applies to backends that report their start time: their next
+/// incarnation answers calls before its first report.
 const MIN_ANSWERED_RETENTION: Duration = Duration::from_secs(3);
 /// Number of heartbeats within which the next incarnation of a backend reports, even if its
 /// first report is lost.
 const HEARTBEATS_TO_REPORT: u32 = 2;
-/// Longest delay of a heartbeat on its way. A heartbeat that arrives within this time after
-/// a response was lost may have been sent before the loss, and does not show that the
-/// backend still runs.
+/// Longest delay of a heartbeat (regular report of a backend) between sending and arrival.
+/// A heartbeat that arrives within this time after a response was lost may have been sent
+/// before the loss, and does not show that the backend still runs.
 const HEARTBEAT_LATENESS: Duration = Duration::from_secs(3);
 
 /// A call to one backend incarnation whose response was lost. Repeats of the same request
@@ -72,9 +73,9 @@
 /// was sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashSuspect {
-    /// Identity of the request's content.
+    /// Digest of the request's content, by which repeats of the request are recognized.
     pub identity: RequestIdentity,
-    /// Incarnation of the backend that the request was sent to.
+    /// Backend incarnation that the request was sent to.
     pub instance: InstanceId,
     /// When the response of this incarnation to the request was first lost.
     pub at: Moment,
@@ -88,8 +89,8 @@
 #[derive(Debug)]
 pub struct CrashDetector {
     losses: Vec<LostCall>,
-    /// Time, after a later call was answered, for which a lost response may still be a
-    /// crash.
+    /// Time for which a lost response may still be explained by a crash after a later call
+    /// was answered.
     answered_retention: Duration,
 }
 
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Records a lost response. `refuses` is true if the backend's port refuses
-    /// connections, so that the loss is reported as a crash.
+    /// Records that the response to a request was lost. `refuses` is true if the backend's
+    /// port refuses connections; the loss then counts as a reported crash.
     pub fn record_loss(&mut self, lost: &CrashSuspect, refuses: bool) {
         self.forget_old(lost.at);
         let existing = self
@@ -123,7 +124,7 @@
             existing.reported |= refuses;
             return;
         }
-        if self.losses.len() >= MAX_LOSSES && !self.make_room(lost) {
+        if self.losses.len() >= MAX_LOSSES && !self.make_room_for_loss(lost) {
             return;
         }
         self.losses.push(LostCall {
@@ -137,11 +138,10 @@
         });
     }
 
-    /// Makes room for the lost response to a request on trial, by dropping the newest
-    /// response to another request. Other responses beyond the maximum are ignored: a call
-    /// after a crash was sent to a backend that had ended, and must not displace the
-    /// request that ended it.
-    fn make_room(&mut self, lost: &CrashSuspect) -> bool {
+    /// Makes room for the lost response to a request on trial, by dropping the newest loss
+    /// of another request. Requests not on trial are not recorded beyond the maximum: calls
+    /// sent after a crash are lost too, and must not displace the request that caused it.
+    fn make_room_for_loss(&mut self, lost: &CrashSuspect) -> bool {
         let newest = self.losses.iter().rposition(|loss| !loss.on_trial);
         let Some(newest) = newest.filter(|_| lost.on_trial) else {
             return false;
@@ -151,8 +151,8 @@
     }
 
     /// Records that a call for `instance` that began at `begun` was answered: the backend
-    /// is running, unless its next incarnation may have answered. Returns the crash reports
-    /// to withdraw.
+    /// is running, unless the next incarnation of the backend may have answered instead.
+    /// Returns the crash reports to withdraw.
     pub fn record_response(&mut self, instance: &InstanceId, begun: Moment) -> Vec<CrashSuspect> {
         let names_start = BackendIncarnation::from_name(instance)
             .started_at()
@@ -168,7 +168,8 @@
     }
 
     /// Marks the earlier lost responses of `instance`, since a call that began later was
-    /// answered. After some time a marked one no longer counts as a sign of a crash.
+    /// answered. A marked lost response is no longer explained by a crash once
+    /// `answered_retention` has passed.
     fn mark_answered(&mut self, instance: &InstanceId, begun: Moment) {
         let losses = self.losses.iter_mut();
         for loss in losses.filter(|loss| loss.instance == *instance && loss.last < begun) {
@@ -177,7 +178,8 @@
     }
 
     /// Records that the newest report of `instance` was received at `heard`, which shows
-    /// that it was still running some time before. Returns the crash reports to withdraw.
+    /// that this incarnation was running shortly before; the longest delay of a heartbeat
+    /// is taken into account. Returns the crash reports to withdraw.
     pub fn reported_alive(&mut self, instance: &InstanceId, heard: Moment) -> Vec<CrashSuspect> {
         let outlived =
             |loss: &LostCall| loss.instance == *instance && loss.last + HEARTBEAT_LATENESS < heard;
@@ -199,8 +201,8 @@
     }
 
     /// Records that the port of the backend was found closed shortly after the response was
-    /// lost. Returns the request and incarnation to report as a crash; `None` if they were
-    /// reported before or a call was answered in between.
+    /// lost. Returns the request and incarnation to report as a crash; `None` if this crash
+    /// was reported before, or if a later call was answered in between.
     pub fn port_closed(&mut self, lost: &CrashSuspect) -> Option<CrashSuspect> {
         let is_meant = |loss: &&mut LostCall| {
             loss.identity == lost.identity && loss.instance == lost.instance && !loss.reported
@@ -211,8 +213,8 @@
     }
 
     /// Records that the port of `instance` has stayed closed since a crash was reported,
-    /// which makes that report final. Returns further requests that the crash explains;
-    /// `None` if the report was withdrawn, since the backend has answered a call.
+    /// which shows that the incarnation has ended. Returns further requests that the crash
+    /// explains; `None` if the report was withdrawn, since the backend has answered a call.
     pub fn ended(&mut self, instance: &InstanceId) -> Option<Vec<CrashSuspect>> {
         let of_it = |loss: &LostCall| loss.instance == *instance;
         let stands = self.losses.iter().any(|loss| of_it(loss) && loss.reported);
@@ -224,13 +226,14 @@
         Some(explained)
     }
 
-    /// Records the departure of `instance`, a planned end: calls in progress may fail, but
-    /// that is no crash.
+    /// Records the departure of `instance`, a planned end. Its lost responses are dropped,
+    /// since a planned end is no crash.
     pub fn record_departure(&mut self, instance: &InstanceId) {
         self.losses.retain(|loss| loss.instance != *instance);
     }
 
-    /// True if responses of `instance` were lost lately and no later call was answered.
+    /// True if responses of `instance` were lost lately and no later call was answered, so
+    /// that the incarnation may have ended.
     pub fn may_have_ended(&self, instance: &InstanceId, now: Moment) -> bool {
         let retention = self.answered_retention;
         let unanswered =
@@ -246,12 +249,13 @@
             .retain(|loss| now.since(loss.last) < LOSS_RETENTION);
     }
 
-    /// True if no responses were lost lately.
+    /// True if no lost response is remembered.
     pub fn is_empty(&self) -> bool {
         self.losses.is_empty()
     }
 
-    /// Lists the requests whose lost responses fulfil the condition `wanted`.
+    /// Lists the requests whose lost responses fulfil the condition `wanted`, as crash
+    /// suspects.
     fn suspects(&self, wanted: impl Fn(&LostCall) -> bool) -> Vec<CrashSuspect> {
         let losses = self.losses.iter().filter(|loss| wanted(loss));
         losses
--- a/crates/rampthread-core/src/call/demand.rs
+++ b/crates/rampthread-core/src/call/demand.rs
@@ -1,13 +1,13 @@
-//! Measures what the callers of one node need: the slots of each service, and which routes'
-//! calls are cheap to send to another zone (spill).
+//! Measures what the callers of one node need: the slots of each service, and which routes
+//! have calls that are cheap to send to another zone (to spill).
 
 use crate::ids::ResourceName;
 use crate::time::Moment;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time constant of the call rate: shorter than swings of demand, long enough for a steady
-/// sum over a zone.
+/// Time constant of the average call rate. It is shorter than typical swings of demand, and
+/// long enough that the sum of the rates of a zone's nodes is steady.
 pub const DEMAND_WINDOW: Duration = Duration::from_millis(500);
 /// Weight of the newest call in a route's mean service time and mean size.
 const MEAN_WEIGHT: f64 = 0.05;
@@ -17,9 +17,9 @@
 /// Measured calls of one route: rate, service time and size.
 #[derive(Debug, Clone)]
 struct RouteDemand {
-    /// Calls per second at the time `at`.
+    /// Calls of the route per second, as of the time `at`.
     rate: f64,
-    /// Time of the last call.
+    /// Time of the route's last call, when `rate` was updated.
     at: Moment,
     /// Mean seconds for which a call of the route holds a slot; 0 before the first
     /// response.
@@ -32,13 +32,14 @@
 #[derive(Debug, Clone, Default)]
 struct ServiceDemand {
     routes: HashMap<ResourceName, RouteDemand>,
-    /// Mean seconds for which a call of any route holds a slot. Stands in for routes
-    /// without a response yet.
+    /// Mean seconds for which a call of any route holds a slot. Used as an estimate for
+    /// routes without a response yet.
     service_time: f64,
 }
 
 impl ServiceDemand {
-    /// Mean service time of the route; that of the service while the route has none.
+    /// Mean service time of the route's calls; the mean of the service before the route's
+    /// first response.
     fn service_time(&self, route: &RouteDemand) -> f64 {
         match route.service_time > 0.0 {
             true => route.service_time,
@@ -51,15 +52,17 @@
         route.rate(now) * self.service_time(route)
     }
 
-    /// Cost of sending the route's calls to another zone: bytes that cross zones, per
-    /// second of slot time that is saved in this zone.
-    fn bytes_per_slot(&self, route: &RouteDemand) -> f64 {
+    /// Bytes sent between zones if a call of the route goes to another zone, divided by the
+    /// seconds for which that call would hold a slot in this zone. Routes with the least
+    /// value are the cheapest to spill.
+    fn bytes_per_slot_second(&self, route: &RouteDemand) -> f64 {
         route.bytes / self.service_time(route).max(f64::MIN_POSITIVE)
     }
 }
 
 impl RouteDemand {
-    /// Calls per second now. The rate decays since the last call.
+    /// Calls of the route per second at the time `now`. The rate decays exponentially with
+    /// the time since the last call.
     fn rate(&self, now: Moment) -> f64 {
         let age = now.since(self.at).as_secs_f64() / DEMAND_WINDOW.as_secs_f64();
         self.rate * (-age).exp()
@@ -78,7 +81,7 @@
 }
 
 impl DemandMeter {
-    /// Counts a call that a caller asks for; its request has this many bytes.
+    /// Counts a call that a caller sends to the node; its request has this many bytes.
     pub fn record_request(
         &mut self,
         service: &ResourceName,
@@ -149,9 +152,10 @@
         routes.map(|route| service.slots(route, now)).sum()
     }
 
-    /// Probability, by route, that a call to `service` is spilled, so that the fraction
-    /// `spill_fraction` of the demand leaves in total. Calls with the fewest bytes per slot
-    /// leave first; calls of a route that is missing stay.
+    /// Probability, by route, that a call to `service` is spilled (sent to another zone),
+    /// so that the fraction `spill_fraction` of the demand is spilled in total. Routes
+    /// whose calls have the fewest bytes for each second of slot time are spilled first.
+    /// Calls of a route that is missing from the result are not spilled.
     pub fn spill_probabilities(
         &self,
         service: &ResourceName,
@@ -166,7 +170,7 @@
             return HashMap::new();
         };
         let mut routes: Vec<(&ResourceName, &RouteDemand)> = service.routes.iter().collect();
-        let cost = |route: &RouteDemand| service.bytes_per_slot(route);
+        let cost = |route: &RouteDemand| service.bytes_per_slot_second(route);
         routes.sort_by(|(_, one), (_, other)| cost(one).total_cmp(&cost(other)));
         let mut probabilities = HashMap::new();
         for (route, demand) in routes {
@@ -183,7 +187,7 @@
         probabilities
     }
 
-    /// Drops routes whose last call is longer ago than their measurements are kept.
+    /// Drops the measurements of routes that had no call in the last minute.
     pub fn forget_idle(&mut self, now: Moment) {
         let called = |route: &RouteDemand| now.since(route.at) < ROUTE_TTL;
         for service in self.services.values_mut() {
--- a/crates/rampthread-core/src/call/demand_trend.rs
+++ b/crates/rampthread-core/src/call/demand_trend.rs
@@ -1,10 +1,10 @@
 //! Forecasts the current demand of a zone from its delayed load reports.
 //!
 //! Demand swings within seconds, and reports of zones are some tenths of a second old: a
-//! plan made from the last report alone would follow the swing late, and send calls to a
-//! zone whose spare slots are gone. Level and slope of demand are tracked by an alpha-beta
-//! filter (Holt's linear smoothing; C. C. Holt, 1957, reprinted in Int. J. Forecasting 20,
-//! 2004).
+//! spill plan made from the last report alone would follow a swing too late, and send calls
+//! to a zone whose spare slots are already in use. Level and slope of demand are tracked by
+//! an alpha-beta filter (Holt's linear smoothing; C. C. Holt, 1957, reprinted in Int. J.
+//! Forecasting 20, 2004).
 
 use super::demand::DEMAND_WINDOW;
 use super::zone_spill::ZoneDemand;
@@ -19,28 +19,29 @@
 const SLOPE_WEIGHT: f64 = 0.15;
 /// Longest time over which the slope is extrapolated.
 const MAX_FORECAST: Duration = Duration::from_secs(2);
-/// Largest forecast change of demand, as a ratio of its level.
+/// Largest change of demand that a forecast adds to the level, as a ratio of the level.
 const MAX_CHANGE_RATIO: f64 = 0.3;
-/// Gap between two reports from which the filter starts anew.
+/// Time between two reports from which the filter drops its state and starts with the newer
+/// report.
 const MAX_REPORT_GAP: Duration = Duration::from_secs(3);
-/// Minimum time between two reports that are used; closer ones give a slope that is mostly
-/// noise.
+/// Minimum time between two reports that are used; the slope between closer reports is
+/// mostly noise.
 const MIN_STEP: Duration = Duration::from_millis(50);
 
 /// Tracks level and slope of the demand for one service in one zone with an alpha-beta
 /// filter.
 #[derive(Debug, Clone, Copy)]
 pub struct DemandTrend {
-    /// Time that the newest report describes, which is before its arrival.
+    /// Time whose demand the newest report describes; it is before the report's arrival.
     at: Moment,
     /// Filtered demand at the time `at`.
     level: f64,
-    /// Change of demand per second.
+    /// Filtered change of demand per second, by which the level is extrapolated.
     slope: f64,
 }
 
 impl DemandTrend {
-    /// Starts tracking: the first report says that demand was `demand` at the time `at`.
+    /// Starts tracking: the first report gives the demand `demand` as of the time `at`.
     pub fn new(demand: f64, at: Moment) -> Self {
         Self {
             at,
@@ -85,8 +86,8 @@
 }
 
 impl ZoneTrends {
-    /// Replaces the reported demand of `service` in each zone by the forecast for `now`. A
-    /// zone without report loses its filter.
+    /// Replaces the reported demand of `service` in each zone by the forecast for `now`.
+    /// The filter of a zone without a report is dropped.
     pub fn forecast(
         &mut self,
         service: &ResourceName,
--- a/crates/rampthread-core/src/call/dialect.rs
+++ b/crates/rampthread-core/src/call/dialect.rs
@@ -1,7 +1,7 @@
 //! Header names and conventions that a platform uses between callers, nodes and backends.
 //!
 //! [`CallDialect::default`] is rampthread's own; a platform with other names supplies
-//! another dialect through its adapter. No other code knows those names.
+//! another dialect through its adapter. Only the adapter contains those names.
 
 use super::headers;
 use http::{HeaderName, StatusCode};
@@ -12,29 +12,31 @@
     /// Header with the caller's own id of the request, passed on to the backend and back.
     /// `None`: the entry node, the node that received the call, assigns an id.
     pub request_id: Option<HeaderName>,
-    /// Header with the milliseconds until the call's deadline.
+    /// Header of a request with the milliseconds until the call's deadline.
     pub deadline_ms: HeaderName,
-    /// Header with the name of the service on whose machine the call began.
+    /// Header of a request with the name of the calling service, i.e. the service on whose
+    /// machine the request was made.
     pub caller: HeaderName,
     /// True if `caller` names the service of a machine that many clients share. The header
-    /// then does not tell who waits, so that calls do not share queues by caller.
+    /// then does not tell which client made the call, so that fair queueing by caller is
+    /// not applied.
     pub caller_is_machine: bool,
-    /// Header with the backend incarnation that the call is for.
+    /// Header of a request with the id of the backend incarnation that the call is for.
     pub target_instance: Option<HeaderName>,
-    /// Header that names the call's tenant to backends.
+    /// Header in which a node passes the name of the call's tenant to the backend.
     pub tenant: HeaderName,
     /// Header of a response with the backend's load: slots in use, calls waiting and slots,
     /// and optionally its current service time in percent of the usual one.
     pub backend_load: Option<HeaderName>,
-    /// Header of a response with the backend's signature. If named, a successful response
-    /// must have it.
+    /// Header of a response with the backend's signature. If the dialect names this header,
+    /// a successful response must have it.
     pub signature: Option<HeaderName>,
     /// Header of a response by which a backend reports that it did not run the request.
     pub not_executed: Option<HeaderName>,
     /// Status of a response from a backend that is not the one that the call was for, and
     /// did not run it.
     pub misdirected: Option<StatusCode>,
-    /// True if `Retry-After` may have fractions of a second.
+    /// True if callers understand a `Retry-After` header with fractions of a second.
     pub fractional_retry_after: bool,
 }
 
--- a/crates/rampthread-core/src/call/fair_queue.rs
+++ b/crates/rampthread-core/src/call/fair_queue.rs
@@ -1,13 +1,15 @@
 //! Start-time fair queueing (Goyal, Vin and Cheng 1996) among the owners of waiting calls,
-//! by the expected service time of their calls.
+//! by the expected service time of their calls. The owner of a call is its tenant, else the
+//! service that makes it.
 //!
 //! A call's start tag is the finish tag of its owner's previous call, or the start tag of
 //! the call served last if that is later; the call with the least start tag goes first. So
-//! an owner that asks for ten times as much gets what the others leave, many small calls
-//! count like a few large ones, and an idle owner saves up no credit.
+//! an owner that asks for ten times as much service as the others gets only what they
+//! leave. Many short calls count like a few long ones of the same total service time, and
+//! an owner without calls saves up no credit.
 //!
-//! Only owners whose finish tag is ahead of the virtual clock are kept: about as many as
-//! calls can wait, however many owners there are.
+//! Only the finish tags that are ahead of the virtual clock are kept. These are about as
+//! many as calls can wait, however many owners there are.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,7 +17,7 @@
 /// Maximum number of owners whose finish tag is kept; a gate node's queue holds far fewer
 /// calls.
 const MAX_OWNERS: usize = 1_024;
-/// Service time that a call is assumed to need if none is expected.
+/// Service time that is assumed for a call without an expected service time.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(1);
 
 /// State of start-time fair queueing for one queue: virtual clock and finish tags.
@@ -36,7 +38,7 @@
     }
 
     /// Advances the virtual clock to the start tag of a call of `owner` that is served now,
-    /// and sets the owner's finish tag after its expected service time.
+    /// and sets the owner's finish tag to that start tag plus the expected service time.
     pub fn served(&mut self, owner: &str, service_time: Option<Duration>) {
         let start = self.start_tag(owner);
         self.clock = start;
--- a/crates/rampthread-core/src/call/fence.rs
+++ b/crates/rampthread-core/src/call/fence.rs
@@ -1,10 +1,11 @@
 //! Fences: an entry node, the node that received a call, forbids a gate node, the node that
 //! forwards calls to its local backend, to start a call that the entry node has abandoned.
 //!
-//! Starts and fences are recorded in one table of the gate node: whichever comes first for
-//! a call is final within the retention of the table. A fence that finds the call not
-//! started makes a retry elsewhere safe, if the table reaches back to the time when the
-//! call was sent, which [`FenceOutcome`](super::fence_outcome::FenceOutcome) decides.
+//! The gate node records starts and fences of calls in one table. The first record of a
+//! call, start or fence, is final for the retention of the table. If the call had not
+//! started before its fence, a retry at another backend is safe, provided that the table
+//! reaches back to the time when the call was sent, which
+//! [`FenceOutcome`](super::fence_outcome::FenceOutcome) checks.
 
 use crate::time::Moment;
 use std::collections::{HashMap, VecDeque};
@@ -12,21 +13,22 @@
 
 /// Minimum time for which the table keeps a start or fence, not counting time in which the
 /// process was suspended. The reply to a fence says how far back the table reaches, so that
-/// a call that lasts longer is not taken for one that never started.
+/// a call that started before then is not taken for one that never started.
 pub const FENCE_RETENTION: Duration = Duration::from_secs(120);
 /// Maximum number of calls in the table; while it is full, new calls are rejected as not
 /// run.
 pub const MAX_FENCE_ENTRIES: usize = 1 << 20;
 /// Longest gap between two uses of the table that counts as time in which the process ran.
 /// A gate node uses the table ten times per second; after a longer gap the process was
-/// suspended, and hops that arrived meanwhile are not read yet, so that their fences must
-/// be kept.
+/// suspended. Requests that arrived meanwhile have not been read yet, so that the fences of
+/// their calls must be kept.
 pub const MAX_COUNTED_GAP: Duration = Duration::from_secs(1);
 
 /// Id of a call, unique across the fleet.
 pub type CallId = String;
 
-/// What the table of a gate node records of a call.
+/// What the fence table of a gate node records of a call: that it has started, or that it
+/// must not start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RecordedCallState {
     Started,
@@ -41,8 +43,8 @@
     NeverStarts,
     /// The call had started before the fence, and may have run.
     Started,
-    /// The gate node cannot record the fence, since its table is full, or its reply was not
-    /// understood.
+    /// The gate node cannot record the fence, since its table is full, or the entry node
+    /// could not parse the reply.
     Unknown,
 }
 
@@ -67,7 +69,7 @@
     }
 }
 
-/// What a gate node replies when an entry node forbids a call to start (fences the call).
+/// Reply of a gate node to an entry node that forbids a call to start (fences the call).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FenceAnswer {
     /// Whether the call had started at the gate node before it was forbidden.
@@ -85,7 +87,8 @@
     /// A call with this id has started before: the request is a duplicate.
     #[error("the call has started before")]
     Duplicate,
-    /// The table of starts and fences is full.
+    /// The gate node's table of starts and fences is full, so that the start cannot be
+    /// recorded.
     #[error("the fence table is full")]
     Full,
 }
@@ -94,7 +97,8 @@
 /// must not start.
 #[derive(Debug)]
 pub struct FenceTable {
-    /// Start of the process; the table does not know what earlier processes started.
+    /// Start of the gate node's process. The table has no records of calls that earlier
+    /// processes started.
     created: Moment,
     /// When the table was last used. Uses in short intervals show that the process was not
     /// suspended.
--- a/crates/rampthread-core/src/call/fence_outcome.rs
+++ b/crates/rampthread-core/src/call/fence_outcome.rs
@@ -1,16 +1,16 @@
 //! What an entry node, the node that received a call, may conclude from the reply to a
 //! fence, by which it forbade a gate node to start the call.
 //!
-//! A gate node replies from the memory of its process, which may be younger than the hop,
-//! the request that carried the call to it: the process, or its machine, may have been
-//! replaced while the hop or the entry node was delayed. It then knows nothing of a call
-//! that may be running, and neither does another node that has taken over the address. So
-//! "never starts" counts only from the node that the hop was sent to, and only if that
-//! node's table reaches further back than the start of the hop.
+//! A gate node replies from the memory of its process. The process may be younger than the
+//! hop, the request that carried the call to the gate node: the process or its machine may
+//! have been replaced while the hop or the entry node was delayed. The new process has no
+//! record of a call that may still be running, and neither has another node that has taken
+//! over the address. So "never starts" counts only from the node that the hop was sent to,
+//! and only if that node's table reaches further back than the start of the hop.
 //!
-//! Both times are durations, each measured on one clock, so no clocks are compared. Any
-//! delay, of the hop, the fence, the reply or either process, makes the hop older and the
-//! conclusion more cautious.
+//! The age of the hop and the reach of the table are durations, each measured on one clock,
+//! so that the clocks of two machines are not compared. A delay of the hop, the fence, the
+//! reply or either process makes the hop older, so that fewer replies are trusted.
 
 use super::fence::{FenceAnswer, FenceStatus};
 use crate::ids::NodeId;
@@ -57,8 +57,8 @@
 }
 
 impl FenceOutcome {
-    /// Concludes whether the abandoned call may have run. `reply` is `None` if no reply to
-    /// the fence came in time.
+    /// Concludes from the reply to the fence whether the abandoned call may have run.
+    /// `reply` is `None` if no reply to the fence came in time.
     pub fn new(hop: AbandonedHop<'_>, reply: Option<&FenceReply>) -> Self {
         let Some(reply) = reply else {
             return FenceOutcome::NoReply;
@@ -86,7 +86,7 @@
 fn remembers_request(reply: &FenceReply, hop: AbandonedHop<'_>) -> bool {
     let (numerator, denominator) = MAX_CLOCK_RATE_RATIO;
     let needed = hop.age.saturating_mul(numerator) / denominator;
-    // Strictly longer: a process that started at the moment of the hop may have replaced
-    // the one that received it.
+    // The retention must be strictly longer: a process that started at the moment of the
+    // hop may have replaced the process that received the hop.
     reply.by.as_ref() == Some(hop.node) && reply.answer.retention > needed
 }
--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -8,10 +8,10 @@
 
 /// Id that the entry node gives to a call, unique across the fleet.
 pub const CALL_ID: &str = "rampthread-call-id";
-/// Milliseconds left until the call's deadline; each node writes what is left when it
-/// sends.
+/// Milliseconds left until the call's deadline; each node writes the time that is left when
+/// it sends the call on.
 pub const DEADLINE_MS: &str = "rampthread-deadline-ms";
-/// Counts the services that the call has passed through; compared with [`MAX_HOPS`].
+/// Number of services that the call has passed through; compared with [`MAX_HOPS`].
 pub const HOPS: &str = "rampthread-hops";
 /// What became of the request: an [`Outcome`].
 pub const OUTCOME: &str = "rampthread-outcome";
@@ -101,7 +101,7 @@
 }
 
 /// True for the HTTP statuses by which callers conclude that a request has not run and
-/// never will. No response carries one of them unless that is known.
+/// never will. A node sends such a status only if it knows that the request was not run.
 pub fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -112,7 +112,8 @@
     )
 }
 
-/// How far an attempt to deliver a call got.
+/// How far an attempt to deliver a call got: to the backend, or only to the backend's gate
+/// node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
     /// The attempt reached the backend, or may have. A further attempt is then a retry that
@@ -151,8 +152,8 @@
 /// calls to the backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueingLimit {
-    /// The call must not wait: it runs at once or is rejected, since another backend seems
-    /// to have a free slot.
+    /// The call never waits in the queue: it runs at once or is rejected, since another
+    /// backend seems to have a free slot.
     Never,
     /// The call may wait as long as its response can meet the target latency of its route,
     /// of which this much is left.
@@ -161,9 +162,10 @@
     UntilDeadline,
 }
 
-/// Text of [`QueueingLimit::Never`] in the [`WAITING`] header.
+/// Value of the [`WAITING`] header for [`QueueingLimit::Never`], a call that must not wait.
 const NEVER: &str = "never";
-/// Text of [`QueueingLimit::UntilDeadline`] in the [`WAITING`] header.
+/// Value of the [`WAITING`] header for [`QueueingLimit::UntilDeadline`], a call that may
+/// wait until its deadline.
 const UNTIL_DEADLINE: &str = "until-deadline";
 
 impl QueueingLimit {
@@ -196,13 +198,13 @@
     /// The value of [`DEADLINE_MS`] is not a number of milliseconds.
     #[error("{DEADLINE_MS}: {found:?} is not a number of milliseconds")]
     Deadline {
-        /// The invalid value, cut to 32 characters.
+        /// Invalid value of the header, cut to 32 characters.
         found: String,
     },
     /// The value of [`HOPS`] is not a number.
     #[error("{HOPS}: {found:?} is not a number")]
     Hops {
-        /// The invalid value, cut to 32 characters.
+        /// Invalid value of the header, cut to 32 characters.
         found: String,
     },
     /// The call has passed through more than [`MAX_HOPS`] services.
@@ -225,7 +227,8 @@
     Ok(Some(Duration::from_millis(milliseconds).min(MAX_DEADLINE)))
 }
 
-/// Parses [`HOPS`] and returns the hop count including the present hop.
+/// Parses the [`HOPS`] header of a request and returns its count plus one, for the service
+/// that the call passes through now.
 pub fn next_hop(text: Option<&str>) -> Result<u32, HeaderError> {
     let hops: u32 = match text {
         None => 0,
--- a/crates/rampthread-core/src/call/identity.rs
+++ b/crates/rampthread-core/src/call/identity.rs
@@ -1,6 +1,6 @@
-//! Identity of a request: a keyed digest of its content. A caller that retries sends a new
-//! request id with the same content, so that the identity shows which requests are the
-//! same.
+//! Identity of a request: a keyed digest of its content. A caller that retries sends the
+//! same content under a new request id, so that only the identity shows which requests are
+//! the same.
 //!
 //! The identity covers method, authority, path with query, and body, but not the caller: a
 //! request that crashes a backend does so whoever sends it, and a caller that moves to
@@ -16,7 +16,8 @@
 /// same secret.
 const CONTEXT: &str = "rampthread 2026 request identity";
 
-/// Keyed digest of a request's content; equal for requests that ask for the same.
+/// Keyed digest of a request's content; equal for requests with the same method, authority,
+/// target and body.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RequestIdentity([u8; IDENTITY_BYTES]);
@@ -82,7 +83,7 @@
 /// The parts of a request that its identity covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestContent<'a> {
-    /// For example `GET`; compared case-sensitively.
+    /// HTTP method of the request, for example `GET`; hashed as sent, so that case matters.
     pub method: &'a str,
     /// Value of the request's `Host` header, as sent; empty if absent.
     pub authority: &'a str,
@@ -114,7 +115,8 @@
             content.body,
         ];
         for part in parts {
-            // The length prefix keeps different splits of the same bytes apart.
+            // The length prefix gives different digests if the same bytes are divided into
+            // parts in another way.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -125,7 +127,8 @@
 }
 
 impl Default for IdentityKey {
-    /// The key of a fleet that has no secret since it trusts its network.
+    /// Key for a fleet whose nodes share no secret, since the network between them is
+    /// trusted.
     fn default() -> Self {
         Self::from_secret(&[])
     }
--- a/crates/rampthread-core/src/call/incarnation_names.rs
+++ b/crates/rampthread-core/src/call/incarnation_names.rs
@@ -1,14 +1,14 @@
 //! Names for the incarnations of a backend that all report the same id and no start time.
-//! They are told apart by the ends that were observed, since the next incarnation answers
-//! under the id of the one that has ended.
+//! The next incarnation answers under the id of the one that has ended, so incarnations are
+//! told apart by counting the ends that were observed.
 
 use crate::ids::InstanceId;
 
 /// Separates the id of the backend from the number of the incarnation.
 const SEPARATOR: &str = ".start-";
 
-/// Names the incarnations of one backend id. It keeps only the id for which the end of an
-/// incarnation was observed last.
+/// Names the incarnations of one backend id. Only the ends of the id that was observed last
+/// are counted.
 #[derive(Debug, Default)]
 pub struct IncarnationNames {
     /// Backend id that `ended` counts for.
@@ -18,8 +18,8 @@
 }
 
 impl IncarnationNames {
-    /// Name of the current incarnation of the backend with the id `name`: the bare id until
-    /// an incarnation is known to have ended.
+    /// Name of the current incarnation of the backend with the id `name`. It is the id
+    /// alone until an incarnation is known to have ended, and then the id with a number.
     pub fn present(&self, name: &InstanceId) -> InstanceId {
         if self.name.as_ref() != Some(name) {
             return name.clone();
--- a/crates/rampthread-core/src/call/load_average.rs
+++ b/crates/rampthread-core/src/call/load_average.rs
@@ -5,18 +5,19 @@
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Time constant of the average load.
+/// Time constant of the moving averages of running and waiting calls.
 const AVERAGING_TIME: Duration = Duration::from_millis(500);
 
-/// Decides how long load reports go on: until [`REPORTING_TAIL`] has passed since the load
-/// was last high.
+/// Decides how long a backend's load reports are sent: until [`REPORTING_TAIL`] has passed
+/// since the load was last above [`QUIET_UTILIZATION`].
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReportingHold {
     last_reason: Option<Moment>,
 }
 
 impl ReportingHold {
-    /// Lets load reports go on for [`REPORTING_TAIL`] from `now`, since the load is high.
+    /// Extends the sending of load reports to [`REPORTING_TAIL`] after `now`, since the
+    /// load is high.
     pub fn extend(&mut self, now: Moment) {
         self.last_reason = Some(now);
     }
@@ -41,8 +42,9 @@
 }
 
 impl LoadAverage {
-    /// Adds a measurement of running and waiting calls, and keeps reports going if these
-    /// use more than [`QUIET_UTILIZATION`] of the backend's slots.
+    /// Adds a measurement of running and waiting calls to the averages. The sending of load
+    /// reports is extended if these calls use more than [`QUIET_UTILIZATION`] of the
+    /// backend's slots.
     pub fn record(&mut self, running: u32, waiting: u32, slots: f64, now: Moment) {
         let age = self
             .recorded_at
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Lets load reports go on because the load of the whole zone is high, even if that of
-    /// this backend is not.
+    /// Extends the sending of load reports because the load of the whole zone is high, even
+    /// if the load of this backend is low.
     pub fn zone_is_loaded(&mut self, now: Moment) {
         self.hold.extend(now);
     }
--- a/crates/rampthread-core/src/call/log_rate_limit.rs
+++ b/crates/rampthread-core/src/call/log_rate_limit.rs
@@ -10,13 +10,13 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// One in this many calls with a normal outcome is logged.
+/// Of the calls with a normal outcome, one in this many is logged.
 pub const SAMPLE_INTERVAL: u64 = 64;
 /// Maximum number of log lines of one cause in a burst.
 const BURST_LINES: f64 = 20.0;
 /// Sustained rate of log lines per cause.
 const LINES_PER_SECOND: f64 = 5.0;
-/// Time between two summaries of suppressed lines.
+/// Minimum time between two summary lines about suppressed log lines.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// True for request ids whose calls are logged even if their outcome is normal.
@@ -71,8 +71,8 @@
         true
     }
 
-    /// Returns the causes with lines suppressed since the last summary, once the interval
-    /// between summaries has passed; else nothing.
+    /// Returns the causes whose log lines were suppressed since the last summary. The
+    /// result is empty until the interval between summaries has passed.
     pub fn summary(&mut self, now: Moment) -> Vec<SuppressedLines> {
         if now < self.next_summary {
             return Vec::new();
--- a/crates/rampthread-core/src/call/mod.rs
+++ b/crates/rampthread-core/src/call/mod.rs
@@ -1,6 +1,6 @@
-//! Decisions on calls, in the order in which a call meets them. The *entry* is the node
-//! that receives a call from its caller; the *gate* is the node that forwards it to its
-//! local backend.
+//! Decisions on calls, in the order in which a call meets them. The *entry node* is the
+//! node that receives a call from its caller; the *gate node* is the node that forwards the
+//! call to its local backend.
 //!
 //! | module | decides |
 //! |---|---|
@@ -15,35 +15,35 @@
 //! | [`demand`] | the slots that callers ask for, and which routes are cheap to spill |
 //! | [`demand_trend`] | forecast of a zone's demand from delayed reports |
 //! | [`load_average`] | the averaged load of a backend, and whether to report it |
-//! | [`acceptance`] | whether another gate is likely to accept the call |
-//! | [`admission`] | whether the gate admits, queues or rejects the call |
+//! | [`acceptance`] | whether another gate node is likely to accept the call |
+//! | [`admission`] | whether the gate node admits, queues or rejects the call |
 //! | [`rank_queue`] | which queued call of one rank runs next |
-//! | [`arrival`] | what a gate knows of a call that asks for a slot |
+//! | [`arrival`] | what a gate node knows of a call that asks for a slot |
 //! | [`fair_queue`] | fair queueing among tenants or calling services |
-//! | [`backend_speed`] | the speed of a backend, as its gate reports it |
-//! | [`speed_meter`] | how a gate measures that speed |
+//! | [`backend_speed`] | the speed of a backend, as its gate node reports it |
+//! | [`speed_meter`] | how a gate node measures the speed of its backend |
 //! | [`backend_load`] | the load that a backend reports itself |
-//! | [`path_delay`] | how long a hop was delayed by congested links |
+//! | [`path_delay`] | how long a request between nodes was delayed by congested links |
 //! | [`service_times`] | how long a call may wait for a slot |
-//! | [`body_transfers`] | when a large body may be sent to a gate |
+//! | [`body_transfers`] | when a large request body may be sent to a gate node |
 //! | [`fence`] | whether an abandoned call can still start |
-//! | [`fence_outcome`] | what the reply to a fence proves |
+//! | [`fence_outcome`] | whether an abandoned call may have run, from the reply to its fence |
 //! | [`response_check`] | whether a response belongs to the call |
 //! | [`cause`] | why there is no response of a backend |
 //! | [`dialect`] | header names towards callers and backends |
 //! | [`log_rate_limit`] | which log lines about calls are written |
 //! | [`attempt_age`] | how long ago the caller made its first attempt |
 //! | [`nested_call_detector`] | which routes carry calls that backends make while they serve another |
-//! | [`nested_routes`] | the same at an entry, as gates report it |
+//! | [`nested_routes`] | which routes carry nested calls, as gate nodes report them to an entry node |
 //! | [`precedence`] | which calls go before others of their rank |
 //! | [`attempts`] | whether a retry is safe and within the budget |
-//! | [`retry_budget`] | how many retries there are, and who gets them |
-//! | [`retry_after`] | when the caller of a shed call should retry |
+//! | [`retry_budget`] | how many retries a service may get, and which calls may make them |
+//! | [`retry_after`] | when a caller should retry a call that the backend refused to run (shed) |
 //! | [`crash_detector`] | which lost responses a crash explains |
-//! | [`incarnation_names`] | names for incarnations of a backend whose reports name none |
-//! | [`peer_crash_detector`] | the same as [`crash_detector`], for backends of other nodes |
-//! | [`recent_responses`] | which requests were answered since a crash |
-//! | [`quarantine`] | whether a request under which backends crashed may run |
+//! | [`incarnation_names`] | names for incarnations of a backend that report the same id and no start time |
+//! | [`peer_crash_detector`] | which lost responses a crash explains, at backends of other nodes |
+//! | [`recent_responses`] | which requests backends have answered lately |
+//! | [`quarantine`] | whether a request may run after backends crashed while running it |
 
 pub mod acceptance;
 pub mod admission;
--- a/crates/rampthread-core/src/call/nested_call_detector.rs
+++ b/crates/rampthread-core/src/call/nested_call_detector.rs
@@ -3,9 +3,9 @@
 //! backend.
 //!
 //! Callers from outside send to any node, so their calls arrive from nodes of all services.
-//! A route that only one service calls, at a gate node that others call too, carries nested
-//! calls of that service: each parent call holds a slot there, and its work is lost if the
-//! nested call fails.
+//! If only one service calls a route, at a gate node that other services call too, the
+//! route carries nested calls of that service. Each parent call holds a slot of that
+//! service, and its work is lost if the nested call fails.
 
 use crate::ids::ResourceName;
 use std::collections::HashMap;
@@ -13,7 +13,8 @@
 /// Factor by which the weight of older calls shrinks with each new one: about 200 calls
 /// count.
 const WEIGHT_DECAY: f64 = 0.995;
-/// Minimum weight of a route's calls before the detector decides whether they are nested.
+/// Minimum total weight of a route's recorded calls before the detector decides whether
+/// they are nested.
 const MIN_WEIGHT: f64 = 20.0;
 /// Share of a route's calls that one service must make for them to count as nested.
 const MIN_SHARE: f64 = 0.99;
@@ -39,8 +40,9 @@
         }
     }
 
-    /// Share of the service that makes most calls; `None` before enough calls were counted.
-    fn main_share(&self) -> Option<f64> {
+    /// Share of the route's calls that come from the service with the most calls; `None`
+    /// before enough calls were counted.
+    fn main_caller_share(&self) -> Option<f64> {
         let total: f64 = self.weights.values().sum();
         let main = self.weights.values().copied().fold(0.0, f64::max);
         (total >= MIN_WEIGHT).then(|| main / total)
@@ -69,7 +71,7 @@
     /// far.
     pub fn is_nested(&self, route: &ResourceName) -> bool {
         let one_caller =
-            |callers: &RouteCallers| callers.main_share().map(|share| share >= MIN_SHARE);
+            |callers: &RouteCallers| callers.main_caller_share().map(|share| share >= MIN_SHARE);
         self.routes.get(route).and_then(one_caller) == Some(true)
             && self
                 .routes
@@ -77,7 +79,8 @@
                 .any(|callers| one_caller(callers) == Some(false))
     }
 
-    /// Forgets all calls. To be called when another backend replaces the local one.
+    /// Drops the records of all calls. To be called when another backend replaces the local
+    /// one.
     pub fn clear(&mut self) {
         self.routes.clear();
     }
--- a/crates/rampthread-core/src/call/nested_routes.rs
+++ b/crates/rampthread-core/src/call/nested_routes.rs
@@ -1,9 +1,9 @@
 //! Routes that carry nested calls (calls that a backend makes while it serves another), as
 //! an entry node knows them. The entry node is the node that receives a call.
 //!
-//! An entry node sees the calls of one node only, where calls of clients and of the local
-//! backend look alike. Gate nodes, the nodes that forward calls to backends, see the calls
-//! of many nodes and can tell them apart (see
+//! An entry node sees only the calls that it receives itself, among which calls of clients
+//! and calls of its local backend look alike. Gate nodes, the nodes that forward calls to
+//! backends, see the calls of many entry nodes and can tell nested calls from others (see
 //! [`nested_call_detector`](super::nested_call_detector)); they report nested calls with
 //! their responses.
 
@@ -12,9 +12,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for which a gate node's report counts. A gate node that has seen few calls reports
-/// nothing, so a missing report denies nothing; a route that callers from outside begin to
-/// use counts as nested for at most this long.
+/// Time for which a gate node's report that a route is nested counts. A gate node that has
+/// seen few calls sends no report, so a missing report does not show that the route is not
+/// nested. When callers from outside begin to use a route, it counts as nested for at most
+/// this time.
 const REPORT_TTL: Duration = Duration::from_secs(30);
 
 /// The routes whose calls from this node are nested, i.e. made by the local backend while
--- a/crates/rampthread-core/src/call/path_delay.rs
+++ b/crates/rampthread-core/src/call/path_delay.rs
@@ -1,20 +1,21 @@
 //! Measures how long a hop, a request from one node to another, was delayed by congested
 //! links.
 //!
-//! A hop carries the time that its call has left, as of when it was sent. On a congested
-//! link the hop may be held up for seconds, and the receiving node would give its call time
-//! that no caller waits for any more. The clocks of two machines are not compared: each hop
-//! carries the time since its sender's start, and the least difference to the receiver's
-//! clock seen so far stands for an idle path. The amount by which another hop's difference
-//! exceeds it is that hop's delay, as in LEDBAT (RFC 6817).
+//! A hop carries the time until its call's deadline, as of when the hop was sent. On a
+//! congested link the hop may be delayed for seconds. Without a correction the receiving
+//! node would then work on a call after its caller's deadline. The clocks of two machines
+//! are not compared: each hop carries the time since its sender's start, and the least
+//! difference to the receiver's clock seen so far is taken as that of a network path
+//! without congestion. The amount by which a hop's difference exceeds this least difference
+//! is the delay of the hop, as in LEDBAT (RFC 6817).
 
 use crate::time::Moment;
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Maximum number of sending machines whose fastest hop is remembered; beyond it, all are
-/// measured anew.
+/// Maximum number of sending machines whose fastest hop is remembered. Beyond it all
+/// records are dropped and measured again.
 const MAX_SENDERS: usize = 4_096;
 
 /// Time at which a hop was sent, by the clock of the sending process.
@@ -28,7 +29,7 @@
 }
 
 impl SentAt {
-    /// Parses the `Display` form; `None` if the text has another form.
+    /// Parses the text that `Display` writes; `None` if the text has another form.
     pub fn parse(text: &str) -> Option<SentAt> {
         let (life, millis) = text.split_once('-')?;
         Some(SentAt {
@@ -58,7 +59,8 @@
     least_difference: i64,
 }
 
-/// Delays of the hops that one node receives. Each sending machine has its own idle path.
+/// Delays of the hops that one node receives. For each sending machine the fastest hop is
+/// remembered.
 #[derive(Debug, Default)]
 pub struct PathDelays {
     senders: HashMap<IpAddr, FastestHop>,
--- a/crates/rampthread-core/src/call/peer_crash_detector.rs
+++ b/crates/rampthread-core/src/call/peer_crash_detector.rs
@@ -2,9 +2,9 @@
 //!
 //! The gate node of a backend, which forwards calls to it, detects crashes first. But the
 //! gate node may end together with the backend, or before the next incarnation of the
-//! backend reports; the entry node still knows which responses it never got. Gate and entry
-//! node report a crash with the same request identity and incarnation, so that it counts
-//! once.
+//! backend reports; the entry node still knows which responses it never got. Gate node and
+//! entry node report a crash with the same request identity and backend incarnation, so
+//! that the crash counts once.
 
 use super::crash_detector::{CrashDetector, CrashSuspect};
 use crate::ids::{InstanceId, NodeId};
@@ -27,12 +27,13 @@
 #[derive(Debug, Default)]
 pub struct PeerCrashDetector {
     detectors: BTreeMap<NodeId, CrashDetector>,
-    /// Time between two reports of a backend.
+    /// Time between two regular reports of a backend.
     heartbeat: Duration,
 }
 
 impl PeerCrashDetector {
-    /// Creates a detector without losses, for backends that report once per `heartbeat`.
+    /// Creates a detector without lost responses, for backends that report once per
+    /// `heartbeat`.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
         Self {
             heartbeat,
@@ -54,14 +55,15 @@
         }
     }
 
-    /// True if no responses were lost lately.
+    /// True if no lost response is remembered for any backend.
     pub fn is_empty(&self) -> bool {
         self.detectors.is_empty()
     }
 
     /// Compares the lost responses with the backends that are present now, and returns the
-    /// requests whose responses were lost in a crash. `present` returns `None` for a node
-    /// that is unknown now, since it may come back.
+    /// requests whose responses were lost in a crash. `present` returns the current backend
+    /// of a node; `None` for a node that is not in the member table, whose lost responses
+    /// are kept since the node may come back.
     pub fn compare(
         &mut self,
         present: impl Fn(&NodeId) -> Option<CurrentBackend>,
--- a/crates/rampthread-core/src/call/precedence.rs
+++ b/crates/rampthread-core/src/call/precedence.rs
@@ -10,9 +10,9 @@
     /// answered in time.
     #[default]
     FirstAttempt,
-    /// The call was rejected before and its response is late anyway. Where slots are
-    /// scarce, a retry that took the slot of a first attempt would only turn that one into
-    /// a late retry too.
+    /// The call is a retry whose response will miss the target latency in any case. Where
+    /// slots are scarce, such a retry must not take the slot of a first attempt, whose own
+    /// retry would then be late too.
     Retry,
 }
 
--- a/crates/rampthread-core/src/call/quarantine.rs
+++ b/crates/rampthread-core/src/call/quarantine.rs
@@ -5,10 +5,10 @@
 //! the same request, the request is put into a short quarantine. Then it is on trial: it
 //! runs at one backend, the same for all nodes, with no other request on trial there. A
 //! response clears the request. Another crash proves that it is poison, and its next
-//! quarantine is long. Crashes outside of such quarantine trials do not extend the
-//! quarantine: a request that many callers send is running at every crash, and if a whole
-//! service ends at once the request is not the cause. Any complete response of a backend
-//! clears a request, which harmless requests get with their next attempt.
+//! quarantine is long. Crashes outside of such trials do not extend the quarantine: a
+//! request that many callers send is running at every crash. If all backends of a service
+//! end at once, the request is not the cause. Any complete response of a backend clears a
+//! request; a harmless request gets one with its next attempt.
 
 use std::time::Duration;
 
@@ -25,15 +25,15 @@
 const LONG_QUARANTINE: Duration = Duration::from_secs(600);
 /// Upper limit of a request's quarantine.
 const LONGEST_QUARANTINE: Duration = Duration::from_secs(3_600);
-/// Time after the end of a quarantine for which its crashes are kept, so that a request
-/// that comes every few minutes is still recognized.
+/// Time after the end of a request's quarantine for which its crashes are remembered, so
+/// that a request that is sent every few minutes is still recognized.
 const RETENTION: Duration = Duration::from_secs(600);
 
 /// Upper bound of the exponent when the quarantine doubles, so that the power cannot
 /// overflow. The longest quarantine is reached before it.
 const MAX_DOUBLINGS: usize = 8;
 
-/// What is known of a request's part in crashes, and whether it may run.
+/// Whether a request is suspected of crashing backends, and whether it may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineState {
     /// No backend has crashed while running the request, or a response has cleared it.
@@ -83,7 +83,8 @@
     }
 }
 
-/// Longest time after a crash for which nodes remember it.
+/// Longest time for which nodes remember a crash: the longest quarantine and the retention
+/// after it.
 pub const MAX_CRASH_RETENTION: Duration = LONGEST_QUARANTINE.saturating_add(RETENTION);
 
 impl QuarantineState {
--- a/crates/rampthread-core/src/call/recent_responses.rs
+++ b/crates/rampthread-core/src/call/recent_responses.rs
@@ -1,17 +1,18 @@
 //! Requests that backends have answered lately. A crash may become known seconds later,
-//! when the next incarnation of the backend reports. A request that was answered in between
-//! did not cause the crash, and once in quarantine it could not be cleared any more.
+//! when the next incarnation of the backend reports. A request that was answered between
+//! the crash and that report did not cause the crash. If it were quarantined, no response
+//! could clear it during its quarantine.
 
 use super::identity::RequestIdentity;
 use crate::time::Moment;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Time for which a response is remembered: longer than the 10 s within which a lost
-/// response may turn out to be a crash.
+/// Time for which the response to a request is remembered: longer than the 10 s within
+/// which a lost response may turn out to be a crash.
 const RETENTION: Duration = Duration::from_secs(15);
-/// Maximum number of responses that are remembered, about 100 bytes each; a node is
-/// designed for 67 calls per second.
+/// Maximum number of responses that are remembered, each of which takes about 100 bytes. A
+/// node is designed for 67 calls per second.
 const MAX_RESPONSES: usize = 4_096;
 
 /// Remembers which requests backends have answered lately, for the callers of one node.
@@ -19,8 +20,8 @@
 pub struct RecentResponses {
     /// When each request was last answered.
     last: HashMap<RequestIdentity, Moment>,
-    /// Answered requests with the time of each response, oldest first, to find those to
-    /// forget.
+    /// Answered requests with the time of each response, oldest first, by which responses
+    /// older than [`RETENTION`] are found.
     order: VecDeque<(Moment, RequestIdentity)>,
 }
 
--- a/crates/rampthread-core/src/call/response_check.rs
+++ b/crates/rampthread-core/src/call/response_check.rs
@@ -2,15 +2,16 @@
 //! that it did not run the call.
 //!
 //! Bytes on a connection may belong to an earlier request, since a backend may respond
-//! twice. So nothing in a response is trusted, least of all that the call was not run,
-//! before the response is known to name the call.
+//! twice. So nothing in a response is trusted before the response is known to name the
+//! call, least of all a report that the call was not run.
 
 use super::dialect::CallDialect;
 use super::headers::{self, Outcome, implies_not_run};
 use http::header::CONTENT_ENCODING;
 use http::{HeaderMap, HeaderName, StatusCode};
 
-/// Whether a backend's response belongs to the call, and what it says of the call.
+/// Whether a backend's response belongs to the call, and whether the backend reports that
+/// it did not run the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseCheck {
     /// The response belongs to the call.
@@ -37,9 +38,9 @@
 /// The parts of a backend's response by which it is checked.
 #[derive(Debug, Clone, Copy)]
 pub struct ResponseHead<'a> {
-    /// Compared with the statuses by which backends report that they did not run a call.
+    /// HTTP status; some statuses report that the backend did not run the call.
     pub status: StatusCode,
-    /// Searched for the ids and reports of the backend.
+    /// Headers with the ids of the call and the reports of the backend.
     pub headers: &'a HeaderMap,
 }
 
--- a/crates/rampthread-core/src/call/retry_after.rs
+++ b/crates/rampthread-core/src/call/retry_after.rs
@@ -1,17 +1,19 @@
-//! Decides when the caller of a shed call should retry.
+//! Decides when a caller should retry a call that was shed, i.e. refused by the backend.
 //!
 //! A gate node that is full knows when a slot will be free. A backend that sheds a call
-//! beside free slots is different: there is no queue to wait for, and the next call may be
-//! accepted. Its caller should retry while a response can still be in time, and callers
-//! should not all retry at once.
+//! while it has free slots gives no such time: the call does not wait in a queue, and the
+//! backend may accept the next call. The caller should retry while a response can still
+//! meet the target latency. The times of different callers are spread, so that they do not
+//! all retry at once.
 
 use std::time::Duration;
 
-/// Ratio of the spare time after which to retry; the rest is for the round trip and one
-/// more retry.
+/// Maximum share of the spare time that passes before the retry; the rest is for the round
+/// trip and one more retry. Spare time is what the target latency leaves after the mean
+/// response time.
 const WAIT_RATIO: f64 = 0.5;
-/// Minimum spare time for an early retry; with less, the response is most likely late
-/// anyway.
+/// Minimum spare time for an early retry; with less, the response most likely misses the
+/// target latency.
 const MIN_SPARE: Duration = Duration::from_millis(20);
 
 /// Returns how long to wait before a retry after a backend with free slots shed the call;
--- a/crates/rampthread-core/src/call/retry_budget.rs
+++ b/crates/rampthread-core/src/call/retry_budget.rs
@@ -2,24 +2,26 @@
 //! may make them.
 //!
 //! The budget is a bounded share of the service's calls over a sliding window. While
-//! backends shed many calls it is used up before the window ends, so it matters who uses
-//! it. Nested calls, those that a backend makes while it serves another call, go first: if
-//! one fails, the work done for its parent is lost. Any other call has lost nothing yet,
-//! and its caller may send it again; it gets what nested calls leave, and a small share in
-//! any case.
+//! backends shed many calls, the budget is used up before the window ends, so its retries
+//! are distributed by [`RetryClass`]. Nested calls, those that a backend makes while it
+//! serves another call, go first: if one fails, the work done for its parent is lost. If
+//! any other call fails, no work is lost, and its caller may send it again. Such calls get
+//! the retries that nested calls leave, and a small share of the budget in any case.
 
 use crate::time::Moment;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Window over which retries are counted, unless the settings name one.
+/// Length of the sliding window over which retries are counted, unless the settings name
+/// one.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(10);
-/// Number of retries in a window that an idle service may make.
+/// Number of retries per window that are allowed in addition to the ratio of calls, so that
+/// a service with few calls can retry.
 const DEFAULT_SLACK: f64 = 5.0;
 /// Number of parts into which the window is divided for counting.
 const WINDOW_PARTS: u64 = 10;
-/// Share of the budget that calls other than nested ones get in any case: an immediate
-/// retry spares their callers a round trip.
+/// Share of the budget that calls other than nested ones get in any case: with an immediate
+/// retry their callers need not send the call again.
 const MIN_CALLER_SHARE: f64 = 0.25;
 
 /// How many retries one node may send to the backends of a service.
@@ -69,14 +71,16 @@
 /// Calls and retries of one service, counted over one part of the sliding window.
 #[derive(Debug, Clone, Copy)]
 struct RetryWindowPart {
-    /// Index of the part since time zero; consecutive parts have consecutive numbers.
+    /// Index of the window part, counted from time zero; consecutive parts have consecutive
+    /// numbers.
     number: u64,
     calls: u32,
-    /// Retries that were allowed, of both classes.
+    /// Number of retries that the budget allowed, for calls of both classes.
     retries: u32,
-    /// Retries that were allowed to calls of [`RetryClass::Caller`].
+    /// Number of retries that the budget allowed for calls of [`RetryClass::Caller`].
     caller_retries: u32,
-    /// Retries that nested calls asked for, whether allowed or not.
+    /// Number of retries that nested calls asked for, whether the budget allowed them or
+    /// not.
     nested_requests: u32,
 }
 
@@ -85,7 +89,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     limit: RetryLimit,
-    /// True if every retry is allowed.
+    /// True if the budget allows every retry.
     unlimited: bool,
     parts: VecDeque<RetryWindowPart>,
 }
@@ -113,7 +117,7 @@
         self.limit = limit;
     }
 
-    /// Counts a call to the service, which allows more retries.
+    /// Counts a call to the service; the budget grows by the limit's ratio of a retry.
     pub fn call_made(&mut self, now: Moment) {
         self.part(now).calls += 1;
     }
@@ -132,7 +136,7 @@
         allowed
     }
 
-    /// Returns a retry to the budget that was taken at `taken_at` and reached no backend.
+    /// Returns a retry to the budget: it was taken at `taken_at`, and reached no backend.
     pub fn refund(&mut self, class: RetryClass, taken_at: Moment) {
         let number = self.part_number(taken_at);
         let Some(part) = self.parts.iter_mut().find(|part| part.number == number) else {
@@ -169,8 +173,8 @@
         at.0 / length
     }
 
-    /// The part of the window that `now` falls into; drops parts that lie before the
-    /// window.
+    /// Returns the part of the sliding window that contains `now`. Parts that lie before
+    /// the window are dropped.
     fn part(&mut self, now: Moment) -> &mut RetryWindowPart {
         let number = self.part_number(now);
         while let Some(oldest) = self.parts.front()
--- a/crates/rampthread-core/src/call/route_table.rs
+++ b/crates/rampthread-core/src/call/route_table.rs
@@ -19,9 +19,9 @@
     pub host: Option<&'a str>,
     /// Path without the query, compared with the exact path or prefix of routes.
     pub path: &'a str,
-    /// Compared with the methods of routes that restrict them.
+    /// HTTP method, compared with the methods of routes that allow only some.
     pub method: &'a http::Method,
-    /// Compared with the headers that routes require.
+    /// Headers of the request, compared with those that routes require.
     pub headers: &'a http::HeaderMap,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Sort key by which the most specific route comes first.
+/// Sort key of a route; in ascending order the most specific route comes first.
 fn specificity(route: &Route) -> Reverse<(bool, bool, usize, bool, usize, ResourceName)> {
     Reverse((
         route.host.is_some(),
--- a/crates/rampthread-core/src/call/service_times.rs
+++ b/crates/rampthread-core/src/call/service_times.rs
@@ -1,6 +1,6 @@
 //! Mean service times at one backend, by route, and the maximum queueing times that follow
-//! from them. A call may wait as long as its route's target latency allows after its own
-//! service time is subtracted.
+//! from them. The maximum queueing time of a call is the part of its route's target latency
+//! that its expected service time leaves.
 
 use super::precedence::Precedence;
 use crate::ids::ResourceName;
@@ -15,10 +15,10 @@
 const MAX_WAIT_RATIO: f64 = 0.4;
 /// Maximum queueing time of a nested call, one that a backend makes while it serves
 /// another, as a ratio of the time until its deadline. The parents of a nested call hold
-/// their slots meanwhile: where services call each other in a ring, longer waits cost more
-/// responses than the parents' work is worth.
+/// their slots meanwhile: where services call each other in a ring, longer waits lose more
+/// responses than they save.
 const NESTED_WAIT_RATIO: f64 = 0.15;
-/// Minimum of a call's maximum queueing time, as a ratio of the target latency.
+/// Lower limit of the maximum queueing time, as a ratio of the target latency.
 const MIN_WAIT_RATIO: f64 = 0.15;
 
 /// Moving averages of the service time at one backend, by route.
@@ -28,7 +28,7 @@
 }
 
 impl ServiceTimes {
-    /// Updates the mean of `route` after a call that took this long.
+    /// Updates the mean service time of `route` after a call that held a slot for `time`.
     pub fn record(&mut self, route: &ResourceName, time: Duration) {
         match self.means.get_mut(route) {
             Some(mean) => {
@@ -47,8 +47,9 @@
     }
 
     /// Maximum queueing time that leaves a call of `route` a chance to meet the latency
-    /// `target`. A retry waits only a little, since its caller needs to know soon. A nested
-    /// call waits longer, whatever its own target; `left` is the time until its deadline.
+    /// `target`. A retry may wait only a short time, so that its caller is rejected early.
+    /// A nested call may wait longer, whatever the target of its route; `left` is the time
+    /// until its deadline.
     pub fn max_wait(
         &self,
         route: &ResourceName,
@@ -69,7 +70,8 @@
         )
     }
 
-    /// Drops all means. To be called when another backend replaces the measured one.
+    /// Drops the mean service times of all routes. To be called when another backend
+    /// replaces the measured one.
     pub fn clear(&mut self) {
         self.means.clear();
     }
--- a/crates/rampthread-core/src/call/speed_meter.rs
+++ b/crates/rampthread-core/src/call/speed_meter.rs
@@ -3,7 +3,8 @@
 //!
 //! The long-term speed is the time that the served calls usually take, divided by the time
 //! that they took: a ratio of sums, so that mixed routes and a few long calls have little
-//! effect. The current slowdown that the backend reports is factored out of it.
+//! effect. The current slowdown that the backend reports is removed from the measured
+//! times, so that only the long-term speed is measured.
 
 use super::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use crate::time::Moment;
@@ -13,16 +14,17 @@
 const AVERAGED_CALLS: f64 = 100.0;
 /// Number of calls from which a long-term speed is reported.
 const MIN_CALLS: f64 = 30.0;
-/// Limit of the ratio, in either direction, between the time of one call and its usual
-/// time.
+/// Limit of the ratio between the service time of one call and its usual service time, in
+/// either direction. Calls that deviate more are counted with this ratio.
 const MAX_DEVIATION_RATIO: f64 = 5.0;
 /// Ratio between two neighbouring values of the long-term speed that can be reported.
 const STEP: f64 = 1.15;
 /// Minimum time between changes of the reported speed, since each change is sent to all
 /// nodes.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_secs(2);
-/// Difference between measured and reported speed, in steps, from which the report changes.
-/// A smaller one would let the report alternate between two values by chance.
+/// Difference between measured and reported speed, in steps, from which the reported speed
+/// changes. A smaller difference would let random variation switch the reported speed back
+/// and forth between two values.
 const MIN_STEP_DIFFERENCE: f64 = 0.8;
 /// Age up to which the backend's report of its current service time is used.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(300);
@@ -31,19 +33,20 @@
 /// time.
 #[derive(Debug, Clone)]
 pub struct SpeedMeter {
-    /// Recent calls, each with a weight that shrinks with each newer one.
+    /// Sum of the weights of the recent calls; the weight of a call shrinks with each newer
+    /// call.
     calls: f64,
-    /// Seconds that the recent calls would usually take; `taken` has the seconds that they
-    /// took.
+    /// Weighted sum of the usual service times of the recent calls, in seconds.
     usual: f64,
     taken: f64,
     /// Reported long-term speed, as an exponent of [`STEP`].
     reported_steps: i32,
-    /// When the reported speed changed last; `None` if it never did.
+    /// When the reported speed changed last; `None` before its first change.
     changed: Option<Moment>,
     /// Time until which the backend is expected to be slow after its start.
     warm_up_until: Moment,
-    /// The backend's last report of its current service time in percent, and when it came.
+    /// The backend's last report of its current service time in percent, and when the
+    /// report arrived.
     current: Option<(u16, Moment)>,
 }
 
@@ -76,8 +79,8 @@
         self.current = Some((service_time_percent, now));
     }
 
-    /// Records a call that took the time `taken` and takes `usual` in the mean of the
-    /// fleet. Calls during the warm-up are ignored.
+    /// Records a call that held a slot for the time `taken`; `usual` is the mean service
+    /// time of such calls in the fleet. Calls during the warm-up are ignored.
     pub fn record_response(&mut self, usual: Duration, taken: Duration, now: Moment) {
         let usual = usual.as_secs_f64();
         let current = f64::from(self.service_time_percent(now)) / f64::from(USUAL_PERCENT);
@@ -93,8 +96,8 @@
         self.update_reported(now);
     }
 
-    /// Reports the measured speed if it differs enough from the reported one, but not too
-    /// often.
+    /// Replaces the reported speed by the measured one if the two differ by at least
+    /// [`MIN_STEP_DIFFERENCE`] and the last change is [`MIN_CHANGE_INTERVAL`] ago.
     fn update_reported(&mut self, now: Moment) {
         let recent = |at: Moment| now.since(at) < MIN_CHANGE_INTERVAL;
         if !self.is_known() || self.changed.is_some_and(recent) {
@@ -127,7 +130,8 @@
         self.calls >= MIN_CALLS
     }
 
-    /// What the backend's node reports to others at `now`.
+    /// Speed, current service time and rest of the warm-up, as the gate node reports them
+    /// to other nodes at `now`.
     pub fn speed(&self, now: Moment) -> BackendSpeed {
         BackendSpeed {
             speed_percent: self.speed_percent(),
--- a/crates/rampthread-core/src/call/tenant_table.rs
+++ b/crates/rampthread-core/src/call/tenant_table.rs
@@ -10,14 +10,15 @@
 
 /// Authorization scheme of API keys (RFC 6750, section 2.1), compared case-insensitively.
 const SCHEME: &str = "bearer";
-/// Longest API key that is looked up, in bytes.
+/// Maximum length of an API key in bytes; a longer one counts as no key.
 const MAX_KEY_BYTES: usize = 512;
 
 /// The tenants of one configuration version, indexed by the digests of their API keys.
 #[derive(Debug, Default)]
 pub struct TenantTable {
     by_key: HashMap<KeyDigest, Arc<Tenant>>,
-    /// Tenants with a rate limit, by the hash that nodes send to each other.
+    /// Tenants with a rate limit, by the hash of the tenant that nodes send to each other
+    /// instead of its name.
     limited: HashMap<TenantHash, Arc<Tenant>>,
     /// False in a configuration without tenants, where calls need no API key.
     in_use: bool,
@@ -29,7 +30,7 @@
     /// The request carries no API key, or one that cannot be parsed.
     #[error("the request has no key of a tenant")]
     NoKey,
-    /// Cause of the error response that the caller gets.
+    /// The request carries an API key that belongs to no tenant of the configuration.
     #[error("the request's key belongs to no tenant")]
     UnknownKey,
 }
--- a/crates/rampthread-core/src/call/zone_spill.rs
+++ b/crates/rampthread-core/src/call/zone_spill.rs
@@ -3,36 +3,39 @@
 //!
 //! Demand swings in each zone independently, and backends are not distributed as callers
 //! are. A zone at 1.3 of its capacity and one at 0.7 can together serve all calls, if the
-//! excess leaves before queues form. All entry nodes, the nodes that receive calls, compute
-//! the same plan from the same sums: each spills the same fraction of its own calls, and to
-//! each zone with spare slots in proportion to these, so that no slot is given away twice
-//! though all entry nodes decide at the same time. Demand counts the callers of a zone,
-//! wherever their calls are served: spilled calls do not change the figures that the plan
-//! is made from, so that zones do not send calls back and forth.
+//! excess calls of the first are sent to the second before queues form. All entry nodes,
+//! the nodes that receive calls, compute the same plan from the same zone reports. Each
+//! entry node spills the same fraction of its own calls, and distributes them over zones
+//! with spare slots in proportion to these slots. So no spare slot is used twice, though
+//! all entry nodes decide at the same time. The demand of a zone is that of its callers,
+//! wherever their calls are served. Spilled calls therefore do not change the figures that
+//! the plan is made from, and zones do not send calls back and forth.
 
 use crate::fleet::{MILLI_SLOTS_PER_SLOT, MilliSlots, ServiceLoad, ZoneLoad};
 use crate::ids::{ResourceName, Zone};
 use rand::Rng;
 use std::time::Duration;
 
-/// Ratio of used slots from which a backend or a zone reports its load. A zone without
-/// reports is assumed to use this ratio of its slots.
+/// Ratio of used slots from which a backend or a zone reports its load. A zone that sends
+/// no reports is assumed to use this ratio of its slots.
 pub const QUIET_UTILIZATION: f64 = 0.6;
 /// Time for which reports go on after the load has fallen below [`QUIET_UTILIZATION`], so
 /// that the last report of a zone shows it below that ratio.
 pub const REPORTING_TAIL: Duration = Duration::from_secs(5);
-/// Age from which a zone's report is ignored. Until then another node can take over as zone
-/// aggregator, the node that sends the zone's reports, which takes four exchange intervals.
+/// Age from which a zone's report is ignored. It leaves time for another node to take over
+/// as zone aggregator, the node that sends the zone's reports; a takeover lasts four
+/// exchange intervals.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
 /// Age of a zone's last report from which the zone counts as quiet, even if the report
-/// showed a high load: the nodes that reported that load have ended or restarted.
+/// showed a high load: by then the nodes that reported this load must have ended or
+/// restarted.
 const MAX_LOADED_SILENCE: Duration = Duration::from_secs(10);
 /// Slots that a zone keeps free for random variation of arrivals, as a multiple of the
 /// square root of all its slots (square-root staffing).
 const SPARE_SLOT_ROOTS: f64 = 1.0;
-/// Ratio of a zone's slots whose load must be reported. Below it, the slots without report
-/// count as quiet; above it, slots without report most likely belong to backends that have
-/// ended.
+/// Ratio of a zone's slots whose load must be reported for the slots without a report to be
+/// left out, since they most likely belong to backends that have ended. Below this ratio,
+/// slots without a report count as quiet.
 const MIN_REPORTED_RATIO: f64 = 0.5;
 
 /// Slots that one zone has for one service, and slots that the zone's callers need.
@@ -49,9 +52,9 @@
 }
 
 impl ZoneDemand {
-    /// Slots up to which the zone serves calls before it sends some to other zones: its
-    /// capacity less a reserve for random variation.
-    fn comfortable(&self) -> f64 {
+    /// Number of slots that the zone fills before it spills calls to other zones: its
+    /// capacity less a reserve for random variation of arrivals.
+    fn slots_before_spill(&self) -> f64 {
         (self.capacity - SPARE_SLOT_ROOTS * self.capacity.sqrt()).max(0.0)
     }
 }
@@ -103,8 +106,7 @@
     let with_slots = slots
         .iter()
         .filter_map(|(zone, slots)| zone_demand(service, zone, *slots, report_of(zone)));
-    // Zones without backends have callers too, who compete for the spare slots of the
-    // others.
+    // Callers in zones without backends compete for the spare slots of the other zones.
     let without_slots = reports
         .iter()
         .filter(|report| slots.iter().all(|(zone, _)| *zone != report.zone))
@@ -125,8 +127,8 @@
         })
 }
 
-/// Capacity and demand of one zone. A quiet zone counts with assumed demand; `None` if the
-/// zone was loaded when it fell silent.
+/// Capacity and demand of one zone. The demand of a quiet zone is assumed. `None` if the
+/// zone's last report is too old and showed a high load.
 fn zone_demand(
     service: &ResourceName,
     zone: &Zone,
@@ -168,7 +170,7 @@
     report.services.iter().find(|load| load.service == *service)
 }
 
-/// Load reports are in thousandths of a slot.
+/// Converts thousandths of a slot, the unit of load reports, to slots.
 fn from_milli_slots(load: MilliSlots) -> f64 {
     f64::from(load) / MILLI_SLOTS_PER_SLOT
 }
@@ -180,20 +182,21 @@
 
 /// Plans which part of the calls of the zone `home` is spilled, and to which zones.
 ///
-/// Up to its comfortable load, each zone serves its own callers. The nearer total demand is
-/// to total capacity, the nearer each zone goes to its full capacity. If all zones are
-/// full, nothing is spilled.
+/// Each zone serves its own callers up to its capacity less a reserve (see
+/// `slots_before_spill`). The nearer the demand of all zones is to their capacity, the more
+/// of this reserve is used. If all zones are full, nothing is spilled.
 pub fn plan_spill(home: &Zone, zones: &[ZoneDemand]) -> SpillPlan {
     let sum = |part: fn(&ZoneDemand) -> f64| zones.iter().map(part).sum::<f64>();
     let demand = sum(|zone| zone.demand);
     let capacity = sum(|zone| zone.capacity);
-    let comfortable = sum(ZoneDemand::comfortable);
-    let pressure = match demand > comfortable {
-        true => ((demand - comfortable) / (capacity - comfortable)).clamp(0.0, 1.0),
+    let total_before_spill = sum(ZoneDemand::slots_before_spill);
+    let pressure = match demand > total_before_spill {
+        true => ((demand - total_before_spill) / (capacity - total_before_spill)).clamp(0.0, 1.0),
         false => 0.0,
     };
-    let limit =
-        |zone: &ZoneDemand| zone.comfortable() + pressure * (zone.capacity - zone.comfortable());
+    let limit = |zone: &ZoneDemand| {
+        zone.slots_before_spill() + pressure * (zone.capacity - zone.slots_before_spill())
+    };
     let excess = |zone: &ZoneDemand| (zone.demand - limit(zone)).max(0.0);
     let spare = |zone: &ZoneDemand| (limit(zone) - zone.demand).max(0.0);
     let total_spare: f64 = zones.iter().map(spare).sum();
--- a/crates/rampthread-core/tests/balancing_under_load.rs
+++ b/crates/rampthread-core/tests/balancing_under_load.rs
@@ -1,6 +1,6 @@
 //! Simulation of balancing under load: many entry nodes choose backends at the same time,
-//! each knowing only what its own responses reported, and the backends of the service
-//! differ in speed.
+//! each entry node knows only the loads that gate nodes reported with its own responses,
+//! and the backends of the service differ in speed.
 
 use rampthread_core::call::backend_speed::{BackendSpeed, USUAL_PERCENT};
 use rampthread_core::call::balance::{BalanceMode, Balancer, Endpoint};
@@ -25,8 +25,8 @@
 const MAX_ATTEMPTS: usize = 4;
 /// Speeds of the backends, assigned in turn.
 const SPEEDS: [f64; 3] = [0.7, 0.7, 1.7];
-/// Part of the time in which another process slows a backend down, and the factor by which
-/// service times grow then.
+/// Fraction of the time in which another process slows a backend down, and the factor by
+/// which service times grow then.
 const SLOWDOWN: (f64, f64) = (0.15, 2.5);
 /// Seconds for which a backend's slowdown stays the same.
 const SLOWDOWN_SECONDS: f64 = 0.2;
@@ -72,7 +72,7 @@
     }
 }
 
-/// A call, the entry node that received it, and the nodes that it asked.
+/// A call, the entry node that received it, and the gate nodes that it was sent to.
 struct Call {
     entry: usize,
     began: f64,
@@ -86,7 +86,7 @@
     waiting: VecDeque<usize>,
 }
 
-/// An event of a call; `at` is the index of the backend.
+/// An event of a call at the backend with the index `at`.
 enum Event {
     Arrives,
     AtGate {
@@ -339,7 +339,7 @@
     }
 }
 
-/// Parameters without reported speeds.
+/// Parameters of a simulation in which no speeds are reported.
 fn load(backends: usize, of_capacity: f64) -> Load {
     let seconds = if backends > 100 { 2.0 } else { 8.0 };
     Load {
@@ -352,8 +352,8 @@
     }
 }
 
-/// Reported speeds shorten response times where fast backends can take the load, and cost
-/// little where all backends are busy.
+/// Reported speeds shorten response times where fast backends have free slots, and lengthen
+/// them only a little where all backends are busy.
 #[rstest]
 fn fast_backends_fill_first_and_none_is_overloaded(
     #[values(12, 44, 264)] backends: usize,
--- a/crates/rampthread-core/tests/call_properties.rs
+++ b/crates/rampthread-core/tests/call_properties.rs
@@ -20,8 +20,8 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// A step of the admission test: a call arrives, a running call ends, a waiting call is
-/// cancelled, or milliseconds pass.
+/// One event at the admission controller: a call arrives, a running call ends, a waiting
+/// call is cancelled, or milliseconds pass.
 #[derive(Debug, Clone)]
 enum QueueEvent {
     Arrive { caller: u8, max_wait_ms: u64 },
@@ -54,7 +54,7 @@
 
 proptest! {
     /// Running calls never exceed the slots, each waiting call is released or dropped once,
-    /// and the load agrees with a simple model.
+    /// and the reported load is the number of calls that run or wait.
     #[test]
     fn admission_never_exceeds_the_slots(
         slots in 1_u32..8,
@@ -108,8 +108,8 @@
         }
     }
 
-    /// While one caller floods the queue, a call of another caller is served within two
-    /// turns.
+    /// While one caller floods the queue, a call of another caller is among the next two
+    /// that are served.
     #[test]
     fn one_caller_cannot_starve_another(flood in 20_usize..200) {
         let mut admission = AdmissionController::new(AdmissionLimits { slots: 1, queue: 4 });
@@ -201,9 +201,9 @@
         }
     }
 
-    /// A call with a hedged attempt ends only with its last attempt. A hedged attempt
-    /// starts only if the call may run twice, and the call never reaches more backends than
-    /// allowed.
+    /// A call with a hedged attempt does not end while one of its two attempts is in
+    /// progress. A hedged attempt starts only if the call may run twice, and the call never
+    /// reaches more backends than allowed.
     #[test]
     fn hedges_are_safe_and_bounded(
         repeatable in any::<bool>(),
@@ -284,7 +284,8 @@
         prop_assert!(chosen.len() * 2 >= count, "{} of {}", chosen.len(), count);
     }
 
-    /// An endpoint that reports that it accepts no calls gets none while others can.
+    /// An endpoint that reports that it accepts no calls gets none while other endpoints
+    /// accept calls.
     #[test]
     fn an_endpoint_that_accepts_no_calls_gets_none(count in 2_usize..10, seed in any::<u64>()) {
         let zone = Zone::new("zone").unwrap();
@@ -299,9 +300,9 @@
         }
     }
 
-    /// Two calls with one idempotency key never both get a majority of claims, in any order
-    /// of claims and if claim holders restart in between, as long as no majority of them
-    /// does.
+    /// Two calls with the same idempotency key never both get a majority of claims, in any
+    /// order of claims. This also holds if a minority of the claim holders (nodes that
+    /// store claims) restarts in between.
     #[test]
     fn one_key_has_at_most_one_claim(
         order in prop::collection::vec((0_usize..5, 0_usize..2), 0..20),
--- a/crates/rampthread-core/tests/crash_detector.rs
+++ b/crates/rampthread-core/tests/crash_detector.rs
@@ -1,5 +1,5 @@
-//! Which lost responses a crash explains, as a gate node detects it at its local backend
-//! and an entry node at the backends of other nodes.
+//! Which lost responses are explained by a crash: a gate node detects crashes of its local
+//! backend, and an entry node those of the backends of other nodes.
 
 mod crash_cases;
 
@@ -71,10 +71,10 @@
     assert_eq!(detector.record_replacement(&instance(2), NOW), Vec::new());
 }
 
-/// The incarnation of a backend that reports its start time and keeps its id. Guards
-/// against missing the crashes of a poison request: the next incarnation answers other
-/// calls before it has reported, and these responses must not count as a sign that the
-/// crashed one is running.
+/// Incarnation of a backend that reports its start time and keeps its id. The tests with it
+/// guard against missing the crashes of a poison request: the next incarnation answers
+/// other calls before it has reported, and these responses must not count as a sign that
+/// the crashed one is running.
 fn incarnation(number: u32) -> InstanceId {
     let born = Some(StartedAt(u64::from(number)));
     BackendIncarnation::new("i-1", born).unwrap().name()
@@ -124,7 +124,7 @@
     let mut detector = CrashDetector::default();
     detector.record_loss(&suspect_at_incarnation(1, 1), true);
     let late = NOW + Duration::from_secs(2);
-    // The report may have been sent before the crash.
+    // The report at `late` may have been sent before the crash.
     assert_eq!(detector.reported_alive(&incarnation(1), late), Vec::new());
     let later = NOW + Duration::from_secs(4);
     assert_eq!(detector.reported_alive(&incarnation(2), later), Vec::new());
@@ -146,8 +146,8 @@
 }
 
 proptest! {
-    /// Calls that are sent to a backend after its end are lost as well. They must not
-    /// displace the request that was lost first, nor one that was on trial.
+    /// The responses to calls that are sent to a backend after its end are lost as well.
+    /// They must not displace the request that was lost first, nor one that was on trial.
     #[test]
     fn no_flood_of_later_losses_hides_the_first(
         later in prop::collection::vec(2_u16..500, 0..1_000),
@@ -169,8 +169,9 @@
     }
 }
 
-/// Responses to a request that are lost again at the same incarnation count as one loss: it
-/// dates from the first, and only a response to a call after the last disproves a crash.
+/// If responses to the same request are lost repeatedly at one incarnation, they count as
+/// one loss since the first of them. Only a response to a call that began after the last of
+/// them disproves a crash.
 #[test]
 fn a_request_that_is_lost_again_is_one_loss() {
     let (later, latest) = (
@@ -196,7 +197,7 @@
     );
 }
 
-/// What an entry node knows of the backend at a node.
+/// Current backend of a node, as the member table shows it to an entry node.
 fn present(backend: u32, leaving: bool) -> Option<CurrentBackend> {
     let instance = instance(backend);
     Some(CurrentBackend { instance, leaving })
@@ -217,7 +218,7 @@
     detector.record_loss(&node, &suspect(1, 1));
     let explained = detector.compare(|_| beside.clone(), NOW);
     assert_eq!(explained.len(), usize::from(crashed));
-    // The crash is reported once, and a planned end is no crash.
+    // The crash is not reported again, and a planned end is not reported as a crash.
     assert_eq!(
         detector.compare(|_| present(3, false), NOW).len(),
         usize::from(!crashed && beside != present(1, true))
@@ -241,8 +242,8 @@
 }
 
 /// A backend that reports every 5 s crashes and restarts, its first report is lost, and the
-/// new incarnation answers a call before its next report. Guards against dropping the loss
-/// too early, so that one of the crashes of a poison request is not counted.
+/// new incarnation answers a call before its next report. The lost response must be kept
+/// until that report, so that each crash of a poison request is counted.
 #[test]
 fn an_incarnation_that_reports_seldom_still_explains_a_loss() {
     let heartbeat = Duration::from_secs(5);
@@ -253,7 +254,8 @@
     assert_eq!(explained.len(), 1);
 }
 
-/// The next incarnation of a backend without start time answers under the same name.
+/// The next incarnation of a backend without start time answers under the same id, so that
+/// its response must not withdraw the crash report.
 #[test]
 fn a_response_withdraws_no_crash_after_the_port_has_stayed_closed() {
     let mut detector = CrashDetector::default();
--- a/crates/rampthread-core/tests/fair_queue.rs
+++ b/crates/rampthread-core/tests/fair_queue.rs
@@ -94,7 +94,8 @@
     }
 }
 
-/// One tenant asks for ten times as much as each other one: it gets only what they leave.
+/// A tenant that asks for ten times as much service time as each other tenant gets only
+/// what the others leave.
 #[test]
 fn a_tenant_that_floods_gets_what_others_leave() {
     let mut loads: BTreeMap<String, TenantLoad> = (0..8)
@@ -136,8 +137,8 @@
 }
 
 proptest! {
-    /// Owners that always have waiting calls get the same service time, within two calls
-    /// each.
+    /// Owners (tenants or calling services) that always have waiting calls get the same
+    /// service time, up to a difference of two calls.
     #[test]
     fn owners_with_waiting_calls_get_equal_service(service_times in prop::collection::vec(1_u64..50, 2..12)) {
         let mut queue = FairQueue::default();
@@ -154,8 +155,8 @@
     }
 }
 
-/// The number of owners kept stays bounded with ten thousand tenants, and start tags keep
-/// growing.
+/// The number of stored finish tags stays bounded with ten thousand tenants, and start tags
+/// keep growing.
 #[test]
 fn ten_thousand_tenants_keep_bounded_state() {
     let mut queue = FairQueue::default();
--- a/crates/rampthread-core/tests/fence_properties.rs
+++ b/crates/rampthread-core/tests/fence_properties.rs
@@ -1,11 +1,11 @@
-//! What an entry node may conclude from a fence, whatever is delayed, replaced or suspended
-//! meanwhile.
+//! What an entry node may conclude from the reply to a fence (a request that forbids a call
+//! to start), if messages are delayed and processes are replaced or suspended.
 //!
 //! Guards against an error response with `not-run` for a call that ran: its request reached
 //! a gate node and the call began; the entry node was delayed; the gate node's process was
 //! replaced; the entry node found its connection lost and fenced the call; the new process
-//! knew nothing of it. "Never starts" of a process that is younger than the request must
-//! not be trusted.
+//! had no record of the call and replied "never starts". This reply must not be trusted if
+//! the process is younger than the request.
 
 use proptest::prelude::*;
 use rampthread_core::call::fence::{
@@ -23,7 +23,7 @@
 /// Rates of the two clocks in thousandths, within the limits of chrony's slewing.
 const RATES: std::ops::RangeInclusive<u64> = 917..=1_083;
 
-/// A step of the simulation.
+/// An event in the simulation of one request.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// The given milliseconds pass. The gate process is suspended or idle, so it does not
@@ -34,14 +34,14 @@
     Run(u64),
     /// The entry node connects to the gate node process that listens now.
     Connect,
-    /// The connected gate node process reads the request.
+    /// The gate node process that the entry node connected to reads the request.
     Arrive,
     /// The gate node process ends.
     Kill,
     /// A new gate node process takes over the address.
     Start,
     /// The entry node has lost the connection and forbids the call to start. The gate
-    /// process that listens now handles that.
+    /// process that listens now gets the fence.
     Fence,
     /// The reply to the fence reaches the entry node, which concludes whether the call may
     /// have run.
@@ -282,7 +282,7 @@
         prop_assert_eq!(concluded, FenceOutcome::Unknown);
     }
 
-    /// An unknown value in a reply proves nothing.
+    /// An unknown status in the reply to a fence is not taken for "never starts".
     #[test]
     fn an_unknown_value_proves_nothing(value in "[a-z-]{0,20}") {
         prop_assume!(value != FenceStatus::NeverStarts.as_str());
@@ -336,7 +336,8 @@
     assert_eq!(table.start(&call, awake), Err(StartError::Fenced));
 }
 
-/// While the process runs, old records of calls are dropped.
+/// While the gate process runs, records of calls older than [`FENCE_RETENTION`] are
+/// dropped.
 #[test]
 fn entries_expire_while_the_gate_runs() {
     let mut table = FenceTable::new(Moment(0));
@@ -348,8 +349,8 @@
     assert!(table.is_empty());
 }
 
-/// A full table reports an unknown status for calls that it does not contain, and does not
-/// grow.
+/// A full fence table replies with an unknown status for calls that it does not contain,
+/// and does not grow.
 #[test]
 fn a_full_table_reports_unknown_for_calls_that_it_does_not_contain() {
     let mut table = FenceTable::new(Moment(0));
--- a/crates/rampthread-core/tests/overload/mod.rs
+++ b/crates/rampthread-core/tests/overload/mod.rs
@@ -1,5 +1,6 @@
 //! Simulation of a service under load: calls arrive, ask gate nodes in turn, wait, run or
-//! are rejected, and are retried. Time is simulated; all decisions are those of rampthread.
+//! are rejected, and are retried. Time is simulated; all decisions are made by the code of
+//! rampthread.
 
 use rampthread_core::call::acceptance::AcceptanceEstimator;
 use rampthread_core::call::admission::{
@@ -33,10 +34,11 @@
 /// Multiple of its maximum queueing time after which a waiting call is abandoned.
 const ABANDON_FACTOR: f64 = 1.5;
 
-/// Rule by which an entry node expects that another gate node runs the call at once.
+/// Rule by which an entry node decides whether to ask another gate node instead of letting
+/// the call wait.
 pub type AcceptanceRule = fn(&AcceptanceEstimator, &Zone, Moment) -> bool;
 
-/// Results of a simulation.
+/// Numbers of calls and attempts by result, over one simulation.
 #[derive(Debug, Default, Clone)]
 pub struct Results {
     pub calls: u32,
@@ -52,7 +54,7 @@
 }
 
 impl Results {
-    /// Adds one to the second of `now`.
+    /// Adds one to the count of the second that contains `now`.
     fn count(seconds: &mut Vec<u32>, now: Moment) {
         let second = (now.0 / 1_000_000) as usize;
         if seconds.len() <= second {
@@ -67,7 +69,7 @@
     (GATES as u32 * SLOTS) as f64 / MEAN_SERVICE_TIME.as_secs_f64()
 }
 
-/// An event of a call at a gate node.
+/// An event of a call: arrival, end or abandonment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives { call: u64 },
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Schedules an event.
+    /// Schedules `event` at the simulated time `moment`.
     fn schedule(&mut self, moment: Moment, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((moment, self.sequence, event)));
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Maximum queueing time; zero while another gate node is expected to accept the call.
+    /// Maximum queueing time of the call at a gate node; zero while another gate node is
+    /// expected to accept it.
     fn max_wait(&self, call: u64, others_likely: bool, now: Moment) -> Duration {
         if others_likely {
             return Duration::ZERO;
@@ -256,7 +259,7 @@
         }
     }
 
-    /// A call that waited too long leaves the queue.
+    /// A call that has waited until its abandonment leaves the queue of its gate node.
     fn handle_abandonment(&mut self, call: u64, gate: usize, now: Moment) {
         if self.callers[&call].waiting && self.gates[gate].cancel(call) {
             self.results.rejected_attempts += 1;
--- a/crates/rampthread-core/tests/precedence_properties.rs
+++ b/crates/rampthread-core/tests/precedence_properties.rs
@@ -53,8 +53,8 @@
 }
 
 proptest! {
-    /// Whatever their service times and order, no retry goes before a waiting first
-    /// attempt, and no call is lost.
+    /// No retry is served before a waiting first attempt, in any order of arrival and with
+    /// any service times, and each waiting call is served.
     #[test]
     fn first_attempts_go_before_retries(
         calls in prop::collection::vec((any::<bool>(), 1_u64..2_000), 1..40),
@@ -70,8 +70,9 @@
         prop_assert!(order.iter().map(|call| precedence_of(*call)).is_sorted());
     }
 
-    /// The age of a retry is derived from its timeout, whatever the timeout of first
-    /// attempts, with the short delay before a call is read.
+    /// The age of a retry (time since its caller's first attempt) is derived from its
+    /// timeout, for any timeout of first attempts, and with a short delay before a node
+    /// reads the call.
     #[test]
     fn the_age_of_a_call_is_learnt(
         first_ms in 500_u64..60_000,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A retry never waits longer than a first attempt would.
+    /// The maximum queueing time of a retry never exceeds that of a first attempt.
     #[test]
     fn retries_wait_no_longer_than_first_attempts(target_ms in 1_u64..10_000, service_time_ms in 0_u64..10_000) {
         let mut times = ServiceTimes::default();
--- a/crates/rampthread-core/tests/queueing_under_overload.rs
+++ b/crates/rampthread-core/tests/queueing_under_overload.rs
@@ -9,12 +9,12 @@
 use rampthread_core::time::Moment;
 use rstest::rstest;
 
-/// Asks another gate node while that is worth the query.
+/// Rule that asks another gate node while its probability of acceptance is worth the query.
 fn while_worth_asking(estimator: &AcceptanceEstimator, zone: &Zone, now: Moment) -> bool {
     estimator.should_ask(zone, now)
 }
 
-/// Asks another gate node while it most likely runs the call at once.
+/// Rule that asks another gate node only while it most likely runs the call at once.
 fn while_likely(estimator: &AcceptanceEstimator, zone: &Zone, now: Moment) -> bool {
     estimator.is_acceptance_likely(zone, now)
 }
@@ -27,7 +27,7 @@
     1.3
 }
 
-/// Eight seconds above capacity, eight below it.
+/// Load as a ratio of capacity: above capacity for eight seconds, then below it for eight.
 fn wave(second: u64) -> f64 {
     match second % 16 < 8 {
         true => 1.5,
@@ -58,9 +58,9 @@
     );
 }
 
-/// Minimum responses per second at this load, which is a ratio of capacity. Below full
-/// capacity, since a caller that waits at one gate node does not get a free slot of
-/// another.
+/// Minimum responses per second at this load, which is a ratio of capacity. The bound is
+/// below full capacity, since a call that waits at one gate node does not get a slot that
+/// becomes free at another.
 fn min_responses(load: f64) -> f64 {
     0.9 * load.min(1.0) * overload::capacity_per_second()
 }
@@ -86,7 +86,8 @@
     assert_eq!(after, 0, "rejected after the step");
 }
 
-/// However fast demand swings, each second serves the calls that arrive, up to capacity.
+/// However fast demand swings, in each second the calls that arrive are answered, up to
+/// capacity.
 #[rstest]
 fn waves_of_demand_start_no_oscillation(#[values(5, 10, 17, 30, 60)] period: u64) {
     let load = move |second: u64| {
--- a/crates/rampthread-core/tests/response_check.rs
+++ b/crates/rampthread-core/tests/response_check.rs
@@ -1,5 +1,6 @@
-//! Checks of backend responses with rampthread's own header names. `platform_promises` runs
-//! them with a platform's names and real processes.
+//! Checks of backend responses with rampthread's own header names. The test
+//! `platform_promises` runs the same checks with a platform's header names and real
+//! processes.
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use rampthread_core::call::dialect::CallDialect;
--- a/crates/rampthread-core/tests/retry_priority.rs
+++ b/crates/rampthread-core/tests/retry_priority.rs
@@ -1,6 +1,6 @@
 //! Which calls get retries while the backends of a service shed many calls: simulated load
-//! in which parents lose their work with a nested call, and limits that hold for any
-//! callers.
+//! in which a parent's work is lost if its nested call fails, and limits of the retry
+//! budget that hold for any callers.
 
 use proptest::prelude::*;
 use rampthread_core::call::attempts::{Attempts, NextStep, RetryBudget, RetryClass, RetryLimit};
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 const WINDOW: Duration = Duration::from_secs(10);
-/// Retries per call in the budget.
+/// Retries per call that the budget allows.
 const RATIO: f64 = 0.2;
 /// Ratio of arriving calls that the backends shed.
 const SHED_RATIO: f64 = 0.55;
@@ -84,7 +84,8 @@
     assert!(nested_first > first_come, "{nested_first} of {first_come}");
 }
 
-/// Calls from outside get a part of the retries, however many nested calls ask for one.
+/// Calls from outside get a share of the retries, however many nested calls ask for
+/// retries.
 #[test]
 fn callers_are_not_starved_of_retries() {
     let mut budget = RetryBudget::new(limit());
@@ -98,7 +99,7 @@
     assert!(of_callers >= 40, "{of_callers} of about 200");
 }
 
-/// If no nested call asks, calls from outside may use the whole budget.
+/// If no nested call asks for a retry, calls from outside may use the whole retry budget.
 #[test]
 fn without_nested_calls_callers_may_use_the_whole_budget() {
     let mut budget = RetryBudget::new(limit());
@@ -130,8 +131,8 @@
 }
 
 proptest! {
-    /// In every window the retries that reach backends stay within ratio and slack, whoever
-    /// asks and whatever is returned to the budget.
+    /// In every window the retries that reach backends stay within the ratio and slack of
+    /// the budget, for calls of any class and any retries returned to the budget.
     #[test]
     fn retries_stay_within_the_limit_in_every_window(
         steps in prop::collection::vec(
@@ -159,8 +160,8 @@
             if taken == 0 {
                 continue;
             }
-            // The window is counted in parts, so calls of one part more may add to the
-            // budget.
+            // The window is counted in ten parts, so the calls of one more part may count
+            // towards the budget.
             let reach = WINDOW + WINDOW / 10;
             let calls: u32 = made.iter().filter(|(at, ..)| inside(*at, reach)).map(|one| one.1).sum();
             prop_assert!(f64::from(arrivals) <= ratio * f64::from(calls) + slack + 1e-6);
--- a/crates/rampthread-core/tests/zone_spill.rs
+++ b/crates/rampthread-core/tests/zone_spill.rs
@@ -1,5 +1,5 @@
 //! Which zone calls go to, with simulated demand: demand swings in each zone independently,
-//! what is known of other zones is out of date, and all entry nodes decide at the same
+//! the load reports of other zones are out of date, and all entry nodes decide at the same
 //! time.
 
 use proptest::prelude::*;
@@ -36,8 +36,8 @@
     }
 }
 
-/// Calls that each zone serves, in slots, if all zones plan by `known` and their demand is
-/// `demand`.
+/// Calls that each zone serves, in slots, if all zones make their spill plans from `known`
+/// while their real demand is `demand`.
 fn served_by_zone(known: &[ZoneDemand], demand: &[f64]) -> Vec<f64> {
     let mut arriving = vec![0.0; demand.len()];
     for (index, asked) in demand.iter().enumerate() {
@@ -108,21 +108,21 @@
 
 /// Slots of each of two zones.
 const CAPACITY: f64 = 120.0;
-/// Calls, in slots, that may remain unserved beyond those of zones without spill, if demand
-/// swings faster than it is reported.
+/// Tolerated unserved calls, in slots, in addition to those of a simulation without spill.
+/// They occur if demand swings faster than it is reported.
 const SMALL_COST: f64 = 0.03 * CAPACITY;
-/// Slots that zones keep free for random variation: so many calls spill before a zone is
-/// full.
+/// Slots that zones keep free for random variation: calls are spilled when a zone has only
+/// these slots free.
 const SPARE_SLOTS: f64 = 11.0;
 
 /// Means over a simulation of two zones, in slots, whose demand swings with a phase between
-/// them. Each decides by reports of age `report_age`.
+/// them. Each zone makes its plan from reports of age `report_age`.
 struct Swing {
     unserved: f64,
     unavoidable: f64,
     crossing: f64,
     needed: f64,
-    /// Slots' worth of calls that were spilled in both directions at once.
+    /// Calls, in slots, that were spilled in both directions at the same time.
     both_ways: f64,
 }
 
@@ -220,7 +220,8 @@
     }
 }
 
-/// What zone 0 knows of zones 0 and 1, which have 100 slots each.
+/// Capacity and demand of zones 0 and 1, which have 100 slots each, as zone 0 knows them
+/// from `reports`.
 fn known(reports: &[ZoneLoad]) -> Option<Vec<ZoneDemand>> {
     let slots = [(zone(0), 100.0), (zone(1), 100.0)];
     zone_demands(&name("s"), &zone(0), &slots, reports)
@@ -284,8 +285,8 @@
     assert_eq!(SpillPlan::default().pick_zone(&mut rng), None);
 }
 
-/// A loaded backend reports its load, and goes on for a while after the load has fallen, so
-/// that its last report shows a low load.
+/// A loaded backend reports its load. It continues for a while after the load has fallen,
+/// so that its last report shows a low load.
 #[test]
 fn load_is_reported_while_it_is_high_and_a_while_after() {
     let mut average = LoadAverage::default();
@@ -317,8 +318,9 @@
     assert!(!loaded(report(1, 100, 100.0, 70.0)));
 }
 
-/// A meter after calls of two routes at 50 calls per second each, one with large bodies.
-fn metered() -> (DemandMeter, Moment) {
+/// A demand meter that has recorded calls of two routes at 50 calls per second each, one of
+/// them with large bodies.
+fn metered_demand() -> (DemandMeter, Moment) {
     let mut meter = DemandMeter::default();
     let (service, small, large) = (name("s"), name("small"), name("large"));
     let mut now = Moment(1_000_000);
@@ -334,7 +336,7 @@
 
 #[test]
 fn demand_is_calls_by_the_time_that_they_hold_a_slot() {
-    let (mut meter, now) = metered();
+    let (mut meter, now) = metered_demand();
     let slots = meter.slots(&name("s"), now);
     assert!((18.0..22.0).contains(&slots), "{slots}");
     let later = now + Duration::from_secs(2);
@@ -350,7 +352,7 @@
 /// most entry nodes call a route seldom.
 #[test]
 fn a_route_that_was_not_answered_yet_counts_like_its_service() {
-    let (mut meter, now) = metered();
+    let (mut meter, now) = metered_demand();
     let before = meter.slots(&name("s"), now);
     for _ in 0..10 {
         meter.record_request(&name("s"), &name("new"), 100, now);
@@ -373,7 +375,7 @@
     #[case] small: Option<f64>,
     #[case] large: Option<f64>,
 ) {
-    let (meter, now) = metered();
+    let (meter, now) = metered_demand();
     let chances = meter.spill_probabilities(&name("s"), away, now);
     let percent = |chance: Option<f64>| chance.map(|chance| (chance * 100.0).round());
     let found = |route| percent(chances.get(&name(route)).copied());
