--- a/crates/rampthread-http/src/pool.rs
+++ b/crates/rampthread-http/src/pool.rs
@@ -205,7 +205,7 @@
                 let keep_alive = keep_alive(response.headers());
                 Ok(response.map(|inner| PooledBody {
                     inner,
-                    pool_slot: Some(ActiveConnection {
+                    active_connection: Some(ActiveConnection {
                         sender,
                         address,
                         idle: self.idle.clone(),
@@ -303,14 +303,14 @@
 /// that no stale bytes reach another request.
 pub struct PooledBody {
     inner: Incoming,
-    pool_slot: Option<ActiveConnection>,
+    active_connection: Option<ActiveConnection>,
 }
 
 impl PooledBody {
     /// Closes the connection instead of returning it to the pool. For a peer whose response
     /// does not match the request.
     pub fn close_connection(mut self) {
-        self.pool_slot = None;
+        self.active_connection = None;
     }
 }
 
@@ -325,8 +325,8 @@
         let polled = Pin::new(&mut self.inner).poll_frame(context);
         let ended = matches!(polled, Poll::Ready(None))
             || (matches!(polled, Poll::Ready(Some(Ok(_)))) && self.inner.is_end_stream());
-        if ended && let Some(pool_slot) = self.pool_slot.take() {
-            pool_slot.return_connection();
+        if ended && let Some(active_connection) = self.active_connection.take() {
+            active_connection.return_connection();
         }
         polled
     }
@@ -343,9 +343,9 @@
 impl Drop for PooledBody {
     fn drop(&mut self) {
         if self.inner.is_end_stream()
-            && let Some(pool_slot) = self.pool_slot.take()
+            && let Some(active_connection) = self.active_connection.take()
         {
-            pool_slot.return_connection();
+            active_connection.return_connection();
         }
     }
 }
--- a/crates/rampthread-http/src/server/framing.rs
+++ b/crates/rampthread-http/src/server/framing.rs
@@ -19,7 +19,7 @@
     Chunked,
 }
 
-/// Next part of a request body.
+/// Result of one step of a [`BodyDecoder`].
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum BodyPiece {
     /// Body bytes, without the chunk framing.
--- a/crates/rampthread-http/src/server/pipeline.rs
+++ b/crates/rampthread-http/src/server/pipeline.rs
@@ -204,7 +204,7 @@
 }
 
 impl PipelineState {
-    /// Whether one more request may start beside those in progress.
+    /// Whether `limits` allow one more request beside those in progress.
     fn has_capacity(&self, limits: ConcurrencyLimits) -> bool {
         let waiting: u64 = self
             .started
--- a/crates/rampthread-node/src/calls/entry/attempt_loop.rs
+++ b/crates/rampthread-node/src/calls/entry/attempt_loop.rs
@@ -292,7 +292,7 @@
             {
                 Err(final_error(call_error, self.attempts.outcome()))
             }
-            // The request is suspected of crashing backends: a retry could crash another one.
+            // The request is quarantined: a retry could crash another backend.
             NextStep::Retry if quarantined => Err(final_error(call_error, self.attempts.outcome())),
             NextStep::Retry => {
                 self.count_retry();
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -165,7 +165,7 @@
     content: CallContent,
 }
 
-/// The backend selected for one attempt, and what was known about it.
+/// The backend selected for one attempt, and what this entry node knew about it then.
 struct SelectedBackend {
     node: NodeId,
     target: Target,
--- a/crates/rampthread-node/src/calls/gate/slot.rs
+++ b/crates/rampthread-node/src/calls/gate/slot.rs
@@ -24,13 +24,13 @@
 pub(super) struct Slot {
     gate: Arc<Gate>,
     started_at: Moment,
-    /// Time that the call was queued.
+    /// How long the call was queued before it got the slot.
     pub(super) waited: Duration,
     /// Set once the backend has responded to the call.
     response: Option<BackendResponse>,
 }
 
-/// A response of the backend, as recorded for its service time.
+/// What is recorded about the backend's response to a call, to measure service times.
 struct BackendResponse {
     route: ResourceName,
     /// False for a server error, whose duration says nothing about the backend's speed.
--- a/crates/rampthread-node/src/calls/peers.rs
+++ b/crates/rampthread-node/src/calls/peers.rs
@@ -113,7 +113,8 @@
         self.query_at(address, node, path, call_id, query).await
     }
 
-    /// Like [`Self::query`], for a node that was reached at `address` before.
+    /// Like [`Self::query`], but sends the query to `address`, at which `node` was reached
+    /// before.
     async fn query_at(
         &self,
         address: SocketAddr,
--- a/crates/rampthread-node/src/calls/request_content.rs
+++ b/crates/rampthread-node/src/calls/request_content.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct CallContent(Arc<RequestParts>);
 
-/// The parts that clones of a [`CallContent`] share.
+/// Request data that all clones of a [`CallContent`] share.
 #[derive(Debug, Default)]
 struct RequestParts {
     method: Method,
