--- a/crates/rampthread-core/src/fleet/backend_tracker.rs
+++ b/crates/rampthread-core/src/fleet/backend_tracker.rs
@@ -14,7 +14,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Maximum number of earlier incarnations kept, to detect their late reports.
+/// Maximum number of earlier backend incarnations that are remembered to detect their late
+/// reports.
 const MAX_RETIRED: usize = 64;
 /// Minimum time for which an apparently earlier incarnation must report, and the current one be
 /// silent, before it replaces the current one. Delayed reports arrive up to seconds late, but
@@ -60,7 +61,9 @@
 #[derive(Debug, Clone)]
 struct SupersedeCandidate {
     incarnation: InstanceId,
+    /// Time of the first report of this candidate.
     since: Moment,
+    /// Sequence number of its last report.
     sequence: u64,
 }
 
@@ -74,8 +77,8 @@
     departed: bool,
 }
 
-/// Knows which incarnation of the local backend is current, based on its reports to this node,
-/// and which incarnations preceded it.
+/// Determines from the local backend's reports which of its incarnations is current, and
+/// remembers the earlier ones.
 #[derive(Debug)]
 pub struct BackendTracker {
     /// Minimum silence of the current incarnation before another one may replace it.
@@ -130,7 +133,7 @@
 
     /// Restores the record of the local backend that an earlier run of this node has written to
     /// the store. Returns the record, or `None` if the backend's state is already known. Any
-    /// heartbeat of the same incarnation is newer.
+    /// later heartbeat of the same incarnation replaces it.
     pub fn restore(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         match self.current {
             None => self.set_restored_record(record),
@@ -149,7 +152,8 @@
     }
 
     /// Makes a record from an earlier run of this node the current one, unless its incarnation
-    /// is known to have ended. Heartbeats of any sequence number are newer.
+    /// is known to have ended. Any later heartbeat replaces it, whatever its
+    /// sequence number.
     fn set_restored_record(&mut self, record: EndpointRecord) -> Option<EndpointRecord> {
         if self.is_retired(&record.instance) {
             return None;
--- a/crates/rampthread-core/src/fleet/crash_table.rs
+++ b/crates/rampthread-core/src/fleet/crash_table.rs
@@ -19,15 +19,15 @@
 /// Maximum number of requests in the table: 50 crashes with 18 concurrent calls each, in 200
 /// kB. Beyond that, the requests with the fewest crashes are evicted, oldest first.
 pub const MAX_SUSPECTS: usize = 1_024;
-/// Maximum number of crashes kept per request: two before its first trial, and more than lead
-/// to the longest quarantine.
+/// Maximum number of crashes kept per request. Two precede its first quarantine trial, and the
+/// others are more than the longest quarantine requires.
 const MAX_CRASHES: usize = 9;
 
 /// Age from which peers reconcile any report. Younger reports may still be on their way to all
 /// peers.
 const SETTLED_AGE: Duration = Duration::from_secs(1);
-/// Age up to which peers reconcile any report. A node that missed a report learns it within a
-/// few probes, and peers need not expire it at the same moment.
+/// Age up to which peers reconcile any crash report. This suffices, since a node that missed a
+/// report gets it within a few probes. Older reports need not expire on all peers at once.
 const COMPARED_AGE: Duration = Duration::from_secs(10);
 
 /// Report of a backend that crashed while it ran a request.
@@ -72,10 +72,13 @@
 #[derive(Debug, Clone, Copy)]
 struct StoredCrash {
     at: Moment,
+    /// True if the crash happened in a quarantine trial of the request.
     on_trial: bool,
+    /// True if the report was cleared and no longer counts.
     cleared: bool,
 }
 
+/// Crashes that one request caused, by crashed backend incarnation.
 type CrashesByInstance = BTreeMap<InstanceId, StoredCrash>;
 
 /// Crash reports known to this node, by request and crashed incarnation.
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -23,14 +23,16 @@
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Pause before the next pull if the last pull returned no new versions.
 const EMPTY_PULL_PAUSE: Duration = Duration::from_millis(50);
-/// Interval between polls in [`DistributionMode::PollReader`].
+/// Interval at which each node polls a log reader in [`DistributionMode::PollReader`].
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Round of notices in which a node that read a document from the store also notifies other
-/// zones. One round after its own zone, since most zones have a watcher of their own.
+/// zones, counted from 0. It comes one round after that for the node's own zone, since most
+/// zones have a document watcher of their own.
 const OTHER_ZONE_NOTICE_ROUND: u32 = 1;
 
-/// Rounds of notices if fewer peers are known in the zone than are notified per round. At a
+/// Minimum number of rounds of notices for a version if a node knows fewer peers in its zone
+/// than it would notify per round. At a
 /// message loss of 30 %, a peer misses all of three notices in 27 of 1,000 cases, and all of
 /// eight in 7 of 100,000.
 const MIN_ROUNDS_FEW_PEERS: u32 = 8;
@@ -38,6 +40,7 @@
 /// Pull that this node has sent to a peer and that has no reply yet.
 #[derive(Debug)]
 struct PendingPull {
+    /// Time at which the pull was sent.
     sent: Moment,
 }
 
@@ -125,9 +128,10 @@
         }
     }
 
-    /// Sends the pull to a second peer after a timeout: at a message loss of 30 %, one exchange
-    /// fails in half of the cases, two in a quarter. A request for the full configuration is not
-    /// repeated, since the configuration would be transferred twice.
+    /// Sends the pull also to a second peer after a timeout. At a message loss of 30 %, half of
+    /// the pulls get no reply; with two peers, both fail in a quarter of the cases. A request
+    /// for the full configuration is not repeated, since the configuration would be transferred
+    /// twice.
     fn pull_from_second(
         &self,
         first: &NodeId,
--- a/crates/rampthread-core/src/fleet/document_history.rs
+++ b/crates/rampthread-core/src/fleet/document_history.rs
@@ -11,8 +11,8 @@
 /// them.
 const KEPT_STATES: usize = 16;
 
-/// The newest states of the configuration document, from which replies to lagging peers are
-/// made.
+/// The newest states of the configuration document, oldest first. Replies to lagging peers are
+/// made from them.
 #[derive(Debug, Default)]
 pub struct DocumentHistory {
     states: VecDeque<Arc<ConfigState>>,
--- a/crates/rampthread-core/src/fleet/load.rs
+++ b/crates/rampthread-core/src/fleet/load.rs
@@ -109,7 +109,7 @@
     pub tenants: Vec<TenantLoad>,
 }
 
-/// Sum of the reports of one zone.
+/// Sum of the load reports of one zone's nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneLoad {
     /// Name of the zone.
--- a/crates/rampthread-core/src/fleet/load_exchange.rs
+++ b/crates/rampthread-core/src/fleet/load_exchange.rs
@@ -23,8 +23,9 @@
 /// Minimum interval between the load messages that one node sends. The demand of callers changes
 /// over seconds.
 const MIN_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval per member of the zone, if that makes more than [`MIN_INTERVAL`]. It limits an
-/// aggregator to 125 reports per second.
+/// Interval between load messages of one node, divided by the number of members of its zone. It
+/// applies if the product exceeds [`MIN_INTERVAL`], and limits an aggregator to 125 reports per
+/// second.
 const INTERVAL_PER_MEMBER: Duration = Duration::from_millis(8);
 /// Number of intervals for which a report is valid, and after which a silent aggregator is
 /// skipped. Two consecutive messages may be lost.
@@ -32,7 +33,8 @@
 /// Number of members of each other zone to which an aggregator sends the load of its zone. More
 /// than one, since one may have failed unnoticed.
 const RECEIVERS_PER_OTHER_ZONE: usize = 2;
-/// Maximum number of tenants per message: those with the highest request rates.
+/// Maximum number of tenants in a load message. Those with the highest request rates are
+/// included.
 pub const MAX_TENANTS: usize = 256;
 
 /// Returns the interval between messages of one node in a zone with `members` members.
@@ -43,7 +45,9 @@
 /// A load report or a zone's load, with the time of its measurement by this node's clock.
 #[derive(Debug, Clone)]
 struct Timestamped<T> {
+    /// Load report or load of a zone.
     value: T,
+    /// Time of the measurement by this node's clock.
     at: Moment,
 }
 
@@ -71,7 +75,7 @@
 }
 
 impl LoadExchange {
-    /// Sets this node's own report. It expires after some intervals unless it is set again.
+    /// Sets this node's own load report. It expires after some intervals unless it is set again.
     pub fn set_own_report(&mut self, report: LoadReport, now: Moment) {
         let report = LoadReport {
             tenants: highest_rates(report.tenants),
@@ -92,8 +96,8 @@
         self.zones.values().map(aged).collect()
     }
 
-    /// Sends this node's report to the aggregator or, if this node is the aggregator, the sums
-    /// to the other nodes, once per interval.
+    /// Sends load messages once per interval: this node's report to the aggregator or, if this
+    /// node is the aggregator, the sums of the reports to the other nodes.
     pub fn tick(&mut self, now: Moment, membership: &Membership, outbox: &mut Outbox) {
         if now < self.due {
             return;
@@ -127,7 +131,7 @@
         outbox.send(aggregator, Message::LoadReport(report));
     }
 
-    /// Stores the report of a member of this zone.
+    /// Stores the load report of a member of this zone.
     pub fn on_report(
         &mut self,
         from: &NodeId,
--- a/crates/rampthread-core/src/fleet/membership/member_entry.rs
+++ b/crates/rampthread-core/src/fleet/membership/member_entry.rs
@@ -40,7 +40,8 @@
     }
 
     /// Returns the backend that stays known when `next` replaces this record. A run that has
-    /// just started does not know its backend yet. One that is ready has dropped it.
+    /// just started may not know its backend yet, so the previous one is kept. A ready run without
+    /// a backend has none.
     pub(super) fn previous_backend_after(&self, next: &MemberRecord) -> Option<EndpointRecord> {
         let begins = next.endpoint.is_none() && !next.conditions.ready;
         let known = self
--- a/crates/rampthread-core/src/fleet/membership/mod.rs
+++ b/crates/rampthread-core/src/fleet/membership/mod.rs
@@ -29,15 +29,16 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Maximum of the local health score, which rises when this node seems slow itself.
+/// Maximum of the local health score. A higher score means that this node is slower and extends
+/// its timeouts more.
 const MAX_LOCAL_HEALTH: u32 = 8;
 /// Maximum number of probes that this node sends on behalf of peers and that still await an ack.
 const MAX_PENDING_RELAYS: usize = 64;
-/// Transmissions deducted from an update when a peer sends it back (rumor mongering with
-/// feedback, Demers et al. 1987).
+/// Number by which the remaining transmissions of an update are reduced when a peer sends the
+/// same update to this node (rumor mongering with feedback, Demers et al. 1987).
 const DUPLICATE_UPDATE_COST: u32 = 2;
-/// Number of member records of nodes that can read the store, sent to a node that has no version
-/// yet.
+/// Maximum number of member records of nodes that can read the store in the ack to a member
+/// without a configuration version.
 const READER_RECORDS_COUNT: usize = 3;
 /// Number of consecutive messages from peers with an identical table after which updates are no
 /// longer repeated.
@@ -45,10 +46,10 @@
 /// Maximum number of members in the own zone that are notified of a departure.
 const MAX_DEPARTURE_NOTICES: usize = 64;
 /// Number of members per other zone that are notified of a departure. The notices are not
-/// repeated, since the process ends. With three of them, two may be lost.
+/// repeated, since the process of the departing node ends. With three of them, two may be lost.
 const DEPARTURE_NOTICES_PER_ZONE: usize = 3;
 
-/// Probe of another member that awaits its ack.
+/// Direct probe of another member by this node that has no ack yet.
 #[derive(Debug)]
 struct PendingProbe {
     target: NodeId,
@@ -59,11 +60,14 @@
     retries: u32,
 }
 
-/// Probe on behalf of a peer that awaits its ack.
+/// Probe that this node has sent on behalf of a peer and that has no ack yet.
 #[derive(Debug)]
 struct RelayedProbe {
+    /// Peer on whose behalf this node probes.
     requester: NodeId,
+    /// Sequence number under which the requester expects the ack.
     requester_sequence: u64,
+    /// Sequence number of this node's probe.
     sequence: u64,
     expires: Moment,
 }
@@ -72,47 +76,56 @@
 #[derive(Debug)]
 pub struct Membership {
     me: MemberRecord,
-    /// Incarnation at the start of this run. Records below it are of an earlier run.
+    /// Incarnation of this node at the start of this run. Records of this node with a lower one
+    /// are of an earlier run.
     first_incarnation: Incarnation,
     /// Record of an earlier run of this node, received from a peer.
     previous_run: Option<MemberRecord>,
     members: BTreeMap<NodeId, MemberEntry>,
-    /// Updates to gossip within the zone, with the remaining transmissions.
+    /// Members whose updates are gossiped within the zone, each with its remaining transmissions.
     updates: BTreeMap<NodeId, u32>,
-    /// Updates to send directly to the whole zone, since this node is among the first in the
-    /// zone to know them.
+    /// Members whose updates this node sends directly to peers in the zone, since it is among the
+    /// first in the zone to know them.
     urgent: BTreeSet<NodeId>,
     /// Backend departures that this node has to forward to other members at once.
     pending_forwards: Vec<PendingForward>,
-    /// Maximum number of members to which updates are sent directly.
+    /// Maximum number of peers in the zone to which an update is sent directly.
     direct_update_fanout: usize,
-    /// Changes first seen by this node, with the remaining rounds of sending them to other
-    /// zones.
+    /// Members whose change this node was the first to see, each with the remaining rounds of
+    /// sending the update to other zones.
     other_zone_updates: BTreeMap<NodeId, u32>,
     /// Number of known members in this node's zone, including itself, whatever their status.
     zone_size: usize,
     /// Other zones known to this node.
     known_zones: BTreeSet<Zone>,
+    /// Members of this zone that are still to be probed in the current round; the last one is
+    /// next.
     probe_order: Vec<NodeId>,
+    /// Direct probe of this node that has no ack yet.
     probe: Option<PendingProbe>,
+    /// Probes on behalf of peers that have no ack yet.
     relays: Vec<RelayedProbe>,
+    /// Sequence number of this node's last probe.
     sequence: u64,
+    /// Local health score, by which this node extends its timeouts.
     local_health: u32,
     next_probe: Moment,
     next_rejoin: Moment,
     next_sync: Moment,
     next_gossip: Moment,
+    /// Digest of the member table.
     digest: u64,
     /// Incremented with every change of the member table, so that derived data can be cached.
     revision: u64,
+    /// Peer whose last message had a different table digest.
     differing_peer: Option<NodeId>,
     /// Consecutive comparisons of member tables after which the tables still differed, while
     /// there were no updates to send.
     ineffective_comparisons: usize,
     /// Number of consecutive messages whose sender had an identical table.
     matching_digests: u32,
-    /// Multiplied with the decimal logarithm of the zone's size gives the transmissions of one
-    /// update.
+    /// Maximum number of transmissions of one update by this node, divided by the decimal
+    /// logarithm of the zone's size.
     retransmit_multiplier: f64,
 }
 
@@ -125,7 +138,7 @@
     /// A member of another zone sent the change. Other members of this zone may not know it
     /// yet.
     OtherZone,
-    /// A member of this zone sent the change, or all nodes observe it by themselves.
+    /// A member of this zone sent the change, or every node detects it without an update.
     SameZone,
 }
 
@@ -236,8 +249,8 @@
         self.refresh_digest();
     }
 
-    /// Extends a timeout if this node seems slow itself, so that it does not suspect others for
-    /// its own delays.
+    /// Returns a timeout extended by the local health score, so that a slow node does not suspect
+    /// other members because of its own delays.
     fn scaled_timeout(&self, base: Duration) -> Duration {
         base * (1 + self.local_health)
     }
@@ -249,7 +262,7 @@
     }
 
     /// Resets all running timeouts after this process was suspended, so that no member is
-    /// blamed for the gap.
+    /// declared dead because of messages missed in that time.
     pub fn reset_after_freeze(&mut self, now: Moment) {
         self.probe = None;
         self.relays.clear();
--- a/crates/rampthread-core/src/fleet/membership/probes.rs
+++ b/crates/rampthread-core/src/fleet/membership/probes.rs
@@ -12,17 +12,18 @@
 use rand::Rng;
 use rand::seq::{IteratorRandom, SliceRandom};
 
-/// Maximum number of repeats of an unanswered probe within its interval.
+/// Maximum number of times that an unanswered probe is repeated before the next probe is due.
 const PROBE_RETRIES: u32 = 2;
-/// Number of members of the own zone contacted at the start. With a third of all members down,
-/// at least one answers in 99 of 100 cases.
+/// Number of members of this node's zone that it probes after its start. If a third of all
+/// members are down, at least one of them answers in 99 of 100 cases.
 const FIRST_CONTACT_COUNT: usize = 4;
-/// Share of probes sent to another zone while a member there is suspect, so that the loss of a
-/// whole zone is detected within a few rounds.
+/// Share of this node's probes that go to other zones with a suspect member, if there are any.
+/// Thus the loss of a whole zone is detected within a few rounds of probes.
 const SUSPECT_ZONE_PROBE_RATIO: f64 = 0.5;
 
 impl Membership {
-    /// Repeats the pending probe or, at its end, marks the member as suspect.
+    /// Repeats the pending probe after each timeout, and marks its target as suspect if no ack
+    /// arrived within the probe interval.
     pub(super) fn check_probe(
         &mut self,
         now: Moment,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Declares members dead that stayed suspect until the timeout.
+    /// Declares members dead that stayed suspect for the suspicion timeout.
     pub(super) fn expire_suspects(
         &mut self,
         now: Moment,
@@ -111,7 +112,7 @@
             .collect();
         for record in expired {
             // All nodes that know of the suspicion declare the member dead by themselves, so
-            // the update is treated as one that the zone knows.
+            // this node treats the update as already known in its zone.
             self.merge_record(record, UpdateOrigin::SameZone, now, outbox);
         }
     }
@@ -174,7 +175,8 @@
         None
     }
 
-    /// Probes dead members, so that regions find each other again after a network partition.
+    /// Probes listed members that are considered dead, so that the sides of a network partition
+    /// find each other again when it ends.
     pub(super) fn try_rejoin(
         &mut self,
         held: Version,
@@ -186,7 +188,8 @@
         dead = dead
             .into_iter()
             .choose_multiple(rng, settings.rejoin_fanout);
-        // The members of this zone share the attempts to reach other zones.
+        // All members of this zone together probe about `rejoin_fanout` members of other zones
+        // per rejoin interval.
         let share = settings.rejoin_fanout as f64 / self.zone_size as f64;
         if rng.random_bool(share.min(1.0)) {
             dead.extend(self.unreachable_members(false).into_iter().choose(rng));
@@ -200,8 +203,8 @@
         }
     }
 
-    /// Returns the listed unreachable members: those in this zone if `same_zone`, otherwise those in
-    /// other zones.
+    /// Returns the listed members that are unreachable: those in this node's zone if `same_zone`
+    /// is true, otherwise those in other zones.
     fn unreachable_members(&self, same_zone: bool) -> Vec<NodeId> {
         self.members
             .values()
@@ -259,8 +262,8 @@
         })
     }
 
-    /// Probes some members after this node has learned the first members: they answer with
-    /// their versions and with what they know of its previous run.
+    /// Probes some members as soon as this node knows any. Their acks contain their configuration
+    /// versions and what they know of this node's previous run.
     pub fn contact_first_peers(
         &mut self,
         held: Version,
--- a/crates/rampthread-core/src/fleet/membership/reconcile.rs
+++ b/crates/rampthread-core/src/fleet/membership/reconcile.rs
@@ -12,9 +12,9 @@
 
 /// Maximum number of records per reply. The next comparison continues with the rest.
 const MAX_RECORDS: usize = 256;
-/// Maximum number of additional peers whose member tables are compared at once. At a message
-/// loss of 30 %, half of the comparisons get a reply; with four of them, at least one does in 93
-/// of 100 cases.
+/// Maximum number of additional peers with which this node compares its member table at once. At
+/// a message loss of 30 %, half of the comparisons get a reply. With four peers in total, at
+/// least one replies in 93 of 100 cases.
 const MAX_ADDITIONAL_PEERS: usize = 3;
 
 impl Membership {
--- a/crates/rampthread-core/src/fleet/membership/relays.rs
+++ b/crates/rampthread-core/src/fleet/membership/relays.rs
@@ -12,17 +12,19 @@
 use crate::ids::{NodeId, Version};
 use crate::rendezvous;
 
-/// Backend departures that this node has to forward, and the receivers.
+/// Backend departures that this node has to forward to other members.
 #[derive(Debug)]
 pub(super) struct PendingForward {
+    /// Members whose backends departed.
     departures: Vec<NodeId>,
+    /// Members to which the departures are forwarded.
     targets: Vec<NodeId>,
 }
 
 impl Membership {
-    /// Returns the members that get a batch of updates first and forward its departures,
-    /// `direct` of them at most. `None` if nothing has to be forwarded: the batch contains no
-    /// departure, or this node sends it to all members of the zone.
+    /// Returns the members that get a batch of updates first, at most `direct` of them. They
+    /// forward the departures in it to the rest of the zone. Returns `None` if nothing has to be
+    /// forwarded: the batch contains no departure, or this node sends it to the whole zone.
     pub(super) fn forwarders_for(
         &self,
         batch: &[MemberRecord],
--- a/crates/rampthread-core/src/fleet/membership/updates.rs
+++ b/crates/rampthread-core/src/fleet/membership/updates.rs
@@ -14,7 +14,8 @@
 /// of 30 %, 1 of 1,000 zones misses all of them and learns of the change from the next probe
 /// between zones.
 const OTHER_ZONE_ROUNDS: u32 = 3;
-/// Maximum number of messages per receiver and round when many members change at once.
+/// Maximum number of messages with member updates that one receiver gets per gossip round, if
+/// many members change at once.
 const BATCHES_PER_ROUND: usize = 4;
 /// Number of members per other zone that get an update in a round.
 const OTHER_ZONE_FANOUT: usize = 2;
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Takes up to `count` updates that all of the zone must get.
+    /// Removes and returns up to `count` of the updates that this node sends directly to its zone.
+    /// They are still gossiped, one transmission less.
     fn take_urgent(&mut self, count: usize) -> Vec<MemberRecord> {
         let taken: Vec<NodeId> = self.urgent.iter().take(count).cloned().collect();
         for id in &taken {
@@ -237,8 +239,8 @@
         count_down(&mut self.updates, id, DUPLICATE_UPDATE_COST);
     }
 
-    /// Returns how often an update is sent, so that it reaches the whole zone with high
-    /// probability.
+    /// Returns the number of times that this node sends an update, so that it reaches the whole
+    /// zone with high probability.
     pub(super) fn transmissions(&self) -> u32 {
         let size = self.zone_size + 1;
         (self.retransmit_multiplier * (size as f64).log10()).ceil() as u32
--- a/crates/rampthread-core/src/fleet/membership/zones.rs
+++ b/crates/rampthread-core/src/fleet/membership/zones.rs
@@ -8,7 +8,8 @@
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
 
-/// Share of queries sent to another zone, in case all members of the own zone are outdated.
+/// Share of this node's queries that go to a peer in another zone, since all members of its own
+/// zone may have outdated data.
 const OTHER_ZONE_QUERY_RATIO: f64 = 0.25;
 
 impl Membership {
@@ -50,7 +51,7 @@
         targets
     }
 
-    /// Returns a random peer for a query that most members can answer. Prefers this node's
+    /// Returns a random peer for a query that most members can answer, mostly one in this node's
     /// zone.
     pub fn random_peer_preferring_zone(&self, rng: &mut impl Rng) -> Option<NodeId> {
         let same_zone = self.same_zone_peers().cloned().choose(rng);
@@ -67,8 +68,8 @@
         zone.into_iter().choose(rng).cloned()
     }
 
-    /// Returns a random live peer of another zone that has a suspect member, since the whole
-    /// zone may be unreachable.
+    /// Returns a random alive peer in another zone that has a suspect member. A probe of this peer
+    /// shows whether the whole zone is unreachable.
     pub(super) fn peer_of_suspect_zone(&self, rng: &mut impl Rng) -> Option<NodeId> {
         let suspect_zone = self
             .reachable_peers()
@@ -82,7 +83,7 @@
         peers.map(|peer| peer.id.clone()).choose(rng)
     }
 
-    /// Counts the known members of this node's zone again.
+    /// Updates the number of known members in this node's zone.
     pub(super) fn recount_zone(&mut self) {
         let in_zone = |member: &&MemberEntry| member.record.zone == self.me.zone;
         self.zone_size = 1 + self.members.values().filter(in_zone).count();
--- a/crates/rampthread-core/src/fleet/message.rs
+++ b/crates/rampthread-core/src/fleet/message.rs
@@ -100,7 +100,7 @@
     pub held_by: u32,
     /// Number of all reachable nodes.
     pub nodes: u32,
-    /// Some reachable nodes that do not hold the newest version. The length is limited.
+    /// Reachable nodes that do not hold the newest version, up to a limited number.
     pub lagging: Vec<LaggingNode>,
 }
 
--- a/crates/rampthread-core/src/fleet/proposals.rs
+++ b/crates/rampthread-core/src/fleet/proposals.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which an unanswered proposal is sent again.
+/// Time after which an unanswered proposal is sent to a log reader again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 /// Time for which a proposal waits until this node knows a log reader.
 const READER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -27,10 +27,14 @@
 #[derive(Debug)]
 struct PendingProposal {
     ticket: Ticket,
+    /// Sequence number that identifies the proposal at this node.
     submission: u64,
+    /// Encoded log entry.
     entry: SharedBytes,
     submitted_at: Moment,
+    /// Log reader to which the proposal was last sent, and the run of that node.
     target: Option<(NodeId, ProcessEpoch)>,
+    /// Time at which the proposal was last sent to a log reader.
     sent: Moment,
     /// True if the proposal was sent to more than one log reader or to several runs of one.
     sent_to_several: bool,
@@ -39,7 +43,9 @@
 /// Proposals submitted by operators at this node that have no outcome yet.
 #[derive(Debug)]
 pub struct ProposalForwarder {
+    /// Proposals without an outcome.
     open: Vec<PendingProposal>,
+    /// Sequence number of the next proposal.
     next_submission: u64,
 }
 
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -16,7 +16,7 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Renewals per time to live of a lease on a reader slot.
+/// Number of renewals of a lease on a reader slot within its time to live.
 const RENEWALS_PER_TTL: u32 = 3;
 /// Rendezvous key of the members that may acquire a lease on a reader slot.
 const CANDIDATE_KEY: &str = "store-reader";
@@ -477,7 +477,8 @@
         }
     }
 
-    /// Exponential backoff with full jitter, but at least the delay requested by the store.
+    /// Delays further store requests by an exponential backoff with full jitter, and at least by
+    /// the delay that the store requested.
     fn back_off(
         &mut self,
         requested_delay: Option<Duration>,
--- a/crates/rampthread-core/src/fleet/settings.rs
+++ b/crates/rampthread-core/src/fleet/settings.rs
@@ -3,16 +3,17 @@
 use crate::rollout::RolloutBounds;
 use std::time::Duration;
 
-/// Settings of one agent. The defaults fit 430 nodes within 4 KB/s per node; `docs/CAPACITY.md`
-/// has the calculation.
+/// Settings of the control protocol for the agent of one node. The defaults fit 430 nodes
+/// within 4 KB/s per node; `docs/CAPACITY.md` has the calculation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetSettings {
-    /// Interval between direct probes.
+    /// Interval at which this node probes another member directly.
     pub probe_interval: Duration,
-    /// Time without an ack after which this node asks other members to probe the target on its
-    /// behalf.
+    /// Time without an ack to a direct probe after which this node asks other members to probe
+    /// the target on its behalf.
     pub probe_timeout: Duration,
-    /// Number of peers asked to probe on this node's behalf.
+    /// Number of peers that are asked to probe a member that did not answer this node's direct
+    /// probe.
     pub indirect_probes: usize,
     /// Minimum time for which a member stays suspect before it is declared dead.
     pub suspicion_timeout: Duration,
@@ -23,22 +24,24 @@
     pub sync_interval: Duration,
     /// Maximum number of member updates per datagram.
     pub updates_per_message: usize,
-    /// If the gap between two ticks of the agent is longer than this, the process counts as
+    /// Gap between two ticks of the agent above which the process is assumed to have been
     /// suspended or starved of CPU.
     pub freeze_threshold: Duration,
-    /// Number of peers notified of a new version per round.
+    /// Number of peers that a node notifies of a new configuration version per round of notices.
     pub notice_fanout: usize,
-    /// Rounds of notices that a node sends for a new version.
+    /// Number of rounds of notices that a node sends for a new configuration version.
     pub notice_rounds: u32,
-    /// Interval between rounds of notices.
+    /// Interval between rounds of notices of a new configuration version.
     pub notice_interval: Duration,
-    /// Largest log entry sent within a notice, in bytes. 0 disables inlining.
+    /// Maximum size in bytes of a log entry that is included in the notice of its version. With
+    /// 0, notices contain no entries.
     pub max_inline_entry_bytes: usize,
-    /// Maximum number of pulls that a node serves per second.
+    /// Maximum number of pulls (requests of peers for missing versions) that a node serves per
+    /// second.
     pub pulls_per_second: u32,
     /// Time after which an unanswered pull is sent to another peer.
     pub pull_timeout: Duration,
-    /// Maximum number of log entries kept in memory for lagging peers.
+    /// Maximum number of log entries kept in memory for peers with an older version.
     pub max_retained_entries: usize,
     /// Number of nodes that read the log in the store, each with a lease on a reader slot.
     pub reader_count: usize,
@@ -62,8 +65,8 @@
     pub query_retry_interval: Duration,
     /// Time after which the outcome of a proposal is reported as unknown.
     pub proposal_timeout: Duration,
-    /// Maximum wait for other nodes to hold an accepted version before the proposal is
-    /// answered.
+    /// Maximum time for which the answer to an accepted proposal is delayed until
+    /// [`FleetSettings::replication_count`] other nodes hold its version.
     pub replication_wait: Duration,
     /// Number of other nodes that must hold a version before its proposal is answered as
     /// accepted.
@@ -72,12 +75,13 @@
     pub distribution: DistributionMode,
     /// Origin of configuration versions.
     pub source: ConfigSource,
-    /// Time that a node leaves its peers to deliver a newer document before it reads the store
-    /// itself.
+    /// Time for which a node waits for a newer document from its peers before it reads the
+    /// document from the store itself.
     pub document_read_delay: Duration,
-    /// Time for which a backend known from an earlier run of this node counts without a
-    /// heartbeat. It must stay below the time within which a departing backend stops getting
-    /// work: the backend may have deregistered at the previous run just before that ended.
+    /// Time for which a backend known only from an earlier run of this node is considered
+    /// registered without a heartbeat. The backend may have deregistered just before that run
+    /// ended, so this must be shorter than the time within which a departing backend stops
+    /// getting work.
     pub unconfirmed_backend_ttl: Duration,
     /// Interval between heartbeats of a backend.
     pub heartbeat_interval: Duration,
@@ -108,17 +112,19 @@
     Document,
 }
 
-/// How versions get from the readers to the other nodes.
+/// How configuration versions get from the log readers to the other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DistributionMode {
-    /// Notices to random peers; nodes that lag pull the missing entries.
+    /// Nodes send notices of a new version to random peers. Nodes with an older version pull
+    /// the missing log entries.
     Gossip,
-    /// Baseline for comparison: every node polls a reader once a second.
+    /// Every node polls a log reader once a second. Serves as the baseline in experiments.
     PollReader,
 }
 
-/// Well below the 2 s within which a version must be active, and long enough for two rounds of
-/// notices and a pull.
+/// Time for which a node waits for a newer document from its peers before it reads the store.
+/// Long enough for two rounds of notices and a pull, and well below the 2 s within which a
+/// version must be active.
 const DOCUMENT_READ_DELAY: Duration = Duration::from_millis(600);
 
 impl FleetSettings {
--- a/crates/rampthread-core/src/fleet/store_watch.rs
+++ b/crates/rampthread-core/src/fleet/store_watch.rs
@@ -21,19 +21,20 @@
 
 /// Rendezvous key for the selection of document watchers.
 const WATCHERS_KEY: &str = "document watchers";
-/// Minimum number of document watchers, even if the store is slow for them. The number is small
-/// because a burst of versions saturates the links of the watchers, and large enough for one or
-/// two of them to fail.
+/// Minimum number of document watchers, even if the store does not answer all of them. With four,
+/// one or two may fail. There are not more because a burst of versions saturates the network
+/// links of all watchers.
 const MIN_WATCHERS: usize = 4;
-/// Maximum wait of a watch per document watcher. What matters is when the first watch of any
-/// watcher ends after the store stopped answering: with eight watchers within 0.7 s in 998 of
-/// 1,000 cases. Together they make 6.4 store calls a second.
+/// Maximum wait of a watch, divided by the number of document watchers. An outage of the store
+/// is noticed when the first watch of any watcher ends: with eight watchers, within 0.7 s in 998
+/// of 1,000 cases. Together, eight watchers make 6.4 store calls a second.
 const MAX_WAIT_PER_WATCHER: Duration = Duration::from_millis(250);
 /// Lower bound for the maximum wait of a watch when there are few document watchers. It leaves
 /// half of the 2 s within which a version must be active.
 const MIN_MAX_WAIT: Duration = Duration::from_secs(1);
-/// Minimum wait of a watch as a share of the maximum. Each wait is random, since a new version
-/// ends all watches at once and they must not stay synchronized.
+/// Ratio of the minimum to the maximum wait of a watch. The wait is random between them: a new
+/// version ends the watches of all watchers at once, and their next watches must not end
+/// together too.
 const MIN_WAIT_RATIO: f64 = 0.25;
 /// Minimum timeout of a store call, on top of the requested wait. Twice the latency of a slow
 /// store; it leaves 1.6 s of the 2 s within which a version must be active.
@@ -42,15 +43,15 @@
 const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Ratio of the timeout of a store call to the latency of the last one.
 const TIMEOUT_LATENCY_RATIO: u32 = 2;
-/// Lower bound of the timeout of store calls as a share of the previous timeout. After a fast
-/// answer the timeout thus falls gradually.
+/// Minimum ratio of the timeout of a store call to the previous timeout, so that the timeout
+/// falls gradually after a fast answer.
 const TIMEOUT_DECAY: f64 = 0.8;
 /// Time after a failed store call for which a node does not count as reachable by the store,
 /// even if calls succeed, so that the set of document watchers does not flap.
 const FAILURE_HOLD: Duration = Duration::from_secs(5);
-/// Number of nodes that a document watcher asks for a hedged store call after a failure. If 85
-/// % of the nodes get no answers, some of them succeed in 93 of 100 cases; eight watchers fail
-/// within moments of each other.
+/// Number of nodes that a document watcher asks for a hedged store call after its own call
+/// failed. If the store does not answer 85 % of the nodes, eight watchers fail almost at once,
+/// and at least one of the nodes they ask gets an answer in 93 of 100 cases.
 const HEDGES_PER_FAILURE: usize = 16;
 /// Minimum interval between hedged store calls of one node, since many document watchers fail
 /// one after the other in an outage. A request during the interval is delayed, not dropped,
@@ -63,29 +64,34 @@
 /// Longer than it takes to replace all document watchers that lost the store.
 const HEDGE_WATCH_DURATION: Duration = Duration::from_secs(5);
 
-/// Interval per node between attempts of nodes without answers to call the store again:
-/// together these nodes make four calls a second, whatever their number.
+/// Mean interval at which a node without answers from the store calls it again, divided by the
+/// number of such nodes. Together they make four calls a second, whatever their number.
 const RETRY_INTERVAL_PER_NODE: Duration = Duration::from_millis(250);
 /// Replaces [`RETRY_INTERVAL_PER_NODE`] while fewer than [`MIN_WATCHERS`] nodes get answers from
 /// the store. Otherwise no node might see a new version for a long time. If 15 % of the nodes
 /// are served again, one of 20 calls a second succeeds within 1.5 s in 99 of 100 cases.
 const RETRY_INTERVAL_PER_NODE_FEW_WATCHERS: Duration = Duration::from_millis(50);
-/// A node without answers waits at least this long before it calls the store again.
+/// Minimum mean interval at which a node without answers from the store calls it again while
+/// fewer than [`MIN_WATCHERS`] nodes get answers.
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The document watchers according to this node's member table, and the state of this node's
 /// calls to the store.
 #[derive(Debug)]
 pub struct StoreWatch {
-    /// Document watchers selected at `revision` of the member table.
+    /// Selected document watchers, this node possibly included.
     watchers: Vec<NodeId>,
+    /// Revision of the member table from which the document watchers were selected.
     revision: u64,
     /// True if this node is one of the selected document watchers.
     selected: bool,
     /// True if the store answered this node's last call.
     reachable: bool,
+    /// Time of the store's last answer to this node.
     answered_at: Option<Moment>,
+    /// Time of this node's last failed store call.
     failed_at: Option<Moment>,
+    /// Timeout of this node's store calls, on top of the requested wait.
     call_timeout: Duration,
     /// Time of the next hedged store call, requested by a document watcher that got no answer.
     hedge_at: Option<Moment>,
@@ -102,7 +108,7 @@
         Self {
             watchers: Vec::new(),
             revision: 0,
-            // A node without known peers is the only one that can watch the document.
+            // While a node knows no peers, it watches the document itself.
             selected: true,
             reachable: false,
             answered_at: None,
@@ -160,7 +166,7 @@
     }
 
     /// Updates the timeout of store calls with the latency of a call, less the requested wait.
-    /// Nodes with a slow connection to the store thus wait longer.
+    /// Nodes with a slow connection to the store thus get a longer timeout.
     pub fn record_latency(&mut self, time: Duration) {
         let decayed = self.call_timeout.mul_f64(TIMEOUT_DECAY);
         let wanted = decayed.max(time * TIMEOUT_LATENCY_RATIO);
@@ -299,8 +305,8 @@
         .filter(|record| record.status == Status::Alive)
 }
 
-/// Selects document watchers spread over the zones, first nodes that get answers from the
-/// store.
+/// Selects document watchers spread over the zones. Nodes that get answers from the store are
+/// preferred.
 fn select_watchers(membership: &Membership, settings: &FleetSettings) -> Vec<NodeId> {
     let candidates = |answered: bool| {
         alive_members(membership)
--- a/crates/rampthread-core/src/fleet/witness.rs
+++ b/crates/rampthread-core/src/fleet/witness.rs
@@ -83,6 +83,7 @@
 #[derive(Debug)]
 struct PendingVersion {
     state: Arc<ConfigState>,
+    /// Witness nodes that have to record the version.
     set: WitnessSet,
 }
 
--- a/crates/rampthread-core/src/fleet/writer.rs
+++ b/crates/rampthread-core/src/fleet/writer.rs
@@ -42,6 +42,7 @@
 struct QueuedProposal {
     operation_id: OperationId,
     entry: SharedBytes,
+    /// Nodes that await the outcome of the proposal.
     requesters: Vec<Requester>,
     accepted_at: Moment,
     /// True if a write of this entry got no answer and may have taken effect.
@@ -52,6 +53,7 @@
 #[derive(Debug)]
 struct PendingWrite {
     request: RequestId,
+    /// Version under which the entry is appended.
     slot: Version,
     operation_id: OperationId,
     entry: SharedBytes,
--- a/crates/rampthread-core/src/fleet/zone_directory.rs
+++ b/crates/rampthread-core/src/fleet/zone_directory.rs
@@ -105,10 +105,11 @@
     Renew(LeaseId),
 }
 
-/// When a node writes the first snapshot of its zone, since it found none and knows no other
-/// member.
+/// Schedule by which a node that found no snapshot of its zone and knows no other member writes
+/// the first snapshot.
 #[derive(Debug, Clone, Copy)]
 struct FirstWrite {
+    /// Time of the write, or of the second read that precedes it.
     at: Moment,
     /// True if the node has to read the store again before it writes.
     reads_again: bool,
@@ -137,8 +138,8 @@
     departures: BTreeSet<DepartureId>,
     /// Time at which the store was restored from an older copy, until the next read.
     restored: Option<Moment>,
-    /// Members that the stored snapshot had before the restore. The restored copy may lack
-    /// them.
+    /// Members that the stored snapshot had before the store was restored from an older copy.
+    /// The older copy may lack them.
     members_before_restore: BTreeMap<NodeId, Machine>,
 }
 
--- a/crates/rampthread-core/tests/backend_incarnations.rs
+++ b/crates/rampthread-core/tests/backend_incarnations.rs
@@ -271,8 +271,8 @@
     assert_eq!((incarnation.id(), incarnation.started_at()), (&name, None));
 }
 
-/// The two incarnations differ only in their start times, and the second start time is not later
-/// than the first.
+/// The two incarnations differ only in their start times, and the second start time is not known
+/// to be later than the first.
 #[rstest]
 #[case::earlier(Some(5_000), Some(4_000))]
 #[case::equal(Some(5_000), Some(5_000))]
