--- a/crates/rampthread-core/tests/acceptance_properties.rs
+++ b/crates/rampthread-core/tests/acceptance_properties.rs
@@ -21,8 +21,8 @@
     Zone::new(name).unwrap()
 }
 
-/// An estimator after 200 attempts in the zone `zone_name`, of which `percent` percent were
-/// rejected.
+/// An acceptance estimator after 200 attempts in the zone `zone_name`, of which `percent`
+/// percent were rejected.
 fn after_rejections(percent: u32, zone_name: &str) -> AcceptanceEstimator {
     let mut estimator = AcceptanceEstimator::new(zone("near"));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -99,9 +99,9 @@
 }
 
 proptest! {
-    /// A full zone is left only if that is allowed, and a service without backends in the
-    /// zone is reached in another. Four backends at most, so that the random sample
-    /// contains all of them.
+    /// A call leaves a zone whose backends are full only if that is allowed. If the service
+    /// has no backend in the zone, the call goes to another zone. There are at most four
+    /// backends, so that the random sample contains all of them.
     #[test]
     fn the_zone_is_left_only_where_that_is_allowed(
         near in 0_usize..3, far in 1_usize..3, may_leave in any::<bool>(), seed: u64,
@@ -119,7 +119,8 @@
         prop_assert_eq!(chosen.zone == near_zone, near > 0 && !may_leave);
     }
 
-    /// The reply to a query agrees with the decision about the call itself.
+    /// The reply to a query for a free slot is the same as the decision about the call that
+    /// follows.
     #[test]
     fn a_query_gets_the_decision_about_the_call(
         slots in 0_u32..4, queue in 0_u32..4, calls in prop::collection::vec(0_u64..400, 1..20),
--- a/crates/rampthread-core/tests/backend_speed_properties.rs
+++ b/crates/rampthread-core/tests/backend_speed_properties.rs
@@ -56,8 +56,9 @@
     }
 }
 
-/// A meter after `calls` calls of two routes in turn at a backend of this `speed`, whose
-/// times vary by half. `service_time_percent_of` is the current service time in percent at each call.
+/// A speed meter after `calls` calls of two routes in turn at a backend of this `speed`,
+/// whose times vary by half. `service_time_percent_of` is the current service time in
+/// percent at each call.
 fn measured(
     speed: f64,
     calls: u32,
--- a/crates/rampthread-core/tests/body_transfer_properties.rs
+++ b/crates/rampthread-core/tests/body_transfer_properties.rs
@@ -1,5 +1,6 @@
-//! Flow control of large bodies: a few are transferred at a time, each offer is granted at
-//! most once, and an offer whose turn would come too late is rejected.
+//! Flow control of large request bodies: a few are transferred at a time, each offer of a
+//! body is granted at most once, and an offer that would be granted too late for its call
+//! is rejected.
 
 use proptest::prelude::*;
 use rampthread_core::call::body_transfers::{BodyOffer, BodyTransfers, OfferDecision};
@@ -7,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A step of the test: a body is offered, a transfer ends, an offer is cancelled, or
-/// milliseconds pass.
+/// One event at the transfer scheduler: a body is offered, a transfer ends, an offer is
+/// cancelled, or milliseconds pass.
 #[derive(Debug, Clone)]
 enum TransferStep {
     Offer { bytes: u64, max_wait_ms: u64 },
@@ -78,7 +79,7 @@
             let in_progress = transfers.load() as usize - waiting.len();
             prop_assert!(in_progress <= 2);
         }
-        // Senders that vanish do not block later offers for ever.
+        // Transfers whose sender has ended expire, so that later offers are granted.
         let later = now + Duration::from_secs(3_600);
         for call in waiting {
             transfers.cancel(call);
@@ -86,7 +87,7 @@
         prop_assert_eq!(transfers.offer(offer(u64::MAX, 1, Duration::ZERO), later), OfferDecision::Granted);
     }
 
-    /// The rate of a link is measured from the bodies that arrive over it.
+    /// The transfer rate is measured from the bodies that have arrived.
     #[test]
     fn the_rate_is_measured(bytes_per_ms in 100_u64..100_000) {
         let mut transfers = BodyTransfers::default();
--- a/crates/rampthread-core/tests/path_delay_properties.rs
+++ b/crates/rampthread-core/tests/path_delay_properties.rs
@@ -1,4 +1,5 @@
-//! Delays of hops in links are measured without comparing the clocks of two machines.
+//! Delays of hops (requests between nodes) on congested links are measured without
+//! comparing the clocks of two machines.
 
 use proptest::prelude::*;
 use rampthread_core::call::path_delay::{PathDelays, SentAt};
@@ -24,7 +25,8 @@
     assert_eq!(idle, Duration::ZERO);
     let late = delays.record_arrival(SENDER, sent(1, 200), Moment(9_100_000));
     assert_eq!(late, Duration::from_secs(2));
-    // Another machine, and another run of the process, have clocks of their own.
+    // The fastest hop is measured anew for another machine and for another run of the
+    // process.
     assert_eq!(
         delays.record_arrival(OTHER, sent(1, 5), Moment(9_100_000)),
         Duration::ZERO
@@ -63,7 +65,7 @@
         let _ = SentAt::parse(&text);
     }
 
-    /// No sequence of values that a peer can send panics.
+    /// Recording arrivals does not panic, whatever values a peer sends.
     #[test]
     fn any_sequence_of_hops_gives_a_delay(steps in prop::collection::vec((any::<u32>(), any::<u32>(), any::<u32>()), 1..50)) {
         let mut delays = PathDelays::default();
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -25,8 +25,8 @@
 const NESTED_CHANCE: f64 = 0.6;
 const MAX_DEPTH: u32 = 6;
 const LOAD_SECONDS: u64 = 10;
-/// Calls from outside per service and second; with their nested calls more than the slots
-/// serve.
+/// Calls from outside per service and second; with their nested calls they exceed the
+/// capacity of the slots.
 const CALLS_PER_SECOND: u64 = 100;
 
 /// An event of the call with this number.
@@ -65,7 +65,8 @@
     work_lost: u32,
 }
 
-/// State of the simulation; `nested` is the precedence that nested calls get.
+/// State of the simulated ring of services; `nested` is the precedence that nested calls
+/// get.
 struct Ring {
     gates: Vec<AdmissionController>,
     calls: Vec<Call>,
@@ -120,7 +121,7 @@
         (self, last)
     }
 
-    /// Schedules an event.
+    /// Schedules `event` at the simulated time `moment`.
     fn schedule(&mut self, moment: Moment, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((moment, self.sequence, event)));
@@ -206,7 +207,7 @@
         }
     }
 
-    /// A call has waited for its maximum queueing time.
+    /// A call that has waited for its maximum queueing time leaves the queue.
     fn handle_abandonment(&mut self, number: u64, now: Moment) {
         let call = self.calls[number as usize];
         if call.state == CallState::Waits && self.gates[call.service].cancel(number) {
--- a/crates/rampthread-core/tests/tenant_properties.rs
+++ b/crates/rampthread-core/tests/tenant_properties.rs
@@ -91,7 +91,8 @@
     assert!(!TenantTable::new(&state).has_tenants());
 }
 
-/// When the last key of the last tenant is removed, requests must not become anonymous.
+/// When the last API key of the last tenant is removed, requests must not be accepted
+/// without a tenant.
 #[test]
 fn tenants_without_keys_admit_no_request() {
     let state = version(1, vec![tenant("first", &[])]).unwrap();
@@ -112,7 +113,7 @@
     assert!(!findings.to_string().contains("key-1"), "{findings}");
 }
 
-/// No serialized or debug form of a version may contain a key.
+/// No serialized or debug form of a configuration version may contain an API key.
 #[test]
 fn no_serialized_form_contains_a_key() {
     let empty = version(1, Vec::new()).unwrap();
@@ -152,8 +153,8 @@
 }
 
 proptest! {
-    /// Added, moved and removed keys are the same after a delta as in the full version, and
-    /// a snapshot keeps them.
+    /// A version built from a delta has the same API keys as the full version, after keys
+    /// were added, moved and removed. A snapshot keeps them.
     #[test]
     fn keys_survive_deltas_and_snapshots(before in tenants(), after in tenants()) {
         let before = version(1, before).unwrap();
--- a/crates/rampthread-core/tests/weight_properties.rs
+++ b/crates/rampthread-core/tests/weight_properties.rs
@@ -10,11 +10,12 @@
 
 /// Number of consecutive calls over which shares are measured.
 const WINDOW: usize = 200;
-/// Maximum difference between a share and the share of its weight.
+/// Maximum difference between a service's share of the calls and its share of the weights.
 const TOLERANCE: f64 = 0.2;
 
 proptest! {
-    /// In every span of consecutive calls each service gets about its weight's share.
+    /// In any [`WINDOW`] consecutive calls each service gets about its share of the
+    /// weights.
     #[test]
     fn every_span_of_calls_is_shared_by_weight(
         weights in prop::collection::vec(0_u32..100, 2..5),
