--- a/crates/rampthread-core/src/fleet/crash_table.rs
+++ b/crates/rampthread-core/src/fleet/crash_table.rs
@@ -16,14 +16,14 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Maximum number of requests in the table: 50 crashes with 18 concurrent calls each, in 200
-/// kB. Beyond that, the requests with the fewest crashes are evicted, oldest first.
+/// Maximum number of requests in the table, enough for 50 crashes with 18 concurrent calls each.
+/// They take 200 kB. Beyond that, the requests with the fewest crashes are evicted, oldest first.
 pub const MAX_SUSPECTS: usize = 1_024;
 /// Maximum number of crashes kept per request. Two precede its first quarantine trial, and the
 /// others are more than the longest quarantine requires.
 const MAX_CRASHES: usize = 9;
 
-/// Age from which peers reconcile any report. Younger reports may still be on their way to all
+/// Age from which peers reconcile any crash report. Younger reports may still be on their way to all
 /// peers.
 const SETTLED_AGE: Duration = Duration::from_secs(1);
 /// Age up to which peers reconcile any crash report. This suffices, since a node that missed a
--- a/crates/rampthread-core/src/fleet/distribution.rs
+++ b/crates/rampthread-core/src/fleet/distribution.rs
@@ -18,8 +18,8 @@
 
 /// Maximum size of the entries in one reply to a pull, in bytes.
 const MAX_PULL_REPLY_BYTES: usize = 256 * 1024;
-/// Delay before the next pull that this node requests of peers if it has reached its limit of
-/// pulls per second.
+/// Delay after which a peer may pull again if this node has reached its limit of pulls per
+/// second.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Pause before the next pull if the last pull returned no new versions.
 const EMPTY_PULL_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/rampthread-core/src/fleet/load_exchange.rs
+++ b/crates/rampthread-core/src/fleet/load_exchange.rs
@@ -37,7 +37,7 @@
 /// included.
 pub const MAX_TENANTS: usize = 256;
 
-/// Returns the interval between messages of one node in a zone with `members` members.
+/// Returns the interval between load messages of one node in a zone with `members` members.
 pub fn load_interval(members: u32) -> Duration {
     MIN_INTERVAL.max(INTERVAL_PER_MEMBER * members)
 }
