--- a/crates/rampthread-core/src/call/quota/fleet_load.rs
+++ b/crates/rampthread-core/src/call/quota/fleet_load.rs
@@ -1,5 +1,5 @@
-//! Load reports of the fleet as tenants' limits need them, and which zones the reports
-//! cover.
+//! Combines the load reports of the fleet for the enforcement of tenants' limits, and tracks
+//! which zones the reports cover.
 
 use super::limit_fraction;
 use crate::fleet::{MAX_TENANTS, TenantHash, TenantLoad, ZoneLoad, load_interval};
@@ -16,7 +16,8 @@
 /// of both zones take longer, since reports pass through the aggregators of both (the nodes
 /// that sum up a zone's load).
 const ZONE_REPORT_TTL: Duration = Duration::from_secs(2);
-/// Number of report intervals without a report that are tolerated.
+/// Number of report intervals without a report after which the last report expires, where
+/// this takes longer than the fixed time.
 const TOLERATED_INTERVALS: u32 = 2;
 /// Maximum time between the arrival of a report and the next update of the limits.
 const EVALUATION_DELAY: Duration = Duration::from_millis(200);
--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -27,14 +27,14 @@
 /// Ratio of the limit's burst that is used; the rest is reserved for requests that reach
 /// the load reports late.
 const USED_BURST_RATIO: f64 = 0.85;
-/// Ratio of the policy's slack that is added to the burst, for random variation of low
-/// rates.
+/// Ratio of the policy's `slack_requests` (requests by which a window may exceed the limit)
+/// that is added to the burst, so that random variation at low rates causes no rejections.
 const USED_SLACK_RATIO: f64 = 0.2;
-/// Ratio of the limit divided by the number of nodes. A node with a lower rate of requests
-/// leaves the tenant out of its load report.
+/// A node leaves a tenant out of its load report if the tenant's requests there are below
+/// this ratio of the limit per node (the limit divided by the number of nodes).
 const REPORT_THRESHOLD_RATIO: f64 = 0.1;
-/// Ratio of the fleet's requests for the tenant from which on a node decides by its own
-/// token bucket alone, without an estimate of the other nodes.
+/// Minimum ratio of the tenant's requests in the fleet that a node must receive to decide by
+/// its own token bucket alone, without an estimate of the other nodes.
 const SOLE_RECEIVER_RATIO: f64 = 0.9;
 /// Time constant of the executed ratio, i.e. the ratio of a tenant's admitted requests that
 /// run.
@@ -146,8 +146,8 @@
 
 impl TenantQuota {
     /// Creates the state of a tenant that was not tracked here and of which little was
-    /// admitted for the time `low_traffic_for`. The state starts with a full burst after a
-    /// whole window.
+    /// admitted for the time `low_traffic_for`. The state starts with a full burst if this time
+    /// is at least the policy's window, otherwise with the tokens gained in it.
     pub(super) fn new(
         policy: QuotaPolicy,
         limit: RateLimit,
--- a/crates/rampthread-core/src/call/quota/zone_balance.rs
+++ b/crates/rampthread-core/src/call/quota/zone_balance.rs
@@ -9,7 +9,8 @@
 /// Time constant of a tenant's usual demand, long compared with traffic spikes.
 pub(super) const USUAL_DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(10);
 
-/// Demand and token balance of one zone's fraction of the limit. Maintained at all times:
+/// Demand of one zone for one tenant, and token balance of the zone's fraction of the
+/// tenant's limit. Maintained at all times:
 /// when the zone becomes unreachable, the other zones know what they admitted beyond their
 /// own fractions before they noticed.
 #[derive(Debug, Clone)]
--- a/crates/rampthread-core/src/fleet/agent/backend.rs
+++ b/crates/rampthread-core/src/fleet/agent/backend.rs
@@ -20,8 +20,8 @@
 }
 
 impl Agent {
-    /// Drops an endpoint restored after a restart when its time is over and the backend has
-    /// not reported since.
+    /// Drops an endpoint restored after a restart if the backend has not reported by
+    /// `restored_endpoint_expiry`.
     pub(super) fn drop_unconfirmed_backend(&mut self, now: Moment, outbox: &mut Outbox) {
         if self
             .restored_endpoint_expiry
@@ -100,8 +100,8 @@
         actions
     }
 
-    /// Backend instance of the latest report that counted, and the time of the report;
-    /// `None` before the first report.
+    /// Current incarnation of the local backend and arrival of its latest report; `None` if
+    /// it has not reported to this process.
     pub fn last_backend_report(&self) -> Option<(&InstanceId, Moment)> {
         self.reported.last_report()
     }
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Handles the denial of the backend at the local address to be `instance`: removes the
-    /// endpoint if it is of that instance.
+    /// Handles a response by which the backend at the local address is not `instance`: removes
+    /// the endpoint if it belongs to that incarnation.
     pub fn on_misdirected(&mut self, instance: &InstanceId, now: Moment) -> Vec<Action> {
         if self.reported.on_instance_mismatch(instance) {
             return self.announce_endpoint(None, now);
--- a/crates/rampthread-core/src/fleet/agent/floor.rs
+++ b/crates/rampthread-core/src/fleet/agent/floor.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Sets the restart floor once this node has caught up with the head of the change log
-    /// that a log reader replied earlier.
+    /// Sets the restart floor (lowest version that this process may activate) once this node
+    /// has all entries up to `target_head`, the head of the change log in an earlier reply.
     pub(super) fn recheck_floor(&mut self, now: Moment, outbox: &mut Outbox) {
         if let Some(head) = self.target_head {
             self.apply_head(head, now, outbox);
--- a/crates/rampthread-core/src/fleet/agent/log.rs
+++ b/crates/rampthread-core/src/fleet/agent/log.rs
@@ -56,7 +56,8 @@
             self.collect_decided_proposals(now);
         }
         if self.floor.is_none() {
-            // A newer state may name other witness nodes: query them soon.
+            // A newer state may name other witness nodes (nodes that record this node's
+            // versions). Query them soon for the restart floor.
             self.next_floor_query = now;
             return;
         }
--- a/crates/rampthread-core/src/fleet/agent/mod.rs
+++ b/crates/rampthread-core/src/fleet/agent/mod.rs
@@ -149,7 +149,8 @@
     adoption: VersionActivation,
     /// Versions that this node has recorded as a witness node of other nodes.
     witness_records: WitnessRecords,
-    /// Query for the restart floor to the witness nodes of this node.
+    /// Query for the restart floor (see `floor`) to this node's witness nodes, i.e. the nodes
+    /// that record its versions.
     floor_query: FloorQuery,
     /// Restart floor: lowest version that this process may activate; `None` until it is
     /// known.
--- a/crates/rampthread-core/src/fleet/agent/rollouts.rs
+++ b/crates/rampthread-core/src/fleet/agent/rollouts.rs
@@ -142,7 +142,8 @@
         }
         match source {
             OrderSource::NewWrite => self.broadcast_states(new, now, &mut outbox),
-            // Peers probably know a later state: a node that starts finds old orders.
+            // The order was in the store before this node read it, e.g. at the node's start.
+            // Peers probably know a later state, so gossip suffices.
             OrderSource::Existing => {
                 self.queue_gossip(&new, 1, now);
                 outbox.actions.push(Action::RolloutsChanged);
@@ -204,7 +205,7 @@
         rollouts.is_some_and(|rollouts| rollouts.decider.holds_lease(now))
     }
 
-    /// Advances the decision logic, gossip, queries and evidence reports of rollouts.
+    /// Advances the decision logic, gossip, queries and reports of response evidence.
     pub(super) fn tick_rollouts(&mut self, now: Moment, outbox: &mut Outbox) {
         let idle = |rollouts: &RolloutParticipant| rollouts.table.is_empty();
         if self.rollouts.as_ref().is_none_or(idle) {
@@ -471,7 +472,8 @@
         let Some(rollouts) = &mut self.rollouts else {
             return;
         };
-        // A full report is due even without new calls: the last rows may have been lost.
+        // All rows of response evidence are repeated at intervals, also without new calls:
+        // datagrams with changed rows may have been lost.
         let is_open = !rollouts.evidence.is_empty() && rollouts.table.has_open();
         let full_report_due = is_open && now >= rollouts.next_full_report;
         let due = rollouts.evidence_is_new || full_report_due;
--- a/crates/rampthread-core/src/fleet/agent/store_era.rs
+++ b/crates/rampthread-core/src/fleet/agent/store_era.rs
@@ -47,8 +47,8 @@
         targets
     }
 
-    /// Handles a peer's announcement that the store is in `era`: reads the store era from
-    /// the store, once for each era.
+    /// Handles a peer's announcement of `era`, i.e. of a restore of the store: if
+    /// `era` is newer than any known to this node, the node reads the era from the store.
     pub(super) fn on_store_era(&mut self, era: u64, outbox: &mut Outbox) {
         if era > self.newest_known_era {
             self.newest_known_era = era;
--- a/crates/rampthread-core/src/rollout/decider.rs
+++ b/crates/rampthread-core/src/rollout/decider.rs
@@ -570,7 +570,8 @@
         self.role = Role::Candidate { term };
     }
 
-    /// Ends the comparison once the store's records contain all known rollout states.
+    /// Ends the recheck (see [`Self::recheck`]) once the store's records contain all known
+    /// rollout states.
     fn finish_recheck(&mut self, table: &RolloutTable, now: Moment) {
         if self.unpersisted(table, now).is_none() {
             self.recheck_from = None;
--- a/crates/rampthread-core/src/rollout/evaluation.rs
+++ b/crates/rampthread-core/src/rollout/evaluation.rs
@@ -310,8 +310,8 @@
         if responses <= 0.0 {
             return;
         }
-        // Exclude the same number of groups on both sides: bad backends of the target
-        // version show only after a while.
+        // Exclude as many backend groups of the other version as of the target version,
+        // where bad groups are found only after `MIN_OUTLIER_RESPONSES` bad responses.
         let max_outliers = excluded.iter().filter(|is_excluded| **is_excluded).count();
         let excluded = self.other.outliers(measure, slow_from, max_outliers);
         let (baseline_bad, baseline_responses) =
@@ -343,7 +343,8 @@
         *score = (*score + bad * bad_weight + (responses - bad) * good_weight).max(0.0);
     }
 
-    /// Returns the regression on this route if a score is high enough.
+    /// Returns the regression on this route if the score of a measure has reached
+    /// `REGRESSION_SCORE`.
     fn regression(&self, route: &ResourceName) -> Option<VersionRegression> {
         let mut scores = self.scores.iter().copied().enumerate();
         let (measure, score) = scores.find(|(_, score)| *score >= REGRESSION_SCORE)?;
--- a/crates/rampthread-core/src/rollout/exposure.rs
+++ b/crates/rampthread-core/src/rollout/exposure.rs
@@ -15,17 +15,19 @@
 /// Maximum credit, in calls, that an entry node accumulates while the target version has no
 /// capacity.
 const MAX_CREDIT: f64 = 2.0;
-/// Ratio of the exposure slack that all entry nodes start with in total. The rest is
-/// reserved for restarted nodes and for calls in flight during a rollback.
+/// Ratio of `RolloutBounds::exposure_slack_calls` that all entry nodes start with in
+/// total. The rest is reserved for restarted nodes and for calls in flight during a
+/// rollback.
 const INITIAL_SLACK_RATIO: f64 = 0.25;
-/// Factor by which a version must have more backends than another version to count as the
-/// present one.
-const PRESENT_VERSION_FACTOR: usize = 2;
+/// Factor by which a version must have more backends than the lowest version to be presumed in
+/// use (see [`presumed_version`]).
+const PRESUMED_VERSION_FACTOR: usize = 2;
 /// Hash key of the order in which backends of the target version take turns under load.
 /// Must be the same on all nodes.
 const TURN_ORDER_KEY: &str = "roll-out turns";
 
-/// How an entry node may distribute the calls of one service over its versions.
+/// Rule of a rollout for entry nodes: which share of a service's calls its target version
+/// may get.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionRule {
     /// The rollout order that this rule results from.
@@ -69,14 +71,15 @@
 pub struct ExposureLimiter {
     order: OrderId,
     credit: f64,
-    /// Calls sent to the target version. They alternate between all of its backends and a
-    /// single one.
+    /// Number of calls sent to the target version. Every other call is limited to a single
+    /// backend (see [`Self::eligible_backends`]).
     sent: u64,
 }
 
 impl ExposureLimiter {
     /// Creates the limiter of an entry node that has seen no response under `order` and is
-    /// one of `nodes` that share the slack. `chance`, random in `0.0..=1.0`, spreads the
+    /// one of `nodes` that share `slack`, the calls that a bad target version may get in
+    /// addition to its ratio. `chance`, random in `0.0..=1.0`, spreads the
     /// nodes' first calls to the target version over time.
     pub fn new(order: OrderId, slack: f64, nodes: usize, chance: f64) -> Self {
         let initial_credit = INITIAL_SLACK_RATIO * slack / nodes.max(1) as f64;
@@ -148,9 +151,9 @@
     all.partition(|endpoint| version_of(&endpoint.node) == Some(target))
 }
 
-/// Of several versions without a known rollout, returns the one that counts as present: the
-/// lowest by natural order of the names, unless another one has far more backends. `None`
-/// with fewer than two versions.
+/// Of several versions without a known rollout, returns the one presumed to be in use before
+/// any rollout: the lowest by natural order of the names, unless another one has far
+/// more backends. `None` with fewer than two versions.
 pub fn presumed_version<'a>(
     versions: impl Iterator<Item = &'a SoftwareVersion>,
 ) -> Option<&'a SoftwareVersion> {
@@ -165,7 +168,7 @@
         .iter()
         .min_by_key(|(version, _)| name_parts(version))?;
     let most = counts.iter().max_by_key(|(_, count)| **count)?;
-    let presumed = match *most.1 > first.1 * PRESENT_VERSION_FACTOR {
+    let presumed = match *most.1 > first.1 * PRESUMED_VERSION_FACTOR {
         true => most,
         false => first,
     };
--- a/crates/rampthread-core/src/rollout/schedule.rs
+++ b/crates/rampthread-core/src/rollout/schedule.rs
@@ -29,8 +29,9 @@
 const MIN_SHIFT_TIME: Duration = Duration::from_millis(450);
 /// Time past the deadline after which a rollout with unmet conditions is rolled back.
 const OVERTIME: Duration = Duration::from_secs(5);
-/// Ratio of the slack that may be used by a target version whose first calls come with the
-/// shift of traffic.
+/// Ratio of `exposure_slack_calls` (calls that a bad target version may get in addition to
+/// its ratio) that is available to a version whose first calls come with the shift of
+/// traffic.
 const SHIFT_SLACK_RATIO: f64 = 0.5;
 /// Sufficient capacity of the new version, as a ratio of the other versions' slots.
 const SUFFICIENT_SLOTS_RATIO: f64 = 0.6;
@@ -77,7 +78,7 @@
     Evidence,
     /// The service got no calls, so nothing shows whether the target version works.
     Traffic,
-    /// The service got calls, but the target version got none.
+    /// The target version has not responded to any call, although the service got calls.
     TargetResponses,
     /// The target version has not responded to any call since the shift of traffic.
     ResponsesSinceShift,
@@ -138,7 +139,8 @@
     }
 
     /// Returns whether traffic is so low that no entry node has credit for a call to the
-    /// target version, and the calls after the latest shift fit into the bound. The shift
+    /// target version, and the calls after the latest possible shift of traffic fit into the
+    /// permitted exposure. The shift
     /// of traffic itself then brings the first calls.
     fn is_low_traffic(&self, state: &RolloutState, bounds: &RolloutBounds) -> bool {
         let permille = f64::from(evaluation_permille(state.duration, bounds));
@@ -169,7 +171,8 @@
 }
 
 /// Share of the calls for the evaluation phase, in thousandths. Together with the calls
-/// after the latest shift it stays within the permitted exposure.
+/// between the latest possible shift of traffic (`LATEST_SHIFT`) and the deadline, they stay
+/// within the permitted ratio of calls to a bad target version.
 pub fn evaluation_permille(duration: Duration, bounds: &RolloutBounds) -> u16 {
     let evaluation_secs = duration.saturating_sub(LATEST_SHIFT).as_secs_f64();
     let allowed = bounds.exposure_share * PLANNED_EXPOSURE_RATIO * duration.as_secs_f64();
--- a/crates/rampthread-core/src/rollout/state.rs
+++ b/crates/rampthread-core/src/rollout/state.rs
@@ -67,7 +67,7 @@
     pub order: OrderId,
     /// The software version that gets the traffic.
     pub target: SoftwareVersion,
-    /// Present phase of the rollout.
+    /// Phase as last set by a decider.
     pub phase: Phase,
     /// Maximum share of the service's calls for the target version, in thousandths.
     pub share_permille: u16,
--- a/crates/rampthread-node/src/api/changes.rs
+++ b/crates/rampthread-node/src/api/changes.rs
@@ -256,7 +256,7 @@
     Ok(change_response(result.operation_id, &result.answer))
 }
 
-/// Response with the outcome of a change.
+/// HTTP response to a proposed change; the status shows whether it was accepted.
 fn change_response(operation_id: OperationId, answer: &ProposalReply) -> Response {
     match answer {
         ProposalReply::Decided {
--- a/crates/rampthread-node/src/call_log.rs
+++ b/crates/rampthread-node/src/call_log.rs
@@ -171,6 +171,7 @@
             let mut budget = self.budget();
             (budget.allow(cause, now), budget.summary(now))
         };
+        // Report how many lines of each cause the rate limit has suppressed.
         for one in left_out {
             tracing::info!(cause = one.cause, lines = one.lines, "lines left out");
         }
@@ -293,7 +294,8 @@
         );
     }
 
-    /// Records the fence of a hop that got no response.
+    /// Records a hop without a response, for which the entry sent a fence (order to the gate
+    /// not to start the call any more).
     pub fn hop_fenced(&self, line: &FencedHop<'_>) {
         let finding = line.finding.as_str();
         let label = FenceLabel { answer: finding };
@@ -316,7 +318,8 @@
         );
     }
 
-    /// Logs the reply of this node's gate to a fence request.
+    /// Logs the reply of this node's gate (which forwards calls to the local backend) to a
+    /// fence. The field `memory_ms` shows how far back the gate's records of calls reach.
     pub fn fence_answered(&self, request_id: &str, answer: FenceAnswer) {
         if !self.may_write(FENCE_CAUSE) {
             return;
@@ -344,7 +347,7 @@
         }
     }
 
-    /// Records a hop that this node's gate rejected.
+    /// Records a hop that this node's gate rejected. [`RejectedHop`] describes the fields.
     pub fn hop_rejected(&self, hop: &RejectedHop<'_>) {
         self.metrics.gate_refusals.inc();
         let cause = hop.call_error.cause.as_str();
--- a/crates/rampthread-node/src/control/actions.rs
+++ b/crates/rampthread-node/src/control/actions.rs
@@ -101,8 +101,8 @@
         });
     }
 
-    /// Publishes readiness as read under the agent's lock, since another thread may execute
-    /// an earlier action after a later one.
+    /// Publishes the agent's current readiness. Reads and stores it under the agent's lock, so
+    /// that threads that perform actions out of order never publish an outdated value.
     fn publish_readiness(&self) {
         self.with_agent(|agent| {
             let ready = agent.is_ready();
--- a/crates/rampthread-node/src/control/document_watch.rs
+++ b/crates/rampthread-node/src/control/document_watch.rs
@@ -238,7 +238,8 @@
         }
     }
 
-    /// Reads the document if this node must, and returns its revision.
+    /// Reads the document and returns its revision, if this node is a document watcher or
+    /// lacks a version that others hold.
     async fn read_if_needed(&mut self) -> Option<Revision> {
         if !self.control.needs_document() {
             return None;
--- a/crates/rampthread-node/src/control/driver.rs
+++ b/crates/rampthread-node/src/control/driver.rs
@@ -73,7 +73,7 @@
     pub decision_log: Arc<DecisionLog>,
     /// Writes log lines about calls.
     pub call_log: CallLog,
-    /// Secret key that hashes requests to their identities.
+    /// Secret key of the hash that computes a request's identity (its fingerprint).
     pub identity_key: IdentityKey,
     agent: Mutex<Agent>,
     pub(super) codec: Codec,
@@ -269,7 +269,6 @@
         (agent.next_watch_wait(), agent.store_call_timeout())
     }
 
-    /// Records the latency of a store call.
     pub(super) fn record_store_latency(&self, time: Duration) {
         self.agent().record_store_latency(time);
     }
--- a/crates/rampthread-node/src/control/endpoints.rs
+++ b/crates/rampthread-node/src/control/endpoints.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How calls reach a backend of a service.
+/// Address, name and version of a backend to which calls may be sent.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// Address of the backend's node, which forwards calls to the backend.
@@ -55,8 +55,8 @@
     pub endpoints: Vec<Endpoint>,
     /// Addresses and versions of the same backends, by their nodes.
     pub targets: HashMap<NodeId, Target>,
-    /// The version that counts as present without a known rollout; `None` if all backends
-    /// have the same version.
+    /// The version presumed to be in use before any rollout, where no rollout is known; `None`
+    /// if all backends have the same version.
     presumed_version: Option<SoftwareVersion>,
 }
 
@@ -66,13 +66,13 @@
         self.targets.get(node)?.version.as_ref()
     }
 
-    /// The version that counts as present without a known rollout; `None` if all backends
-    /// have the same version.
+    /// The version presumed to be in use before any rollout, where no rollout is known; `None`
+    /// if all backends have the same version.
     pub fn presumed_version(&self) -> Option<&SoftwareVersion> {
         self.presumed_version.as_ref()
     }
 
-    /// Computes the version that counts as present.
+    /// Computes the version presumed to be in use before any rollout.
     fn update_presumed_version(&mut self) {
         let versions = self
             .targets
--- a/crates/rampthread-node/src/control/store_era.rs
+++ b/crates/rampthread-node/src/control/store_era.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns the result of `call`, or an error if the store era has risen meanwhile: a result
-/// combined from responses of two eras holds in neither.
+/// Returns the result of `call`, or an error if the store was restored meanwhile, which raises
+/// the store era: responses from before and after a restore may contradict each other.
 pub(super) async fn within_era<T>(
     eras: &StoreEras,
     call: impl Future<Output = Result<T, PlatformError>>,
--- a/crates/rampthread-node/src/metrics.rs
+++ b/crates/rampthread-node/src/metrics.rs
@@ -184,8 +184,8 @@
     pub gate_queued: Gauge,
     /// Requests per second of the largest tenants with a limit, at this node.
     pub tenant_asked: Family<TenantLabel, Gauge<f64, AtomicU64>>,
-    /// Requests of the largest tenants with a limit that this node rejected since the
-    /// tenant's last period without requests.
+    /// Requests that this node rejected, for the largest tenants with a limit. Starts at 0
+    /// again after a period without requests of the tenant.
     pub tenant_refused: Family<TenantLabel, Gauge>,
     /// Log lines suppressed by rate limits.
     pub log_lines_left_out: Counter,
--- a/crates/rampthread-node/src/settings/node_settings.rs
+++ b/crates/rampthread-node/src/settings/node_settings.rs
@@ -284,7 +284,8 @@
         self.apply_to(FleetSettings::for_documents())
     }
 
-    /// Settings of the agent with a change log.
+    /// Settings of the agent without document mode, i.e. where the configuration is kept in a
+    /// change log.
     pub fn to_fleet_settings(&self) -> FleetSettings {
         self.apply_to(FleetSettings::default())
     }
@@ -402,7 +403,8 @@
 const DEPARTURE_RESERVE: Duration = Duration::from_millis(700);
 
 impl DrainSettings {
-    /// Time for calls in flight after the notice period, limited by `total`.
+    /// Maximum time for calls in flight after the time in `notice`. Shorter than `grace` if
+    /// the platform would kill the process earlier (see `total`).
     pub fn grace_after_notice(&self) -> Duration {
         match self.total {
             Some(total) => self
