--- a/crates/rampthread-core/src/call/balance.rs
+++ b/crates/rampthread-core/src/call/balance.rs
@@ -25,8 +25,9 @@
 /// Slowness, the ratio of a backend's service time to the usual one, up to which a backend
 /// in the entry node's zone is chosen without considering other zones.
 const MAX_SAME_ZONE_SLOWNESS: f64 = 2.0;
-/// Additional cost of an endpoint for each call per slot by which its load exceeds
-/// [`QUEUEING_LOAD`], as a multiple of the backend's slowness.
+/// Rate at which expected queueing raises the cost of an endpoint. The cost contains
+/// `slowness * (1 + QUEUEING_COST * excess)`, where `excess` is the load above
+/// [`QUEUEING_LOAD`].
 const QUEUEING_COST: f64 = 5.0;
 /// Additional cost of an endpoint in another zone, since traffic between zones is
 /// expensive. Unit: service time of a healthy, idle backend.
--- a/crates/rampthread-core/src/call/claims.rs
+++ b/crates/rampthread-core/src/call/claims.rs
@@ -24,7 +24,8 @@
 /// ones.
 const MAX_CLAIMS: usize = 1 << 18;
 
-/// Progress of a request whose idempotency key a call has claimed.
+/// State of an idempotency claim: whether the request of the call that claimed the key has
+/// run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimState {
     /// The request is running, or no node reported how it ended.
--- a/crates/rampthread-core/src/call/crash_detector.rs
+++ b/crates/rampthread-core/src/call/crash_detector.rs
@@ -89,8 +89,9 @@
 #[derive(Debug)]
 pub struct CrashDetector {
     losses: Vec<LostCall>,
-    /// Time for which a lost response may still be explained by a crash after a later call
-    /// was answered.
+    /// Time for which a lost response may still be reported as a crash after a later call
+    /// was answered: the answer may come from the next incarnation of the backend, whose
+    /// first heartbeat has not arrived yet.
     answered_retention: Duration,
 }
 
@@ -138,7 +139,7 @@
         });
     }
 
-    /// Makes room for the lost response to a request on trial, by dropping the newest loss
+    /// Makes room for the lost response to a request in a quarantine trial, by dropping the newest loss
     /// of another request. Requests not on trial are not recorded beyond the maximum: calls
     /// sent after a crash are lost too, and must not displace the request that caused it.
     fn make_room_for_loss(&mut self, lost: &CrashSuspect) -> bool {
--- a/crates/rampthread-core/src/call/fair_queue.rs
+++ b/crates/rampthread-core/src/call/fair_queue.rs
@@ -8,8 +8,9 @@
 //! leave. Many short calls count like a few long ones of the same total service time, and
 //! an owner without calls saves up no credit.
 //!
-//! Only the finish tags that are ahead of the virtual clock are kept. These are about as
-//! many as calls can wait, however many owners there are.
+//! The virtual clock is the start tag of the call that was served last. A finish tag that it
+//! has passed no longer affects the order and is dropped when the table is full. The other
+//! tags are about as many as the calls that can wait, however many owners there are.
 
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/rampthread-core/src/call/fence_outcome.rs
+++ b/crates/rampthread-core/src/call/fence_outcome.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// True if the node that replied is the one that got the request, and remembers the time
-/// when the request was sent.
+/// True if the node that replied is the one that got the request, and its records reach back
+/// to the time when the request was sent.
 fn remembers_request(reply: &FenceReply, hop: AbandonedHop<'_>) -> bool {
     let (numerator, denominator) = MAX_CLOCK_RATE_RATIO;
     let needed = hop.age.saturating_mul(numerator) / denominator;
--- a/crates/rampthread-core/src/call/headers.rs
+++ b/crates/rampthread-core/src/call/headers.rs
@@ -195,13 +195,13 @@
 /// Why a node rejects a call whose rampthread headers are invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
-    /// The value of [`DEADLINE_MS`] is not a number of milliseconds.
+    /// Malformed [`DEADLINE_MS`] header.
     #[error("{DEADLINE_MS}: {found:?} is not a number of milliseconds")]
     Deadline {
         /// Invalid value of the header, cut to 32 characters.
         found: String,
     },
-    /// The value of [`HOPS`] is not a number.
+    /// Malformed [`HOPS`] header.
     #[error("{HOPS}: {found:?} is not a number")]
     Hops {
         /// Invalid value of the header, cut to 32 characters.
--- a/crates/rampthread-core/src/call/retry_budget.rs
+++ b/crates/rampthread-core/src/call/retry_budget.rs
@@ -75,7 +75,7 @@
     /// numbers.
     number: u64,
     calls: u32,
-    /// Number of retries that the budget allowed, for calls of both classes.
+    /// Number of retries that the budget allowed, for nested and other calls together.
     retries: u32,
     /// Number of retries that the budget allowed for calls of [`RetryClass::Caller`].
     caller_retries: u32,
--- a/crates/rampthread-core/src/fleet/action.rs
+++ b/crates/rampthread-core/src/fleet/action.rs
@@ -24,10 +24,10 @@
 /// A request to the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Acquire a lease on a reader slot if that slot is free. The number of slots limits how
-    /// many nodes read the log in the store.
+    /// Acquire a reader lease if no other node holds it. The number of leases limits how many
+    /// nodes read the log in the store.
     AcquireLease {
-        /// Index of the reader slot, from 0 to `FleetSettings::reader_count` - 1.
+        /// Index of the reader lease, from 0 to `FleetSettings::reader_count` - 1.
         reader_slot: usize,
         /// Time to live of the new lease.
         ttl: Duration,
@@ -86,7 +86,7 @@
         /// Id of the granted lease, for renewals.
         lease: LeaseId,
     },
-    /// Another node holds the requested reader slot.
+    /// Another node holds the requested reader lease.
     LeaseTaken,
     /// The reader lease was renewed or released.
     LeaseKept,
@@ -186,12 +186,12 @@
     /// This node acquired a reader lease: it now reads the log in the store for the other
     /// nodes.
     LeaseAcquired {
-        /// Index of the reader slot, from 0.
+        /// Index of the reader lease, from 0.
         place: usize,
     },
     /// This node lost or gave up its reader lease.
     LeaseLost {
-        /// Index of the reader slot, from 0.
+        /// Index of the reader lease, from 0.
         place: usize,
         /// Why the reader lease ended.
         reason: String,
@@ -309,7 +309,7 @@
     Store {
         /// Id that the driver passes back with the answer of the store.
         request_id: RequestId,
-        /// Request to send to the store.
+        /// Operation that the store has to execute.
         request: StoreRequest,
     },
     /// Record in the directory, for the next run of this node, that the local backend has
@@ -325,7 +325,7 @@
     /// agent.
     RolloutsChanged,
     /// Ask the store for its store era, since a peer reported this one. The store raises the
-    /// era by one each time it is restored from an older copy.
+    /// store era by one each time it is restored from an older copy.
     VerifyStoreEra(u64),
     /// Read the document from the store now, since a peer holds a newer one than this node.
     ReadDocument,
--- a/crates/rampthread-core/src/fleet/backend_tracker.rs
+++ b/crates/rampthread-core/src/fleet/backend_tracker.rs
@@ -340,7 +340,8 @@
                 ..known
             },
             Some(known) if record.sequence == known.sequence => known,
-            // A lower sequence number means another start under the same name.
+            // No candidate, another incarnation, or a sequence number lower than the candidate's:
+            // the backend has restarted under the same name.
             _ => SupersedeCandidate {
                 incarnation: record.instance.clone(),
                 since: now,
--- a/crates/rampthread-core/src/fleet/load.rs
+++ b/crates/rampthread-core/src/fleet/load.rs
@@ -15,7 +15,7 @@
 /// Load of a service's backends and demand of its callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceLoad {
-    /// Name of the service.
+    /// Service that the figures are about.
     pub service: ResourceName,
     /// Number of calls that the service's backends can run at once.
     pub capacity: MilliSlots,
--- a/crates/rampthread-core/src/fleet/membership/machines.rs
+++ b/crates/rampthread-core/src/fleet/membership/machines.rs
@@ -8,7 +8,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time after which an unlisted dead member is removed from the table.
+/// Time after which a dead member that neither the settings nor the platform's list of machines
+/// name is removed from the table.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(600);
 
 impl Membership {
--- a/crates/rampthread-core/src/fleet/membership/mod.rs
+++ b/crates/rampthread-core/src/fleet/membership/mod.rs
@@ -272,7 +272,8 @@
         }
     }
 
-    /// Sends due probes and updates, and expires suspected and unlisted members.
+    /// Sends due probes and updates, and expires suspected members and dead ones that
+    /// neither the settings nor the platform's list of machines name.
     pub fn tick(
         &mut self,
         now: Moment,
--- a/crates/rampthread-core/src/fleet/membership/probes.rs
+++ b/crates/rampthread-core/src/fleet/membership/probes.rs
@@ -175,8 +175,8 @@
         None
     }
 
-    /// Probes listed members that are considered dead, so that the sides of a network partition
-    /// find each other again when it ends.
+    /// Probes members that are considered dead but named by the settings or the platform's list
+    /// of machines, so that the sides of a network partition find each other when it ends.
     pub(super) fn try_rejoin(
         &mut self,
         held: Version,
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Returns the listed members that are unreachable: those in this node's zone if `same_zone`
-    /// is true, otherwise those in other zones.
+    /// Returns the unreachable members that the settings or the platform's list of machines name:
+    /// those in this node's zone if `same_zone` is true, otherwise those in other zones.
     fn unreachable_members(&self, same_zone: bool) -> Vec<NodeId> {
         self.members
             .values()
--- a/crates/rampthread-core/src/fleet/reader.rs
+++ b/crates/rampthread-core/src/fleet/reader.rs
@@ -16,9 +16,10 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Number of renewals of a lease on a reader slot within its time to live.
+/// Number of renewals of a reader lease within its time to live.
 const RENEWALS_PER_TTL: u32 = 3;
-/// Rendezvous key of the members that may acquire a lease on a reader slot.
+/// Key of the rendezvous hash that selects the members that may acquire a reader lease, a lease
+/// to read the log in the store.
 const CANDIDATE_KEY: &str = "store-reader";
 /// Number of doublings after which the backoff of store requests stays constant.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
@@ -27,9 +28,9 @@
 /// is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestPurpose {
-    /// Acquires a lease on a free reader slot.
+    /// Acquires a free reader lease.
     Acquire { reader_slot: usize },
-    /// Renews the lease on this node's reader slot.
+    /// Renews this node's reader lease.
     Renew,
     /// Waits for new entries of the log.
     Watch,
@@ -47,7 +48,7 @@
     sent: Moment,
 }
 
-/// Lease on a reader slot that this node holds.
+/// Reader lease that this node holds.
 #[derive(Debug, Clone, Copy)]
 struct ReaderLease {
     id: LeaseId,
@@ -90,7 +91,7 @@
     },
 }
 
-/// State of this node as a log reader, or as a candidate for a lease on a reader slot.
+/// State of this node as a log reader, or as a candidate for a reader lease.
 #[derive(Debug)]
 pub struct StoreReader {
     lease: Option<ReaderLease>,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Returns true if the lease on a reader slot is valid by this node's own clock.
+    /// Returns true if the reader lease is valid by this node's own clock.
     pub fn holds_lease(&self, now: Moment) -> bool {
         self.lease.is_some_and(|lease| now < lease.expires)
     }
@@ -151,7 +152,7 @@
         self.head_queries.waiting.push((from, nonce));
     }
 
-    /// Acquires or renews the lease on a reader slot and sends the store requests that are due.
+    /// Acquires or renews the reader lease and sends the store requests that are due.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Forgets the lease on a reader slot without telling the store, for instance after the
+    /// Forgets the reader lease without telling the store, for instance after the
     /// process was suspended.
     pub fn abandon_lease(&mut self, reason: &str, outbox: &mut Outbox) {
         let Some(lease) = self.lease.take() else {
@@ -186,7 +187,7 @@
         });
     }
 
-    /// Releases the lease on a reader slot in the store, so that another node can acquire it at
+    /// Releases the reader lease in the store, so that another node can acquire it at
     /// once.
     pub fn release(&mut self, outbox: &mut Outbox) {
         if let Some(lease) = self.lease {
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Gives up the lease on a reader slot if it has expired by this node's clock.
+    /// Gives up the reader lease if it has expired by this node's clock.
     fn abandon_if_expired(&mut self, now: Moment, outbox: &mut Outbox) {
         if self.lease.is_some_and(|lease| now >= lease.expires) {
             self.abandon_lease("not renewed in time", outbox);
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Requests a lease on a reader slot if this node is a candidate and a slot may be free.
+    /// Requests a reader lease if this node is a candidate and a lease may be free.
     fn try_acquire(
         &mut self,
         now: Moment,
@@ -504,7 +505,7 @@
     }
 }
 
-/// Returns this node's rank among the candidates for reader slots, which are spread over the
+/// Returns this node's rank among the candidates for reader leases, which are spread over the
 /// zones, or `None` if it is not one of the first `count`.
 fn candidate_rank(membership: &Membership, count: usize) -> Option<usize> {
     let me = &membership.me().id;
--- a/crates/rampthread-core/src/fleet/settings.rs
+++ b/crates/rampthread-core/src/fleet/settings.rs
@@ -17,7 +17,8 @@
     pub indirect_probes: usize,
     /// Minimum time for which a member stays suspect before it is declared dead.
     pub suspicion_timeout: Duration,
-    /// Interval between attempts to reach listed members that are considered dead.
+    /// Interval between rejoin attempts: probes of members that are considered dead but named by
+    /// the settings or the platform's list of machines.
     pub rejoin_interval: Duration,
     /// Mean interval between comparisons of the member table with a peer whose table digest
     /// differs.
@@ -43,11 +44,11 @@
     pub pull_timeout: Duration,
     /// Maximum number of log entries kept in memory for peers with an older version.
     pub max_retained_entries: usize,
-    /// Number of nodes that read the log in the store, each with a lease on a reader slot.
+    /// Number of nodes that read the log in the store, each with a reader lease.
     pub reader_count: usize,
-    /// Number of members that may try to acquire a lease on a reader slot.
+    /// Number of members that may try to acquire a reader lease.
     pub reader_candidates: usize,
-    /// Time to live of a lease on a reader slot.
+    /// Time to live of a reader lease.
     pub lease_ttl: Duration,
     /// Maximum time for which one watch request waits in the store for a newer version.
     pub watch_wait: Duration,
@@ -97,7 +98,8 @@
     pub retransmit_multiplier: f64,
     /// Interval between gossip rounds while there are updates to send.
     pub gossip_interval: Duration,
-    /// Number of listed members considered dead that are contacted per rejoin attempt.
+    /// Number of members considered dead that are probed per rejoin attempt, see
+    /// `rejoin_interval`.
     pub rejoin_fanout: usize,
     /// Limits for rollouts. Rollout orders are ignored if absent.
     pub roll_outs: Option<RolloutBounds>,
--- a/crates/rampthread-core/src/fleet/zone_directory.rs
+++ b/crates/rampthread-core/src/fleet/zone_directory.rs
@@ -90,7 +90,7 @@
     pub departures: Vec<DepartureId>,
 }
 
-/// Store operation requested by [`ZoneDirectory::next_step`].
+/// Next store operation of a zone directory, requested by [`ZoneDirectory::next_step`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ZoneStep {
     /// Read the snapshots of all zones.
--- a/crates/rampthread-core/tests/backend_incarnations.rs
+++ b/crates/rampthread-core/tests/backend_incarnations.rs
@@ -353,7 +353,8 @@
     let (unknown, known) = (incarnation("i-0", None), incarnation("i-0", Some(3)));
     let remembered = fixture.tracker.restore(record(&unknown, 40, true));
     fixture.announced = remembered;
-    // The departure that the previous run of the node acknowledged stays valid.
+    // The heartbeat names the start time of the incarnation, which the restored record lacks.
+    // The departure in the record must still apply.
     fixture.apply(heartbeat_report(&known, 41, true));
     assert!(fixture.announces(&known, true));
 }
--- a/crates/rampthread-core/tests/balancing_under_load.rs
+++ b/crates/rampthread-core/tests/balancing_under_load.rs
@@ -49,6 +49,7 @@
 #[derive(Debug, Default)]
 struct Results {
     calls: u32,
+    /// Number of calls that failed or took longer than [`TARGET_LATENCY`].
     late: u32,
     rejected_attempts: u32,
     /// Sum of response times, in seconds.
@@ -318,7 +319,7 @@
         if last && backend.waiting.len() < SLOTS as usize {
             backend.waiting.push_back(call);
         } else if last {
-            // Rejected by the last gate node: the call has failed.
+            // Rejected by the last gate node: the call has failed, which counts as late.
             self.results.late += 1;
             let node = self.endpoints[at].node.clone();
             self.balancers[self.calls[call].entry].record_end(&node);
--- a/crates/rampthread-core/tests/crash_cases/mod.rs
+++ b/crates/rampthread-core/tests/crash_cases/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 pub const HOUR: Duration = Duration::from_secs(3_600);
-/// Later than the retention of any table of a process that started at zero.
+/// Present time of the tests. The time since zero is longer than any table keeps its records.
 pub const NOW: Moment = Moment(10 * 3_600_000_000);
 
 pub fn identity(number: u16) -> RequestIdentity {
--- a/crates/rampthread-core/tests/crash_detector.rs
+++ b/crates/rampthread-core/tests/crash_detector.rs
@@ -147,7 +147,7 @@
 
 proptest! {
     /// The responses to calls that are sent to a backend after its end are lost as well.
-    /// They must not displace the request that was lost first, nor one that was on trial.
+    /// They must not displace the request that was lost first, nor one that was in a quarantine trial.
     #[test]
     fn no_flood_of_later_losses_hides_the_first(
         later in prop::collection::vec(2_u16..500, 0..1_000),
@@ -209,25 +209,25 @@
 #[case::a_planned_end(present(1, true), false)]
 #[case::another_one_that_leaves_already(present(2, true), true)]
 #[case::nothing_known(None, false)]
-fn an_entry_takes_another_incarnation_for_a_crash(
-    #[case] beside: Option<CurrentBackend>,
+fn entry_node_reports_a_crash_if_another_incarnation_runs(
+    #[case] current: Option<CurrentBackend>,
     #[case] crashed: bool,
 ) {
     let node = NodeId::new("n-1").unwrap();
     let mut detector = PeerCrashDetector::default();
     detector.record_loss(&node, &suspect(1, 1));
-    let explained = detector.compare(|_| beside.clone(), NOW);
+    let explained = detector.compare(|_| current.clone(), NOW);
     assert_eq!(explained.len(), usize::from(crashed));
     // The crash is not reported again, and a planned end is not reported as a crash.
     assert_eq!(
         detector.compare(|_| present(3, false), NOW).len(),
-        usize::from(!crashed && beside != present(1, true))
+        usize::from(!crashed && current != present(1, true))
     );
     assert!(detector.is_empty());
 }
 
 #[test]
-fn an_entry_drops_a_lost_response_that_nothing_explains() {
+fn entry_node_drops_a_lost_response_after_a_later_response() {
     let node = NodeId::new("n-1").unwrap();
     let mut detector = PeerCrashDetector::default();
     detector.record_loss(&node, &suspect(1, 1));
@@ -295,8 +295,9 @@
     assert_eq!(detector.ended(&instance(1)), Some(Vec::new()));
 }
 
+/// A response to a call that began after the loss withdraws the crash report.
 #[test]
-fn a_backend_that_has_answered_meanwhile_has_not_ended() {
+fn a_backend_that_answers_after_a_loss_is_not_reported_as_ended() {
     let mut detector = CrashDetector::default();
     detector.record_loss(&suspect(1, 1), true);
     let later = NOW + Duration::from_millis(5);
--- a/crates/rampthread-core/tests/crash_properties.rs
+++ b/crates/rampthread-core/tests/crash_properties.rs
@@ -66,8 +66,8 @@
 }
 
 proptest! {
-    /// Whatever the order and repetition of reports, all tables give the same result for each
-    /// request.
+    /// Crash tables that merge the same reports, in any order and with repetitions, have the
+    /// same quarantine state for each request.
     #[test]
     fn reports_merge_in_any_order(
         reports in prop::collection::vec(any_report(), 0..40),
@@ -202,7 +202,8 @@
     assert!(table.is_empty());
 }
 
-/// The entry node may report a crash before the gate node reports that the request was on trial.
+/// The gate node may report that the crash happened in a quarantine trial (the request ran alone)
+/// after the entry node has reported the crash. The table must take over the trial mark.
 #[test]
 fn trial_mark_may_arrive_after_the_crash_report() {
     let mut table = table_of(&[
@@ -260,8 +261,9 @@
     assert_eq!(digest(&more[..2]), 0);
 }
 
+/// A response to a request clears the crash reports against it from before the response.
 #[test]
-fn response_clears_earlier_crashes_only() {
+fn response_clears_earlier_crash_reports_only() {
     let (early, late) = (Duration::from_secs(5), Duration::from_secs(1));
     let mut table = table_of(&[report(1, 1, early, false), report(1, 2, late, false)]);
     let responded_at = NOW - Duration::from_secs(3);
@@ -288,10 +290,10 @@
     }
 }
 
-/// The persisted record of a withdrawn crash is deleted. Otherwise a restart of all nodes would
-/// restore it.
+/// When a node withdraws a crash report, its persisted record is deleted. Otherwise a restart of
+/// all nodes would restore it.
 #[test]
-fn record_of_a_withdrawn_crash_is_deleted() {
+fn record_of_a_withdrawn_crash_report_is_deleted() {
     let name = |text: &str| NodeId::new(text).unwrap();
     let identity = AgentIdentity {
         id: name("n-1"),
--- a/crates/rampthread-core/tests/document_properties.rs
+++ b/crates/rampthread-core/tests/document_properties.rs
@@ -62,9 +62,10 @@
         }
     }
 
-    /// Sharing memory with an older state does not change the content.
+    /// A state that shares the memory of unchanged resources with an older state has the same
+    /// version and resources as before.
     #[test]
-    fn sharing_memory_keeps_the_content(
+    fn sharing_unchanged_resources_keeps_the_state(
         before in prop::collection::btree_set(0_u32..30, 0..20),
         after in prop::collection::btree_set(0_u32..30, 0..20),
     ) {
--- a/crates/rampthread-core/tests/fence_properties.rs
+++ b/crates/rampthread-core/tests/fence_properties.rs
@@ -27,10 +27,10 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// The given milliseconds pass. The gate process is suspended or idle, so it does not
-    /// use its table.
+    /// access its table of starts and fences.
     Pause(u64),
-    /// The given milliseconds pass. The gate process reads what has arrived and keeps using
-    /// its table.
+    /// The given milliseconds pass. The gate process reads what has arrived and accesses
+    /// its table of starts and fences.
     Run(u64),
     /// The entry node connects to the gate node process that listens now.
     Connect,
--- a/crates/rampthread-core/tests/fleet_properties.rs
+++ b/crates/rampthread-core/tests/fleet_properties.rs
@@ -130,7 +130,7 @@
         // Rejected while a route refers to the secret.
         3 => vec![delete(ResourceKind::Secret, "token")],
         4 => vec![delete(ResourceKind::Route, "paid")],
-        // Moves backends, which changes the witnesses of nodes.
+        // Moves backends, which changes the witness nodes that record the versions of a node.
         5 => vec![
             put(service("shop")),
             put(backend(number % NODES, "shop", ZONES)),
--- a/crates/rampthread-core/tests/precedence_properties.rs
+++ b/crates/rampthread-core/tests/precedence_properties.rs
@@ -171,8 +171,10 @@
     }
 }
 
+/// Nested calls leave the queue first, and their maximum queueing time depends on the time left
+/// until their deadline.
 #[test]
-fn a_nested_call_goes_first_and_waits_by_its_deadline() {
+fn nested_calls_leave_the_queue_first_and_wait_longer_with_a_later_deadline() {
     let calls = [
         arrival(1, Precedence::Retry, 10),
         arrival(2, Precedence::FirstAttempt, 10),
--- a/crates/rampthread-core/tests/quota_fleet/mod.rs
+++ b/crates/rampthread-core/tests/quota_fleet/mod.rs
@@ -295,7 +295,8 @@
         ticks.map(|(index, entry)| (due(entry), index)).min()
     }
 
-    fn interval(&self) -> Duration {
+    /// Interval between load reports of an entry node, longer in larger zones.
+    fn report_interval(&self) -> Duration {
         let members = self.entries.len().div_ceil(self.zones) as u32;
         Duration::from_millis(250).max(Duration::from_millis(8) * members)
     }
@@ -304,7 +305,7 @@
         let now = self.now;
         let loads = self.entries[index].limiter.load_reports(now);
         if now >= self.entries[index].next_report {
-            self.entries[index].next_report = now + self.interval();
+            self.entries[index].next_report = now + self.report_interval();
             self.exchange(index, loads);
         }
         let entry = &mut self.entries[index];
@@ -341,7 +342,7 @@
     /// from that node's point of view.
     fn aggregator(&self, index: usize) -> usize {
         let entry = &self.entries[index];
-        let expiry = self.interval() * EXPIRY_INTERVALS;
+        let expiry = self.report_interval() * EXPIRY_INTERVALS;
         let is_detected = self.now.since(entry.partitioned_since) >= expiry;
         let mut members =
             (0..self.entries.len()).filter(|one| self.entries[*one].zone == entry.zone);
@@ -364,7 +365,7 @@
             }
             return;
         }
-        let report_ttl = self.interval() * EXPIRY_INTERVALS;
+        let report_ttl = self.report_interval() * EXPIRY_INTERVALS;
         let entry = &mut self.entries[index];
         entry
             .reports
--- a/crates/rampthread-core/tests/quota_properties.rs
+++ b/crates/rampthread-core/tests/quota_properties.rs
@@ -323,7 +323,8 @@
     );
 }
 
-/// Without any fault; requests admitted before the first reports of a spike count too.
+/// Without faults, no window admits more than the limit, whatever the size of a spike. Requests
+/// admitted before the nodes have reported the spike count too.
 #[test]
 fn bound_holds_for_spikes_of_any_size() {
     let mut found = Vec::new();
--- a/crates/rampthread-core/tests/ring_of_services.rs
+++ b/crates/rampthread-core/tests/ring_of_services.rs
@@ -103,6 +103,7 @@
         }
     }
 
+    /// Runs the simulation to its end; returns the final state and the time of the last event.
     fn run(mut self) -> (Self, Moment) {
         for number in 0..LOAD_SECONDS * CALLS_PER_SECOND * SERVICES as u64 {
             let at = Moment(1 + number * 1_000_000 / (CALLS_PER_SECOND * SERVICES as u64));
--- a/crates/rampthread-core/tests/rollout_evaluation.rs
+++ b/crates/rampthread-core/tests/rollout_evaluation.rs
@@ -26,9 +26,9 @@
     SoftwareVersion::new(text).unwrap()
 }
 
-/// Difference between the new version and the other one.
+/// Faults of the new software version, compared with the old one.
 #[derive(Debug, Clone, Copy)]
-struct Version {
+struct VersionFaults {
     /// Ratio of the new version's responses that fail, since `from`.
     fails: f64,
     /// Ratio of the new version's responses that are slow, since `from`.
@@ -40,7 +40,7 @@
     one_route: bool,
 }
 
-const GOOD: Version = Version {
+const GOOD: VersionFaults = VersionFaults {
     fails: 0.0,
     slow_share: 0.0,
     slow: 1.0,
@@ -72,14 +72,14 @@
 
 struct SimulatedService {
     rng: ChaCha8Rng,
-    new: Version,
+    new: VersionFaults,
     disturbance: Disturbance,
     speeds: Vec<f64>,
     faulty: Vec<bool>,
 }
 
 impl SimulatedService {
-    fn new(seed: u64, new: Version, disturbance: Disturbance) -> Self {
+    fn new(seed: u64, new: VersionFaults, disturbance: Disturbance) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let speeds = (0..2 * BACKENDS)
             .map(|_| rng.random_range(0.65..1.55))
@@ -107,7 +107,7 @@
             let new = self.rng.random_bool(SHARE);
             let route = usize::from(self.rng.random_bool(0.4));
             let backend = self.rng.random_range(0..BACKENDS) + usize::from(new) * BACKENDS;
-            let (outcome, was_bad) = self.respond(new, route, backend, at, in_outage);
+            let (outcome, was_bad) = self.simulate_response(new, route, backend, at, in_outage);
             bad += u32::from(was_bad);
             let node = NodeId::new(&format!("node-{backend}")).unwrap();
             rows.entry((new, backend_group(&node), route))
@@ -127,7 +127,9 @@
         (evidence.collect(), bad)
     }
 
-    fn respond(
+    /// Simulates a response of the new or old version, and returns whether it failed or was slow
+    /// by a fault of the new version.
+    fn simulate_response(
         &mut self,
         new: bool,
         route: usize,
@@ -252,7 +254,7 @@
 
 fn simulate(
     seed: u64,
-    new: Version,
+    new: VersionFaults,
     disturbance: Disturbance,
     method: &mut dyn EvaluationMethod,
 ) -> Outcome {
@@ -295,7 +297,7 @@
 }
 
 fn outcomes(
-    new: Version,
+    new: VersionFaults,
     disturbance: Disturbance,
     seeds: u64,
     method: fn() -> Box<dyn EvaluationMethod>,
@@ -323,15 +325,15 @@
 /// The operator's bound: a regression is detected and rolled back within 5 s of the 50th
 /// bad response.
 #[rstest]
-#[case::fails_at_once(Version { fails: 0.3, ..GOOD })]
-#[case::fails_seldom(Version { fails: 0.15, ..GOOD })]
-#[case::fails_late(Version { fails: 0.3, from: Duration::from_secs(6), ..GOOD })]
-#[case::fails_on_one_route(Version { fails: 0.4, one_route: true, ..GOOD })]
-#[case::slow(Version { slow_share: 1.0, slow: 4.0, ..GOOD })]
-#[case::slow_in_part(Version { slow_share: 0.4, slow: 4.0, ..GOOD })]
-#[case::slow_late(Version { slow_share: 0.5, slow: 4.0, from: Duration::from_secs(6), ..GOOD })]
+#[case::fails_at_once(VersionFaults { fails: 0.3, ..GOOD })]
+#[case::fails_seldom(VersionFaults { fails: 0.15, ..GOOD })]
+#[case::fails_late(VersionFaults { fails: 0.3, from: Duration::from_secs(6), ..GOOD })]
+#[case::fails_on_one_route(VersionFaults { fails: 0.4, one_route: true, ..GOOD })]
+#[case::slow(VersionFaults { slow_share: 1.0, slow: 4.0, ..GOOD })]
+#[case::slow_in_part(VersionFaults { slow_share: 0.4, slow: 4.0, ..GOOD })]
+#[case::slow_late(VersionFaults { slow_share: 0.5, slow: 4.0, from: Duration::from_secs(6), ..GOOD })]
 fn regressions_are_detected_in_time(
-    #[case] new: Version,
+    #[case] new: VersionFaults,
     #[values(CALM, ROUGH)] disturbance: Disturbance,
 ) {
     let all = outcomes(new, disturbance, 60, sequential);
@@ -354,17 +356,17 @@
 fn table_of_both_methods() {
     let versions = [
         ("good", GOOD),
-        ("fails 30%", Version { fails: 0.3, ..GOOD }),
+        ("fails 30%", VersionFaults { fails: 0.3, ..GOOD }),
         (
             "fails 15%",
-            Version {
+            VersionFaults {
                 fails: 0.15,
                 ..GOOD
             },
         ),
         (
             "fails 30%, late",
-            Version {
+            VersionFaults {
                 fails: 0.3,
                 from: Duration::from_secs(6),
                 ..GOOD
@@ -372,7 +374,7 @@
         ),
         (
             "fails 40%, one route",
-            Version {
+            VersionFaults {
                 fails: 0.4,
                 one_route: true,
                 ..GOOD
@@ -380,7 +382,7 @@
         ),
         (
             "slow x4",
-            Version {
+            VersionFaults {
                 slow_share: 1.0,
                 slow: 4.0,
                 ..GOOD
@@ -388,7 +390,7 @@
         ),
         (
             "slow x4, 40%",
-            Version {
+            VersionFaults {
                 slow_share: 0.4,
                 slow: 4.0,
                 ..GOOD
@@ -396,7 +398,7 @@
         ),
         (
             "slow x4, 50%, late",
-            Version {
+            VersionFaults {
                 slow_share: 0.5,
                 slow: 4.0,
                 from: Duration::from_secs(6),
--- a/crates/rampthread-core/tests/rollout_exposure.rs
+++ b/crates/rampthread-core/tests/rollout_exposure.rs
@@ -168,8 +168,9 @@
     }
 }
 
+/// A node that gets no further updates of a rollout stops sending calls to the new version.
 #[test]
-fn unconfirmed_share_expires() {
+fn traffic_share_without_rollout_updates_expires() {
     let mut table = RolloutTable::default();
     let now = Moment(1_000_000);
     table.merge(state(1, Phase::Running, 1, 1), now);
--- a/crates/rampthread-core/tests/store_era.rs
+++ b/crates/rampthread-core/tests/store_era.rs
@@ -1,5 +1,5 @@
-//! Notifications between peers that the store was restored from an older copy, which raises
-//! its era by one.
+//! Notifications between peers of a new store era, the number that the store raises by one each
+//! time it is restored from an older copy.
 
 mod mesh;
 
@@ -13,7 +13,7 @@
 /// Time at which the single agent of a test receives messages.
 const NOW: Moment = Moment(2_000_000);
 
-/// Eras for which `agent` queries the store after a peer announced `era`.
+/// Store eras for which `agent` queries the store after a peer announced `era`.
 fn queried_eras(agent: &mut Agent, era: u64) -> Vec<u64> {
     let envelope = Envelope {
         from: NodeId::new("node-1").unwrap(),
@@ -45,7 +45,7 @@
     assert!(queried_eras(&mut agent, 3).is_empty());
 }
 
-/// Maximum messages of a node that has seen a newer era.
+/// Maximum messages of a node that has seen a newer store era.
 const MAX_MESSAGES_PER_NODE: usize = 4;
 
 #[test]
@@ -74,7 +74,7 @@
     );
 }
 
-/// Nodes to which an era is sent.
+/// Returns the nodes to which `actions` send a store era.
 fn notified_nodes(actions: &[Action]) -> Vec<usize> {
     let sent = actions.iter().filter_map(|action| match action {
         Action::Send { to, envelope, .. }
--- a/crates/rampthread-http/src/pool.rs
+++ b/crates/rampthread-http/src/pool.rs
@@ -34,7 +34,7 @@
 /// Timeouts and sizes of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
-    /// Timeout of opening a connection.
+    /// Maximum time for the peer to accept a connection.
     pub connect_timeout: Duration,
     /// Maximum number of idle connections per peer address; further ones are closed.
     pub max_idle_per_address: usize,
--- a/crates/rampthread-http/src/server/head.rs
+++ b/crates/rampthread-http/src/server/head.rs
@@ -16,13 +16,13 @@
     /// The request head is not valid HTTP/1.x; holds the reason.
     #[error("{0}")]
     Malformed(String),
-    /// The request head exceeds the size limit or has too many headers.
+    /// Answered with status 431 (Request Header Fields Too Large).
     #[error("request head exceeds {limit} bytes or {MAX_HEADERS} headers")]
     HeadTooLarge {
         /// Maximum size of a request head, in bytes.
         limit: usize,
     },
-    /// The request head did not arrive in time.
+    /// Answered with status 408 (Request Timeout).
     #[error("request head not received within {wait:?}")]
     HeadTimeout {
         /// Maximum time for a request head to arrive.
--- a/crates/rampthread-http/src/server/request_body.rs
+++ b/crates/rampthread-http/src/server/request_body.rs
@@ -119,7 +119,8 @@
 }
 
 impl BodySender {
-    /// Creates both halves of a request body of `declared` bytes; `None` for a chunked body.
+    /// Creates the sender and the receiver of a request body of `declared` bytes; `None` for a
+    /// chunked body.
     pub(super) fn new(declared: Option<u64>) -> (Self, RequestBody) {
         let (pieces, taken) = async_channel::bounded(MAX_BUFFERED_PIECES);
         let (request, requested) = async_channel::bounded(1);
--- a/crates/rampthread-http/tests/connections.rs
+++ b/crates/rampthread-http/tests/connections.rs
@@ -22,7 +22,7 @@
 
 /// What the handlers of one test observed, and the responses that the test has released.
 #[derive(Default)]
-struct Observations {
+struct HandlerObservations {
     started: Vec<String>,
     dropped: Vec<String>,
     released: HashMap<String, Response<Vec<u8>>>,
@@ -33,7 +33,7 @@
 /// `/safe` may overlap.
 #[derive(Clone, Default)]
 struct ControlledService {
-    observations: Arc<(Mutex<Observations>, Condvar)>,
+    observations: Arc<(Mutex<HandlerObservations>, Condvar)>,
     released: Arc<event::Event>,
 }
 
@@ -51,7 +51,7 @@
             receiver
         }
 
-        pub fn notify(&self) {
+        pub fn wake_listeners(&self) {
             self.0.lock().unwrap().clear();
         }
     }
@@ -71,7 +71,7 @@
 
 impl ControlledService {
     /// Applies `update` to the observations and wakes the test that waits for them.
-    fn update_observations<T>(&self, update: impl FnOnce(&mut Observations) -> T) -> T {
+    fn update_observations<T>(&self, update: impl FnOnce(&mut HandlerObservations) -> T) -> T {
         let result = update(&mut self.observations.0.lock().unwrap());
         self.observations.1.notify_all();
         result
@@ -83,11 +83,11 @@
         self.update_observations(|observations| {
             observations.released.insert(path.to_string(), response)
         });
-        self.released.notify();
+        self.released.wake_listeners();
     }
 
     /// Waits until the observations meet the condition `done`; `what` names it in the failure.
-    fn wait_until(&self, what: &str, done: impl Fn(&Observations) -> bool) {
+    fn wait_until(&self, what: &str, done: impl Fn(&HandlerObservations) -> bool) {
         let (lock, changed) = &*self.observations;
         let guard = lock.lock().unwrap();
         let waited = changed
--- a/crates/rampthread-http/tests/suspension.rs
+++ b/crates/rampthread-http/tests/suspension.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Duration of the simulated suspension.
+/// Time by which the clock jumps to simulate that the machine was suspended.
 const SUSPENSION: Duration = Duration::from_secs(30);
 /// Maximum real time that a wait across the suspension may take: much shorter than the wait
 /// itself, and longer than a single runtime timer.
--- a/crates/rampthread-node/src/calls/entry/caller_service.rs
+++ b/crates/rampthread-node/src/calls/entry/caller_service.rs
@@ -1,4 +1,4 @@
-//! The entry node as the HTTP service of the listener for callers.
+//! HTTP service that passes requests from the listener for callers to the entry node.
 
 use super::Entry;
 use crate::calls::response::CallError;
--- a/crates/rampthread-node/src/calls/entry/mod.rs
+++ b/crates/rampthread-node/src/calls/entry/mod.rs
@@ -97,7 +97,8 @@
     pub dialect: Arc<CallDialect>,
     /// Client for hops and queries to other nodes.
     pub peers: Arc<PeerClient>,
-    /// Gate of this node, which attempts at the local backend call directly.
+    /// Gate of this node. It is called in the process, without a hop, for attempts that go to the
+    /// local backend.
     pub gate: Arc<Gate>,
     /// Claims of idempotency keys; `None` where callers send no idempotency keys.
     pub claims: Option<Arc<IdempotencyClaims>>,
@@ -299,7 +300,7 @@
         });
     }
 
-    /// Prepares and runs a call; returns its rate limit token if the call has not run.
+    /// Prepares and runs a call; refunds its rate limit token to the tenant if the call has not run.
     async fn run(
         self: &Arc<Self>,
         call_id: &str,
--- a/crates/rampthread-node/src/calls/entry/quarantine.rs
+++ b/crates/rampthread-node/src/calls/entry/quarantine.rs
@@ -23,8 +23,8 @@
         call.content.identity(&self.control().identity_key)
     }
 
-    /// Whether the request is suspected, on trial or quarantined, according to the crashes that
-    /// this node knows.
+    /// Returns whether the request is suspected of crashing backends, must run alone (on trial) or
+    /// is rejected (quarantined), according to the crash reports that this node has.
     pub(super) fn quarantine_state(&self, call: &Call) -> QuarantineState {
         self.control().quarantine_state(|| self.identity(call))
     }
--- a/crates/rampthread-node/src/calls/gate/admission.rs
+++ b/crates/rampthread-node/src/calls/gate/admission.rs
@@ -181,8 +181,9 @@
     CallError::not_run(Cause::QueueFull, reason).retry_after(retry_after)
 }
 
-/// Precedence of a hop at this gate node. Calls made by other backends are nested calls; only
-/// the gate node sees who calls a route.
+/// Precedence of a hop at this gate node. A nested call, made by a backend that serves another
+/// call, takes precedence over others. Only the gate node can detect it, since it sees which
+/// services call a route.
 fn precedence(nested_calls: &mut NestedCallDetector, hop: &Hop) -> Precedence {
     if nested_calls.observe(&hop.route, &hop.caller) {
         return Precedence::Nested;
--- a/crates/rampthread-node/src/calls/gate/lost_response.rs
+++ b/crates/rampthread-node/src/calls/gate/lost_response.rs
@@ -196,6 +196,8 @@
 }
 
 impl<B> LossDetectingBody<B> {
+    /// Wraps the response body `inner`. `on_trial` is true if the request runs alone, since it is
+    /// suspected of crashing backends.
     pub(super) fn new(
         inner: B,
         gate: Arc<Gate>,
--- a/crates/rampthread-node/src/calls/gate/reservation.rs
+++ b/crates/rampthread-node/src/calls/gate/reservation.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Maximum time between granting a transfer permit and the start of the request body. Covers
-/// the slowest region with one lost packet.
+/// the round trip to the slowest region, with the retransmission of one lost packet.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Size from which a request body needs a transfer permit, in bytes. A body of this size takes
--- a/crates/rampthread-node/src/calls/idempotency_claims.rs
+++ b/crates/rampthread-node/src/calls/idempotency_claims.rs
@@ -122,7 +122,8 @@
         .await;
     }
 
-    /// Holders of `key` among the nodes in the configuration.
+    /// Returns the nodes that store the claim of the idempotency key `key`, selected by rendezvous
+    /// hashing among the nodes in the configuration.
     fn holders(&self, key: &str) -> Vec<NodeId> {
         let active = self.control.active();
         let nodes = active.state.backends().map(|backend| backend.node.clone());
