--- a/crates/rampthread-core/src/call/quota/tenant_quota.rs
+++ b/crates/rampthread-core/src/call/quota/tenant_quota.rs
@@ -28,7 +28,7 @@
 /// the load reports late.
 const USED_BURST_RATIO: f64 = 0.85;
 /// Ratio of the policy's `slack_requests` (requests by which a window may exceed the limit)
-/// that is added to the burst, so that random variation at low rates causes no rejections.
+/// that is added to the burst, so that random variation at low rates causes fewer rejections.
 const USED_SLACK_RATIO: f64 = 0.2;
 /// A node leaves a tenant out of its load report if the tenant's requests there are below
 /// this ratio of the limit per node (the limit divided by the number of nodes).
